--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -4,6 +4,7 @@
 
 mod judging;
 mod state;
+mod trace;
 pub mod users;
 
 use judging::Waiting;
@@ -19,6 +20,7 @@
 use tillercleat::protocol::workers::{Command, Report, TaskName, TaskReport, TaskState, Why};
 use tillercleat::settings::{Settings, Tuning};
 use tillercleat::units::{Attempt, CallId, JobRef, MachineId, NodeName, RequestId, Seq, Session, Time, Token};
+use trace::Trace;
 use users::Odd;
 
 /// How large a world is, and its limits.
@@ -540,6 +542,8 @@
     checked: u64,
     /// The last second in which the use of teams was summed up.
     summed: u64,
+    /// A checksum of all that the controllers sent.
+    pub trace: Trace,
     /// What the controllers' inputs cost, by kind.
     pub costs: BTreeMap<&'static str, Cost>,
     pub jobs: BTreeMap<JobRef, Job>,
@@ -673,6 +677,7 @@
             placed: BTreeMap::new(),
             checked: 0,
             summed: 0,
+            trace: Trace::default(),
             costs: BTreeMap::new(),
             jobs: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -969,6 +974,7 @@
         let outputs = core.handle(Time(steady), self.now + 500 * (node % 3) as u64, input);
         self.costs.entry(kind).or_default().add(began.elapsed().as_nanos() as u64);
         let life = n.life;
+        self.trace.add(self.now, node, &outputs);
         for output in outputs {
             if self.springs(node, &output) {
                 // What it was about to send after this is never sent.
--- /dev/null
+++ b/tests/standin/trace.rs
@@ -0,0 +1,95 @@
+//! A checksum of everything that the controllers' cores send, in wire form. It does not
+//! depend on Rust names, so it stays the same while code is renamed or moved, and changes
+//! with any decision. The wording of error answers is not part of it; their status is.
+
+use prost::Message;
+use std::hash::Hasher;
+use tillercleat::coordination::{CloudCall, Output, Reply};
+use tillercleat::protocol::users::JobAnswer;
+use tillercleat::protocol::workers::ReportAnswer;
+
+/// FNV-1a, which is the same in every process and version.
+#[derive(Debug, Clone, Copy)]
+struct Fnv(u64);
+
+impl Hasher for Fnv {
+    fn finish(&self) -> u64 {
+        self.0
+    }
+    fn write(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+/// The checksum so far, with the number of inputs and outputs that it covers.
+#[derive(Debug, Clone, Copy)]
+pub struct Trace {
+    checksum: Fnv,
+    pub inputs: u64,
+    pub outputs: u64,
+}
+
+impl Default for Trace {
+    fn default() -> Self {
+        Trace { checksum: Fnv(0xcbf2_9ce4_8422_2325), inputs: 0, outputs: 0 }
+    }
+}
+
+impl Trace {
+    /// Adds what a node sent at `now` (milliseconds) in answer to one input.
+    pub fn add(&mut self, now: u64, node: usize, outputs: &[Output]) {
+        self.inputs += 1;
+        for output in outputs {
+            self.outputs += 1;
+            self.checksum.write(format!("{now} {node} ").as_bytes());
+            self.checksum.write(&wire_form(output));
+        }
+    }
+
+    pub fn checksum(&self) -> u64 {
+        self.checksum.finish()
+    }
+}
+
+fn json(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("a message that can be written")
+}
+
+/// An output as the transport writes it, behind a word for its kind.
+fn wire_form(output: &Output) -> Vec<u8> {
+    match output {
+        Output::State(call, request) => {
+            let (method, path, body) = request.request();
+            [format!("state {call} {method} {path} ").as_bytes(), &body].concat()
+        }
+        Output::Cloud(call, request) => {
+            let request = match request {
+                CloudCall::Catalog => "catalog".to_string(),
+                CloudCall::List { after } => format!("list {}", json(after)),
+                CloudCall::Rent(request) => format!("rent {}", json(request)),
+                CloudCall::Return(machines) => format!("return {}", json(machines)),
+            };
+            format!("cloud {call} {request}").into_bytes()
+        }
+        Output::Reply(request, reply) => format!("reply {request} {}", reply_form(reply)).into_bytes(),
+        Output::Tell(note) => [b"tell ".as_slice(), &note.encode_to_vec()].concat(),
+        Output::Nudge(revision) => format!("nudge {revision}").into_bytes(),
+    }
+}
+
+fn reply_form(reply: &Reply) -> String {
+    match reply {
+        Reply::Up => "up".into(),
+        Reply::Job { status, id, state, counts } => {
+            let (done, running) = counts.unzip();
+            format!("job {status} {}", json(&JobAnswer { id, state: *state, done, running }))
+        }
+        Reply::Problem { status, retry_after_s, .. } => format!("problem {status} {}", json(retry_after_s)),
+        Reply::Commands { token, commands } => {
+            format!("commands {}", json(&ReportAnswer { token: *token, commands }))
+        }
+        Reply::Elsewhere(node) => format!("elsewhere {}", json(node)),
+    }
+}
