--- a/src/coordination/aging.rs
+++ b/src/coordination/aging.rs
@@ -8,8 +8,8 @@
 //! waits in its place again.
 
 use super::*;
-use crate::bookkeeping::view::{Job, Slice};
 use crate::protocol::users::JobKind;
+use crate::storage::cache::{Job, Slice};
 
 /// Of a part's cores, what first tasks of aged jobs may take.
 const SHARE: f64 = 0.1;
@@ -17,24 +17,24 @@
 impl Core {
     /// Of these waiting jobs, which one has waited longest without anything of it begun,
     /// if that is too long and the part has cores to give it.
-    pub(super) fn aged(&self, part: PartId, order: &[(&JobRef, &Job)]) -> Option<usize> {
-        if self.mine.get(&part).is_none_or(|mine| self.now < mine.next_aged) {
+    pub(super) fn starving_job(&self, shard: ShardId, order: &[(&JobId, &Job)]) -> Option<usize> {
+        if self.owned_shards.get(&shard).is_none_or(|owned_shard| self.now < owned_shard.next_starving_job) {
             return None;
         }
         let unbegun = |job: &Job| job.counts() == (0, 0) && job.slices().iter().all(|s| Slice::tried(s) == 0);
         // Most are too young: that is known at once.
         let old =
             |job: &Job| self.age_s(job) > self.tuning.begin_s && job.record.spec.kind != JobKind::Gang && unbegun(job);
-        let aged = order.iter().enumerate().filter(|(_, (_, job))| old(job));
-        aged.min_by_key(|(_, (id, job))| (job.record.since(), *id)).map(|(at, _)| at)
+        let starving_job = order.iter().enumerate().filter(|(_, (_, job))| old(job));
+        starving_job.min_by_key(|(_, (id, job))| (job.record.since(), *id)).map(|(at, _)| at)
     }
 
     /// The first task of an aged job, of so many cores, got room in the part: others wait
     /// until it has used up its share.
-    pub(super) fn began_aged(&mut self, part: PartId, cpus: f64, run_s: f64, cores: f64) {
-        let pause = Span::secs((cpus * run_s / (SHARE * cores).max(1e-3)).min(self.tuning.begin_s));
-        if let Some(mine) = self.mine.get_mut(&part) {
-            mine.next_aged = self.now + pause;
+    pub(super) fn starving_job_started(&mut self, shard: ShardId, cpus: f64, run_s: f64, cores: f64) {
+        let pause = Millis::secs((cpus * run_s / (SHARE * cores).max(1e-3)).min(self.tuning.begin_s));
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+            owned_shard.next_starving_job = self.now + pause;
         }
     }
 }
--- a/src/coordination/answering.rs
+++ b/src/coordination/answering.rs
@@ -13,19 +13,19 @@
 //! - A worker with tasks tells of changes every half second at most, so that is
 //!   as long as it is kept waiting; one without tasks has nothing to tell.
 
-use super::mine::Machine;
+use super::owned_shard::Machine;
 use super::*;
 use crate::protocol::workers::TaskState;
 
 /// Workers tell of changes no more often than this.
-const WORKER_PAUSE: Span = Span(450);
+const WORKER_PAUSE: Millis = Millis(450);
 
 /// The longest that a worker without tasks waits: well within the 4 s after
 /// which it would turn to another node, also if this one is slow.
-const LONGEST: Span = Span(2000);
+const LONGEST: Millis = Millis(2000);
 
 /// Room left before a machine counts as silent, for a report on its way.
-const MARGIN: Span = Span(500);
+const MARGIN: Millis = Millis(500);
 
 /// Where workers report so often that the pause between reports is not this
 /// many times theirs between changes, the next report comes about as soon.
@@ -36,30 +36,30 @@
 
 /// A report whose answer is held back.
 #[derive(Debug)]
-struct Held {
+struct DeferredResponse {
     request: RequestId,
-    report: Report,
-    until: Time,
+    heartbeat: Heartbeat,
+    until: MonotonicTime,
 }
 
 /// Answers held back, one a machine.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
-    held: BTreeMap<MachineId, Held>,
+pub(super) struct DeferredResponses {
+    held: BTreeMap<MachineId, DeferredResponse>,
     /// By when each is to be given.
-    due: BTreeSet<(Time, MachineId)>,
+    due: BTreeSet<(MonotonicTime, MachineId)>,
     /// Machines for which there may be something to say now.
     touched: BTreeSet<MachineId>,
 }
 
-impl Answers {
-    fn hold(&mut self, held: Held) {
-        let machine = held.report.machine.clone();
+impl DeferredResponses {
+    fn hold(&mut self, held: DeferredResponse) {
+        let machine = held.heartbeat.machine.clone();
         self.due.insert((held.until, machine.clone()));
         self.held.insert(machine, held);
     }
 
-    fn take(&mut self, machine: &MachineId) -> Option<Held> {
+    fn take(&mut self, machine: &MachineId) -> Option<DeferredResponse> {
         let held = self.held.remove(machine)?;
         self.due.remove(&(held.until, machine.clone()));
         Some(held)
@@ -76,8 +76,8 @@
 impl Core {
     /// How long the answer to this machine's report may wait; none if there is
     /// nothing to wait for.
-    fn patience(&self, part: PartId, machine: &Machine, report: &Report) -> Option<Span> {
-        let mine = self.mine.get(&part)?;
+    fn patience(&self, shard: ShardId, machine: &Machine, heartbeat: &Heartbeat) -> Option<Millis> {
+        let owned_shard = self.owned_shards.get(&shard)?;
         let report_ms = self.settings.cluster.workers.report_s * 1000.0;
         if report_ms < WORTHWHILE * WORKER_PAUSE.0 as f64 {
             return None;
@@ -85,15 +85,19 @@
         // The worker's next report may come a whole pause and a quarter after the
         // answer: it must not count as silent by then.
         let before_silence = self.quiet().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
-        let within = |most: Span| Span(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
-        let lives = report.tasks.iter().any(|t| t.state != TaskState::Exited);
-        let usable =
-            machine.acked && machine.notice.is_none() && !machine.faulty && !self.is_deaf(machine) && !mine.releasing;
-        if !usable || self.draining(&report.machine) || !self.state_fresh() {
+        let within = |most: Millis| Millis(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
+        let lives = heartbeat.tasks.iter().any(|t| t.state != TaskState::Exited);
+        let usable = machine.acked
+            && machine.notice.is_none()
+            && !machine.faulty
+            && !self.is_downlink_lost(machine)
+            && !owned_shard.releasing;
+        if !usable || self.draining(&heartbeat.machine) || !self.records_fresh() {
             return None;
         }
-        let exits = report.tasks.iter().any(|t| t.state == TaskState::Exited);
-        let unsent = mine.on.get(&report.machine).is_some_and(|on| on.iter().any(|k| !machine.listed.contains_key(k)));
+        let exits = heartbeat.tasks.iter().any(|t| t.state == TaskState::Exited);
+        let unsent =
+            owned_shard.on.get(&heartbeat.machine).is_some_and(|on| on.iter().any(|k| !machine.listed.contains_key(k)));
         if !lives && !exits {
             return Some(within(LONGEST));
         }
@@ -101,40 +105,40 @@
     }
 
     /// Answers a report of one of our machines, now or in a moment.
-    pub(super) fn answer_report(&mut self, part: PartId, request: RequestId, report: Report, fresh: bool) {
-        let Some(mine) = self.mine.get(&part) else { return };
-        let (token, ready) = (mine.token, mine.ready);
+    pub(super) fn answer_heartbeat(&mut self, shard: ShardId, request: RequestId, heartbeat: Heartbeat, fresh: bool) {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
+        let (token, ready) = (owned_shard.token, owned_shard.ready);
         // A worker that asks again does not wait for the older answer any more.
-        if let Some(older) = self.answers.take(&report.machine) {
-            self.reply(older.request, Reply::Commands { token, commands: vec![] });
+        if let Some(older) = self.deferred_responses.take(&heartbeat.machine) {
+            self.response(older.request, Response::Commands { token, commands: vec![] });
         }
-        let commands = self.orders(part, &report, fresh, ready);
+        let commands = self.orders(shard, &heartbeat, fresh, ready);
         if commands.is_empty() && fresh && ready {
-            let machine = self.mine.get(&part).and_then(|m| m.machines.get(&report.machine));
-            if let Some(patience) = machine.and_then(|m| self.patience(part, m, &report)) {
+            let machine = self.owned_shards.get(&shard).and_then(|m| m.machines.get(&heartbeat.machine));
+            if let Some(patience) = machine.and_then(|m| self.patience(shard, m, &heartbeat)) {
                 let until = self.now + patience;
-                return self.answers.hold(Held { request, report, until });
+                return self.deferred_responses.hold(DeferredResponse { request, heartbeat, until });
             }
         }
-        self.reply(request, Reply::Commands { token, commands });
+        self.response(request, Response::Commands { token, commands });
     }
 
     /// What a machine of ours is told. An owner whose records are not as new as its
     /// ownership yet renews the machine's lease too, so it stops what it knows to be over.
-    fn orders(&mut self, part: PartId, report: &Report, newest: bool, ready: bool) -> Vec<Command> {
+    fn orders(&mut self, shard: ShardId, heartbeat: &Heartbeat, newest: bool, ready: bool) -> Vec<Command> {
         match (newest, ready) {
-            (true, true) => self.commands(part, report),
-            (true, false) => self.stops_of_ended(report),
+            (true, true) => self.commands(shard, heartbeat),
+            (true, false) => self.stops_of_ended(heartbeat),
             (false, _) => vec![],
         }
     }
 
     /// Gives the answers that are due, and those that have something to say.
-    pub(super) fn tend_answers(&mut self) {
-        for machine in std::mem::take(&mut self.answers.touched) {
+    pub(super) fn send_due_responses(&mut self) {
+        for machine in std::mem::take(&mut self.deferred_responses.touched) {
             self.give_answer(&machine, false);
         }
-        while let Some((until, machine)) = self.answers.due.first().cloned() {
+        while let Some((until, machine)) = self.deferred_responses.due.first().cloned() {
             if until > self.now {
                 break;
             }
@@ -143,43 +147,45 @@
     }
 
     /// All answers for a part that is no longer ours are due.
-    pub(super) fn release_answers(&mut self, part: PartId) {
-        let of_part: Vec<MachineId> =
-            self.answers.held.keys().filter(|name| self.part_of(name) == part).cloned().collect();
-        for machine in of_part {
-            if let Some(held) = self.answers.take(&machine) {
-                self.answers.hold(Held { until: self.now, ..held });
+    pub(super) fn drop_deferred_responses(&mut self, shard: ShardId) {
+        let of_shard: Vec<MachineId> =
+            self.deferred_responses.held.keys().filter(|name| self.shard_of(name) == shard).cloned().collect();
+        for machine in of_shard {
+            if let Some(held) = self.deferred_responses.take(&machine) {
+                self.deferred_responses.hold(DeferredResponse { until: self.now, ..held });
             }
         }
     }
 
     fn give_answer(&mut self, machine: &MachineId, due: bool) {
-        let Some(held) = self.answers.take(machine) else { return };
-        let part = self.part_of(machine);
-        let Some((token, ready)) = self.mine.get(&part).map(|m| (m.token, m.ready)) else {
-            let reply = self.answer_stranger(part, &held.report);
-            return self.reply(held.request, reply);
+        let Some(held) = self.deferred_responses.take(machine) else { return };
+        let shard = self.shard_of(machine);
+        let Some((token, ready)) = self.owned_shards.get(&shard).map(|m| (m.token, m.ready)) else {
+            let response = self.answer_stranger(shard, &held.heartbeat);
+            return self.response(held.request, response);
         };
-        if !self.entitled() || held.report.token > token {
-            return self.reply(held.request, Reply::Elsewhere(None));
+        if !self.may_answer_workers() || held.heartbeat.token > token {
+            return self.response(held.request, Response::Redirect(None));
         }
         // The part may have been lost and won again meanwhile: then this owner
         // has not heard of the machine, and knows nothing of what is on it.
-        let newest = self.mine.get(&part).and_then(|m| m.machines.get(machine));
-        let newest = newest.is_some_and(|m| (m.session, m.seq) == (held.report.session, held.report.seq));
-        let commands = self.orders(part, &held.report, newest, ready);
+        let newest = self.owned_shards.get(&shard).and_then(|m| m.machines.get(machine));
+        let newest = newest.is_some_and(|m| {
+            (m.agent_epoch, m.heartbeat_number) == (held.heartbeat.agent_epoch, held.heartbeat.heartbeat_number)
+        });
+        let commands = self.orders(shard, &held.heartbeat, newest, ready);
         if commands.is_empty() && !due {
-            return self.answers.hold(held);
+            return self.deferred_responses.hold(held);
         }
-        self.reply(held.request, Reply::Commands { token, commands });
+        self.response(held.request, Response::Commands { token, commands });
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::protocol::workers::{TaskName, TaskReport};
-    use crate::units::{Attempt, Seq, Session};
+    use crate::protocol::workers::{TaskName, TaskStatus};
+    use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
 
     /// A new owner whose watch brought nothing any more went on renewing leases of
     /// machines on which a job ran that it knew to be cancelled.
@@ -188,34 +194,34 @@
         let mut core = super::super::tests::core();
         let record =
             super::super::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
-        let changed = core.view.apply("t/j/wk-000002", Some(record), Revision(5));
+        let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
         core.changed(changed);
-        core.last_read = Some(Time(0));
-        for part in 0..2 {
-            core.mine.insert(PartId(part), mine::Mine::new(Token(9), Time(0)));
+        core.last_read = Some(MonotonicTime(0));
+        for shard in 0..2 {
+            core.owned_shards.insert(ShardId(shard), owned_shard::OwnedShard::new(FencingToken(9), MonotonicTime(0)));
         }
-        let task = TaskReport {
-            task: TaskName { job: JobRef::new("wk-000002"), index: 0 },
+        let task = TaskStatus {
+            task: TaskName { job: JobId::new("wk-000002"), index: 0 },
             attempt: Attempt(1),
             state: TaskState::Running,
             why: None,
             saved: None,
         };
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: MachineId::new("i-000001"),
             addr: String::new(),
             kind: "m".into(),
             zone: "a".into(),
             spot: false,
-            session: Session(1),
-            seq: Seq(4),
-            token: Token(7),
+            agent_epoch: AgentEpoch(1),
+            heartbeat_number: HeartbeatNumber(4),
+            token: FencingToken(7),
             notice_s: None,
             tasks: vec![task],
         };
-        core.report(RequestId(1), report);
+        core.heartbeat(RequestId(1), heartbeat);
         let told = |o: &Output| {
-            matches!(o, Output::Reply(_, Reply::Commands { commands, .. })
+            matches!(o, Output::Response(_, Response::Commands { commands, .. })
             if matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]))
         };
         assert!(core.out.iter().any(told), "{:?}", core.out);
--- a/src/coordination/buying.rs
+++ b/src/coordination/buying.rs
@@ -2,10 +2,10 @@
 //! durable before it is asked for.
 
 use super::demand::Demand;
-use super::fleet::Owned;
+use super::fleet::FleetMachine;
 use super::*;
-use crate::bookkeeping::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
 use crate::protocol::cloud::RENT_LIMIT;
+use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
 use std::collections::HashMap;
 
 /// For how long a machine is paid for, usually.
@@ -20,10 +20,10 @@
 
 impl Core {
     /// Cores that a machine may be counted on for: a late boot may never end.
-    pub(super) fn counted_cpus(&self, m: &Owned) -> Option<f64> {
+    pub(super) fn counted_cpus(&self, m: &FleetMachine) -> Option<f64> {
         let t = self.catalog.get(&m.kind)?;
         let age_s = self.now.since(m.born).as_secs();
-        let share = if m.up { 1.0 } else { self.cloud.boots.coming(&m.kind, &m.zone, t.boot_s, age_s) };
+        let share = if m.up { 1.0 } else { self.fleet.provisioning_times.coming(&m.kind, &m.zone, t.boot_s, age_s) };
         Some(t.cpus * share)
     }
 
@@ -38,12 +38,12 @@
     }
 
     /// True if the machine may do work of the group.
-    pub(super) fn serves(&self, demand: &Demand, name: &MachineId, m: &Owned) -> bool {
-        demand.part.is_none_or(|part| self.part_of(name) == part) && self.suits(demand, &m.kind, &m.zone, m.spot)
+    pub(super) fn serves(&self, demand: &Demand, name: &MachineId, m: &FleetMachine) -> bool {
+        demand.shard.is_none_or(|shard| self.shard_of(name) == shard) && self.suits(demand, &m.kind, &m.zone, m.spot)
     }
 
     /// True if a task that takes so much fits beside what is used of the machine.
-    fn has_room(&self, m: &Owned, used: [f64; 3], need: &[f64; 3]) -> bool {
+    fn has_room(&self, m: &FleetMachine, used: [f64; 3], need: &[f64; 3]) -> bool {
         let Some(t) = self.catalog.get(&m.kind) else { return false };
         let all = [t.cpus, t.gpus, t.mem_gb];
         all.iter().zip(used).zip(need).all(|((all, used), need)| used + need <= all + 1e-6)
@@ -56,23 +56,23 @@
         wanted: fn(&Demand) -> f64,
     ) -> (Vec<f64>, BTreeMap<MachineId, f64>) {
         let mut left: BTreeMap<MachineId, f64> = self
-            .cloud
+            .fleet
             .machines
             .iter()
-            .filter(|(name, m)| !m.failed && !m.leaving && !m.deaf && !self.draining(name))
+            .filter(|(name, m)| !m.failed && !m.leaving && !m.downlink_lost && !self.draining(name))
             .filter_map(|(name, m)| Some((name.clone(), self.counted_cpus(m)?)))
             .collect();
-        let by_part = demand.iter().any(|group| group.part.is_some());
-        let taken = if by_part { self.taken() } else { HashMap::default() };
+        let by_shard = demand.iter().any(|group| group.shard.is_some());
+        let taken = if by_shard { self.taken() } else { HashMap::default() };
         let mut lacks = vec![];
         for group in demand {
             // Whoever needs room in one part needs it whole, and no more of it.
-            let mut lack = wanted(group) * if group.part.is_some() { 1.0 } else { 1.05 };
+            let mut lack = wanted(group) * if group.shard.is_some() { 1.0 } else { 1.05 };
             for (name, cpus) in &mut left {
-                let m = &self.cloud.machines[name];
+                let m = &self.fleet.machines[name];
                 if lack > 0.0 && self.serves(group, name, m) {
                     let used = taken.get(name).copied().unwrap_or_default();
-                    if group.part.is_some() && !self.has_room(m, used, &group.shape) {
+                    if group.shard.is_some() && !self.has_room(m, used, &group.shape) {
                         continue;
                     }
                     let take = cpus.min(lack);
@@ -89,7 +89,7 @@
         let (lacks, _) = self.missing(demand, |d| d.cpus);
         let (pressing, _) = self.missing(demand, |d| d.urgent);
         let mut in_zone: BTreeMap<&str, f64> = BTreeMap::new();
-        for m in self.cloud.machines.values() {
+        for m in self.fleet.machines.values() {
             *in_zone.entry(m.zone.as_str()).or_default() += self.catalog.get(&m.kind).map_or(0.0, |t| t.cpus);
         }
         let total: f64 = in_zone.values().sum();
@@ -101,7 +101,7 @@
             // that could wait for cheap room would wait for nothing.
             let cheap = group.spot && self.catalog.values().any(|t| t.spot_price.is_some());
             let nothing =
-                any >= group.cpus && self.cloud.refused.iter().any(|(slot, until)| slot.2 && self.now < until.0);
+                any >= group.cpus && self.fleet.refused.iter().any(|(slot, until)| slot.2 && self.now < until.0);
             let mut best: Option<(f64, RentRequest)> = None;
             for t in self.catalog.values() {
                 for zone in &t.zones {
@@ -114,7 +114,7 @@
                             continue;
                         }
                         let slot = (t.name.clone(), zone.clone(), spot);
-                        if self.cloud.refused.get(&slot).is_some_and(|r| self.now < r.0) {
+                        if self.fleet.refused.get(&slot).is_some_and(|r| self.now < r.0) {
                             continue;
                         }
                         let price = if spot { t.spot_price.unwrap_or(t.price) } else { t.price };
@@ -125,7 +125,7 @@
                         // Time lost to fetching images, some of which are shared.
                         let fetch = if t.fetch_gb_per_s > 0.0 { group.fetch_gb / t.fetch_gb_per_s } else { 0.0 };
                         // Boots that are slower than they should be are paid for.
-                        let late = self.cloud.boots.usual_s(&t.name, zone, t.boot_s) - t.boot_s;
+                        let late = self.fleet.provisioning_times.usual_s(&t.name, zone, t.boot_s) - t.boot_s;
                         let boot = late.max(0.0) / PAID_FOR_S;
                         let slow = 1.0 + 0.5 * fetch / group.run_s.max(1e-6) + boot;
                         let cost = count * price * slow / (count * useful).min(lack);
@@ -158,72 +158,73 @@
         if self.busy_keys.contains(FLEET_KEY) {
             return;
         }
-        let mut record = self.fitted_fleet(self.view.fleet.record.clone().unwrap_or_default());
+        let mut record = self.fitted_fleet(self.cache.fleet.record.clone().unwrap_or_default());
         record.rentals += 1;
         request.request = format!("r-{}", record.rentals);
-        let Some(txn) = self.fleet_txn(&record) else { return };
+        let Some(transaction) = self.fleet_transaction(&record) else { return };
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
         self.busy_keys.insert(FLEET_KEY.into());
-        self.cloud.renting = true;
+        self.fleet.renting = true;
         let rent = Rent { request, tries: 3 };
-        self.call_state(StateCall::Txn(txn.clone()), Pending::RentName { rent, txn });
+        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
     }
 
-    pub(super) fn fleet_txn(&self, record: &FleetRecord) -> Option<Txn> {
+    pub(super) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
         let conditions = vec![
-            Condition { key: LEADER_KEY.into(), version: self.view.leader.version },
-            Condition { key: FLEET_KEY.into(), version: self.view.fleet.version },
+            Condition { key: LEADER_KEY.into(), version: self.cache.leader.version },
+            Condition { key: FLEET_KEY.into(), version: self.cache.fleet.version },
         ];
         let value = serde_json::to_value(record).ok()?;
-        Some(Txn { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
+        Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
-    pub(super) fn rent_named(&mut self, rent: Rent, txn: Txn, answer: StateAnswer) {
+    pub(super) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StateAnswer) {
         self.busy_keys.remove(FLEET_KEY);
         match answer {
             StateAnswer::Committed(revision) => {
-                self.committed(&txn, revision);
-                self.call_cloud(CloudCall::Rent(rent.request.clone()), Pending::Rent(rent));
+                self.committed(&transaction, revision);
+                self.call_cloud(CloudCall::Rent(rent.request.clone()), PendingRequest::Rent(rent));
             }
             StateAnswer::Conflict(failed) => {
-                self.cloud.renting = false;
+                self.fleet.renting = false;
                 self.reread(failed, None);
             }
-            _ => self.cloud.renting = false,
+            _ => self.fleet.renting = false,
         }
     }
 
     pub(super) fn rent_answer(&mut self, rent: Rent, answer: CloudAnswer) {
-        self.cloud.renting = false;
+        self.fleet.renting = false;
         let RentRequest { kind, zone, spot, count, .. } = rent.request.clone();
         let slot = (kind.clone(), zone.clone(), spot);
         match answer {
             CloudAnswer::Rented(names) => {
                 tracing::info!("rented {} of {count} {kind} in {zone}, spot: {spot}", names.machines.len());
                 if (names.machines.len() as u32) < count {
-                    self.cloud.refused.insert(slot, (self.now + Span(10_000), 0));
+                    self.fleet.refused.insert(slot, (self.now + Millis(10_000), 0));
                 } else {
-                    self.cloud.refused.remove(&slot);
+                    self.fleet.refused.remove(&slot);
                 }
                 for name in names.machines {
-                    let owned = Owned { rented_here: true, ..Owned::new(&kind, &zone, spot, self.now) };
-                    self.cloud.machines.entry(name).or_insert(owned);
+                    let fleet_machine =
+                        FleetMachine { rented_here: true, ..FleetMachine::new(&kind, &zone, spot, self.now) };
+                    self.fleet.machines.entry(name).or_insert(fleet_machine);
                 }
             }
             CloudAnswer::NoCapacity => {
-                let times = self.cloud.refused.get(&slot).map_or(0, |r| r.1) + 1;
-                let pause = Span::secs((5.0 * 2f64.powi(times.min(4) as i32 - 1)).min(40.0));
-                self.cloud.refused.insert(slot, (self.now + pause, times));
+                let times = self.fleet.refused.get(&slot).map_or(0, |r| r.1) + 1;
+                let pause = Millis::secs((5.0 * 2f64.powi(times.min(4) as i32 - 1)).min(40.0));
+                self.fleet.refused.insert(slot, (self.now + pause, times));
             }
             // Perhaps carried out: the same name asks for the same machines.
             _ if rent.tries > 0 && self.leading() => {
-                self.cloud.renting = true;
+                self.fleet.renting = true;
                 let again = Rent { tries: rent.tries - 1, ..rent };
-                self.call_cloud(CloudCall::Rent(again.request.clone()), Pending::Rent(again));
+                self.call_cloud(CloudCall::Rent(again.request.clone()), PendingRequest::Rent(again));
             }
             _ => {
-                self.cloud.refused.insert(slot, (self.now + Span(3000), 0));
+                self.fleet.refused.insert(slot, (self.now + Millis(3000), 0));
             }
         }
     }
--- a/src/coordination/catalog.rs
+++ b/src/coordination/catalog.rs
@@ -10,9 +10,9 @@
             return;
         }
         let pause = if known { 15.0 } else { 1.0 };
-        if self.catalog_at.is_none_or(|at| self.now.since(at) >= Span::secs(pause)) {
+        if self.catalog_at.is_none_or(|at| self.now.since(at) >= Millis::secs(pause)) {
             self.catalog_at = Some(self.now);
-            self.call_cloud(CloudCall::Catalog, Pending::Catalog);
+            self.call_cloud(CloudCall::Catalog, PendingRequest::Catalog);
         }
     }
 
@@ -20,7 +20,7 @@
     /// state service, so that a node that starts in a cloud outage knows them.
     pub(super) fn take_catalog(&mut self, catalog: Catalog) {
         self.catalog = catalog.types.iter().map(|t| (t.name.clone(), t.clone())).collect();
-        let same = self.view.catalog.record.as_ref().is_some_and(|old| {
+        let same = self.cache.catalog.record.as_ref().is_some_and(|old| {
             let lasting = |c: &Catalog| {
                 c.types.iter().map(|t| (t.name.clone(), t.cpus, t.gpus, t.mem_gb, t.zones.clone())).collect::<Vec<_>>()
             };
@@ -30,12 +30,15 @@
             return;
         }
         let Ok(value) = serde_json::to_value(&catalog) else { return };
-        let conditions = vec![Condition { key: records::CATALOG_KEY.into(), version: self.view.catalog.version }];
-        self.simple_txn(Txn { conditions, changes: vec![Change::put(records::CATALOG_KEY.into(), value)] });
+        let conditions = vec![Condition { key: records::CATALOG_KEY.into(), version: self.cache.catalog.version }];
+        self.submit_transaction(Transaction {
+            conditions,
+            changes: vec![Change::put(records::CATALOG_KEY.into(), value)],
+        });
     }
 
     pub(super) fn catalog_changed(&mut self) {
-        if let (true, Some(stored)) = (self.catalog.is_empty(), &self.view.catalog.record) {
+        if let (true, Some(stored)) = (self.catalog.is_empty(), &self.cache.catalog.record) {
             self.catalog = stored.types.iter().map(|t| (t.name.clone(), t.clone())).collect();
         }
     }
--- a/src/coordination/demand.rs
+++ b/src/coordination/demand.rs
@@ -2,9 +2,9 @@
 //! as they have come of late.
 
 use super::*;
-use crate::bookkeeping::records::End;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::JobKind;
+use crate::storage::cache::Job;
+use crate::storage::records::JobOutcome;
 
 /// How far back the usual load is learned from, in seconds.
 const USUAL_S: f64 = 150.0;
@@ -34,7 +34,7 @@
     pub(super) zone: Option<String>,
     pub(super) spot: bool,
     /// Only machines of this part will do, and only with room for a whole task.
-    pub(super) part: Option<PartId>,
+    pub(super) shard: Option<ShardId>,
 }
 
 /// Standard deviation of the cores that jobs keep busy which come by chance,
@@ -50,22 +50,24 @@
     /// task the share of that time it needs a core, waiting work spread over
     /// the time it has left. What ends sooner frees room by itself.
     pub(super) fn demand(&self) -> Vec<Demand> {
-        let boots = &self.cloud.boots;
-        let usual_s = |t: &MachineType| t.zones.iter().map(|z| boots.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max);
+        let provisioning_times = &self.fleet.provisioning_times;
+        let usual_s = |t: &MachineType| {
+            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max)
+        };
         // Quick spells are not relied on, and slow ones not planned for without bound.
         let boot = self.catalog.values().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
         let ahead = boot + 10.0;
         let mut groups: BTreeMap<Constraints, Demand> = BTreeMap::new();
-        for id in &self.view.active {
-            let Some(job) = self.view.jobs.get(id).filter(|j| j.holds_machines()) else { continue };
+        for id in &self.cache.active {
+            let Some(job) = self.cache.jobs.get(id).filter(|j| j.holds_machines()) else { continue };
             let spec = &job.record.spec;
             let (done, on) = job.counts();
             // Work that fails wherever it runs has no use for more machines.
             if on == 0 && self.suspect(id) {
                 continue;
             }
-            let waiting = if job.record.end.is_some() { 0 } else { spec.tasks.saturating_sub(done + on) };
-            let run = self.learned.run_time(job).max(1.0);
+            let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + on) };
+            let run = self.estimates.run_time(job).max(1.0);
             let left = self.allowed_s(job) - self.age_s(job);
             let (share_on, share_waiting) = if spec.kind == JobKind::Array {
                 {
@@ -86,7 +88,7 @@
             if cap > 0.0 {
                 cpus = cpus.min(cap);
             }
-            let key = (spec.gpus > 0.0, spec.types.clone(), spec.zone.clone(), spec.spot);
+            let key = (spec.gpus > 0.0, spec.types.clone(), spec.zone.clone(), spec.spot_allowed);
             let group = groups.entry(key).or_insert(Demand {
                 cpus: 0.0,
                 urgent: 0.0,
@@ -95,11 +97,11 @@
                 run_s: 0.0,
                 types: spec.types.clone(),
                 zone: spec.zone.clone(),
-                spot: spec.spot,
-                part: None,
+                spot: spec.spot_allowed,
+                shard: None,
             });
             group.cpus += cpus;
-            if !spec.spot || self.pressing(job, left, ahead) {
+            if !spec.spot_allowed || self.pressing(job, left, ahead) {
                 group.urgent += cpus;
             }
             group.fetch_gb += cpus * spec.image_gb;
@@ -123,13 +125,13 @@
         }
         // Headroom for what must start at once, in every part.
         if let Some(group) = groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus)) {
-            let each = group.cpus / f64::from(self.parts);
-            group.cpus += self.reserve(each) * f64::from(self.parts);
+            let each = group.cpus / f64::from(self.shard_count);
+            group.cpus += self.reserve(each) * f64::from(self.shard_count);
         }
         let mut demand: Vec<Demand> = groups.into_values().filter(|d| d.cpus > 0.0).collect();
-        demand.extend(self.stranded_demand());
+        demand.extend(self.unplaceable_demand());
         // The most constrained first: they take the machines that suit them.
-        demand.sort_by_key(|d| (d.part.is_none(), d.types.is_none(), d.zone.is_none(), d.spot));
+        demand.sort_by_key(|d| (d.shard.is_none(), d.types.is_none(), d.zone.is_none(), d.spot));
         demand
     }
 
@@ -137,7 +139,7 @@
     /// come free and still be in time.
     pub(super) fn pressing(&self, job: &Job, left: f64, ahead: f64) -> bool {
         let spec = &job.record.spec;
-        let run = self.learned.run_time(job);
+        let run = self.estimates.run_time(job);
         spec.kind != JobKind::Array || left < run * 2.2 + ahead
     }
 
@@ -147,14 +149,14 @@
         let mut all = 0.0;
         let mut pressing = vec![];
         let mut oldest: f64 = 0.0;
-        for (id, job) in &self.view.jobs {
+        for (id, job) in &self.cache.jobs {
             let (spec, age) = (&job.record.spec, self.age_s(job));
             // What failed wherever it ran, or was cancelled, keeps nothing busy.
-            if job.record.end == Some(End::Cancelled) || job.record.waits() || self.suspect(id) {
+            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.suspect(id) {
                 continue;
             }
             if age < USUAL_S && spec.kind == JobKind::Array {
-                let (cpus, run) = (spec.cpus * f64::from(spec.tasks), self.learned.run_time(job));
+                let (cpus, run) = (spec.cpus * f64::from(spec.task_count), self.estimates.run_time(job));
                 all += cpus * run;
                 if self.pressing(job, self.allowed_s(job), ahead) {
                     pressing.push((cpus, run));
--- a/src/coordination/chains.rs
+++ b/src/coordination/dependency_graph.rs
@@ -8,16 +8,16 @@
 //! Costs: a change is passed on to those that it changes anything for, a name
 //! at a time; nothing here walks all jobs.
 
-use crate::bookkeeping::records::End;
-use crate::bookkeeping::urge::Urge;
-use crate::units::JobRef;
+use crate::storage::effective_priority::EffectivePriority;
+use crate::storage::records::JobOutcome;
+use crate::units::JobId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is known of a job that another one names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Known {
     Open,
-    Ended(End),
+    Ended(JobOutcome),
     /// No record of it is held: it was put away, and must be looked up.
     Unknown,
 }
@@ -25,10 +25,10 @@
 /// A job that waits for others.
 #[derive(Debug)]
 struct Follower {
-    names: Vec<JobRef>,
+    names: Vec<JobId>,
     /// Those of them that are not known to be done.
-    left: BTreeSet<JobRef>,
-    own: Urge,
+    left: BTreeSet<JobId>,
+    own: EffectivePriority,
     takes_ms: u64,
     cancelled: bool,
 }
@@ -36,27 +36,34 @@
 /// A job that others wait for, or waited for and have not begun since.
 #[derive(Debug, Default)]
 struct Needed {
-    by: BTreeSet<JobRef>,
-    urge: Option<Urge>,
+    by: BTreeSet<JobId>,
+    effective_priority: Option<EffectivePriority>,
 }
 
 /// The index.
 #[derive(Debug, Default)]
-pub struct Chains {
-    followers: BTreeMap<JobRef, Follower>,
-    needed: BTreeMap<JobRef, Needed>,
-    unknown: BTreeSet<JobRef>,
-    ready: BTreeSet<JobRef>,
-    cancelled: BTreeSet<JobRef>,
+pub struct DependencyGraph {
+    followers: BTreeMap<JobId, Follower>,
+    needed: BTreeMap<JobId, Needed>,
+    unknown: BTreeSet<JobId>,
+    ready: BTreeSet<JobId>,
+    cancelled: BTreeSet<JobId>,
     /// Jobs whose urge changed since that was asked.
-    pressed: BTreeSet<JobRef>,
+    pressed: BTreeSet<JobId>,
 }
 
-impl Chains {
+impl DependencyGraph {
     /// A job waits for others. `takes_ms` is what it is expected to take once
     /// it may start. Names of a waiting job never change: said again, nothing
     /// happens.
-    pub fn add(&mut self, id: &JobRef, names: &[JobRef], own: Urge, takes_ms: u64, known: impl Fn(&JobRef) -> Known) {
+    pub fn add(
+        &mut self,
+        id: &JobId,
+        names: &[JobId],
+        own: EffectivePriority,
+        takes_ms: u64,
+        known: impl Fn(&JobId) -> Known,
+    ) {
         if self.followers.contains_key(id) {
             return;
         }
@@ -65,8 +72,8 @@
         for name in names {
             self.needed.entry(name.clone()).or_default().by.insert(id.clone());
             match known(name) {
-                Known::Ended(End::Done) => continue,
-                Known::Ended(End::Cancelled) => cancelled = true,
+                Known::Ended(JobOutcome::Done) => continue,
+                Known::Ended(JobOutcome::Cancelled) => cancelled = true,
                 Known::Open => cancelled |= self.is_cancelled(name),
                 Known::Unknown => {
                     self.unknown.insert(name.clone());
@@ -88,19 +95,19 @@
     }
 
     /// A job that a name stands for has a record, or has one again.
-    pub fn seen(&mut self, id: &JobRef) {
+    pub fn seen(&mut self, id: &JobId) {
         self.unknown.remove(id);
     }
 
     /// A job ended, for good.
-    pub fn ended(&mut self, id: &JobRef, end: End) {
+    pub fn ended(&mut self, id: &JobId, end: JobOutcome) {
         self.unknown.remove(id);
         let Some(needed) = self.needed.get(id) else { return };
-        let by: Vec<JobRef> = needed.by.iter().cloned().collect();
+        let by: Vec<JobId> = needed.by.iter().cloned().collect();
         for follower in by {
             match end {
-                End::Cancelled => self.cancel(&follower),
-                End::Done => {
+                JobOutcome::Cancelled => self.cancel(&follower),
+                JobOutcome::Done => {
                     let Some(f) = self.followers.get_mut(&follower) else { continue };
                     f.left.remove(id);
                     if f.left.is_empty() && !f.cancelled {
@@ -113,16 +120,16 @@
 
     /// The record of a job is gone from those that are held. If its end was
     /// not seen before, it must be looked up.
-    pub fn lost(&mut self, id: &JobRef) {
+    pub fn lost(&mut self, id: &JobId) {
         let Some(needed) = self.needed.get(id) else { return };
-        let open = |f: &JobRef| self.followers.get(f).is_some_and(|f| !f.cancelled && f.left.contains(id));
+        let open = |f: &JobId| self.followers.get(f).is_some_and(|f| !f.cancelled && f.left.contains(id));
         if needed.by.iter().any(open) {
             self.unknown.insert(id.clone());
         }
     }
 
     /// A job waits no longer: it may start, or its own end is durable.
-    pub fn gone(&mut self, id: &JobRef) {
+    pub fn gone(&mut self, id: &JobId) {
         let Some(follower) = self.followers.remove(id) else { return };
         self.ready.remove(id);
         self.cancelled.remove(id);
@@ -142,7 +149,7 @@
     }
 
     /// Cancels a waiting job and all that follow it.
-    fn cancel(&mut self, id: &JobRef) {
+    fn cancel(&mut self, id: &JobId) {
         let mut next = vec![id.clone()];
         while let Some(id) = next.pop() {
             let Some(follower) = self.followers.get_mut(&id).filter(|f| !f.cancelled) else { continue };
@@ -158,17 +165,21 @@
     }
 
     /// Passes on what has changed for those that need these jobs.
-    fn press(&mut self, mut names: Vec<JobRef>) {
+    fn press(&mut self, mut names: Vec<JobId>) {
         while let Some(name) = names.pop() {
             let Some(needed) = self.needed.get(&name) else { continue };
             let urges = needed.by.iter().filter_map(|id| {
                 let follower = self.followers.get(id).filter(|f| !f.cancelled)?;
-                let all = self.urge(id).map_or(follower.own, |urge| urge.join(follower.own));
+                let all = self
+                    .effective_priority(id)
+                    .map_or(follower.own, |effective_priority| effective_priority.join(follower.own));
                 Some(all.before(follower.takes_ms))
             });
-            let urge = urges.reduce(Urge::join);
-            let Some(needed) = self.needed.get_mut(&name).filter(|n| n.urge != urge) else { continue };
-            needed.urge = urge;
+            let effective_priority = urges.reduce(EffectivePriority::join);
+            let Some(needed) = self.needed.get_mut(&name).filter(|n| n.effective_priority != effective_priority) else {
+                continue;
+            };
+            needed.effective_priority = effective_priority;
             if let Some(follower) = self.followers.get(&name) {
                 names.extend(follower.names.iter().cloned());
             }
@@ -177,13 +188,13 @@
     }
 
     /// True if a waiting job follows a cancelled one.
-    pub fn is_cancelled(&self, id: &JobRef) -> bool {
+    pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.cancelled.contains(id)
     }
 
     /// True if it cannot be told yet whether a waiting job follows a cancelled
     /// one, because one before it must be looked up first.
-    pub fn unsettled(&self, id: &JobRef) -> bool {
+    pub fn unsettled(&self, id: &JobId) -> bool {
         if self.unknown.is_empty() {
             return false;
         }
@@ -201,38 +212,38 @@
     }
 
     /// True if a record still names the job: it must not be put away.
-    pub fn is_needed(&self, id: &JobRef) -> bool {
+    pub fn is_needed(&self, id: &JobId) -> bool {
         self.needed.contains_key(id)
     }
 
     /// How urgent a job is for the sake of those that need it, if any do.
-    pub fn urge(&self, id: &JobRef) -> Option<Urge> {
-        self.needed.get(id)?.urge
+    pub fn effective_priority(&self, id: &JobId) -> Option<EffectivePriority> {
+        self.needed.get(id)?.effective_priority
     }
 
     /// Jobs whose urge may have changed since this was asked last.
-    pub fn take_pressed(&mut self) -> BTreeSet<JobRef> {
+    pub fn take_pressed(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.pressed)
     }
 
     /// True if a waiting job may start.
-    pub fn is_ready(&self, id: &JobRef) -> bool {
+    pub fn is_ready(&self, id: &JobId) -> bool {
         self.ready.contains(id)
     }
 
     /// Waiting jobs that may start.
-    pub fn ready(&self) -> impl Iterator<Item = &JobRef> {
+    pub fn ready(&self) -> impl Iterator<Item = &JobId> {
         self.ready.iter()
     }
 
     /// Waiting jobs that follow a cancelled one, whose own end is not durable.
-    pub fn cancelled(&self) -> impl Iterator<Item = &JobRef> {
+    pub fn cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cancelled.iter()
     }
 
     /// A job that must be looked up, the next after `last` in order, from the
     /// first again after the last.
-    pub fn unknown_after(&self, last: Option<&JobRef>) -> Option<&JobRef> {
+    pub fn unknown_after(&self, last: Option<&JobId>) -> Option<&JobId> {
         let after = |last| self.unknown.range((std::ops::Bound::Excluded(last), std::ops::Bound::Unbounded)).next();
         last.and_then(after).or_else(|| self.unknown.first())
     }
@@ -246,13 +257,13 @@
 
     const JOBS: usize = 10;
 
-    fn id(n: usize) -> JobRef {
-        JobRef::new(&format!("wk-{n}"))
+    fn id(n: usize) -> JobId {
+        JobId::new(&format!("wk-{n}"))
     }
 
-    fn own(n: usize) -> Urge {
+    fn own(n: usize) -> EffectivePriority {
         let priority = [Priority::Low, Priority::Normal, Priority::High][n % 3];
-        Urge { priority, due_ms: (n % 2 == 1).then_some(1000 * n as u64) }
+        EffectivePriority { priority, due_ms: (n % 2 == 1).then_some(1000 * n as u64) }
     }
 
     /// What must be true of ten jobs, worked out anew.
@@ -260,20 +271,25 @@
     struct Model {
         names: [Vec<usize>; JOBS],
         waits: [bool; JOBS],
-        end: [Option<End>; JOBS],
+        end: [Option<JobOutcome>; JOBS],
     }
 
     impl Model {
         fn cancelled(&self, n: usize) -> bool {
-            self.end[n] == Some(End::Cancelled) || self.waits[n] && self.names[n].iter().any(|p| self.cancelled(*p))
+            self.end[n] == Some(JobOutcome::Cancelled)
+                || self.waits[n] && self.names[n].iter().any(|p| self.cancelled(*p))
         }
         fn ready(&self, n: usize) -> bool {
-            self.waits[n] && self.names[n].iter().all(|p| self.end[*p] == Some(End::Done))
+            self.waits[n] && self.names[n].iter().all(|p| self.end[*p] == Some(JobOutcome::Done))
         }
-        fn urge(&self, n: usize) -> Option<Urge> {
+        fn effective_priority(&self, n: usize) -> Option<EffectivePriority> {
             let followers = (0..JOBS).filter(|f| self.waits[*f] && !self.cancelled(*f) && self.names[*f].contains(&n));
-            let all = |f: usize| self.urge(f).map_or(own(f), |urge| urge.join(own(f))).before(10 * f as u64);
-            followers.map(all).reduce(Urge::join)
+            let all = |f: usize| {
+                self.effective_priority(f)
+                    .map_or(own(f), |effective_priority| effective_priority.join(own(f)))
+                    .before(10 * f as u64)
+            };
+            followers.map(all).reduce(EffectivePriority::join)
         }
     }
 
@@ -285,33 +301,33 @@
             masks in proptest::collection::vec(0usize..1024, JOBS),
             steps in proptest::collection::vec((0usize..JOBS, any::<bool>()), 1..60),
         ) {
-            let (mut chains, mut model, mut came) = (Chains::default(), Model::default(), 0);
+            let (mut dependency_graph, mut model, mut came) = (DependencyGraph::default(), Model::default(), 0);
             for (n, done) in steps {
                 if n >= came {
                     let names: Vec<usize> = (0..came).filter(|p| masks[came] >> p & 1 == 1).collect();
                     if !names.is_empty() {
-                        let refs: Vec<JobRef> = names.iter().map(|p| id(*p)).collect();
-                        let known = |name: &JobRef| {
+                        let refs: Vec<JobId> = names.iter().map(|p| id(*p)).collect();
+                        let known = |name: &JobId| {
                             let at = (0..came).find(|p| id(*p) == *name).expect("a job that came");
                             model.end[at].map_or(Known::Open, Known::Ended)
                         };
-                        chains.add(&id(came), &refs, own(came), 10 * came as u64, known);
+                        dependency_graph.add(&id(came), &refs, own(came), 10 * came as u64, known);
                         (model.names[came], model.waits[came]) = (names, true);
                     }
                     came += 1;
                 } else if model.ready(n) {
                     model.waits[n] = false;
-                    chains.gone(&id(n));
+                    dependency_graph.gone(&id(n));
                 } else if model.end[n].is_none() && (!done || !model.waits[n]) {
-                    let end = if done { End::Done } else { End::Cancelled };
+                    let end = if done { JobOutcome::Done } else { JobOutcome::Cancelled };
                     (model.end[n], model.waits[n]) = (Some(end), false);
-                    chains.ended(&id(n), end);
-                    chains.gone(&id(n));
+                    dependency_graph.ended(&id(n), end);
+                    dependency_graph.gone(&id(n));
                 }
                 for n in 0..came {
-                    prop_assert_eq!(chains.is_cancelled(&id(n)), model.waits[n] && model.cancelled(n));
-                    prop_assert_eq!(chains.is_ready(&id(n)), model.ready(n));
-                    prop_assert_eq!(chains.urge(&id(n)), model.urge(n));
+                    prop_assert_eq!(dependency_graph.is_cancelled(&id(n)), model.waits[n] && model.cancelled(n));
+                    prop_assert_eq!(dependency_graph.is_ready(&id(n)), model.ready(n));
+                    prop_assert_eq!(dependency_graph.effective_priority(&id(n)), model.effective_priority(n));
                 }
             }
         }
--- a/src/coordination/learned.rs
+++ b/src/coordination/estimates.rs
@@ -2,12 +2,12 @@
 //! the size of jobs that must start at once, and what fails.
 
 use super::failures::Failures;
-use super::mine::{Machine, Mine, TaskKey};
+use super::owned_shard::{Machine, OwnedShard, TaskKey};
 use super::scoring::remaining;
 use super::*;
-use crate::bookkeeping::lifetimes::{History, Life};
-use crate::bookkeeping::names::Label;
-use crate::bookkeeping::view::Job;
+use crate::storage::cache::Job;
+use crate::storage::lifetimes::{Lifetime, LifetimeHistory};
+use crate::storage::names::InternedName;
 use foldhash::fast::FixedState;
 use std::collections::HashMap;
 
@@ -26,9 +26,9 @@
 
 /// What this node has learned since it started.
 #[derive(Debug, Default)]
-pub struct Learned {
-    histories: BTreeMap<Family, History>,
-    ratios: HashMap<Label, Ratio, FixedState>,
+pub struct Estimates {
+    histories: BTreeMap<Family, LifetimeHistory>,
+    ratios: HashMap<InternedName, Ratio, FixedState>,
     /// Per class that must start at once: mean cores of a job, and weight.
     job_cpus: BTreeMap<String, (f64, f64)>,
     pub(super) failures: Failures,
@@ -36,14 +36,14 @@
     pub(super) errors: BTreeMap<TaskKey, crate::units::Attempt>,
 }
 
-impl Learned {
-    pub fn machine_gone(&mut self, machine: &Machine, now: Time, lost: bool) {
+impl Estimates {
+    pub fn machine_gone(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
         let family = (machine.kind.clone(), machine.spot, machine.zone.clone());
         let age_s = now.since(machine.born).as_secs();
-        self.histories.entry(family).or_default().add(Life { age_s, lost });
+        self.histories.entry(family).or_default().add(Lifetime { age_s, lost });
     }
 
-    pub fn learn_ratio(&mut self, class: &Label, ratio: f64) {
+    pub fn learn_ratio(&mut self, class: &InternedName, ratio: f64) {
         let first = Ratio { mean_ln: 0.0, weight: 3.0, factor: 1.0 };
         let entry = self.ratios.entry(class.clone()).or_insert(first);
         entry.mean_ln = (entry.mean_ln * entry.weight + ratio.clamp(0.1, 10.0).ln()) / (entry.weight + 1.0);
@@ -64,11 +64,11 @@
 
     /// The owner's estimate, corrected by what its class has shown.
     pub fn run_time(&self, job: &Job) -> f64 {
-        job.record.spec.estimate_s * self.ratios.get(&job.class).map_or(1.0, |r| r.factor)
+        job.record.spec.estimated_run_s * self.ratios.get(&job.class).map_or(1.0, |r| r.factor)
     }
 
     /// The lifetimes of machines like this one, if any ended.
-    pub fn history(&self, machine: &Machine) -> Option<&History> {
+    pub fn history(&self, machine: &Machine) -> Option<&LifetimeHistory> {
         let alike = |f: &&Family| f.0 == machine.kind && f.1 == machine.spot && f.2 == machine.zone;
         // A handful of families: looked through faster than a key is made.
         self.histories.iter().find(|(family, _)| alike(family)).map(|(_, history)| history)
@@ -76,46 +76,46 @@
 }
 
 impl Core {
-    pub(super) fn learn_run_time(&mut self, part: PartId, key: &TaskKey) {
-        let Some(mine) = self.mine.get(&part) else { return };
-        let Some(started) = mine.running_since.get(key) else { return };
+    pub(super) fn learn_run_time(&mut self, shard: ShardId, key: &TaskKey) {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
+        let Some(started) = owned_shard.running_since.get(key) else { return };
         // A task that ran before we owned the part began at a time unknown, and
         // one that ran while we stood still ended at a time unknown. Learned
         // from, a standstill of 20 s once made all later work seem half as long
         // again, and machines were rented for it.
-        if started.since(mine.since) < Span(3000) || *started < self.resumed {
+        if started.since(owned_shard.since) < Millis(3000) || *started < self.resumed_at {
             return;
         }
         let ran = self.now.since(*started).as_secs();
-        let Some(job) = self.view.jobs.get(&key.0) else { return };
-        let (class, estimate) = (job.class.clone(), job.record.spec.estimate_s);
+        let Some(job) = self.cache.jobs.get(&key.0) else { return };
+        let (class, estimate) = (job.class.clone(), job.record.spec.estimated_run_s);
         if estimate > 0.0 && ran > 0.5 {
-            self.learned.learn_ratio(&class, ran / estimate);
+            self.estimates.learn_ratio(&class, ran / estimate);
         }
     }
 
     pub(super) fn rebuild_histories(&mut self) {
-        let mut up: BTreeMap<&Family, Vec<f64>> = self.learned.histories.keys().map(|f| (f, vec![])).collect();
-        for machine in self.mine.values().flat_map(|m| m.machines.values()) {
+        let mut up: BTreeMap<&Family, Vec<f64>> = self.estimates.histories.keys().map(|f| (f, vec![])).collect();
+        for machine in self.owned_shards.values().flat_map(|m| m.machines.values()) {
             let alike = |f: &&&Family| f.0 == machine.kind && f.1 == machine.spot && f.2 == machine.zone;
             if let Some(family) = up.keys().find(alike).copied() {
                 up.entry(family).or_default().push(self.now.since(machine.born).as_secs());
             }
         }
         let ages: Vec<Vec<f64>> = up.into_values().collect();
-        for (history, ages) in self.learned.histories.values_mut().zip(ages) {
+        for (history, ages) in self.estimates.histories.values_mut().zip(ages) {
             history.rebuild(&ages);
         }
     }
 
     /// Time a placed task still needs, its image included.
-    pub(super) fn rest_of(&self, mine: &Mine, job: &Job, key: &TaskKey) -> f64 {
-        self.rest_after(mine, self.learned.run_time(job), key)
+    pub(super) fn rest_of(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
+        self.rest_after(owned_shard, self.estimates.run_time(job), key)
     }
 
     /// The same for a task whose run time is known already.
-    pub(super) fn rest_after(&self, mine: &Mine, run_s: f64, key: &TaskKey) -> f64 {
-        match mine.running_since.get(key) {
+    pub(super) fn rest_after(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
+        match owned_shard.running_since.get(key) {
             Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
             None => run_s + 2.0,
         }
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -20,27 +20,27 @@
 const LAST_PAUSE_S: f64 = 60.0;
 
 /// How long a machine rests that failed several jobs nothing is known of.
-const REST: Span = Span(5000);
+const REST: Millis = Millis(5000);
 
 /// How long failures that never came again are remembered.
-const FORGET_AFTER: Span = Span(600_000);
+const FORGET_AFTER: Millis = Millis(600_000);
 
 #[derive(Debug)]
 struct Failing {
     machines: BTreeSet<MachineId>,
     pause_s: f64,
-    again_at: Time,
-    last: Time,
+    again_at: MonotonicTime,
+    last: MonotonicTime,
 }
 
 /// Jobs that failed lately, as seen by this node.
 #[derive(Debug, Default)]
 pub struct Failures {
-    jobs: BTreeMap<JobRef, Failing>,
+    jobs: BTreeMap<JobId, Failing>,
 }
 
 impl Failures {
-    pub fn failed(&mut self, job: &JobRef, machine: &MachineId, now: Time) {
+    pub fn failed(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
         let entry = self.jobs.entry(job.clone()).or_insert_with(|| Failing {
             machines: BTreeSet::new(),
             pause_s: FIRST_PAUSE_S,
@@ -51,7 +51,7 @@
         entry.machines.insert(machine.clone());
         // Tasks that ran side by side and failed together count as one try.
         if entry.machines.len() >= SUSPECT_AFTER && now >= entry.again_at {
-            entry.again_at = now + Span::secs(entry.pause_s);
+            entry.again_at = now + Millis::secs(entry.pause_s);
             entry.pause_s = (entry.pause_s * 2.0).min(LAST_PAUSE_S);
         }
     }
@@ -63,45 +63,46 @@
         }
     }
 
-    fn several(&self, job: &JobRef) -> bool {
+    fn several(&self, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|f| f.machines.len() >= SUSPECT_AFTER)
     }
 
-    fn paused(&self, job: &JobRef, now: Time) -> bool {
+    fn paused(&self, job: &JobId, now: MonotonicTime) -> bool {
         self.jobs.get(job).is_some_and(|f| now < f.again_at)
     }
 
-    fn forget(&mut self, now: Time, over: impl Fn(&JobRef) -> bool) {
+    fn forget(&mut self, now: MonotonicTime, over: impl Fn(&JobId) -> bool) {
         self.jobs.retain(|job, f| now.since(f.last) < FORGET_AFTER && !over(job));
     }
 }
 
 impl Core {
     /// True if a task of the job was ever done: then failures are not its fault.
-    fn sound(&self, job: &JobRef) -> bool {
-        self.view.jobs.get(job).is_some_and(|j| !j.holds_machines() || j.counts().0 > 0)
+    fn sound(&self, job: &JobId) -> bool {
+        self.cache.jobs.get(job).is_some_and(|j| !j.holds_machines() || j.counts().0 > 0)
     }
 
     /// True if the job failed wherever it ran, as far as this node or another knows.
-    pub(super) fn suspect(&self, job: &JobRef) -> bool {
-        let told = |p: &PeerState| p.note.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
-        (self.learned.failures.several(job) || self.peers.values().any(told)) && !self.sound(job)
+    pub(super) fn suspect(&self, job: &JobId) -> bool {
+        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
+        (self.estimates.failures.several(job) || self.peers.values().any(told)) && !self.sound(job)
     }
 
     /// A suspect job waits between tries, and for the end of the one it has.
-    pub(super) fn held_back(&self, id: &JobRef, job: &crate::bookkeeping::view::Job) -> bool {
-        self.suspect(id) && (self.learned.failures.paused(id, self.now) || job.wants_any_on())
+    pub(super) fn held_back(&self, id: &JobId, job: &crate::storage::cache::Job) -> bool {
+        self.suspect(id) && (self.estimates.failures.paused(id, self.now) || job.has_placed_tasks())
     }
 
     /// Suspect jobs, to be told to the others: the leader rents for all.
     pub(super) fn failing_jobs(&self) -> Vec<String> {
-        let jobs = self.learned.failures.jobs.keys();
-        jobs.filter(|j| self.learned.failures.several(j) && !self.sound(j)).map(|j| j.to_string()).collect()
+        let jobs = self.estimates.failures.jobs.keys();
+        jobs.filter(|j| self.estimates.failures.several(j) && !self.sound(j)).map(|j| j.to_string()).collect()
     }
 
     /// Decides whether failures on a machine are its own fault.
-    pub(super) fn judge_machine(&mut self, part: PartId, name: &MachineId) {
-        let Some(machine) = self.mine.get(&part).and_then(|m| m.machines.get(name)).filter(|m| !m.faulty) else {
+    pub(super) fn update_faulty_machine(&mut self, shard: ShardId, name: &MachineId) {
+        let Some(machine) = self.owned_shards.get(&shard).and_then(|m| m.machines.get(name)).filter(|m| !m.faulty)
+        else {
             return;
         };
         let sound = machine.failed_jobs.keys().filter(|j| self.sound(j)).count();
@@ -109,7 +110,7 @@
         let faulty = sound >= FAULTY_AFTER;
         let rests = sound + unknown >= FAULTY_AFTER;
         let until = self.now + REST;
-        if let Some(machine) = self.mine.get_mut(&part).and_then(|m| m.machines.get_mut(name)) {
+        if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(name)) {
             machine.faulty = faulty;
             if rests {
                 machine.rests_until = until;
@@ -117,28 +118,29 @@
         }
         if faulty {
             tracing::info!("{name} fails sound jobs: it is faulty");
-            self.learned.failures.acquit(name);
+            self.estimates.failures.acquit(name);
         }
     }
 
     /// What was done meanwhile elsewhere may show that a machine is faulty.
-    pub(super) fn judge_machines(&mut self) {
-        let doubtful: Vec<(PartId, MachineId)> = self
-            .mine
+    pub(super) fn update_faulty_machines(&mut self) {
+        let doubtful: Vec<(ShardId, MachineId)> = self
+            .owned_shards
             .iter()
-            .flat_map(|(part, mine)| mine.machines.iter().map(move |(name, m)| (*part, name, m)))
+            .flat_map(|(shard, owned_shard)| owned_shard.machines.iter().map(move |(name, m)| (*shard, name, m)))
             .filter(|(_, _, m)| !m.faulty && m.failed_jobs.len() >= FAULTY_AFTER)
             .filter(|(_, _, m)| m.failed_jobs.keys().filter(|j| self.sound(j)).count() >= FAULTY_AFTER)
-            .map(|(part, name, _)| (part, name.clone()))
+            .map(|(shard, name, _)| (shard, name.clone()))
             .collect();
-        for (part, name) in doubtful {
-            self.judge_machine(part, &name);
+        for (shard, name) in doubtful {
+            self.update_faulty_machine(shard, &name);
         }
-        let view = &self.view;
-        let ended = |job: &JobRef| view.jobs.get(job).is_none_or(|j| j.record.end.is_some());
-        self.learned.failures.forget(self.now, ended);
-        for machine in self.mine.values_mut().flat_map(|m| m.machines.values_mut()) {
-            let cancelled = |job: &JobRef| view.final_state(job) == Some(crate::bookkeeping::records::End::Cancelled);
+        let cache = &self.cache;
+        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|j| j.record.end.is_some());
+        self.estimates.failures.forget(self.now, ended);
+        for machine in self.owned_shards.values_mut().flat_map(|m| m.machines.values_mut()) {
+            let cancelled =
+                |job: &JobId| cache.final_state(job) == Some(crate::storage::records::JobOutcome::Cancelled);
             machine.failed_jobs.retain(|job, _| !cancelled(job));
         }
     }
@@ -150,15 +152,15 @@
 
     #[test]
     fn tries_of_a_job_that_always_fails_become_rare() {
-        let job = JobRef::new("wk-1");
+        let job = JobId::new("wk-1");
         let mut failures = Failures::default();
-        let (mut now, mut tries) = (Time(0), 0);
+        let (mut now, mut tries) = (MonotonicTime(0), 0);
         while now.0 < 600_000 {
             if !failures.paused(&job, now) {
                 tries += 1;
                 failures.failed(&job, &MachineId::new(&format!("i-{}", tries % 7)), now);
             }
-            now = now + Span(100);
+            now = now + Millis(100);
         }
         assert!((10..20).contains(&tries), "{tries} tries");
         failures.forget(now + FORGET_AFTER, |_| false);
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -1,39 +1,39 @@
 //! The machines that are ours, as the leader knows them: from the cloud's list,
 //! from what owners say, and from its own dealings.
 
-use super::boots::Boots;
 use super::demand::Demand;
-use super::stranded::Stranded;
+use super::provisioning_times::ProvisioningTimes;
+use super::unplaceable_services::UnplaceableServices;
 use super::*;
-use crate::bookkeeping::records::TaskRecord;
-use crate::protocol::cloud::{Listed, ListedState};
+use crate::protocol::cloud::{ListedMachine, ListedMachineState};
+use crate::storage::records::TaskRecord;
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 
 /// A machine that is ours, as far as the leader knows.
 #[derive(Debug, Clone)]
-pub struct Owned {
+pub struct FleetMachine {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub born: Time,
+    pub born: MonotonicTime,
     pub up: bool,
     pub failed: bool,
     /// The cloud has announced that it takes it.
     pub leaving: bool,
     /// It reports, but does not hear its owner.
-    pub deaf: bool,
+    pub downlink_lost: bool,
     /// Rented by this node, which has watched it boot since.
     pub(super) rented_here: bool,
-    pub(super) last_listed: Option<Time>,
-    pub(super) idle_since: Option<Time>,
-    pub(super) drain_since: Option<Time>,
+    pub(super) last_listed: Option<MonotonicTime>,
+    pub(super) idle_since: Option<MonotonicTime>,
+    pub(super) drain_since: Option<MonotonicTime>,
 }
 
-impl Owned {
+impl FleetMachine {
     /// A machine that is not known to be up.
-    pub(super) fn new(kind: &str, zone: &str, spot: bool, born: Time) -> Owned {
-        Owned {
+    pub(super) fn new(kind: &str, zone: &str, spot: bool, born: MonotonicTime) -> FleetMachine {
+        FleetMachine {
             kind: kind.into(),
             zone: zone.into(),
             spot,
@@ -41,7 +41,7 @@
             up: false,
             failed: false,
             leaving: false,
-            deaf: false,
+            downlink_lost: false,
             rented_here: false,
             last_listed: None,
             idle_since: None,
@@ -52,17 +52,17 @@
 
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub machines: BTreeMap<MachineId, Owned>,
-    pub(super) budget: Option<Budget>,
+    pub machines: BTreeMap<MachineId, FleetMachine>,
+    pub(super) rate_limiter: Option<RateLimiter>,
     pub(super) listing: bool,
     /// A full list was read since this node leads.
     pub(super) known: bool,
-    pub(super) list_at: Time,
+    pub(super) list_at: MonotonicTime,
     pub(super) renting: bool,
     pub(super) returning: bool,
     /// No capacity of a kind, zone and sort until then.
-    pub(super) refused: BTreeMap<(String, String, bool), (Time, u32)>,
-    pub(super) boots: Boots,
+    pub(super) refused: BTreeMap<(String, String, bool), (MonotonicTime, u32)>,
+    pub(super) provisioning_times: ProvisioningTimes,
     /// What the record names, for looking up: asked for every machine in
     /// every round and report.
     pub(super) drained: HashSet<MachineId, FixedState>,
@@ -71,13 +71,13 @@
     pub(super) gone: BTreeSet<MachineId>,
     /// All that were returned of late, and when: lists that lag still name them,
     /// and the record has no room for as many as a shrinking fleet returns.
-    left: BTreeMap<MachineId, Time>,
-    pub(super) stranded: Stranded,
+    left: BTreeMap<MachineId, MonotonicTime>,
+    pub(super) unplaceable_services: UnplaceableServices,
 }
 
 impl Fleet {
     /// A standstill of this node is no idleness or absence of machines.
-    pub(super) fn stood_still(&mut self, gap: Span) {
+    pub(super) fn clock_jumped(&mut self, gap: Millis) {
         for machine in self.machines.values_mut() {
             for time in [&mut machine.last_listed, &mut machine.idle_since].into_iter().flatten() {
                 *time = *time + gap;
@@ -88,26 +88,26 @@
 
 impl Core {
     pub(super) fn draining(&self, name: &MachineId) -> bool {
-        self.cloud.drained.contains(name) || self.cloud.returned.contains(name)
+        self.fleet.drained.contains(name) || self.fleet.returned.contains(name)
     }
 
     /// True if the machine was returned of late, whoever still names it.
     fn has_left(&self, name: &MachineId) -> bool {
-        self.cloud.gone.contains(name) || self.cloud.left.contains_key(name)
+        self.fleet.gone.contains(name) || self.fleet.left.contains_key(name)
     }
 
     /// True if the return of the machine was confirmed.
     pub(super) fn returned(&self, name: &MachineId) -> bool {
-        self.cloud.returned.contains(name)
+        self.fleet.returned.contains(name)
     }
 
     pub(super) fn fleet_changed(&mut self) {
-        if let Some(record) = &self.view.fleet.record {
+        if let Some(record) = &self.cache.fleet.record {
             for name in &record.gone {
-                self.cloud.machines.remove(name);
+                self.fleet.machines.remove(name);
             }
-            self.cloud.drained = record.drain.iter().cloned().collect();
-            self.cloud.returned = record.gone.iter().cloned().collect();
+            self.fleet.drained = record.drain.iter().cloned().collect();
+            self.fleet.returned = record.gone.iter().cloned().collect();
         }
     }
 
@@ -115,52 +115,52 @@
     pub(super) fn afford_cloud(&mut self) -> bool {
         let rate = self.settings.cluster.cloud.rps * 0.8;
         let now = self.now;
-        self.cloud.budget.get_or_insert_with(|| Budget::new(rate.max(1.0))).take(now, 1.0)
+        self.fleet.rate_limiter.get_or_insert_with(|| RateLimiter::new(rate.max(1.0))).take(now, 1.0)
     }
 
-    pub(super) fn run_fleet(&mut self) {
-        self.take_gossip();
-        if !self.cloud.listing && self.now.since(self.cloud.list_at) >= Span(2000) && self.afford_cloud() {
-            self.cloud.listing = true;
-            self.cloud.list_at = self.now;
-            self.call_cloud(CloudCall::List { after: None }, Pending::List { seen: vec![] });
+    pub(super) fn manage_fleet(&mut self) {
+        self.apply_peer_statuses();
+        if !self.fleet.listing && self.now.since(self.fleet.list_at) >= Millis(2000) && self.afford_cloud() {
+            self.fleet.listing = true;
+            self.fleet.list_at = self.now;
+            self.call_cloud(CloudCall::List { after: None }, PendingRequest::List { seen: vec![] });
         }
-        if !self.cloud.known || self.catalog.is_empty() {
+        if !self.fleet.known || self.catalog.is_empty() {
             return;
         }
-        self.learn_boots();
+        self.learn_provisioning_times();
         let busy = self.busy_machines();
         self.note_idle(&busy);
-        self.note_stranded();
+        self.record_unplaceable_services();
         let demand = self.demand();
         self.log_fleet(&demand);
-        if !self.cloud.renting {
+        if !self.fleet.renting {
             self.rent_for(&demand);
         }
         self.drain_idle(&demand);
         self.return_drained(&busy);
     }
 
-    pub(super) fn learn_boots(&mut self) {
+    pub(super) fn learn_provisioning_times(&mut self) {
         let mut under_way: BTreeMap<(String, String), Vec<f64>> = BTreeMap::new();
-        for m in self.cloud.machines.values().filter(|m| !m.up && !m.failed && m.rented_here) {
+        for m in self.fleet.machines.values().filter(|m| !m.up && !m.failed && m.rented_here) {
             let ages = under_way.entry((m.kind.clone(), m.zone.clone())).or_default();
             ages.push(self.now.since(m.born).as_secs());
         }
-        self.cloud.boots.learn(&under_way);
+        self.fleet.provisioning_times.learn(&under_way);
     }
 
     pub(super) fn log_fleet(&mut self, demand: &[Demand]) {
         let cores = |up: bool, spot: bool| -> f64 {
             let machines =
-                self.cloud.machines.iter().filter(|(n, m)| m.up == up && m.spot == spot && !self.draining(n));
+                self.fleet.machines.iter().filter(|(n, m)| m.up == up && m.spot == spot && !self.draining(n));
             machines.filter_map(|(_, m)| self.catalog.get(&m.kind)).map(|t| t.cpus).sum()
         };
         let used: f64 = self
-            .view
+            .cache
             .active
             .iter()
-            .filter_map(|id| self.view.jobs.get(id))
+            .filter_map(|id| self.cache.jobs.get(id))
             .filter(|j| j.holds_machines())
             .map(|j| f64::from(j.counts().1) * j.record.spec.cpus)
             .sum();
@@ -175,14 +175,14 @@
     }
 
     /// What other owners say of their machines.
-    pub(super) fn take_gossip(&mut self) {
+    pub(super) fn apply_peer_statuses(&mut self) {
         let mut up: BTreeSet<MachineId> = BTreeSet::new();
         let mut leaving: BTreeSet<MachineId> = BTreeSet::new();
         let mut faulty: BTreeSet<MachineId> = BTreeSet::new();
-        let mut deaf: BTreeSet<MachineId> = BTreeSet::new();
-        for mine in self.mine.values() {
-            deaf.extend(mine.deaf.keys().cloned());
-            for (name, machine) in &mine.machines {
+        let mut downlink_lost: BTreeSet<MachineId> = BTreeSet::new();
+        for owned_shard in self.owned_shards.values() {
+            downlink_lost.extend(owned_shard.downlink_lost.keys().cloned());
+            for (name, machine) in &owned_shard.machines {
                 up.insert(name.clone());
                 if machine.notice.is_some() {
                     leaving.insert(name.clone());
@@ -191,40 +191,44 @@
                     faulty.insert(name.clone());
                 }
             }
-            for (name, machine) in &mine.machines {
-                if !self.cloud.machines.contains_key(name) && !self.has_left(name) {
-                    let found = Owned::new(&machine.kind, &machine.zone, machine.spot, machine.born);
-                    let owned = Owned { up: true, ..found };
-                    self.cloud.machines.insert(name.clone(), owned);
+            for (name, machine) in &owned_shard.machines {
+                if !self.fleet.machines.contains_key(name) && !self.has_left(name) {
+                    let found = FleetMachine::new(&machine.kind, &machine.zone, machine.spot, machine.born);
+                    let fleet_machine = FleetMachine { up: true, ..found };
+                    self.fleet.machines.insert(name.clone(), fleet_machine);
                 }
             }
         }
-        for note in self.peers.values().filter_map(|p| p.note.as_ref()) {
-            faulty.extend(note.faulty.iter().map(|n| MachineId::new(n)));
-            for load in &note.parts {
+        for status in self.peers.values().filter_map(|p| p.status.as_ref()) {
+            faulty.extend(status.faulty.iter().map(|n| MachineId::new(n)));
+            for load in &status.shards {
                 up.extend(load.up.iter().map(|n| MachineId::new(n)));
-                deaf.extend(load.deaf.iter().map(|n| MachineId::new(n)));
+                downlink_lost.extend(load.downlink_lost.iter().map(|n| MachineId::new(n)));
                 leaving.extend(load.leaving.iter().map(|n| MachineId::new(n)));
             }
         }
-        for (name, owned) in &mut self.cloud.machines {
-            if !owned.up && owned.rented_here && up.contains(name) {
-                self.cloud.boots.came_up(&owned.kind, &owned.zone, self.now.since(owned.born).as_secs());
+        for (name, fleet_machine) in &mut self.fleet.machines {
+            if !fleet_machine.up && fleet_machine.rented_here && up.contains(name) {
+                self.fleet.provisioning_times.came_up(
+                    &fleet_machine.kind,
+                    &fleet_machine.zone,
+                    self.now.since(fleet_machine.born).as_secs(),
+                );
             }
-            owned.up |= up.contains(name);
-            owned.leaving |= leaving.contains(name);
-            owned.failed |= faulty.contains(name);
-            owned.deaf = deaf.contains(name);
+            fleet_machine.up |= up.contains(name);
+            fleet_machine.leaving |= leaving.contains(name);
+            fleet_machine.failed |= faulty.contains(name);
+            fleet_machine.downlink_lost = downlink_lost.contains(name);
         }
     }
 
     /// Machines that a task may be on.
     pub(super) fn busy_machines(&self) -> HashSet<MachineId, FixedState> {
         let mut busy: HashSet<&MachineId, FixedState> = HashSet::default();
-        for job in self.view.active.iter().filter_map(|id| self.view.jobs.get(id)).filter(|j| j.holds_machines()) {
-            let records = job.slices().iter().flat_map(|s| s.record().into_iter().chain(s.want()));
+        for job in self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id)).filter(|j| j.holds_machines()) {
+            let records = job.slices().iter().flat_map(|s| s.record().into_iter().chain(s.desired()));
             for task in records.flat_map(|r| &r.tasks) {
-                if let TaskRecord::On(_, machine) = task {
+                if let TaskRecord::Placed(_, machine) = task {
                     busy.insert(machine);
                 }
             }
@@ -233,28 +237,28 @@
     }
 
     pub(super) fn note_idle(&mut self, busy: &HashSet<MachineId, FixedState>) {
-        for (name, owned) in &mut self.cloud.machines {
-            if busy.contains(name) || !owned.up {
-                owned.idle_since = None;
+        for (name, fleet_machine) in &mut self.fleet.machines {
+            if busy.contains(name) || !fleet_machine.up {
+                fleet_machine.idle_since = None;
             } else {
-                owned.idle_since.get_or_insert(self.now);
+                fleet_machine.idle_since.get_or_insert(self.now);
             }
         }
     }
 
     pub(super) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
-        let Some(Call { what, .. }) = self.calls.remove(&id) else { return };
+        let Some(SentRequest { what, .. }) = self.pending_requests.remove(&id) else { return };
         match (what, answer) {
-            (Pending::Catalog, CloudAnswer::Catalog(catalog)) => self.take_catalog(catalog),
-            (Pending::List { seen }, answer) => self.list_answer(seen, answer),
-            (Pending::Rent(rent), answer) => self.rent_answer(rent, answer),
-            (Pending::Return(names), answer) => {
-                self.cloud.returning = false;
+            (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.take_catalog(catalog),
+            (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
+            (PendingRequest::Rent(rent), answer) => self.rent_answer(rent, answer),
+            (PendingRequest::Return(names), answer) => {
+                self.fleet.returning = false;
                 if matches!(answer, CloudAnswer::Returned) {
                     for name in names {
-                        self.cloud.machines.remove(&name);
-                        self.cloud.left.insert(name.clone(), self.now);
-                        self.cloud.gone.insert(name);
+                        self.fleet.machines.remove(&name);
+                        self.fleet.left.insert(name.clone(), self.now);
+                        self.fleet.gone.insert(name);
                     }
                     self.write_fleet();
                 }
@@ -263,34 +267,35 @@
         }
     }
 
-    pub(super) fn list_answer(&mut self, mut seen: Vec<Listed>, answer: CloudAnswer) {
+    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudAnswer) {
         let CloudAnswer::Page(page) = answer else {
-            self.cloud.listing = false;
+            self.fleet.listing = false;
             return;
         };
         seen.extend(page.machines);
         if let (true, Some(last)) = (page.more, seen.last()) {
             let call = CloudCall::List { after: Some(last.machine.clone()) };
-            return self.call_cloud(call, Pending::List { seen });
+            return self.call_cloud(call, PendingRequest::List { seen });
         }
-        self.cloud.listing = false;
-        self.cloud.known = true;
+        self.fleet.listing = false;
+        self.fleet.known = true;
         for listed in seen {
             if self.has_left(&listed.machine) || self.returned(&listed.machine) {
                 continue;
             }
-            let owned = Owned::new(&listed.kind, &listed.zone, listed.spot, self.now - Span::secs(listed.age_s));
-            let owned = self.cloud.machines.entry(listed.machine).or_insert(owned);
-            owned.up |= listed.state == ListedState::Running;
-            owned.failed |= listed.state == ListedState::Failed;
-            owned.last_listed = Some(self.now);
+            let fleet_machine =
+                FleetMachine::new(&listed.kind, &listed.zone, listed.spot, self.now - Millis::secs(listed.age_s));
+            let fleet_machine = self.fleet.machines.entry(listed.machine).or_insert(fleet_machine);
+            fleet_machine.up |= listed.state == ListedMachineState::Running;
+            fleet_machine.failed |= listed.state == ListedMachineState::Failed;
+            fleet_machine.last_listed = Some(self.now);
         }
         // The list lags, and may be older than the one before it: only what
         // is missing for long is gone.
-        let patience = Span::secs(self.settings.cluster.cloud.list_lag_s * 2.5 + 5.0);
+        let patience = Millis::secs(self.settings.cluster.cloud.list_lag_s * 2.5 + 5.0);
         let now = self.now;
-        self.cloud.machines.retain(|_, m| now.since(m.last_listed.unwrap_or(m.born)) < patience);
-        self.cloud.left.retain(|_, at| now.since(*at) < patience);
+        self.fleet.machines.retain(|_, m| now.since(m.last_listed.unwrap_or(m.born)) < patience);
+        self.fleet.left.retain(|_, at| now.since(*at) < patience);
     }
 }
 
@@ -303,27 +308,27 @@
     #[test]
     fn a_list_that_lags_brings_no_returned_machine_back() {
         let mut core = super::super::tests::core();
-        core.handle(Time(1000), 0, Input::Tick);
+        core.handle(MonotonicTime(1000), 0, Input::Tick);
         let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
         for some in names.chunks(50) {
-            let call = core.new_call(Pending::Return(some.to_vec()));
+            let call = core.register_request(PendingRequest::Return(some.to_vec()));
             core.cloud_answer(call, CloudAnswer::Returned);
             core.write_fleet();
-            while core.cloud.gone.len() > 10 {
-                core.cloud.gone.pop_first();
+            while core.fleet.gone.len() > 10 {
+                core.fleet.gone.pop_first();
             }
         }
-        let listed = |machine: &MachineId| Listed {
+        let listed = |machine: &MachineId| ListedMachine {
             machine: machine.clone(),
             kind: "m".into(),
             zone: "a".into(),
             spot: false,
-            state: ListedState::Running,
+            state: ListedMachineState::Running,
             age_s: 90.0,
         };
         let machines = names.iter().map(listed).collect();
         let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, more: false });
         core.list_answer(vec![], page);
-        assert_eq!(core.cloud.machines.len(), 0);
+        assert_eq!(core.fleet.machines.len(), 0);
     }
 }
--- a/src/coordination/keeping.rs
+++ b/src/coordination/keeping.rs
@@ -15,178 +15,189 @@
 //! - After a note has gone, the owner counts the time that a keeper may have
 //!   gone on without knowing, and a whole lease on top.
 
-use super::mine::Verdict;
+use super::owned_shard::Verdict;
 use super::*;
-use crate::bookkeeping::records::{keep_key, owner_key, NodeRecord};
-use crate::protocol::workers::{Command, Report, TaskState};
+use crate::protocol::workers::{Command, Heartbeat, TaskState};
+use crate::storage::records::{lease_proxy_key, owner_key, NodeRecord};
 
 impl Core {
     /// Owners are taken to be out of our reach when silent for so long: less
     /// than two of their notes would be chance.
-    fn silence(&self) -> Span {
-        Span((self.timing.worker_lease.0 / 4).max(2 * NOTE_EVERY.0 + 200))
+    fn silence(&self) -> Millis {
+        Millis((self.timing.worker_lease.0 / 4).max(2 * STATUS_INTERVAL.0 + 200))
     }
 
-    pub(super) fn heard_for(&self, node: &NodeName, span: Span) -> bool {
+    pub(super) fn heard_for(&self, node: &NodeName, span: Millis) -> bool {
         let heard = self.peers.get(node).and_then(|p| p.heard).unwrap_or(self.began);
         self.now.since(heard) <= span
     }
 
     /// Writes and takes back our notes on parts whose owners we do not hear.
-    pub(super) fn tend_notes(&mut self) {
+    pub(super) fn renew_lease_proxies(&mut self) {
         let Some(lease) = self.lease else { return };
-        if !self.state_fresh() || self.now < self.retry_state_at {
+        if !self.records_fresh() || self.now < self.retry_state_at {
             return;
         }
-        let others: Vec<(PartId, NodeName, Revision)> = self
-            .view
+        let others: Vec<(ShardId, NodeName, Revision)> = self
+            .cache
             .owners
             .iter()
-            .filter_map(|(part, held)| Some((*part, held.record.as_ref()?.node.clone(), held.version)))
+            .filter_map(|(shard, held)| Some((*shard, held.record.as_ref()?.node.clone(), held.version)))
             .collect();
-        for (part, owner, version) in others {
-            let key = keep_key(part, &self.me);
+        for (shard, owner, version) in others {
+            let key = lease_proxy_key(shard, &self.node_name);
             if self.busy_keys.contains(&key) {
                 continue;
             }
-            let held = self.view.keeps.get(&(part, self.me.clone())).cloned().unwrap_or_default();
+            let held = self.cache.lease_proxies.get(&(shard, self.node_name.clone())).cloned().unwrap_or_default();
             let noted = held.record.as_ref().is_some_and(|r| r.lease == lease);
-            let silent = owner != self.me && !self.heard_for(&owner, self.silence());
+            let silent = owner != self.node_name && !self.heard_for(&owner, self.silence());
             if silent && !noted {
-                let Ok(value) = serde_json::to_value(NodeRecord { lease, level: upgrade::OURS }) else { continue };
-                tracing::info!("{owner} is not heard: keeping workers of part {part}");
-                let conditions = vec![Condition { key: owner_key(part), version }];
-                self.simple_txn(Txn { conditions, changes: vec![Change::put_leased(key, value, lease)] });
+                let Ok(value) = serde_json::to_value(NodeRecord { lease, level: upgrade::SUPPORTED_LEVEL }) else {
+                    continue;
+                };
+                tracing::info!("{owner} is not heard: keeping workers of part {shard}");
+                let conditions = vec![Condition { key: owner_key(shard), version }];
+                self.submit_transaction(Transaction {
+                    conditions,
+                    changes: vec![Change::put_leased(key, value, lease)],
+                });
             } else if !silent && held.record.is_some() {
                 let conditions = vec![Condition { key: key.clone(), version: held.version }];
-                self.simple_txn(Txn { conditions, changes: vec![Change::delete(key)] });
+                self.submit_transaction(Transaction { conditions, changes: vec![Change::delete(key)] });
             }
         }
     }
 
     /// The answer to a worker of another node's part.
-    pub(super) fn answer_stranger(&self, part: PartId, report: &Report) -> Reply {
-        let Some((owner, token)) = self.view.owners.get(&part).and_then(|held| {
+    pub(super) fn answer_stranger(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
+        let Some((owner, token)) = self.cache.owners.get(&shard).and_then(|held| {
             let holder = held.record.as_ref()?;
-            Some((holder.node.clone(), Token(held.version.0)))
+            Some((holder.node.clone(), FencingToken(held.version.0)))
         }) else {
-            return Reply::Elsewhere(None);
+            return Response::Redirect(None);
         };
-        if owner == self.me {
-            return Reply::Elsewhere(None);
+        if owner == self.node_name {
+            return Response::Redirect(None);
         }
-        if self.heard_for(&owner, Span(self.silence().0 / 2)) {
-            return Reply::Elsewhere(Some(owner));
+        if self.heard_for(&owner, Millis(self.silence().0 / 2)) {
+            return Response::Redirect(Some(owner));
         }
-        let noted = self.view.keeps.get(&(part, self.me.clone())).is_some_and(|held| {
+        let noted = self.cache.lease_proxies.get(&(shard, self.node_name.clone())).is_some_and(|held| {
             let ours = held.record.as_ref().is_some_and(|r| Some(r.lease) == self.lease);
-            ours && self.view.revision >= held.version
+            ours && self.cache.revision >= held.version
         });
         let silent = !self.heard_for(&owner, self.silence());
-        if !noted || !silent || !self.state_fresh() || report.token > token {
+        if !noted || !silent || !self.records_fresh() || heartbeat.token > token {
             // Not to the owner, which we do not hear either: to the next one.
-            return Reply::Elsewhere(None);
+            return Response::Redirect(None);
         }
-        let commands = self.stops_of_ended(report);
-        Reply::Commands { token, commands }
+        let commands = self.stops_of_ended(heartbeat);
+        Response::Commands { token, commands }
     }
 
     /// Stops of what runs though its job has ended: it must end whoever answers, and
     /// whatever else is known of the part.
-    pub(super) fn stops_of_ended(&self, report: &Report) -> Vec<Command> {
-        let over = |task: &&crate::protocol::workers::TaskReport| {
-            let job = self.view.jobs.get(&task.task.job);
+    pub(super) fn stops_of_ended(&self, heartbeat: &Heartbeat) -> Vec<Command> {
+        let over = |task: &&crate::protocol::workers::TaskStatus| {
+            let job = self.cache.jobs.get(&task.task.job);
             task.state != TaskState::Exited && job.is_some_and(|j| j.record.end.is_some())
         };
-        let stops = report.tasks.iter().filter(over);
+        let stops = heartbeat.tasks.iter().filter(over);
         stops
             .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
             .take(super::workers::MOST_COMMANDS)
             .collect()
     }
 
-    fn kept(&self, part: PartId) -> bool {
-        self.view.keeps.iter().any(|((p, _), held)| *p == part && held.record.is_some())
+    fn kept(&self, shard: ShardId) -> bool {
+        self.cache.lease_proxies.iter().any(|((p, _), held)| *p == shard && held.record.is_some())
     }
 
-    pub(super) fn keep_changed(&mut self, part: PartId) {
-        let kept = self.kept(part);
-        if let (Some(mine), false) = (self.mine.get_mut(&part), kept) {
-            mine.unkept = self.now;
+    pub(super) fn lease_proxy_changed(&mut self, shard: ShardId) {
+        let kept = self.kept(shard);
+        if let (Some(owned_shard), false) = (self.owned_shards.get_mut(&shard), kept) {
+            owned_shard.unkept = self.now;
         }
     }
 
     /// How long after a note has gone a machine may live on: its keeper may
     /// not know yet, and the worker's lease is whole.
-    fn after_note(&self) -> Span {
-        Span(self.timing.fresh.0 + self.timing.fresh.0 / 500) + self.timing.worker_lease
+    fn after_note(&self) -> Millis {
+        Millis(self.timing.fresh.0 + self.timing.fresh.0 / 500) + self.timing.worker_lease
     }
 
     /// Gives up machines that nobody can have kept: their workers have
     /// killed everything when their lease ran out.
     pub(super) fn expire_machines(&mut self) {
-        for part in self.mine.keys().copied().collect::<Vec<_>>() {
-            let Some(mine) = self.mine.get_mut(&part).filter(|m| m.ready) else { continue };
-            match std::mem::take(&mut mine.verdict) {
-                Verdict::Found(at, names) if self.view.revision >= at => {
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            let Some(owned_shard) = self.owned_shards.get_mut(&shard).filter(|m| m.ready) else { continue };
+            match std::mem::take(&mut owned_shard.verdict) {
+                Verdict::Found(at, names) if self.cache.revision >= at => {
                     // A note that came and went meanwhile has put the time off.
-                    let silent = self.silent_machines(part);
+                    let silent = self.silent_machines(shard);
                     for name in names.iter().filter(|n| silent.contains(*n)) {
                         tracing::info!("nothing is left on {name}");
-                        self.clear_machine(part, name);
+                        self.clear_machine(shard, name);
                     }
                 }
-                waiting @ (Verdict::Found(..) | Verdict::Asked(_)) => mine.verdict = waiting,
-                Verdict::None => self.ask_about(part),
+                waiting @ (Verdict::Found(..) | Verdict::Asked(_)) => owned_shard.verdict = waiting,
+                Verdict::None => self.ask_about(shard),
             }
-            let mine = self.mine.get(&part);
-            let names = mine.iter().flat_map(|m| m.on.keys().chain(m.machines.keys()));
+            let owned_shard = self.owned_shards.get(&shard);
+            let names = owned_shard.iter().flat_map(|m| m.on.keys().chain(m.machines.keys()));
             let returned: BTreeSet<MachineId> = names.filter(|n| self.returned(n)).cloned().collect();
             for name in returned {
                 tracing::info!("{name} was returned");
-                self.clear_machine(part, &name);
+                self.clear_machine(shard, &name);
             }
         }
     }
 
     /// Machines whose leases must have run out, unless somebody keeps them.
-    fn silent_machines(&self, part: PartId) -> BTreeSet<MachineId> {
-        let Some(mine) = self.mine.get(&part).filter(|_| !self.kept(part)) else { return BTreeSet::new() };
+    fn silent_machines(&self, shard: ShardId) -> BTreeSet<MachineId> {
+        let Some(owned_shard) = self.owned_shards.get(&shard).filter(|_| !self.kept(shard)) else {
+            return BTreeSet::new();
+        };
         let lease = self.timing.worker_lease;
-        let unread = self.timing.horizon + lease;
-        let unkept = mine.unkept + self.after_note();
+        let unread = self.timing.store_isolation_limit + lease;
+        let unkept = owned_shard.unkept + self.after_note();
         let over = |name: &&MachineId| {
             // Until the worker has seen our token, an owner before us that
             // is cut off from the records may have kept its lease alive
             // for as long as its horizon lets it.
-            let until = match mine.machines.get(*name) {
-                Some(m) if m.acked => m.last_report + lease,
-                Some(m) => (m.last_report + lease).max(mine.since + unread),
-                None => mine.since + unread,
+            let until = match owned_shard.machines.get(*name) {
+                Some(m) if m.acked => m.last_heartbeat + lease,
+                Some(m) => (m.last_heartbeat + lease).max(owned_shard.since + unread),
+                None => owned_shard.since + unread,
             };
             self.now > until.max(unkept)
         };
-        mine.on.keys().chain(mine.machines.keys()).filter(over).cloned().collect()
+        owned_shard.on.keys().chain(owned_shard.machines.keys()).filter(over).cloned().collect()
     }
 
-    fn ask_about(&mut self, part: PartId) {
-        let names: Vec<MachineId> = self.silent_machines(part).into_iter().collect();
+    fn ask_about(&mut self, shard: ShardId) {
+        let names: Vec<MachineId> = self.silent_machines(shard).into_iter().collect();
         if names.is_empty() || self.now < self.retry_state_at {
             return;
         }
-        let Some(mine) = self.mine.get_mut(&part) else { return };
-        mine.verdict = Verdict::Asked(names);
-        let mut conditions = vec![Condition { key: owner_key(part), version: Revision(mine.token.0) }];
-        conditions.extend(self.peers.keys().map(|n| Condition { key: keep_key(part, n), version: Revision(0) }));
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        owned_shard.verdict = Verdict::Asked(names);
+        let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
+        conditions
+            .extend(self.peers.keys().map(|n| Condition { key: lease_proxy_key(shard, n), version: Revision(0) }));
         self.reads.force(self.now, 1.0);
-        self.call_state(StateCall::Txn(Txn { conditions, changes: vec![] }), Pending::Compare(part));
+        self.call_state(
+            StateCall::Transaction(Transaction { conditions, changes: vec![] }),
+            PendingRequest::Compare(shard),
+        );
     }
 
-    pub(super) fn compared(&mut self, part: PartId, answer: StateAnswer) {
-        let Some(mine) = self.mine.get_mut(&part) else { return };
-        let Verdict::Asked(names) = std::mem::take(&mut mine.verdict) else { return };
+    pub(super) fn compared(&mut self, shard: ShardId, answer: StateAnswer) {
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        let Verdict::Asked(names) = std::mem::take(&mut owned_shard.verdict) else { return };
         match answer {
-            StateAnswer::Committed(at) => mine.verdict = Verdict::Found(at, names),
+            StateAnswer::Committed(at) => owned_shard.verdict = Verdict::Found(at, names),
             StateAnswer::Conflict(failed) => self.reread(failed, None),
             _ => {}
         }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,39 +1,39 @@
 //! Who is alive, who owns which part, who leads, and keeping the view current.
 
-use super::mine::Mine;
+use super::owned_shard::OwnedShard;
 use super::*;
-use crate::bookkeeping::records::{HolderRecord, NodeRecord, LEADER_KEY, ROOT};
-use crate::protocol::peer::{MachineAge, PartLoad};
-use crate::protocol::state::Event;
+use crate::protocol::peer::{MachineAge, ShardStatus};
+use crate::protocol::state::WatchEvent;
+use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY, ROOT};
 use crate::units::stable_hash;
 
 /// Deals parts to live nodes: a part whose own node (by order of names) is
 /// alive goes there; the others by rendezvous, evenly.
-pub fn deal_parts(parts: u32, all: &[String], live: &BTreeSet<&str>) -> BTreeMap<PartId, String> {
+pub fn assign_shards(shards: u32, all: &[String], live: &BTreeSet<&str>) -> BTreeMap<ShardId, String> {
     let mut dealt = BTreeMap::new();
     if live.is_empty() {
         return dealt;
     }
-    let most = (parts as usize).div_ceil(live.len());
+    let most = (shards as usize).div_ceil(live.len());
     let mut load: BTreeMap<&str, usize> = BTreeMap::new();
-    for part in 0..parts {
-        if let Some(own) = all.get(part as usize).filter(|n| live.contains(n.as_str())) {
+    for shard in 0..shards {
+        if let Some(own) = all.get(shard as usize).filter(|n| live.contains(n.as_str())) {
             *load.entry(own).or_default() += 1;
-            dealt.insert(PartId(part), own.clone());
+            dealt.insert(ShardId(shard), own.clone());
         }
     }
-    for part in 0..parts {
-        if dealt.contains_key(&PartId(part)) {
+    for shard in 0..shards {
+        if dealt.contains_key(&ShardId(shard)) {
             continue;
         }
-        let name = part.to_string();
+        let name = shard.to_string();
         let best = live
             .iter()
             .filter(|n| load.get(**n).copied().unwrap_or(0) < most)
             .max_by_key(|n| stable_hash(&["owner", &name, n]));
         if let Some(node) = best {
             *load.entry(node).or_default() += 1;
-            dealt.insert(PartId(part), node.to_string());
+            dealt.insert(ShardId(shard), node.to_string());
         }
     }
     dealt
@@ -43,7 +43,7 @@
 const ALL_AGES_EVERY: u64 = 4;
 
 /// Machines whose ages every note of the leader tells.
-const YOUNG: Span = Span(60_000);
+const YOUNG: Millis = Millis(60_000);
 
 impl Core {
     pub(super) fn tick_membership(&mut self) {
@@ -54,7 +54,7 @@
             if !self.loading {
                 self.loading = true;
                 self.reads.force(self.now, 1.0);
-                let what = Pending::Load { seen: BTreeSet::new(), first: None, since: self.now };
+                let what = PendingRequest::Load { seen: BTreeSet::new(), first: None, since: self.now };
                 self.call_state(StateCall::List { prefix: ROOT.into(), after: None }, what);
             }
         } else if !self.watching && self.now >= self.next_watch {
@@ -62,40 +62,40 @@
             self.reads.force(self.now, 1.0);
             // A watch without news must end well before the last read is stale.
             let wait_ms = (self.timing.fresh.0 * 2 / 5).min(1000);
-            let call = StateCall::Watch { prefix: ROOT.into(), after: self.view.revision, wait_ms };
-            self.call_state(call, Pending::Watch);
+            let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
+            self.call_state(call, PendingRequest::Watch);
         }
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, Pending::Grant);
+                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             Some(lease) if !self.renewing && self.now >= self.renew_at => {
                 self.renewing = true;
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Renew { lease }, Pending::Renew(lease));
+                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
             }
             _ => {}
         }
         if let (true, Some(lease)) = (self.loaded, self.lease) {
-            self.tend_withdrawal();
+            self.update_shard_release();
             self.announce(lease);
-            self.claim_parts(lease);
+            self.claim_shards(lease);
             self.claim_lead(lease);
         }
     }
 
     /// Holds state calls back for a moment after a refusal.
     fn pause_state(&mut self) {
-        self.retry_state_at = self.now + Span(250);
+        self.retry_state_at = self.now + Millis(250);
     }
 
     pub(super) fn load_answer(
         &mut self,
         mut seen: BTreeSet<String>,
         first: Option<Revision>,
-        since: Time,
+        since: MonotonicTime,
         answer: StateAnswer,
     ) {
         let StateAnswer::Page(page) = answer else {
@@ -107,49 +107,49 @@
         let first = first.unwrap_or(page.revision);
         let last = page.items.last().map(|i| i.key.clone());
         for item in page.items {
-            let changed = self.view.apply(&item.key, Some(item.value), item.version);
+            let changed = self.cache.apply(&item.key, Some(item.value), item.version);
             seen.insert(item.key);
             self.changed(changed);
         }
         if let (true, Some(after)) = (page.more, last) {
             self.reads.force(self.now, 1.0);
-            let what = Pending::Load { seen, first: Some(first), since };
+            let what = PendingRequest::Load { seen, first: Some(first), since };
             return self.call_state(StateCall::List { prefix: ROOT.into(), after: Some(after) }, what);
         }
-        self.view.forget_missing(&seen, first);
-        self.view.revision = first;
+        self.cache.forget_missing(&seen, first);
+        self.cache.revision = first;
         self.loading = false;
         self.loaded = true;
         // The first page is as old as when it was asked for, however long the others took.
         self.last_read = Some(since);
-        for part in 0..self.parts {
-            self.owner_changed(PartId(part));
+        for shard in 0..self.shard_count {
+            self.owner_changed(ShardId(shard));
         }
-        self.ready_parts();
+        self.activate_ready_shards();
         tracing::info!("read {} records up to revision {first}", seen.len());
         self.reached(Milestone::RecordsRead);
     }
 
-    pub(super) fn watch_answer(&mut self, sent: Time, answer: StateAnswer) {
+    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
         self.watching = false;
         match answer {
-            StateAnswer::Events(news) => {
+            StateAnswer::WatchEvents(news) => {
                 // A pause after news bounds the rate of watches under load;
                 // it grows when many changes come.
                 let pause = if news.events.is_empty() { 0 } else { 80 };
-                self.next_watch = self.now + Span(pause);
-                self.view.revision = self.view.revision.max(news.revision);
+                self.next_watch = self.now + Millis(pause);
+                self.cache.revision = self.cache.revision.max(news.revision);
                 for event in news.events {
                     let changed = match event {
-                        Event::Put { put, value, version } => self.view.apply(&put, Some(value), version),
-                        Event::Delete { delete, version } => self.view.apply(&delete, None, version),
+                        WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
+                        WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
                     };
                     self.changed(changed);
                 }
                 // The answer shows the records as of when it was asked for, or later.
                 self.last_read = Some(self.last_read.map_or(sent, |at| at.max(sent)));
-                self.ready_parts();
-                self.answer_held();
+                self.activate_ready_shards();
+                self.answer_ready_queries();
             }
             StateAnswer::TooOld => self.loaded = false,
             _ => self.pause_state(),
@@ -173,7 +173,7 @@
         match answer {
             StateAnswer::Renewed => {}
             StateAnswer::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
-            _ => self.renew_at = self.now + Span(300),
+            _ => self.renew_at = self.now + Millis(300),
         }
     }
 
@@ -181,133 +181,133 @@
     fn lease_lost(&mut self) {
         tracing::info!("the lease is gone, and with it all parts");
         self.lease = None;
-        for part in self.mine.keys().copied().collect::<Vec<_>>() {
-            self.drop_part(part);
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            self.drop_shard(shard);
         }
     }
 
     /// A put named a lease that is gone: ours, or that of a node we meant to
     /// hand a part to.
-    pub(super) fn lease_gone_elsewhere(&mut self, txn: &Txn) {
+    pub(super) fn lease_gone_elsewhere(&mut self, transaction: &Transaction) {
         let ours = |c: &Change| matches!(c, Change::Put { lease, .. } if lease.is_some() && *lease == self.lease);
-        if txn.changes.iter().any(ours) {
+        if transaction.changes.iter().any(ours) {
             self.lease_lost();
         }
     }
 
     fn announce(&mut self, lease: LeaseId) {
-        let key = records::node_key(&self.me);
-        let held = self.view.nodes.get(&self.me);
+        let key = records::node_key(&self.node_name);
+        let held = self.cache.nodes.get(&self.node_name);
         let current = held.and_then(|h| h.record.as_ref()).is_some_and(|r| r.lease == lease);
-        if current || self.withdrawn() || self.busy_keys.contains(&key) {
+        if current || self.has_released_shards() || self.busy_keys.contains(&key) {
             return;
         }
-        if let Ok(value) = serde_json::to_value(NodeRecord { lease, level: upgrade::OURS }) {
+        if let Ok(value) = serde_json::to_value(NodeRecord { lease, level: upgrade::SUPPORTED_LEVEL }) {
             // Carried out late it must not undo what this node said later.
             let conditions = vec![Condition { key: key.clone(), version: held.map_or(Revision(0), |h| h.version) }];
-            self.simple_txn(Txn { conditions, changes: vec![Change::put_leased(key, value, lease)] });
+            self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
         }
     }
 
-    fn live_targets(&self) -> BTreeMap<PartId, String> {
+    fn live_targets(&self) -> BTreeMap<ShardId, String> {
         let all = self.settings.node_names();
-        let live: BTreeSet<&str> = self.view.live().map(|(n, _)| n.as_str()).collect();
-        deal_parts(self.parts, &all, &live)
+        let live: BTreeSet<&str> = self.cache.live().map(|(n, _)| n.as_str()).collect();
+        assign_shards(self.shard_count, &all, &live)
     }
 
-    fn claim_parts(&mut self, lease: LeaseId) {
-        let announced = self.view.nodes.get(&self.me).is_some_and(|h| h.record.is_some());
-        if !announced && !self.withdrawn() {
+    fn claim_shards(&mut self, lease: LeaseId) {
+        let announced = self.cache.nodes.get(&self.node_name).is_some_and(|h| h.record.is_some());
+        if !announced && !self.has_released_shards() {
             return;
         }
-        for (part, target) in self.live_targets() {
-            let key = records::owner_key(part);
+        for (shard, target) in self.live_targets() {
+            let key = records::owner_key(shard);
             if self.busy_keys.contains(&key) {
                 continue;
             }
-            let held = self.view.owners.get(&part).cloned().unwrap_or_default();
+            let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
             let holder = held.record.as_ref();
-            if target == self.me.as_str() {
+            if target == self.node_name.as_str() {
                 // It was on its way to a node that is gone again: it stays, and is served.
-                self.target_since.remove(&part);
-                if let Some(mine) = self.mine.get_mut(&part) {
-                    mine.releasing = false;
+                self.target_since.remove(&shard);
+                if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+                    owned_shard.releasing = false;
                 }
                 // Free, or held by an earlier life of this very node.
-                let free = holder.is_none_or(|h| h.node == self.me && h.lease != lease);
+                let free = holder.is_none_or(|h| h.node == self.node_name && h.lease != lease);
                 if free {
-                    self.hold(key, held.version, self.me.clone(), lease);
+                    self.hold(key, held.version, self.node_name.clone(), lease);
                 }
-            } else if holder.is_some_and(|h| h.node == self.me) && self.mine.contains_key(&part) {
-                self.hand_over(part, NodeName::new(&target));
+            } else if holder.is_some_and(|h| h.node == self.node_name) && self.owned_shards.contains_key(&shard) {
+                self.hand_over(shard, NodeName::new(&target));
             }
         }
     }
 
     fn hold(&mut self, key: String, version: Revision, node: NodeName, lease: LeaseId) {
-        let Ok(value) = serde_json::to_value(HolderRecord { node, lease }) else { return };
+        let Ok(value) = serde_json::to_value(LeaseHolderRecord { node, lease }) else { return };
         let conditions = vec![Condition { key: key.clone(), version }];
-        self.simple_txn(Txn { conditions, changes: vec![Change::put_leased(key, value, lease)] });
+        self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
     }
 
     /// Gives a part back to its node in one transaction, once nothing of it
     /// is on its way; the new owner's token is that transaction's revision.
-    fn hand_over(&mut self, part: PartId, to: NodeName) {
+    fn hand_over(&mut self, shard: ShardId, to: NodeName) {
         let now = self.now;
-        let since = match self.target_since.get(&part) {
+        let since = match self.target_since.get(&shard) {
             Some((target, since)) if *target == to => *since,
             _ => {
-                self.target_since.insert(part, (to, now));
+                self.target_since.insert(shard, (to, now));
                 return;
             }
         };
         // A node that has just come up is given a moment to settle; workers that
         // we cannot reach have none to lose.
-        let withdrawn = self.withdrawn();
-        if now.since(since) < Span(1500) && !withdrawn {
+        let has_released_shards = self.has_released_shards();
+        if now.since(since) < Millis(1500) && !has_released_shards {
             return;
         }
-        let Some(mine) = self.mine.get_mut(&part) else { return };
-        mine.releasing = true;
-        let idle = mine.inflight.is_none() && mine.rereads == 0;
-        if !idle || (!mine.dirty.is_empty() && !withdrawn && now.since(since) < Span(4000)) {
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        owned_shard.releasing = true;
+        let idle = owned_shard.inflight.is_none() && owned_shard.rereads == 0;
+        if !idle || (!owned_shard.dirty.is_empty() && !has_released_shards && now.since(since) < Millis(4000)) {
             return;
         }
-        let token = mine.token;
-        let Some(lease) = self.view.nodes.get(&to).and_then(|h| h.record.as_ref()).map(|r| r.lease) else { return };
-        self.target_since.remove(&part);
-        self.hold(records::owner_key(part), Revision(token.0), to, lease);
+        let token = owned_shard.token;
+        let Some(lease) = self.cache.nodes.get(&to).and_then(|h| h.record.as_ref()).map(|r| r.lease) else { return };
+        self.target_since.remove(&shard);
+        self.hold(records::owner_key(shard), Revision(token.0), to, lease);
     }
 
     /// Takes up or drops a part according to its ownership key.
-    pub(super) fn owner_changed(&mut self, part: PartId) {
-        let held = self.view.owners.get(&part).cloned().unwrap_or_default();
-        let ours = held.record.as_ref().is_some_and(|h| h.node == self.me && Some(h.lease) == self.lease);
-        let token = Token(held.version.0);
-        match self.mine.get(&part) {
-            Some(mine) if ours && mine.token == token => {}
+    pub(super) fn owner_changed(&mut self, shard: ShardId) {
+        let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
+        let ours = held.record.as_ref().is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease);
+        let token = FencingToken(held.version.0);
+        match self.owned_shards.get(&shard) {
+            Some(owned_shard) if ours && owned_shard.token == token => {}
             Some(_) if !ours => {
-                tracing::info!("part {part} is no longer ours");
-                self.drop_part(part);
+                tracing::info!("part {shard} is no longer ours");
+                self.drop_shard(shard);
             }
             _ if ours => {
-                tracing::info!("part {part} is ours with token {token}");
-                self.drop_part(part);
-                self.mine.insert(part, Mine::new(token, self.now));
-                self.ready_parts();
+                tracing::info!("part {shard} is ours with token {token}");
+                self.drop_shard(shard);
+                self.owned_shards.insert(shard, OwnedShard::new(token, self.now));
+                self.activate_ready_shards();
             }
             _ => {}
         }
     }
 
-    fn drop_part(&mut self, part: PartId) {
-        if self.mine.remove(&part).is_some() {
-            self.release_answers(part);
-            for id in self.view.active.clone() {
-                let Some(job) = self.view.jobs.get_mut(&id) else { continue };
+    fn drop_shard(&mut self, shard: ShardId) {
+        if self.owned_shards.remove(&shard).is_some() {
+            self.drop_deferred_responses(shard);
+            for id in self.cache.active.clone() {
+                let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
                 for index in 0..job.slices().len() {
-                    if job.part_of(index) == Some(part) {
-                        job.set_want(index, None);
+                    if job.shard_of(index) == Some(shard) {
+                        job.set_desired(index, None);
                     }
                 }
             }
@@ -315,127 +315,136 @@
     }
 
     pub(super) fn leading(&self) -> bool {
-        let held = self.view.leader.record.as_ref();
-        held.is_some_and(|h| h.node == self.me && Some(h.lease) == self.lease)
+        let held = self.cache.leader.record.as_ref();
+        held.is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease)
     }
 
     fn claim_lead(&mut self, lease: LeaseId) {
-        let held = &self.view.leader;
-        let free = held.record.as_ref().is_none_or(|h| h.node == self.me && h.lease != lease);
+        let held = &self.cache.leader;
+        let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
         if !free || self.busy_keys.contains(LEADER_KEY) {
             return;
         }
         // The first live node by name tries at once, so that not all do.
-        let first = self.view.live().map(|(n, _)| n).min();
-        if first == Some(&self.me) {
-            self.hold(LEADER_KEY.into(), held.version, self.me.clone(), lease);
+        let first = self.cache.live().map(|(n, _)| n).min();
+        if first == Some(&self.node_name) {
+            self.hold(LEADER_KEY.into(), held.version, self.node_name.clone(), lease);
         }
     }
 
-    fn own_note(&self) -> Note {
-        Note {
-            from: self.me.to_string(),
-            revision: self.view.revision.0,
-            state_reachable: self.state_fresh(),
-            parts: self.mine.iter().map(|(part, mine)| self.part_load(*part, mine)).collect(),
+    fn own_status(&self) -> PeerStatus {
+        PeerStatus {
+            from: self.node_name.to_string(),
+            revision: self.cache.revision.0,
+            state_reachable: self.records_fresh(),
+            shards: self
+                .owned_shards
+                .iter()
+                .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
+                .collect(),
             ages: vec![],
             faulty: vec![],
             failing: vec![],
         }
     }
 
-    fn part_load(&self, part: PartId, mine: &Mine) -> PartLoad {
-        PartLoad {
-            part: part.0,
-            token: mine.token.0,
-            teams: mine
+    fn shard_status(&self, shard: ShardId, owned_shard: &OwnedShard) -> ShardStatus {
+        ShardStatus {
+            shard: shard.0,
+            token: owned_shard.token.0,
+            teams: owned_shard
                 .wanted
                 .iter()
-                .map(|(team, want)| crate::protocol::peer::TeamUse {
+                .map(|(team, want)| crate::protocol::peer::TeamDemand {
                     team: team.clone(),
                     wanted_cpus: want.all.0,
                     wanted_gpus: want.all.1,
                 })
                 .collect(),
             up: vec![],
-            deaf: mine.deaf.keys().map(|name| name.to_string()).collect(),
-            leaving: mine.machines.iter().filter(|(_, m)| m.notice.is_some()).map(|(n, _)| n.to_string()).collect(),
+            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
+            leaving: owned_shard
+                .machines
+                .iter()
+                .filter(|(_, m)| m.notice.is_some())
+                .map(|(n, _)| n.to_string())
+                .collect(),
         }
     }
 
-    pub(super) fn tell(&mut self) {
-        let mut note = self.own_note();
+    pub(super) fn broadcast_status(&mut self) {
+        let mut status = self.own_status();
         if self.leading() {
             // All of them now and then, for owners that are new; in between
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
-            let ages = self.cloud.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
-            note.ages = ages
+            let ages = self.fleet.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
+            status.ages = ages
                 .map(|(name, m)| MachineAge { machine: name.to_string(), age_s: self.now.since(m.born).as_secs() })
                 .collect();
         }
-        note.faulty = self
-            .mine
+        status.faulty = self
+            .owned_shards
             .values()
             .flat_map(|m| &m.machines)
             .filter(|(_, m)| m.faulty)
             .map(|(n, _)| n.to_string())
             .collect();
-        note.failing = self.failing_jobs();
+        status.failing = self.failing_jobs();
         let quiet = self.timing.worker_lease;
-        for load in &mut note.parts {
-            let machines = self.mine.get(&PartId(load.part)).into_iter().flat_map(|m| &m.machines);
-            let heard = machines.filter(|(_, m)| self.now.since(m.last_report) < quiet && !self.is_deaf(m));
+        for load in &mut status.shards {
+            let machines = self.owned_shards.get(&ShardId(load.shard)).into_iter().flat_map(|m| &m.machines);
+            let heard = machines.filter(|(_, m)| self.now.since(m.last_heartbeat) < quiet && !self.is_downlink_lost(m));
             load.up = heard.map(|(name, _)| name.to_string()).collect();
         }
         self.told += 1;
-        self.out.push(Output::Tell(note));
+        self.out.push(Output::BroadcastStatus(status));
     }
 
     /// Tells the others at once that there is something new to read, without
     /// saying all of a note again.
-    pub(super) fn nudge(&mut self, revision: Revision) {
-        self.out.push(Output::Nudge(revision));
+    pub(super) fn send_revision_hint(&mut self, revision: Revision) {
+        self.out.push(Output::RevisionHint(revision));
     }
 
-    pub(super) fn note(&mut self, note: Note) {
-        let Some(peer) = self.peers.get_mut(&NodeName::new(&note.from)) else { return };
+    pub(super) fn status(&mut self, status: PeerStatus) {
+        let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) else { return };
         peer.heard = Some(self.now);
-        peer.state_reachable = note.state_reachable;
-        if note.revision > self.view.revision.0 {
+        peer.state_reachable = status.state_reachable;
+        if status.revision > self.cache.revision.0 {
             self.next_watch = self.now;
             if self.now >= self.retry_state_at {
                 self.tick_membership();
             }
         }
         // Only an owner with a higher token can tell us so: ours has ended.
-        for load in &note.parts {
-            let part = PartId(load.part);
-            if self.mine.get(&part).is_some_and(|m| m.token.0 < load.token) {
-                tracing::info!("{} owns part {part} now", note.from);
-                self.drop_part(part);
-                let holder = HolderRecord { node: NodeName::new(&note.from), lease: LeaseId(0) };
+        for load in &status.shards {
+            let shard = ShardId(load.shard);
+            if self.owned_shards.get(&shard).is_some_and(|m| m.token.0 < load.token) {
+                tracing::info!("{} owns part {shard} now", status.from);
+                self.drop_shard(shard);
+                let holder = LeaseHolderRecord { node: NodeName::new(&status.from), lease: LeaseId(0) };
                 if let Ok(value) = serde_json::to_value(holder) {
-                    self.view.apply(&records::owner_key(part), Some(value), Revision(load.token));
+                    self.cache.apply(&records::owner_key(shard), Some(value), Revision(load.token));
                 }
             }
         }
-        for age in &note.ages {
+        for age in &status.ages {
             let name = MachineId::new(&age.machine);
-            let part = self.part_of(&name);
-            if let Some(machine) = self.mine.get_mut(&part).and_then(|m| m.machines.get_mut(&name)) {
-                machine.born = machine.born.min(self.now - Span::secs(age.age_s));
+            let shard = self.shard_of(&name);
+            if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&name)) {
+                machine.born = machine.born.min(self.now - Millis::secs(age.age_s));
             }
         }
-        if let Some(peer) = self.peers.get_mut(&NodeName::new(&note.from)) {
-            if !note.ages.is_empty() || !note.parts.is_empty() || peer.note.is_none() {
-                peer.note = Some(note);
+        if let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) {
+            if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
+                peer.status = Some(status);
             }
         }
     }
 
-    pub(super) fn part_of(&self, machine: &MachineId) -> PartId {
-        PartId::of(machine.as_str(), self.parts)
+    pub(super) fn shard_of(&self, machine: &MachineId) -> ShardId {
+        ShardId::of(machine.as_str(), self.shard_count)
     }
 }
 
@@ -450,7 +459,7 @@
     fn records_read_in_pages_are_as_old_as_the_first() {
         let mut core = super::super::tests::core();
         let read = |core: &mut Core, at: u64| {
-            let outputs = core.handle(Time(at), 0, Input::Tick);
+            let outputs = core.handle(MonotonicTime(at), 0, Input::Tick);
             outputs.into_iter().find_map(|o| match o {
                 Output::State(id, StateCall::List { .. }) => Some(id),
                 _ => None,
@@ -460,21 +469,21 @@
         for (at, more) in [(2400, true), (3800, false)] {
             let item = Item { key: format!("t/x/{at}"), value: serde_json::Value::Null, version: Revision(3) };
             let page = Page { items: vec![item], more, revision: Revision(at) };
-            let outputs = core.handle(Time(at), 0, Input::State(id, StateAnswer::Page(page)));
+            let outputs = core.handle(MonotonicTime(at), 0, Input::State(id, StateAnswer::Page(page)));
             let next = |o: Output| if let Output::State(id, StateCall::List { .. }) = o { Some(id) } else { None };
             id = outputs.into_iter().find_map(next).unwrap_or(id);
         }
-        assert_eq!((core.loaded, core.last_read), (true, Some(Time(1000))));
+        assert_eq!((core.loaded, core.last_read), (true, Some(MonotonicTime(1000))));
     }
 
     #[test]
     fn parts_go_home_and_spread_when_a_node_is_gone() {
         let all: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
-        let full = deal_parts(3, &all, &["a", "b", "c"].into());
+        let full = assign_shards(3, &all, &["a", "b", "c"].into());
         assert_eq!(full.values().collect::<Vec<_>>(), ["a", "b", "c"]);
-        let two = deal_parts(3, &all, &["a", "c"].into());
-        assert_eq!((two[&PartId(0)].as_str(), two[&PartId(2)].as_str()), ("a", "c"));
-        assert!(["a", "c"].contains(&two[&PartId(1)].as_str()));
-        assert_eq!(deal_parts(3, &all, &["b"].into()).len(), 3);
+        let two = assign_shards(3, &all, &["a", "c"].into());
+        assert_eq!((two[&ShardId(0)].as_str(), two[&ShardId(2)].as_str()), ("a", "c"));
+        assert!(["a", "c"].contains(&two[&ShardId(1)].as_str()));
+        assert_eq!(assign_shards(3, &all, &["b"].into()).len(), 3);
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,38 +2,38 @@
 //! the time go in; what to send, write and answer comes out.
 
 mod aging;
-mod aims;
-mod allowances;
 mod answering;
-mod boots;
+mod archived;
 mod buying;
-mod calls;
 mod catalog;
-mod chains;
 mod demand;
+mod dependency_graph;
+mod estimates;
 mod failures;
 mod fleet;
 mod following;
-mod hearing;
 mod keeping;
 mod leading;
-mod learned;
 mod membership;
-mod mine;
+mod objectives;
 mod openings;
-mod part;
-mod past;
+mod owned_shard;
+mod pending_requests;
 mod preempting;
-mod queries;
+mod provisioning_times;
 mod queue;
+mod quotas;
+mod reachability;
 mod refusing;
 mod replicas;
 mod returning;
-mod rounds;
+mod run_scheduling_cycles;
 pub mod scoring;
 mod seats;
+mod shard;
 mod starting;
-mod stranded;
+mod status_queries;
+mod unplaceable_services;
 mod upgrade;
 mod users;
 mod waiting;
@@ -41,42 +41,44 @@
 mod workers;
 mod writing;
 
-use crate::bookkeeping::budget::Budget;
-use crate::bookkeeping::names::Label;
-use crate::bookkeeping::records;
-use crate::bookkeeping::view::View;
 use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
-use crate::protocol::peer::Note;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Txn};
+use crate::protocol::peer::PeerStatus;
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Report};
+use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
-use crate::units::{CallId, JobRef, LeaseId, MachineId, NodeName, PartId, RequestId, Revision, Span, Time, Token};
-use calls::{change_key, Call, Pending};
-use mine::Mine;
-use queries::Queries;
+use crate::storage::cache::StateCache;
+use crate::storage::names::InternedName;
+use crate::storage::rate_limiter::RateLimiter;
+use crate::storage::records;
+use crate::units::{
+    CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
+};
+use owned_shard::OwnedShard;
+use pending_requests::{change_key, PendingRequest, SentRequest};
 pub use replicas::{Replica, ReplicaState};
 use starting::Milestone;
+use status_queries::StatusQueries;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often controllers tell one another how they are.
-const NOTE_EVERY: Span = Span(1000);
+const STATUS_INTERVAL: Millis = Millis(1000);
 
 /// A pause between inputs that cannot be chance: ticks come far more often.
-const STANDSTILL: Span = Span(1000);
+const CLOCK_JUMP: Millis = Millis(1000);
 
 /// What a user asks.
 #[derive(Debug, Clone)]
-pub enum Ask {
+pub enum ClientRequest {
     Submit(Box<JobSpec>),
     /// A submission that is not a valid one, of a job that may be known all the same.
     Malformed {
-        id: JobRef,
+        id: JobId,
         reason: String,
     },
-    Query(JobRef),
-    Cancel(JobRef),
-    Up,
+    Query(JobId),
+    Cancel(JobId),
+    Health,
 }
 
 #[derive(Debug, Clone)]
@@ -101,155 +103,155 @@
 #[derive(Debug)]
 pub enum Input {
     Tick,
-    User(RequestId, Ask),
-    Report(RequestId, Report),
+    ClientRequest(RequestId, ClientRequest),
+    Heartbeat(RequestId, Heartbeat),
     State(CallId, StateAnswer),
     Cloud(CallId, CloudAnswer),
-    Note(Note),
+    PeerStatus(PeerStatus),
 }
 
 /// The answer to a user.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
+pub enum Response {
     Job {
         status: u16,
-        id: JobRef,
+        id: JobId,
         state: crate::protocol::users::JobState,
         counts: Option<(u32, u32)>,
     },
-    Problem {
+    Error {
         status: u16,
         reason: String,
         retry_after_s: Option<u32>,
     },
-    Up,
+    Healthy,
     /// Commands for a worker.
     Commands {
-        token: Token,
+        token: FencingToken,
         commands: Vec<Command>,
     },
     /// The worker should report to this node, or look on.
-    Elsewhere(Option<NodeName>),
+    Redirect(Option<NodeName>),
 }
 
-impl Reply {
-    fn problem(status: u16, reason: &str) -> Reply {
-        Reply::Problem { status, reason: reason.into(), retry_after_s: None }
+impl Response {
+    fn problem(status: u16, reason: &str) -> Response {
+        Response::Error { status, reason: reason.into(), retry_after_s: None }
     }
-    fn later(reason: &str) -> Reply {
-        Reply::Problem { status: 503, reason: reason.into(), retry_after_s: Some(1) }
+    fn later(reason: &str) -> Response {
+        Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(1) }
     }
 }
 
 #[derive(Debug)]
 pub enum Output {
-    Reply(RequestId, Reply),
+    Response(RequestId, Response),
     State(CallId, StateCall),
     Cloud(CallId, CloudCall),
     /// To all other controllers.
-    Tell(Note),
+    BroadcastStatus(PeerStatus),
     /// To all other controllers: the records have come as far as this.
-    Nudge(Revision),
+    RevisionHint(Revision),
 }
 
 /// Lengths of time that the rules rest on, derived from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
     /// How long a controller's lease lasts unrenewed.
-    pub ttl: Span,
-    pub renew_every: Span,
+    pub ttl: Millis,
+    pub renew_every: Millis,
     /// A worker's lease, with room for drifting clocks.
-    pub worker_lease: Span,
+    pub worker_lease: Millis,
     /// How long an owner cut off from the state service may go on answering
     /// workers. Their leases then run out before a cancellation it cannot
     /// have heard of is due: horizon + lease + margin <= cancel.
-    pub horizon: Span,
+    pub store_isolation_limit: Millis,
     /// How old the last read may be for starts to be sent.
-    pub fresh: Span,
+    pub fresh: Millis,
 }
 
 impl Timing {
     fn of(settings: &Settings) -> Timing {
         let w = &settings.cluster.workers;
         Timing {
-            ttl: Span::secs((w.lease_s * 0.4).clamp(1.0, 60.0)),
-            renew_every: Span::secs((w.lease_s * 0.1).clamp(0.25, 15.0)),
-            worker_lease: Span::secs(w.longest_lease_s()),
-            horizon: Span::secs(w.horizon_s()),
-            fresh: Span::secs((w.lease_s * 0.3).max(1.0)),
+            ttl: Millis::secs((w.lease_s * 0.4).clamp(1.0, 60.0)),
+            renew_every: Millis::secs((w.lease_s * 0.1).clamp(0.25, 15.0)),
+            worker_lease: Millis::secs(w.longest_lease_s()),
+            store_isolation_limit: Millis::secs(w.store_isolation_limit_s()),
+            fresh: Millis::secs((w.lease_s * 0.3).max(1.0)),
         }
     }
 }
 
 /// What another controller told last.
 #[derive(Debug, Default)]
-struct PeerState {
-    heard: Option<Time>,
+struct Peer {
+    heard: Option<MonotonicTime>,
     state_reachable: bool,
-    note: Option<Note>,
+    status: Option<PeerStatus>,
 }
 
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
     timing: Timing,
-    me: NodeName,
-    parts: u32,
-    now: Time,
+    node_name: NodeName,
+    shard_count: u32,
+    now: MonotonicTime,
     /// When this life of the node began.
-    began: Time,
+    began: MonotonicTime,
     /// When it last went on after standing still.
-    resumed: Time,
-    wall_ms: u64,
+    resumed_at: MonotonicTime,
+    time_of_day_ms: u64,
     out: Vec<Output>,
     last_call: u64,
-    calls: BTreeMap<CallId, Call>,
-    view: View,
+    pending_requests: BTreeMap<CallId, SentRequest>,
+    cache: StateCache,
     loaded: bool,
     loading: bool,
     watching: bool,
-    next_watch: Time,
-    retry_state_at: Time,
+    next_watch: MonotonicTime,
+    retry_state_at: MonotonicTime,
     /// When the newest successful read of all records was sent.
-    last_read: Option<Time>,
-    last_state_answer: Option<Time>,
-    reads: Budget,
-    writes: Budget,
+    last_read: Option<MonotonicTime>,
+    last_state_answer: Option<MonotonicTime>,
+    reads: RateLimiter,
+    writes: RateLimiter,
     lease: Option<LeaseId>,
     granting: bool,
     renewing: bool,
-    renew_at: Time,
+    renew_at: MonotonicTime,
     /// Keys whose values did not fit, each told once.
     too_large: BTreeSet<String>,
     /// Keys with a simple transaction on its way.
     busy_keys: BTreeSet<String>,
-    in_doubt: calls::InDoubt,
-    mine: BTreeMap<PartId, Mine>,
-    target_since: BTreeMap<PartId, (NodeName, Time)>,
-    finish: BTreeSet<JobRef>,
-    peers: BTreeMap<NodeName, PeerState>,
-    next_note: Time,
-    next_round: Time,
-    next_housekeeping: Time,
+    unresolved: pending_requests::UnresolvedTransactions,
+    owned_shards: BTreeMap<ShardId, OwnedShard>,
+    target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
+    finish: BTreeSet<JobId>,
+    peers: BTreeMap<NodeName, Peer>,
+    next_status: MonotonicTime,
+    next_cycle: MonotonicTime,
+    next_housekeeping: MonotonicTime,
     /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
-    deal_soon: bool,
-    next_deal: Time,
+    assign_soon: bool,
+    next_assignment: MonotonicTime,
     catalog: BTreeMap<String, MachineType>,
-    catalog_at: Option<Time>,
-    cloud: fleet::Fleet,
-    learned: learned::Learned,
-    aims: aims::Aims,
+    catalog_at: Option<MonotonicTime>,
+    fleet: fleet::Fleet,
+    estimates: estimates::Estimates,
+    objectives: objectives::Objectives,
     /// Teams with a guarantee: cores and GPUs.
-    guarantees: Vec<(Label, f64, f64)>,
-    queries: Queries,
-    chains: chains::Chains,
+    guarantees: Vec<(InternedName, f64, f64)>,
+    status_queries: StatusQueries,
+    dependency_graph: dependency_graph::DependencyGraph,
     /// A waiting job may start: that must not wait for the next housekeeping.
-    chains_soon: bool,
-    tending: following::Tending,
+    release_soon: bool,
+    dependency_release: following::DependencyRelease,
     announced: upgrade::Announced,
-    withdrawal: withdrawing::Withdrawal,
+    shard_release: withdrawing::ShardRelease,
     start: starting::Start,
-    answers: answering::Answers,
+    deferred_responses: answering::DeferredResponses,
     /// Notes told so far.
     told: u64,
 }
@@ -261,87 +263,87 @@
         let names = settings.node_names();
         let share = names.len().max(1) as f64;
         let state = &settings.cluster.state;
-        let mut view = View::default();
-        let aims = aims::Aims::read(&settings.cluster.objectives, &mut view.names);
+        let mut cache = StateCache::default();
+        let objectives = objectives::Objectives::read(&settings.cluster.objectives, &mut cache.names);
         let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let guarantees = guaranteed.map(|t| (view.names.label(&t.name), t.cpus, t.gpus)).collect();
+        let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
         Core {
-            me: NodeName::new(&settings.node),
-            parts: names.len() as u32,
+            node_name: NodeName::new(&settings.node),
+            shard_count: names.len() as u32,
             timing: Timing::of(&settings),
-            reads: Budget::new(state.rps * 0.9 / share),
-            writes: Budget::new((state.write_rps * 0.9 / share).max(1.0)),
-            peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), PeerState::default())).collect(),
+            reads: RateLimiter::new(state.rps * 0.9 / share),
+            writes: RateLimiter::new((state.write_rps * 0.9 / share).max(1.0)),
+            peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
             settings,
             tuning,
-            now: Time(0),
-            began: Time(0),
-            resumed: Time(0),
-            wall_ms: 0,
+            now: MonotonicTime(0),
+            began: MonotonicTime(0),
+            resumed_at: MonotonicTime(0),
+            time_of_day_ms: 0,
             out: vec![],
             last_call: 0,
-            calls: BTreeMap::new(),
-            view,
-            aims,
+            pending_requests: BTreeMap::new(),
+            cache,
+            objectives,
             guarantees,
             loaded: false,
             loading: false,
             watching: false,
-            next_watch: Time(0),
-            retry_state_at: Time(0),
+            next_watch: MonotonicTime(0),
+            retry_state_at: MonotonicTime(0),
             last_read: None,
             last_state_answer: None,
             lease: None,
             granting: false,
             renewing: false,
-            renew_at: Time(0),
+            renew_at: MonotonicTime(0),
             too_large: BTreeSet::new(),
             busy_keys: BTreeSet::new(),
-            in_doubt: calls::InDoubt::default(),
-            mine: BTreeMap::new(),
+            unresolved: pending_requests::UnresolvedTransactions::default(),
+            owned_shards: BTreeMap::new(),
             target_since: BTreeMap::new(),
             finish: BTreeSet::new(),
-            next_note: Time(0),
-            next_round: Time(0),
-            next_housekeeping: Time(0),
-            deal_soon: false,
-            next_deal: Time(0),
+            next_status: MonotonicTime(0),
+            next_cycle: MonotonicTime(0),
+            next_housekeeping: MonotonicTime(0),
+            assign_soon: false,
+            next_assignment: MonotonicTime(0),
             catalog: BTreeMap::new(),
             catalog_at: None,
-            cloud: fleet::Fleet::default(),
-            learned: learned::Learned::default(),
-            queries: Queries::default(),
-            chains: chains::Chains::default(),
-            chains_soon: false,
-            tending: following::Tending::default(),
+            fleet: fleet::Fleet::default(),
+            estimates: estimates::Estimates::default(),
+            status_queries: StatusQueries::default(),
+            dependency_graph: dependency_graph::DependencyGraph::default(),
+            release_soon: false,
+            dependency_release: following::DependencyRelease::default(),
             announced: upgrade::Announced::default(),
-            withdrawal: withdrawing::Withdrawal::default(),
+            shard_release: withdrawing::ShardRelease::default(),
             start: starting::Start::default(),
-            answers: answering::Answers::default(),
+            deferred_responses: answering::DeferredResponses::default(),
             told: 0,
         }
     }
 
     /// Takes one input at a time of this node's steady clock, with the time
     /// of day for estimates of age, and returns what is to be done.
-    pub fn handle(&mut self, now: Time, wall_ms: u64, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: MonotonicTime, time_of_day_ms: u64, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
-        self.wall_ms = wall_ms;
-        if gap >= STANDSTILL {
-            self.stood_still(gap);
+        self.time_of_day_ms = time_of_day_ms;
+        if gap >= CLOCK_JUMP {
+            self.clock_jumped(gap);
         }
         match input {
             Input::Tick => self.tick(),
-            Input::User(request, ask) => self.user(request, ask),
-            Input::Report(request, report) => self.report(request, report),
+            Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
+            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
-            Input::Note(note) => self.note(note),
+            Input::PeerStatus(status) => self.status(status),
         }
-        self.tend_queries();
-        self.tend_answers();
-        self.flush_all();
+        self.process_status_queries();
+        self.send_due_responses();
+        self.write_pending_changes();
         std::mem::take(&mut self.out)
     }
 
@@ -349,69 +351,69 @@
     /// stood still while its clocks ran on. What it did not hear meanwhile is
     /// no proof of anybody's silence, and what ran meanwhile took it no longer.
     /// Leases are another matter: they ran out whether or not it stood.
-    fn stood_still(&mut self, gap: Span) {
+    fn clock_jumped(&mut self, gap: Millis) {
         tracing::info!("stood still for {:.1} s", gap.as_secs());
-        self.resumed = self.now;
+        self.resumed_at = self.now;
         for peer in self.peers.values_mut() {
             peer.heard = peer.heard.map(|at| at + gap);
         }
-        self.cloud.stood_still(gap);
+        self.fleet.clock_jumped(gap);
     }
 
     /// How long the caller may wait before the next tick.
-    pub fn next_tick(&self) -> Span {
-        Span(50)
+    pub fn next_tick(&self) -> Millis {
+        Millis(50)
     }
 
     fn tick(&mut self) {
         self.tick_membership();
-        self.look_for_milestones();
+        self.check_milestones();
         if self.now >= self.next_housekeeping {
-            self.next_housekeeping = self.now + Span(500);
+            self.next_housekeeping = self.now + Millis(500);
             self.housekeeping();
         }
-        self.look_up_unknown();
-        if self.chains_soon {
-            self.release_ready();
+        self.look_up_unknown_dependencies();
+        if self.release_soon {
+            self.release_ready_jobs();
         }
-        if self.deal_soon && self.now >= self.next_deal {
-            self.deal_soon = false;
-            self.next_deal = self.now + Span(self.tuning.round_ms);
-            self.deal_new();
+        if self.assign_soon && self.now >= self.next_assignment {
+            self.assign_soon = false;
+            self.next_assignment = self.now + Millis(self.tuning.round_ms);
+            self.assign_new_slices();
         }
-        if self.now >= self.next_round {
-            self.next_round = self.now + Span(self.tuning.round_ms);
-            self.rounds();
+        if self.now >= self.next_cycle {
+            self.next_cycle = self.now + Millis(self.tuning.round_ms);
+            self.run_scheduling_cycles();
         }
-        if self.now >= self.next_note {
-            self.next_note = self.now + NOTE_EVERY;
-            self.tell();
+        if self.now >= self.next_status {
+            self.next_status = self.now + STATUS_INTERVAL;
+            self.broadcast_status();
         }
     }
 
     fn housekeeping(&mut self) {
         self.refresh_catalog();
-        self.judge_machines();
-        self.judge_hearing();
+        self.update_faulty_machines();
+        self.update_reachability();
         self.forget_errors();
-        self.tend_notes();
+        self.renew_lease_proxies();
         self.expire_machines();
         self.lead();
-        self.ask_about_gifts();
-        self.share_allowances();
+        self.resolve_quota_transfers();
+        self.rebalance_quotas();
         self.finish_jobs();
         self.raise_level();
-        self.release_ready();
-        self.write_ends();
-        self.put_away();
+        self.release_ready_jobs();
+        self.write_dependency_outcomes();
+        self.archive_ended_jobs();
     }
 
-    fn reply(&mut self, request: RequestId, reply: Reply) {
-        self.out.push(Output::Reply(request, reply));
+    fn response(&mut self, request: RequestId, response: Response) {
+        self.out.push(Output::Response(request, response));
     }
 
     /// True if the records were read lately enough to start new work on them.
-    fn state_fresh(&self) -> bool {
+    fn records_fresh(&self) -> bool {
         self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.fresh)
     }
 }
@@ -439,14 +441,18 @@
     #[test]
     fn a_standstill_is_nobodys_silence_and_no_run_time() {
         let mut core = core();
-        core.handle(Time(900), 0, Input::Tick);
-        core.handle(Time(1000), 0, Input::Note(Note { from: "n1".into(), ..Note::default() }));
-        core.handle(Time(1050), 0, Input::Tick);
-        assert_eq!(core.resumed, Time(0));
-        core.handle(Time(21_050), 20_000, Input::Tick);
-        assert_eq!(core.resumed, Time(21_050));
+        core.handle(MonotonicTime(900), 0, Input::Tick);
+        core.handle(
+            MonotonicTime(1000),
+            0,
+            Input::PeerStatus(PeerStatus { from: "n1".into(), ..PeerStatus::default() }),
+        );
+        core.handle(MonotonicTime(1050), 0, Input::Tick);
+        assert_eq!(core.resumed_at, MonotonicTime(0));
+        core.handle(MonotonicTime(21_050), 20_000, Input::Tick);
+        assert_eq!(core.resumed_at, MonotonicTime(21_050));
         let heard = core.peers[&NodeName::new("n1")].heard;
-        assert_eq!(heard, Some(Time(21_000)));
+        assert_eq!(heard, Some(MonotonicTime(21_000)));
     }
 
     /// With a size of 16, an array of 25,000 tasks took thousands of writes;
@@ -457,10 +463,12 @@
         assert_eq!(core.slice_size(300), 16);
         let size = core.slice_size(25_000);
         assert!((100..200).contains(&size), "{size}");
-        let task = |n: u32| records::TaskRecord::On(crate::units::Attempt(99), MachineId::new(&format!("i-{n:07}")));
+        let task =
+            |n: u32| records::TaskRecord::Placed(crate::units::Attempt(99), MachineId::new(&format!("i-{n:07}")));
         for tasks in [25_000, 100_000] {
             let record = records::SliceRecord { tasks: (0..core.slice_size(tasks)).map(task).collect() };
-            let plan = records::Plan { size, parts: vec![PartId(1); tasks.div_ceil(core.slice_size(tasks)) as usize] };
+            let plan =
+                records::SlicePlan { size, shards: vec![ShardId(1); tasks.div_ceil(core.slice_size(tasks)) as usize] };
             assert!(serde_json::to_vec(&record).unwrap().len() < 8 * 1024);
             assert!(serde_json::to_vec(&plan).unwrap().len() < 6 * 1024);
         }
--- a/src/coordination/mine.rs
+++ b/src/coordination/owned_shard.rs
@@ -2,15 +2,15 @@
 //! them, and the changes that are not durable yet.
 
 use super::*;
-use crate::bookkeeping::names::Label;
-use crate::bookkeeping::records::{AllowanceRecord, JobRecord};
 use crate::protocol::workers::TaskState;
-use crate::units::{Attempt, Seq, Session};
+use crate::storage::names::InternedName;
+use crate::storage::records::{JobRecord, QuotaRecord};
+use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
 use foldhash::fast::FixedState;
 use std::collections::HashMap;
 
 /// A task within the view: its job and number.
-pub type TaskKey = (JobRef, u32);
+pub type TaskKey = (JobId, u32);
 
 /// A machine that has reported to this owner.
 #[derive(Debug)]
@@ -20,92 +20,92 @@
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub session: Session,
-    pub seq: Seq,
+    pub agent_epoch: AgentEpoch,
+    pub heartbeat_number: HeartbeatNumber,
     /// The worker has seen this owner's token: nothing an earlier owner sent
     /// in answer to a report can take effect any more.
     pub acked: bool,
-    pub last_report: Time,
-    pub born: Time,
+    pub last_heartbeat: MonotonicTime,
+    pub born: MonotonicTime,
     /// Until when the cloud lets the machine live, if a notice came.
-    pub notice: Option<Time>,
+    pub notice: Option<MonotonicTime>,
     /// What the newest report listed.
-    pub listed: BTreeMap<TaskKey, (Attempt, TaskState, Time)>,
+    pub listed: BTreeMap<TaskKey, (Attempt, TaskState, MonotonicTime)>,
     /// The report that each start was last sent in answer to.
-    pub sent: BTreeMap<TaskKey, (Session, Seq)>,
+    pub sent: BTreeMap<TaskKey, (AgentEpoch, HeartbeatNumber)>,
     /// Images the machine has or fetches, newest last, with their sizes.
-    pub images: Vec<(Label, f64)>,
+    pub images: Vec<(InternedName, f64)>,
     /// Jobs whose tasks failed here since one last succeeded, and when last.
-    pub failed_jobs: BTreeMap<JobRef, Time>,
+    pub failed_jobs: BTreeMap<JobId, MonotonicTime>,
     pub faulty: bool,
-    pub(super) hearing: super::hearing::Hearing,
+    pub(super) reachability: super::reachability::Reachability,
     /// Takes nothing new until then: it failed several jobs of which it is not
     /// known yet whether they run elsewhere.
-    pub rests_until: Time,
+    pub rests_until: MonotonicTime,
 }
 
 /// What an owner knows of its part beyond the view.
 #[derive(Debug)]
-pub struct Mine {
-    pub token: Token,
+pub struct OwnedShard {
+    pub token: FencingToken,
     /// When ownership was learned of.
-    pub since: Time,
+    pub since: MonotonicTime,
     /// The view has caught up with the token: all earlier owners' records are in it.
     pub ready: bool,
     /// About to be handed over: nothing new is started.
     pub releasing: bool,
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines that report but do not hear, since when.
-    pub deaf: BTreeMap<MachineId, Time>,
+    pub downlink_lost: BTreeMap<MachineId, MonotonicTime>,
     /// The newest report of machines that were given up: nothing older brings
     /// them back.
-    pub given_up: BTreeMap<MachineId, (Session, Seq)>,
+    pub given_up: BTreeMap<MachineId, (AgentEpoch, HeartbeatNumber)>,
     /// Tasks wanted on each machine.
     pub on: BTreeMap<MachineId, BTreeSet<TaskKey>>,
     /// Slices with changes to write, since when.
-    pub dirty: BTreeMap<(JobRef, usize), Time>,
+    pub dirty: BTreeMap<(JobId, usize), MonotonicTime>,
     pub inflight: Option<CallId>,
     pub rereads: usize,
-    pub retry_at: Time,
+    pub retry_at: MonotonicTime,
     /// When somebody may last have kept machines of the part for us.
-    pub unkept: Time,
+    pub unkept: MonotonicTime,
     pub verdict: Verdict,
     /// Tasks to be stopped, with the time they may take to save.
     pub stopping: BTreeMap<TaskKey, f64>,
     /// When each task was first reported to run.
-    pub running_since: HashMap<TaskKey, Time, FixedState>,
+    pub running_since: HashMap<TaskKey, MonotonicTime, FixedState>,
     /// Team resources in use, and those missing for waiting tasks.
     pub used: BTreeMap<String, (f64, f64)>,
-    pub wanted: BTreeMap<String, Lack>,
+    pub wanted: BTreeMap<String, QuotaShortage>,
     /// Before then no job goes before others for having waited long.
-    pub next_aged: Time,
+    pub next_starving_job: MonotonicTime,
     /// An allowance on its way to another part: what is left until that is known.
-    pub giving: Option<AllowanceRecord>,
+    pub transferring: Option<QuotaRecord>,
 }
 
-impl Mine {
-    pub fn new(token: Token, now: Time) -> Mine {
-        Mine {
+impl OwnedShard {
+    pub fn new(token: FencingToken, now: MonotonicTime) -> OwnedShard {
+        OwnedShard {
             token,
             since: now,
             ready: false,
             releasing: false,
             machines: BTreeMap::new(),
-            deaf: BTreeMap::new(),
+            downlink_lost: BTreeMap::new(),
             given_up: BTreeMap::new(),
             on: BTreeMap::new(),
             dirty: BTreeMap::new(),
             inflight: None,
             rereads: 0,
-            retry_at: Time(0),
+            retry_at: MonotonicTime(0),
             unkept: now,
             verdict: Verdict::None,
             stopping: BTreeMap::new(),
             running_since: HashMap::default(),
             used: BTreeMap::new(),
             wanted: BTreeMap::new(),
-            next_aged: Time(0),
-            giving: None,
+            next_starving_job: MonotonicTime(0),
+            transferring: None,
         }
     }
 
@@ -118,13 +118,13 @@
 
 /// What a part lacks of a team's limit: cores and GPUs of tasks that have room.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Lack {
+pub struct QuotaShortage {
     pub all: (f64, f64),
     /// What the least of them takes.
     least: (f64, f64),
 }
 
-impl Lack {
+impl QuotaShortage {
     /// So many more tasks, each of which takes this.
     pub fn add(&mut self, need: (f64, f64), tasks: f64) {
         let first = self.all == (0.0, 0.0);
--- /dev/null
+++ b/src/coordination/pending_requests.rs
@@ -0,0 +1,284 @@
+//! Calls on the outside: what each answer is for, and what it changes.
+
+use super::quotas::is_quota_transfer;
+use super::status_queries::Question;
+use super::*;
+use crate::storage::cache::CacheChange;
+
+/// What a call's answer will be used for.
+#[derive(Debug)]
+pub(super) enum PendingRequest {
+    /// Records in pages: those seen, the first page's revision, and when it was asked for.
+    Load {
+        seen: BTreeSet<String>,
+        first: Option<Revision>,
+        since: MonotonicTime,
+    },
+    Watch,
+    /// Whether anybody keeps machines of the part.
+    Compare(ShardId),
+    Grant,
+    Renew(LeaseId),
+    /// A transaction whose outcome the watch or a conflict read shows.
+    Simple(Transaction),
+    /// A gift of allowance sent once more: the first got no answer.
+    QuotaTransferRetry(Transaction),
+    ShardTransaction {
+        shard: ShardId,
+        transaction: Transaction,
+    },
+    /// Reads a key that a conflict named.
+    Reread {
+        key: String,
+        shard: Option<ShardId>,
+    },
+    SubmitWrite {
+        request: RequestId,
+        transaction: Transaction,
+        spec: Box<JobSpec>,
+    },
+    SubmitRead {
+        request: RequestId,
+        job: JobId,
+        fresh: bool,
+    },
+    /// How far the records have come; these questions wait for it.
+    Probe(Vec<Question>),
+    /// Whether a job that has no record ended long ago; `known` if it was accepted once.
+    Archived {
+        request: RequestId,
+        job: JobId,
+        known: bool,
+    },
+    Refusing(refusing::Refusing),
+    /// Names of a submission, one after the other.
+    DependencyCheck(following::DependencyCheck),
+    /// A job that waiting ones name and that was put away.
+    DependencyLookUp(JobId),
+    CancelRead {
+        request: RequestId,
+        job: JobId,
+        tries: u32,
+    },
+    CancelWrite {
+        request: RequestId,
+        job: JobId,
+        transaction: Transaction,
+        tries: u32,
+    },
+    RentName {
+        rent: buying::Rent,
+        transaction: Transaction,
+    },
+    Rent(buying::Rent),
+    Return(Vec<MachineId>),
+    List {
+        seen: Vec<crate::protocol::cloud::ListedMachine>,
+    },
+    Catalog,
+}
+
+/// Gifts of allowance that got no answer, and reads that are to tell of them.
+#[derive(Debug, Default)]
+pub(super) struct UnresolvedTransactions {
+    transfers: Vec<Transaction>,
+    reads: Vec<(String, Option<ShardId>)>,
+}
+
+#[derive(Debug)]
+pub(super) struct SentRequest {
+    pub(super) what: PendingRequest,
+    pub(super) sent: MonotonicTime,
+}
+
+pub(super) fn change_key(change: &Change) -> &str {
+    match change {
+        Change::Put { put, .. } => put,
+        Change::Delete { delete } => delete,
+    }
+}
+
+impl Core {
+    pub(super) fn call_state(&mut self, call: StateCall, what: PendingRequest) {
+        let id = self.register_request(what);
+        self.out.push(Output::State(id, call));
+    }
+
+    pub(super) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
+        let id = self.register_request(what);
+        self.out.push(Output::Cloud(id, call));
+    }
+
+    pub(super) fn register_request(&mut self, what: PendingRequest) -> CallId {
+        self.last_call += 1;
+        let id = CallId(self.last_call);
+        self.pending_requests.insert(id, SentRequest { what, sent: self.now });
+        id
+    }
+
+    /// A transaction on keys that nobody else in this node is changing.
+    /// What would never be taken is not sent.
+    pub(super) fn submit_transaction(&mut self, transaction: Transaction) {
+        let too_large = |c: &&Change| matches!(c, Change::Put { value, .. } if !self.fits_value(value));
+        if let Some(key) = transaction.changes.iter().find(too_large).map(change_key) {
+            if self.too_large.insert(key.to_string()) {
+                tracing::error!("record {key} does not fit into one value and is not written");
+            }
+            return;
+        }
+        let cost = transaction.changes.len() as f64;
+        self.reads.force(self.now, 1.0);
+        self.writes.force(self.now, cost);
+        for change in &transaction.changes {
+            self.busy_keys.insert(change_key(change).to_string());
+        }
+        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
+    }
+
+    pub(super) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
+        let Some(SentRequest { what, sent }) = self.pending_requests.remove(&id) else { return };
+        if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
+            self.last_state_answer = Some(self.now);
+        }
+        if let StateAnswer::Rejected(why) = &answer {
+            tracing::error!("the state service rejects {what:?}: {why}");
+        }
+        match what {
+            PendingRequest::Load { seen, first, since } => self.load_answer(seen, first, since, answer),
+            PendingRequest::Watch => self.watch_answer(sent, answer),
+            PendingRequest::Compare(shard) => self.compared(shard, answer),
+            PendingRequest::Grant => self.grant_answer(answer),
+            PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
+            PendingRequest::Simple(transaction)
+                if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) =>
+            {
+                self.unresolved.transfers.push(transaction);
+            }
+            PendingRequest::Simple(transaction) => self.simple_answer(transaction, answer),
+            PendingRequest::QuotaTransferRetry(transaction)
+                if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) =>
+            {
+                self.unresolved.transfers.push(transaction);
+            }
+            PendingRequest::QuotaTransferRetry(transaction) => self.simple_answer(transaction, answer),
+            PendingRequest::ShardTransaction { shard, transaction } => {
+                self.shard_transaction_answer(shard, transaction, answer)
+            }
+            PendingRequest::Reread { key, shard } => self.reread_answer(key, shard, answer),
+            PendingRequest::SubmitWrite { request, transaction, spec } => {
+                self.submit_written(request, transaction, spec, answer)
+            }
+            PendingRequest::SubmitRead { request, job, fresh } => self.submit_read(request, job, fresh, answer),
+            PendingRequest::Archived { request, job, known } => self.archived_answer(request, job, known, answer),
+            PendingRequest::Refusing(refusing) => self.looked_before_refusing(refusing, answer),
+            PendingRequest::DependencyCheck(names) => self.name_read(names, answer),
+            PendingRequest::DependencyLookUp(job) => self.dependency_looked_up(job, answer),
+            PendingRequest::Probe(questions) => self.probed(questions, answer),
+            PendingRequest::CancelRead { request, job, tries } => self.cancel_read(request, job, tries, answer),
+            PendingRequest::CancelWrite { request, job, transaction, tries } => {
+                self.cancel_written(request, job, transaction, tries, answer)
+            }
+            PendingRequest::RentName { rent, transaction } => self.rent_named(rent, transaction, answer),
+            PendingRequest::Rent(_)
+            | PendingRequest::Return(_)
+            | PendingRequest::List { .. }
+            | PendingRequest::Catalog => {}
+        }
+    }
+
+    fn simple_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
+        for change in &transaction.changes {
+            self.busy_keys.remove(change_key(change));
+        }
+        match answer {
+            StateAnswer::Committed(revision) => self.committed(&transaction, revision),
+            // It counts as given until all that it names has been read.
+            StateAnswer::Conflict(_) if is_quota_transfer(&transaction) => {
+                return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
+            }
+            StateAnswer::Conflict(failed) => self.reread(failed, None),
+            StateAnswer::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            _ => {}
+        }
+        let shards = transaction.changes.iter().filter_map(|c| match records::RecordKey::read(change_key(c)) {
+            Some(records::RecordKey::Quota(shard)) => Some(shard),
+            _ => None,
+        });
+        self.end_quota_transfers(&shards.collect::<Vec<_>>());
+    }
+
+    /// Asks again what became of gifts. One that got no answer may still be carried
+    /// out: it counts as given until its repetition says what became of it, and that
+    /// the repetition was refused says nothing about the first.
+    pub(super) fn resolve_quota_transfers(&mut self) {
+        if self.now < self.retry_state_at {
+            return;
+        }
+        for transaction in std::mem::take(&mut self.unresolved.transfers) {
+            self.reads.force(self.now, 1.0);
+            self.writes.force(self.now, transaction.changes.len() as f64);
+            self.call_state(
+                StateCall::Transaction(transaction.clone()),
+                PendingRequest::QuotaTransferRetry(transaction),
+            );
+        }
+        for (key, shard) in std::mem::take(&mut self.unresolved.reads) {
+            self.reads.force(self.now, 1.0);
+            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+        }
+    }
+
+    /// Takes a committed transaction's changes into the view.
+    pub(super) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
+        for change in &transaction.changes {
+            let changed = match change {
+                Change::Put { put, value, .. } => self.cache.apply(put, Some(value.clone()), revision),
+                Change::Delete { delete } => self.cache.apply(delete, None, revision),
+            };
+            self.changed(changed);
+        }
+    }
+
+    pub(super) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
+        for key in keys {
+            self.reads.force(self.now, 1.0);
+            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+        }
+    }
+
+    pub(super) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StateAnswer) {
+        if let (Some(records::RecordKey::Quota(_)), true) =
+            (records::RecordKey::read(&key), matches!(answer, StateAnswer::Unknown | StateAnswer::Refused))
+        {
+            // What became of a gift must be known before allowance is used again.
+            return self.unresolved.reads.push((key, shard));
+        }
+        let changed = match answer {
+            StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
+            StateAnswer::Missing(at) => self.cache.apply(&key, None, at),
+            _ => CacheChange::Nothing,
+        };
+        self.changed(changed);
+        if let Some(records::RecordKey::Quota(shard)) = records::RecordKey::read(&key) {
+            self.end_quota_transfers(&[shard]);
+        }
+        if let Some(owned_shard) = shard.and_then(|p| self.owned_shards.get_mut(&p)) {
+            owned_shard.rereads = owned_shard.rereads.saturating_sub(1);
+        }
+    }
+
+    /// Acts on news in the view.
+    pub(super) fn changed(&mut self, what: CacheChange) {
+        match what {
+            CacheChange::Owner(shard) => self.owner_changed(shard),
+            CacheChange::Job(job, news) => self.job_changed(&job, news),
+            CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
+            CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
+            CacheChange::Fleet => self.fleet_changed(),
+            CacheChange::Other => self.catalog_changed(),
+            CacheChange::JobGone(job) => self.dependency_graph.lost(&job),
+            CacheChange::Node(node) => self.node_changed(&node),
+            CacheChange::Leader | CacheChange::Nothing => {}
+        }
+    }
+}
--- a/src/coordination/preempting.rs
+++ b/src/coordination/preempting.rs
@@ -1,14 +1,14 @@
 //! Stopping tasks to make room for others: for a higher priority, or so that
 //! a team gets its guarantee.
 
-use super::mine::TaskKey;
 use super::openings::{fits, shift};
-use super::rounds::Short;
+use super::owned_shard::TaskKey;
+use super::run_scheduling_cycles::Short;
 use super::seats::needs;
 use super::waiting::JobSet;
 use super::*;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::Priority;
+use crate::storage::cache::Job;
 
 /// Tasks stopped in one round at the most.
 const MOST_STOPS: usize = 24;
@@ -47,9 +47,9 @@
 
 impl Core {
     /// Stops lesser tasks where that lets waiting tasks start sooner.
-    pub(super) fn make_room(&mut self, part: PartId, short: &[Short], guaranteed: &JobSet) {
+    pub(super) fn make_room(&mut self, shard: ShardId, short: &[Short], guaranteed: &JobSet) {
         let worth = |lack: &&Short| {
-            let job = self.view.jobs.get(&lack.job);
+            let job = self.cache.jobs.get(&lack.job);
             job.is_some_and(|job| self.worth_stopping_for(job, lack.wait_s, guaranteed.contains(&lack.job)))
         };
         let short: Vec<&Short> = short.iter().filter(worth).take(MOST_CLAIMS).collect();
@@ -57,16 +57,16 @@
             return;
         }
         let mut stops: Vec<(TaskKey, f64)> = vec![];
-        let seats = self.seats(part);
+        let seats = self.seats(shard);
         let mut coming: Vec<[f64; 3]> =
-            seats.iter().map(|seat| self.room_coming(part, seat.name, seat.openings.free)).collect();
+            seats.iter().map(|seat| self.room_coming(shard, seat.name, seat.openings.free)).collect();
         // Looked up once for all that claim room, not for each of them.
-        let mut victims: Vec<Vec<Victim>> = seats.iter().map(|s| self.victims(part, s.name, guaranteed)).collect();
+        let mut victims: Vec<Vec<Victim>> = seats.iter().map(|s| self.victims(shard, s.name, guaranteed)).collect();
         for lack in short {
-            let Some(job) = self.view.jobs.get(&lack.job) else { continue };
+            let Some(job) = self.cache.jobs.get(&lack.job) else { continue };
             let within = guaranteed.contains(&lack.job);
             let need = needs(&job.record);
-            let spread = self.spread(part, &lack.job, job);
+            let spread = self.spread(shard, &lack.job, job);
             for _ in 0..lack.tasks {
                 if stops.len() >= MOST_STOPS {
                     break;
@@ -95,10 +95,10 @@
             }
         }
         drop((victims, seats));
-        if let Some(mine) = self.mine.get_mut(&part) {
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             for (key, grace_s) in stops {
                 tracing::debug!("stopping {}/{} to make room", key.0, key.1);
-                mine.stopping.entry(key).or_insert(grace_s);
+                owned_shard.stopping.entry(key).or_insert(grace_s);
             }
         }
     }
@@ -113,16 +113,16 @@
         if within {
             return wait_s > TAKE_BACK_S;
         }
-        let run = self.learned.run_time(job);
+        let run = self.estimates.run_time(job);
         let spare = self.allowed_s(job) - self.age_s(job) - run;
         spare > -5.0 && wait_s + 15.0 > spare && wait_s > NEARLY_DONE_S
     }
 
     /// Room on a machine once the tasks being stopped are gone.
-    fn room_coming(&self, part: PartId, machine: &MachineId, mut free: [f64; 3]) -> [f64; 3] {
-        let Some(mine) = self.mine.get(&part) else { return free };
-        for key in mine.on.get(machine).into_iter().flatten().filter(|k| mine.stopping.contains_key(*k)) {
-            if let Some(job) = self.view.jobs.get(&key.0) {
+    fn room_coming(&self, shard: ShardId, machine: &MachineId, mut free: [f64; 3]) -> [f64; 3] {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return free };
+        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| owned_shard.stopping.contains_key(*k)) {
+            if let Some(job) = self.cache.jobs.get(&key.0) {
                 shift(&mut free, &needs(&job.record), 1.0);
             }
         }
@@ -131,16 +131,17 @@
 
     /// Tasks of a machine that may be stopped at all: the lowest priority and
     /// the least loss first.
-    fn victims(&self, part: PartId, machine: &MachineId, guaranteed: &JobSet) -> Vec<Victim<'_>> {
-        let Some(mine) = self.mine.get(&part) else { return vec![] };
+    fn victims(&self, shard: ShardId, machine: &MachineId, guaranteed: &JobSet) -> Vec<Victim<'_>> {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let mut victims = vec![];
-        for key in mine.on.get(machine).into_iter().flatten().filter(|k| !mine.stopping.contains_key(*k)) {
-            let Some(job) = self.view.jobs.get(&key.0) else { continue };
+        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| !owned_shard.stopping.contains_key(*k))
+        {
+            let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             let spec = &job.record.spec;
-            if self.rest_of(mine, job, key) < NEARLY_DONE_S {
+            if self.rest_of(owned_shard, job, key) < NEARLY_DONE_S {
                 continue;
             }
-            let ran = mine.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
+            let ran = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
             let saves = spec.checkpoint_s > 0.0 && ran > 1.0;
             victims.push(Victim {
                 key,
--- a/src/coordination/boots.rs
+++ b/src/coordination/provisioning_times.rs
@@ -4,7 +4,7 @@
 //! machines never come up. Boots are kept per type and zone as lifetimes are:
 //! those not over yet, or given up, only show that they took so long.
 
-use crate::bookkeeping::lifetimes::{History, Life};
+use crate::storage::lifetimes::{Lifetime, LifetimeHistory};
 use std::collections::BTreeMap;
 
 /// Boots remembered per type and zone: what is usual changes by the hour.
@@ -28,34 +28,34 @@
 type Slot = (String, String);
 
 #[derive(Debug, Default)]
-pub struct Boots {
-    over: BTreeMap<Slot, Vec<Life>>,
+pub struct ProvisioningTimes {
+    over: BTreeMap<Slot, Vec<Lifetime>>,
     usual: BTreeMap<Slot, f64>,
 }
 
-impl Boots {
-    fn add(&mut self, kind: &str, zone: &str, life: Life) {
-        let boots = self.over.entry((kind.into(), zone.into())).or_default();
-        boots.push(life);
-        if boots.len() > WINDOW {
-            boots.remove(0);
+impl ProvisioningTimes {
+    fn add(&mut self, kind: &str, zone: &str, life: Lifetime) {
+        let provisioning_times = self.over.entry((kind.into(), zone.into())).or_default();
+        provisioning_times.push(life);
+        if provisioning_times.len() > WINDOW {
+            provisioning_times.remove(0);
         }
     }
 
     pub fn came_up(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.add(kind, zone, Life { age_s: after_s, lost: true });
+        self.add(kind, zone, Lifetime { age_s: after_s, lost: true });
     }
 
     pub fn given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.add(kind, zone, Life { age_s: after_s, lost: false });
+        self.add(kind, zone, Lifetime { age_s: after_s, lost: false });
     }
 
     /// Learns what is usual now from boots that are over and, censored, the
     /// ages of those under way.
     pub fn learn(&mut self, under_way: &BTreeMap<Slot, Vec<f64>>) {
-        for (slot, boots) in &self.over {
-            let mut history = History::default();
-            boots.iter().for_each(|life| history.add(*life));
+        for (slot, provisioning_times) in &self.over {
+            let mut history = LifetimeHistory::default();
+            provisioning_times.iter().for_each(|life| history.add(*life));
             history.rebuild(under_way.get(slot).map_or(&[][..], |ages| ages));
             // A machine that never comes is no evidence that its boot is usual:
             // judged by its own age it was never given up.
@@ -107,32 +107,32 @@
     /// and asked for again for as long as all boots were slow.
     #[test]
     fn slow_boots_are_waited_for_and_stuck_ones_given_up() {
-        let mut boots = Boots::default();
-        assert!(!boots.hopeless("big", "a", 20.0, 80.0, false));
-        assert!(boots.hopeless("big", "a", 20.0, 80.0, true), "others overtook it");
-        assert!(boots.hopeless("big", "a", 20.0, 250.0, false), "it never comes");
+        let mut provisioning_times = ProvisioningTimes::default();
+        assert!(!provisioning_times.hopeless("big", "a", 20.0, 80.0, false));
+        assert!(provisioning_times.hopeless("big", "a", 20.0, 80.0, true), "others overtook it");
+        assert!(provisioning_times.hopeless("big", "a", 20.0, 250.0, false), "it never comes");
         for after in [70.0, 80.0, 90.0] {
-            boots.came_up("big", "a", after);
+            provisioning_times.came_up("big", "a", after);
         }
-        boots.learn(&under_way(&[60.0, 61.0]));
-        assert_eq!(boots.usual_s("big", "a", 20.0), 80.0);
-        assert!(!boots.hopeless("big", "a", 20.0, 200.0, true));
-        assert_eq!(boots.usual_s("big", "b", 20.0), 20.0);
+        provisioning_times.learn(&under_way(&[60.0, 61.0]));
+        assert_eq!(provisioning_times.usual_s("big", "a", 20.0), 80.0);
+        assert!(!provisioning_times.hopeless("big", "a", 20.0, 200.0, true));
+        assert_eq!(provisioning_times.usual_s("big", "b", 20.0), 20.0);
     }
 
     /// Boots under way count as lasting at least so long, and late ones by half.
     #[test]
     fn unfinished_boots_are_censored() {
-        let mut boots = Boots::default();
-        boots.came_up("big", "a", 10.0);
-        boots.came_up("big", "a", 90.0);
-        boots.learn(&under_way(&[60.0; 3]));
-        assert_eq!(boots.usual_s("big", "a", 20.0), 90.0);
-        boots = Boots::default();
-        boots.given_up("big", "a", 300.0);
-        boots.learn(&under_way(&[500.0]));
-        assert!(boots.hopeless("big", "a", 20.0, 500.0, false), "judged by its own age");
-        assert_eq!(Boots::default().coming("big", "a", 20.0, 30.0), 1.0);
-        assert_eq!(Boots::default().coming("big", "a", 20.0, 55.0), LATE_SHARE);
+        let mut provisioning_times = ProvisioningTimes::default();
+        provisioning_times.came_up("big", "a", 10.0);
+        provisioning_times.came_up("big", "a", 90.0);
+        provisioning_times.learn(&under_way(&[60.0; 3]));
+        assert_eq!(provisioning_times.usual_s("big", "a", 20.0), 90.0);
+        provisioning_times = ProvisioningTimes::default();
+        provisioning_times.given_up("big", "a", 300.0);
+        provisioning_times.learn(&under_way(&[500.0]));
+        assert!(provisioning_times.hopeless("big", "a", 20.0, 500.0, false), "judged by its own age");
+        assert_eq!(ProvisioningTimes::default().coming("big", "a", 20.0, 30.0), 1.0);
+        assert_eq!(ProvisioningTimes::default().coming("big", "a", 20.0, 55.0), LATE_SHARE);
     }
 }
--- a/src/coordination/queue.rs
+++ b/src/coordination/queue.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 
 /// A job with work left, as the queue sees it.
-pub(super) struct Contender<R, I> {
+pub(super) struct QueuedJob<R, I> {
     /// Less goes first, whatever the time.
     pub rank: R,
     /// Time until it should be complete.
@@ -45,8 +45,8 @@
 /// than `cpus` can do in time, going by that alone makes all jobs late a
 /// little each; so of what could not all be in time the largest jobs step
 /// back until the rest can (as Moore and Hodgson order one machine's jobs).
-pub(super) fn serve_order<R: Ord, I: Ord>(mut queue: Vec<Contender<R, I>>, cpus: f64) -> Vec<I> {
-    let due = |c: &Contender<R, I>| (c.left_s * 1000.0) as i64;
+pub(super) fn serve_order<R: Ord, I: Ord>(mut queue: Vec<QueuedJob<R, I>>, cpus: f64) -> Vec<I> {
+    let due = |c: &QueuedJob<R, I>| (c.left_s * 1000.0) as i64;
     queue.sort_by(|a, b| (&a.rank, due(a), a.at, &a.id).cmp(&(&b.rank, due(b), b.at, &b.id)));
     let mut before = 0.0;
     let mut late = vec![false; queue.len()];
@@ -74,10 +74,10 @@
         before = work;
         start = end;
     }
-    let spare = |c: &Contender<R, I>| (c.left_s - c.run_s) as i64;
-    let mut order: Vec<(Contender<R, I>, bool)> = queue.into_iter().zip(late).collect();
+    let spare = |c: &QueuedJob<R, I>| (c.left_s - c.run_s) as i64;
+    let mut order: Vec<(QueuedJob<R, I>, bool)> = queue.into_iter().zip(late).collect();
     order.sort_by(|(a, a_late), (b, b_late)| {
-        let time = |c: &Contender<R, I>, late: bool| if late { 0 } else { spare(c) };
+        let time = |c: &QueuedJob<R, I>, late: bool| if late { 0 } else { spare(c) };
         (&a.rank, a_late, time(a, *a_late), a.at, &a.id).cmp(&(&b.rank, b_late, time(b, *b_late), b.at, &b.id))
     });
     order.into_iter().map(|(c, _)| c.id).collect()
@@ -87,8 +87,8 @@
 mod tests {
     use super::*;
 
-    fn job(id: u32, left_s: f64, work: f64) -> Contender<u8, u32> {
-        Contender { rank: 1, left_s, run_s: 10.0, work, at: u64::from(id), id }
+    fn job(id: u32, left_s: f64, work: f64) -> QueuedJob<u8, u32> {
+        QueuedJob { rank: 1, left_s, run_s: 10.0, work, at: u64::from(id), id }
     }
 
     #[test]
--- a/src/coordination/refusing.rs
+++ b/src/coordination/refusing.rs
@@ -5,8 +5,8 @@
 //! records lag. So a refusal is given only after reads that show that the job isn't there.
 
 use super::*;
-use crate::bookkeeping::records::{job_key, past_key};
 use crate::protocol::users::JobKind;
+use crate::storage::records::{archived_job_key, job_key};
 
 /// Why a submission is refused: malformed, or of a job that can never run.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,51 +29,52 @@
 #[derive(Debug)]
 pub(super) struct Refusing {
     request: RequestId,
-    job: JobRef,
+    job: JobId,
     refusal: Refusal,
     /// The job is being looked up among those put away.
-    past: bool,
+    archived: bool,
 }
 
 impl Core {
     /// Refuses a submission, unless its job is known after all.
-    pub(super) fn refuse(&mut self, request: RequestId, job: JobRef, refusal: Refusal) {
+    pub(super) fn refuse(&mut self, request: RequestId, job: JobId, refusal: Refusal) {
         if self.final_state(&job).is_some() {
             return self.answer_job(request, 200, &job, None);
         }
-        if self.view.jobs.contains_key(&job) {
-            return self.ask_view(request, job);
+        if self.cache.jobs.contains_key(&job) {
+            return self.query_status(request, job);
         }
-        self.look_before_refusing(Refusing { request, job, refusal, past: false });
+        self.look_before_refusing(Refusing { request, job, refusal, archived: false });
     }
 
     /// What is put away leaves the other key in the same transaction, and never
     /// comes back: read in this order, the job is missed in neither.
     fn look_before_refusing(&mut self, refusing: Refusing) {
         if self.afford(refusing.request, 1.0) {
-            let key = if refusing.past { past_key(&refusing.job) } else { job_key(&refusing.job) };
-            self.call_state(StateCall::Get { key }, Pending::Refusing(refusing));
+            let key = if refusing.archived { archived_job_key(&refusing.job) } else { job_key(&refusing.job) };
+            self.call_state(StateCall::Get { key }, PendingRequest::Refusing(refusing));
         }
     }
 
     pub(super) fn looked_before_refusing(&mut self, refusing: Refusing, answer: StateAnswer) {
-        let Refusing { request, job, refusal, past } = refusing;
+        let Refusing { request, job, refusal, archived } = refusing;
         match answer {
-            StateAnswer::Missing(_) if !past => {
-                self.look_before_refusing(Refusing { request, job, refusal, past: true });
+            StateAnswer::Missing(_) if !archived => {
+                self.look_before_refusing(Refusing { request, job, refusal, archived: true });
             }
             StateAnswer::Missing(_) => {
                 tracing::info!("submission of {job} is refused with {}: {}", refusal.status, refusal.reason);
-                self.reply(request, Reply::problem(refusal.status, &refusal.reason));
+                self.response(request, Response::problem(refusal.status, &refusal.reason));
             }
             StateAnswer::Found(_) => {
-                let known = if past { self.take_past(&job, answer).is_some() } else { self.take_job(answer).is_some() };
+                let known =
+                    if archived { self.take_archived(&job, answer).is_some() } else { self.take_job(answer).is_some() };
                 match known {
                     true => self.answer_job(request, 200, &job, None),
-                    false => self.reply(request, Reply::later("the job cannot be read")),
+                    false => self.response(request, Response::later("the job cannot be read")),
                 }
             }
-            _ => self.reply(request, Reply::later("the state service does not answer")),
+            _ => self.response(request, Response::later("the state service does not answer")),
         }
     }
 
@@ -95,7 +96,7 @@
             return Some("a task fits no allowed machine type");
         }
         // Tasks of an array may run one after the other.
-        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.tasks };
+        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
         let over = |max: f64, each: f64| max > 0.0 && each * f64::from(at_once) > max + 1e-9;
         if over(team.cpus_max, spec.cpus) || over(team.gpus_max, spec.gpus) {
             return Some("more than the team's limit");
--- a/src/coordination/returning.rs
+++ b/src/coordination/returning.rs
@@ -2,29 +2,29 @@
 //! when nothing is on them.
 
 use super::demand::Demand;
-use super::fleet::Owned;
+use super::fleet::FleetMachine;
 use super::*;
-use crate::bookkeeping::records::{FleetRecord, FLEET_KEY};
 use crate::protocol::cloud::RETURN_LIMIT;
+use crate::storage::records::{FleetRecord, FLEET_KEY};
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 
 /// How many machines the record of a fleet may name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Names {
+struct FleetRecordCapacity {
     /// On their way out.
     drain: usize,
     /// Returned of late.
     gone: usize,
 }
 
-impl Names {
+impl FleetRecordCapacity {
     /// What a value of `value_kb` KiB holds of names so long: of a large fleet not all.
-    fn within(value_kb: f64, longest: usize) -> Names {
+    fn within(value_kb: f64, longest: usize) -> FleetRecordCapacity {
         // With quotes and comma.
         let all = (value_kb * 1024.0 * 0.9 / (longest + 3) as f64) as usize;
         let gone = (all / 4).max(1);
-        Names { drain: all.saturating_sub(gone).max(1), gone }
+        FleetRecordCapacity { drain: all.saturating_sub(gone).max(1), gone }
     }
 
     /// Keeps of the machines that are gone the last ones.
@@ -36,15 +36,15 @@
 
 impl Core {
     /// True if a machine should have been up long ago.
-    pub(super) fn stuck(&self, m: &Owned) -> bool {
+    pub(super) fn stuck(&self, m: &FleetMachine) -> bool {
         let Some(t) = self.catalog.get(&m.kind).filter(|_| !m.up) else { return false };
         let overtaken = self
-            .cloud
+            .fleet
             .machines
             .values()
             .any(|other| other.up && other.born > m.born && other.kind == m.kind && other.zone == m.zone);
         let age_s = self.now.since(m.born).as_secs();
-        self.cloud.boots.hopeless(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
+        self.fleet.provisioning_times.hopeless(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
     }
 
     /// Marks for return what is idle beyond need, failed or never came up.
@@ -55,15 +55,15 @@
         let (lacks, spare) = self.missing(demand, |d| d.cpus);
         // Machines that suit work without room are kept; others are not: they
         // may be what keeps the cloud from having any that would do.
-        let lacking = |name: &MachineId, m: &Owned| {
+        let lacking = |name: &MachineId, m: &FleetMachine| {
             let mut groups = demand.iter().zip(&lacks);
             groups.any(|(group, lack)| *lack > 0.5 && self.serves(group, name, m))
         };
-        let idle_for = Span::secs(self.tuning.idle_s);
+        let idle_for = Millis::secs(self.tuning.idle_s);
         let mut surplus: f64 = spare.values().sum();
         let mut drain = vec![];
-        let mut order: Vec<(&MachineId, &Owned)> = self.cloud.machines.iter().collect();
-        let price = |m: &Owned| {
+        let mut order: Vec<(&MachineId, &FleetMachine)> = self.fleet.machines.iter().collect();
+        let price = |m: &FleetMachine| {
             self.catalog
                 .get(&m.kind)
                 .map_or(0.0, |t| if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus)
@@ -72,23 +72,23 @@
         let wanted: f64 = demand.iter().map(|d| d.cpus).sum();
         let load = |n: &MachineId| used.get(n).map_or(0.0, |taken| taken[0]);
         order.sort_by(|a, b| price(b.1).total_cmp(&price(a.1)).then(load(a.0).total_cmp(&load(b.0))));
-        for (name, owned) in order {
+        for (name, fleet_machine) in order {
             if self.draining(name) {
                 continue;
             }
-            let Some(t) = self.catalog.get(&owned.kind) else { continue };
-            let stuck = self.stuck(owned);
+            let Some(t) = self.catalog.get(&fleet_machine.kind) else { continue };
+            let stuck = self.stuck(fleet_machine);
             // Ordinary machines cost several times as much to keep.
-            let idle_for = if owned.spot { idle_for } else { Span(idle_for.0 / 4) };
-            let idle = owned.idle_since.is_some_and(|at| self.now.since(at) >= idle_for);
+            let idle_for = if fleet_machine.spot { idle_for } else { Millis(idle_for.0 / 4) };
+            let idle = fleet_machine.idle_since.is_some_and(|at| self.now.since(at) >= idle_for);
             // Surplus ordinary machines are left to run out, rather than
             // refilled for as long as there is any work.
-            let settled = owned.up && self.now.since(owned.born) > Span::secs(t.boot_s + 45.0);
+            let settled = fleet_machine.up && self.now.since(fleet_machine.born) > Millis::secs(t.boot_s + 45.0);
             let in_use = load(name) / t.cpus;
-            let margin = if owned.spot { wanted * 0.1 } else { t.cpus * 0.25 };
-            let dear = settled && !owned.spot && in_use < 0.6 && surplus >= t.cpus + margin;
-            let unneeded = !lacking(name, owned) && (idle && surplus >= t.cpus || dear);
-            if owned.failed || stuck || unneeded {
+            let margin = if fleet_machine.spot { wanted * 0.1 } else { t.cpus * 0.25 };
+            let dear = settled && !fleet_machine.spot && in_use < 0.6 && surplus >= t.cpus + margin;
+            let unneeded = !lacking(name, fleet_machine) && (idle && surplus >= t.cpus || dear);
+            if fleet_machine.failed || stuck || unneeded {
                 if unneeded {
                     surplus -= t.cpus;
                 }
@@ -99,30 +99,30 @@
             return;
         }
         for name in drain {
-            if let Some(owned) = self.cloud.machines.get_mut(&name) {
-                if !owned.up && owned.rented_here {
-                    let after_s = self.now.since(owned.born).as_secs();
-                    self.cloud.boots.given_up(&owned.kind, &owned.zone, after_s);
+            if let Some(fleet_machine) = self.fleet.machines.get_mut(&name) {
+                if !fleet_machine.up && fleet_machine.rented_here {
+                    let after_s = self.now.since(fleet_machine.born).as_secs();
+                    self.fleet.provisioning_times.given_up(&fleet_machine.kind, &fleet_machine.zone, after_s);
                 }
-                owned.drain_since = Some(self.now);
+                fleet_machine.drain_since = Some(self.now);
             }
         }
         self.write_fleet();
     }
 
     /// How many names the fleet's record may hold, as long as names are here.
-    fn names_in_record(&self) -> Names {
+    fn record_capacity(&self) -> FleetRecordCapacity {
         /// Of a name, before any is known.
         const USUAL: usize = 12;
-        let record = self.view.fleet.record.iter().flat_map(|r| r.drain.iter().chain(&r.gone));
-        let names = record.chain(self.cloud.machines.keys()).chain(&self.cloud.gone);
+        let record = self.cache.fleet.record.iter().flat_map(|r| r.drain.iter().chain(&r.gone));
+        let names = record.chain(self.fleet.machines.keys()).chain(&self.fleet.gone);
         let longest = names.map(|name| name.as_str().len()).max().unwrap_or(0).max(USUAL);
-        Names::within(self.settings.cluster.state.value_kb, longest)
+        FleetRecordCapacity::within(self.settings.cluster.state.value_kb, longest)
     }
 
     /// The record as it fits into one value, whatever was written before.
     pub(super) fn fitted_fleet(&self, mut record: FleetRecord) -> FleetRecord {
-        let most = self.names_in_record();
+        let most = self.record_capacity();
         record.drain.truncate(most.drain);
         most.keep_newest(&mut record.gone);
         record
@@ -133,36 +133,37 @@
         if self.busy_keys.contains(FLEET_KEY) || !self.leading() {
             return;
         }
-        let before = self.view.fleet.record.clone().unwrap_or_default();
+        let before = self.cache.fleet.record.clone().unwrap_or_default();
         let mut record = self.fitted_fleet(before.clone());
         // Of a large fleet only so many fit into one record; the rest are
         // named when these are gone.
-        let most = self.names_in_record();
-        for (name, owned) in &self.cloud.machines {
+        let most = self.record_capacity();
+        for (name, fleet_machine) in &self.fleet.machines {
             if record.drain.len() >= most.drain {
                 break;
             }
-            if owned.drain_since.is_some() && !self.cloud.drained.contains(name) && !record.drain.contains(name) {
+            if fleet_machine.drain_since.is_some() && !self.fleet.drained.contains(name) && !record.drain.contains(name)
+            {
                 record.drain.push(name.clone());
             }
         }
-        for name in &self.cloud.gone {
+        for name in &self.fleet.gone {
             record.drain.retain(|n| n != name);
             if !record.gone.contains(name) {
                 record.gone.push(name.clone());
             }
         }
         // Drained machines that ended otherwise need not be remembered.
-        if self.cloud.known {
-            record.drain.retain(|n| self.cloud.machines.contains_key(n));
+        if self.fleet.known {
+            record.drain.retain(|n| self.fleet.machines.contains_key(n));
         }
         most.keep_newest(&mut record.gone);
-        while self.cloud.gone.len() > most.gone {
-            self.cloud.gone.pop_first();
+        while self.fleet.gone.len() > most.gone {
+            self.fleet.gone.pop_first();
         }
         if record != before {
-            if let Some(txn) = self.fleet_txn(&record) {
-                self.simple_txn(txn);
+            if let Some(transaction) = self.fleet_transaction(&record) {
+                self.submit_transaction(transaction);
             }
         }
     }
@@ -171,27 +172,27 @@
     /// and that nothing is on, or that failed.
     pub(super) fn return_drained(&mut self, busy: &HashSet<MachineId, FixedState>) {
         self.write_fleet();
-        if self.cloud.returning {
+        if self.fleet.returning {
             return;
         }
-        let Some(record) = &self.view.fleet.record else { return };
+        let Some(record) = &self.cache.fleet.record else { return };
         let lost_after = self.timing.worker_lease + self.timing.worker_lease;
         let mut names = vec![];
         for name in record.drain.iter().filter(|n| !record.gone.contains(n)) {
-            let Some(owned) = self.cloud.machines.get_mut(name) else { continue };
-            let since = *owned.drain_since.get_or_insert(self.now);
+            let Some(fleet_machine) = self.fleet.machines.get_mut(name) else { continue };
+            let since = *fleet_machine.drain_since.get_or_insert(self.now);
             // What is on a machine that failed should have been stopped long ago:
             // it does not hear. Its return is the proof that nothing is left there.
-            let lost = owned.failed && self.now.since(since) >= lost_after;
-            if self.now.since(since) >= Span(2000) && (lost || !busy.contains(name)) {
+            let lost = fleet_machine.failed && self.now.since(since) >= lost_after;
+            if self.now.since(since) >= Millis(2000) && (lost || !busy.contains(name)) {
                 names.push(name.clone());
             }
         }
         // Owners learn from the record which are gone: no more than it holds.
-        names.truncate(RETURN_LIMIT.min(self.names_in_record().gone));
+        names.truncate(RETURN_LIMIT.min(self.record_capacity().gone));
         if !names.is_empty() && self.afford_cloud() {
-            self.cloud.returning = true;
-            self.call_cloud(CloudCall::Return(names.clone()), Pending::Return(names));
+            self.fleet.returning = true;
+            self.call_cloud(CloudCall::Return(names.clone()), PendingRequest::Return(names));
         }
     }
 }
