--- a/src/coordination/rounds.rs
+++ b/src/coordination/run_scheduling_cycles.rs
@@ -1,14 +1,14 @@
 //! Placement rounds: each waiting task goes where its expected completion is
 //! least, which may mean waiting for a busy machine.
 
-use super::mine::{Lack, TaskKey};
 use super::openings::{fits, Amounts};
+use super::owned_shard::{QuotaShortage, TaskKey};
 use super::seats::{needs, Seat, Shapes, Spread};
 use super::waiting::{JobSet, Place};
 use super::*;
-use crate::bookkeeping::records::TaskRecord;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::JobKind;
+use crate::storage::cache::Job;
+use crate::storage::records::TaskRecord;
 use crate::units::Attempt;
 
 /// Tasks of one job that a round looks at to find that they wait.
@@ -44,31 +44,31 @@
 /// How long a job goes elsewhere after it failed on a machine, if there is
 /// anywhere; and how long it does not go there in any case. The machine counts
 /// as room meanwhile, for which none is rented: the job must not wait for ever.
-const AVOID_FAILED: Span = Span(60_000);
-const REST_FAILED: Span = Span(10_000);
+const AVOID_FAILED: Millis = Millis(60_000);
+const REST_FAILED: Millis = Millis(10_000);
 
 /// Kinds of work remembered as finding no room; others are looked for again.
 const MOST_CLOSED: usize = 64;
 
 /// A job whose tasks found no room in a round, and when there may be some.
 pub(super) struct Short {
-    pub job: JobRef,
+    pub job: JobId,
     pub tasks: usize,
     pub wait_s: f64,
 }
 
 impl Core {
-    pub(super) fn rounds(&mut self) {
-        if !self.state_fresh() {
+    pub(super) fn run_scheduling_cycles(&mut self) {
+        if !self.records_fresh() {
             return;
         }
         self.rebuild_histories();
         self.plan_stops();
         let guaranteed = self.guaranteed_jobs();
         let order = self.waiting_jobs(&guaranteed);
-        for part in self.mine.keys().copied().collect::<Vec<_>>() {
-            if self.mine.get(&part).is_some_and(|m| m.ready && !m.releasing) {
-                self.round(part, &order, &guaranteed);
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            if self.owned_shards.get(&shard).is_some_and(|m| m.ready && !m.releasing) {
+                self.run_scheduling_cycle(shard, &order, &guaranteed);
             }
         }
     }
@@ -78,55 +78,55 @@
     fn plan_stops(&mut self) {
         let now = self.now;
         let mut stops = vec![];
-        for (part, mine) in &self.mine {
-            for (name, machine) in &mine.machines {
+        for (shard, owned_shard) in &self.owned_shards {
+            for (name, machine) in &owned_shard.machines {
                 let faulty = machine.faulty;
                 let Some(left) = machine.notice.map(|at| at.since(now).as_secs()).or(faulty.then_some(0.0)) else {
                     continue;
                 };
-                for key in mine.on.get(name).into_iter().flatten() {
-                    let Some(job) = self.view.jobs.get(&key.0) else { continue };
+                for key in owned_shard.on.get(name).into_iter().flatten() {
+                    let Some(job) = self.cache.jobs.get(&key.0) else { continue };
                     let spec = &job.record.spec;
-                    let rest = self.rest_of(mine, job, key);
+                    let rest = self.rest_of(owned_shard, job, key);
                     if !faulty && spec.kind != JobKind::Standing && rest + 0.5 < left {
                         continue;
                     }
                     let saves = spec.checkpoint_s > 0.0;
                     if !saves || faulty || left < spec.save_s * 1.5 + 3.0 {
                         let grace = if saves { spec.save_s.max(1.0) } else { 0.0 };
-                        stops.push((*part, key.clone(), grace));
+                        stops.push((*shard, key.clone(), grace));
                     }
                 }
             }
         }
-        for (part, key, grace) in stops {
-            if let Some(mine) = self.mine.get_mut(&part) {
-                mine.stopping.entry(key).or_insert(grace);
+        for (shard, key, grace) in stops {
+            if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+                owned_shard.stopping.entry(key).or_insert(grace);
             }
         }
     }
 
-    fn round(&mut self, part: PartId, order: &[Place], guaranteed: &JobSet) {
+    fn run_scheduling_cycle(&mut self, shard: ShardId, order: &[Place], guaranteed: &JobSet) {
         // All that waits of ours waits here, if this is all that we own.
-        let only = self.mine.len() == 1;
-        let waiting = order.iter().filter_map(|place| self.view.jobs.get_index(place.0));
-        let mut order: Vec<(&JobRef, &Job)> =
-            waiting.filter(|(_, job)| job.idle() > 0 && (only || waits_in(job, part))).collect();
+        let only = self.owned_shards.len() == 1;
+        let waiting = order.iter().filter_map(|place| self.cache.jobs.get_index(place.0));
+        let mut order: Vec<(&JobId, &Job)> =
+            waiting.filter(|(_, job)| job.pending_tasks() > 0 && (only || waits_in(job, shard))).collect();
         if order.is_empty() {
-            if let Some(mine) = self.mine.get_mut(&part) {
-                mine.wanted.clear();
+            if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+                owned_shard.wanted.clear();
             }
             return;
         }
-        let aged = self.aged(part, &order).map(|at| {
+        let starving_job = self.starving_job(shard, &order).map(|at| {
             order[..=at].rotate_right(1);
             order[0].0
         });
         let mut began = None;
         let mut places: Vec<(TaskKey, Attempt, MachineId)> = vec![];
-        let mut wanted: BTreeMap<String, Lack> = BTreeMap::new();
-        let mut used = self.mine.get(&part).map(|m| m.used.clone()).unwrap_or_default();
-        let mut seats = self.seats(part);
+        let mut wanted: BTreeMap<String, QuotaShortage> = BTreeMap::new();
+        let mut used = self.owned_shards.get(&shard).map(|m| m.used.clone()).unwrap_or_default();
+        let mut seats = self.seats(shard);
         let reserve = self.reserve(seats.iter().map(|s| s.type_.cpus).sum());
         // The reserve is kept where images come fastest, if the part has such.
         let fastest = seats.iter().map(|s| s.type_.fetch_gb_per_s).fold(0.0, f64::max);
@@ -147,7 +147,7 @@
                 break;
             }
             let need = needs(&job.record);
-            let quick = self.aims.start_before(&job.class, boot_s);
+            let quick = self.objectives.start_before(&job.class, boot_s);
             // What is left there is for work that must start at once.
             let kept = |spare: f64| !quick && reserve > 0.0 && spare - need[0] < reserve;
             let at_once = !closed.to(&need, quick) && {
@@ -163,9 +163,9 @@
                 continue;
             }
             let claim = self.claim(job, quick, may_wait, &mut shapes);
-            let limits = self.allowance(part, &job.record.spec.team);
+            let limits = self.quota(shard, &job.record.spec.team);
             let gang = job.record.spec.kind == JobKind::Gang;
-            if gang && job.wants_any_on() {
+            if gang && job.has_placed_tasks() {
                 // What is left of an earlier try must be gone first.
                 continue;
             }
@@ -177,20 +177,20 @@
                 // No task of it may start, wherever there is room. Only a part
                 // with room for a task has use for more of its team's limit.
                 if at_once {
-                    let tasks = idle_in(job, part).min(if gang { 1 } else { MOST_WAITS }) as f64;
+                    let tasks = idle_in(job, shard).min(if gang { 1 } else { MOST_WAITS }) as f64;
                     wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), tasks);
                 }
                 continue;
             }
             let before = (places.len(), gang.then(|| (seats.clone(), used.clone(), promised)));
-            let mut spread = self.spread(part, id, job);
+            let mut spread = self.spread(shard, id, job);
             let suspect = self.suspect(id);
-            let failed = |seat: &Seat, within: Span| {
+            let failed = |seat: &Seat, within: Millis| {
                 let at = seat.machine.failed_jobs.get(id);
                 !suspect && at.is_some_and(|at| self.now.since(*at) < within)
             };
             let mut avoid = AVOID_FAILED;
-            let candidates = |seats: &mut [Seat], spread: &Spread, avoid: Span| {
+            let candidates = |seats: &mut [Seat], spread: &Spread, avoid: Millis| {
                 self.candidates(seats, &claim, spread, |seat| !failed(seat, avoid))
             };
             let mut heap = candidates(&mut seats, &spread, avoid);
@@ -206,14 +206,14 @@
             let mut lacking = Short { job: id.clone(), tasks: 0, wait_s: f64::INFINITY };
             let team = used.entry(job.record.spec.team.clone()).or_default();
             for index in 0..job.slices().len() {
-                if full || job.part_of(index) != Some(part) || job.slices()[index].idle() == 0 {
+                if full || job.shard_of(index) != Some(shard) || job.slices()[index].pending_tasks() == 0 {
                     continue;
                 }
-                let Some(want) = job.slices()[index].want() else { continue };
+                let Some(want) = job.slices()[index].desired() else { continue };
                 let mut may_start = most_on.saturating_sub(job.slices()[index].tried());
                 let first = job.record.plan.as_ref().map_or(0, |p| p.first_task(index));
                 for (at, task) in want.tasks.iter().enumerate() {
-                    let TaskRecord::Idle(attempt) = task else { continue };
+                    let TaskRecord::Pending(attempt) = task else { continue };
                     if attempt.0 == 0 && may_start == 0 {
                         continue;
                     }
@@ -264,7 +264,7 @@
                     }
                     // One task at a time shows whether it still fails.
                     full |= suspect && !gang;
-                    if aged == Some(id) {
+                    if starving_job == Some(id) {
                         began = Some((need[0], best.hold_s));
                         full = true;
                     }
@@ -287,39 +287,39 @@
                 promised = promised_before;
             }
         }
-        self.log_part(part, &seats, places.len(), &short);
+        self.log_shard(shard, &seats, places.len(), &short);
         drop(seats);
         if let Some((cpus, run_s)) = began {
-            self.began_aged(part, cpus, run_s, cores);
+            self.starving_job_started(shard, cpus, run_s, cores);
         }
         for (key, attempt, machine) in places {
             tracing::debug!("task {}/{} attempt {attempt} to {machine}", key.0, key.1);
-            self.set_task(&key, TaskRecord::On(attempt, machine));
+            self.set_task(&key, TaskRecord::Placed(attempt, machine));
         }
-        if let Some(mine) = self.mine.get_mut(&part) {
-            mine.wanted = wanted;
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+            owned_shard.wanted = wanted;
         }
-        self.make_room(part, &short, guaranteed);
+        self.make_room(shard, &short, guaranteed);
     }
 
-    fn log_part(&self, part: PartId, seats: &[Seat], placed: usize, short: &[Short]) {
+    fn log_shard(&self, shard: ShardId, seats: &[Seat], placed: usize, short: &[Short]) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let idle: f64 = seats.iter().map(|s| s.openings.free[0].max(0.0)).sum();
         let cores: f64 = seats.iter().map(|s| s.type_.cpus).sum();
-        let cpus = |s: &Short| self.view.jobs.get(&s.job).map_or(0.0, |j| j.record.spec.cpus * s.tasks as f64);
+        let cpus = |s: &Short| self.cache.jobs.get(&s.job).map_or(0.0, |j| j.record.spec.cpus * s.tasks as f64);
         let lacking: f64 = short.iter().map(cpus).sum();
-        let unwritten = self.mine.get(&part).map_or(0, |m| m.dirty.len());
+        let unwritten = self.owned_shards.get(&shard).map_or(0, |m| m.dirty.len());
         tracing::debug!(
-            "part {part}: {idle:.0} of {cores:.0} cores idle, {placed} placed, {lacking:.0} cores lacking, {unwritten} slices unwritten"
+            "part {shard}: {idle:.0} of {cores:.0} cores idle, {placed} placed, {lacking:.0} cores lacking, {unwritten} slices unwritten"
         );
     }
 
     /// True if tasks of the class must start sooner than a machine rented for
     /// them would be up.
-    pub(super) fn wants_quick_start(&self, class: &Label) -> bool {
-        self.aims.start_before(class, self.quickest_boot_s())
+    pub(super) fn wants_quick_start(&self, class: &InternedName) -> bool {
+        self.objectives.start_before(class, self.quickest_boot_s())
     }
 
     fn quickest_boot_s(&self) -> f64 {
@@ -329,9 +329,9 @@
     /// Seats that a round of one part scores before it looks only at jobs with
     /// room now: what this node's share of a core can do between two rounds.
     fn most_scores(&self) -> usize {
-        let scores = self.settings.cluster.quota.cpu_share.map(|share| {
+        let scores = self.settings.cluster.process_limits.cpu_share.map(|share| {
             let time_s = share * SCORE_SHARE * self.tuning.round_ms as f64 / 1000.0;
-            (time_s / SCORE_S / self.mine.len().max(1) as f64) as usize
+            (time_s / SCORE_S / self.owned_shards.len().max(1) as f64) as usize
         });
         scores.unwrap_or(USUAL_SCORES).max(LEAST_SCORES)
     }
@@ -339,19 +339,22 @@
     /// Cores that a part keeps free for work that must start at once: those
     /// of a usual job of each such class, of what has been seen.
     pub(super) fn reserve(&self, cpus: f64) -> f64 {
-        self.learned.quick_cpus().min(cpus * MOST_RESERVED)
+        self.estimates.quick_cpus().min(cpus * MOST_RESERVED)
     }
 }
 
 /// True if tasks of the job wait in the part.
-fn waits_in(job: &Job, part: PartId) -> bool {
-    job.slices().iter().enumerate().any(|(index, slice)| slice.idle() > 0 && job.part_of(index) == Some(part))
+fn waits_in(job: &Job, shard: ShardId) -> bool {
+    job.slices()
+        .iter()
+        .enumerate()
+        .any(|(index, slice)| slice.pending_tasks() > 0 && job.shard_of(index) == Some(shard))
 }
 
 /// Tasks of the job that wait in the part.
-fn idle_in(job: &Job, part: PartId) -> usize {
-    let slices = job.slices().iter().enumerate().filter(|(index, _)| job.part_of(*index) == Some(part));
-    slices.map(|(_, slice)| slice.idle() as usize).sum()
+fn idle_in(job: &Job, shard: ShardId) -> usize {
+    let slices = job.slices().iter().enumerate().filter(|(index, _)| job.shard_of(*index) == Some(shard));
+    slices.map(|(_, slice)| slice.pending_tasks() as usize).sum()
 }
 
 /// What is known to find no room in a round. Room only shrinks in it, but for
--- a/src/coordination/scoring.rs
+++ b/src/coordination/scoring.rs
@@ -1,6 +1,6 @@
 //! The expected completion of a task on a machine, as pure functions.
 
-use crate::bookkeeping::lifetimes::History;
+use crate::storage::lifetimes::LifetimeHistory;
 
 /// What a task would meet on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -16,20 +16,20 @@
 }
 
 /// P_c with P_s = 1: the chance that the machine outlasts the task.
-pub fn completion_chance(history: &History, age_s: f64, run_s: f64) -> f64 {
+pub fn completion_chance(history: &LifetimeHistory, age_s: f64, run_s: f64) -> f64 {
     const SHRINK_CHANCE: f64 = 1.0;
     1.0 - SHRINK_CHANCE * (1.0 - history.outlasts(age_s, run_s))
 }
 
 /// R: expected completion on a machine that has just come up, restarts on
 /// machines like it included.
-pub fn fresh_start(history: &History, run_s: f64) -> f64 {
+pub fn fresh_start(history: &LifetimeHistory, run_s: f64) -> f64 {
     let p = completion_chance(history, 0.0, run_s).max(0.02);
     run_s + (1.0 - p) / p * history.wasted(0.0, run_s)
 }
 
 /// E = a + p·d + (1 − p)·(w + R).
-pub fn expected_completion(history: &History, prospect: Prospect) -> f64 {
+pub fn expected_completion(history: &LifetimeHistory, prospect: Prospect) -> f64 {
     let Prospect { age_s, wait_s, run_s, checkpoint_s } = prospect;
     let age_then = age_s + wait_s;
     let p = completion_chance(history, age_then, run_s);
@@ -48,9 +48,9 @@
 
 /// Time a running task still needs: past its estimate it is taken to end at
 /// twice its elapsed time.
-pub fn remaining(estimate_s: f64, elapsed_s: f64) -> f64 {
-    if elapsed_s < estimate_s {
-        estimate_s - elapsed_s
+pub fn remaining(estimated_run_s: f64, elapsed_s: f64) -> f64 {
+    if elapsed_s < estimated_run_s {
+        estimated_run_s - elapsed_s
     } else {
         elapsed_s
     }
@@ -59,12 +59,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::bookkeeping::lifetimes::Life;
+    use crate::storage::lifetimes::Lifetime;
 
-    fn history() -> History {
-        let mut h = History::default();
+    fn history() -> LifetimeHistory {
+        let mut h = LifetimeHistory::default();
         for age_s in [10.0, 20.0, 30.0, 40.0] {
-            h.add(Life { age_s, lost: true });
+            h.add(Lifetime { age_s, lost: true });
         }
         h.rebuild(&[]);
         h
@@ -83,7 +83,7 @@
     #[test]
     fn no_history_leaves_wait_and_run() {
         let e = expected_completion(
-            &History::default(),
+            &LifetimeHistory::default(),
             Prospect { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_s: 0.0 },
         );
         assert_eq!(e, 10.0);
--- a/src/coordination/seats.rs
+++ b/src/coordination/seats.rs
@@ -1,15 +1,15 @@
 //! Machines as one placement round sees them, and which of them is the best
 //! for a task: the one of least expected completion.
 
-use super::mine::Machine;
 use super::openings::{fits, Amounts, Openings};
+use super::owned_shard::Machine;
 use super::scoring::{expected_completion, Prospect};
 use super::*;
-use crate::bookkeeping::lifetimes::History;
-use crate::bookkeeping::records::JobRecord;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::TaskState;
+use crate::storage::cache::Job;
+use crate::storage::lifetimes::LifetimeHistory;
+use crate::storage::records::JobRecord;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -26,7 +26,7 @@
     pub name: &'a MachineId,
     pub machine: &'a Machine,
     pub type_: &'a MachineType,
-    history: Option<&'a History>,
+    history: Option<&'a LifetimeHistory>,
     age_s: f64,
     /// Price per core.
     price: f64,
@@ -153,48 +153,48 @@
             job,
             need,
             shape: shapes.number(&need),
-            run_s: self.learned.run_time(job),
+            run_s: self.estimates.run_time(job),
             quick,
             waits: waits && self.tuning.may_wait && job.record.spec.kind != JobKind::Standing,
         }
     }
 
     /// A machine that has not reported for so long gets no new tasks.
-    pub(super) fn quiet(&self) -> Span {
-        Span(self.timing.worker_lease.0 / 3)
+    pub(super) fn quiet(&self) -> Millis {
+        Millis(self.timing.worker_lease.0 / 3)
     }
 
-    pub(super) fn seats<'a>(&'a self, part: PartId) -> Vec<Seat<'a>> {
-        let Some(mine) = self.mine.get(&part) else { return vec![] };
+    pub(super) fn seats<'a>(&'a self, shard: ShardId) -> Vec<Seat<'a>> {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let quiet = self.quiet();
-        let mut seats = Vec::with_capacity(mine.machines.len());
-        for (name, machine) in &mine.machines {
+        let mut seats = Vec::with_capacity(owned_shard.machines.len());
+        for (name, machine) in &owned_shard.machines {
             let Some(type_) = self.catalog.get(&machine.kind) else { continue };
             let usable = !machine.faulty
-                && !self.is_deaf(machine)
+                && !self.is_downlink_lost(machine)
                 && machine.notice.is_none()
                 && self.now >= machine.rests_until
-                && self.now.since(machine.last_report) < quiet
+                && self.now.since(machine.last_heartbeat) < quiet
                 && !self.draining(name);
             if !usable {
                 continue;
             }
             let mut openings = Openings::new([type_.cpus, type_.gpus, type_.mem_gb]);
-            let known = mine.on.get(name);
+            let known = owned_shard.on.get(name);
             // Tasks of one job follow one another: it is looked up once.
-            let mut last: Option<(&JobRef, Option<(&Job, f64)>)> = None;
+            let mut last: Option<(&JobId, Option<(&Job, f64)>)> = None;
             for key in known.into_iter().flatten() {
                 let found = match last {
                     Some((id, found)) if *id == key.0 => found,
                     _ => {
-                        let found = self.view.jobs.get(&key.0).map(|job| (job, self.learned.run_time(job)));
+                        let found = self.cache.jobs.get(&key.0).map(|job| (job, self.estimates.run_time(job)));
                         last = Some((&key.0, found));
                         found
                     }
                 };
                 let Some((job, run_s)) = found else { continue };
                 let ends = job.record.spec.kind != JobKind::Standing;
-                openings.hold(&needs(&job.record), ends.then(|| self.rest_after(mine, run_s, key)));
+                openings.hold(&needs(&job.record), ends.then(|| self.rest_after(owned_shard, run_s, key)));
             }
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
@@ -202,7 +202,7 @@
             for (key, (_, state, _)) in &machine.listed {
                 while wanted.next_if(|k| *k < key).is_some() {}
                 if *state != TaskState::Exited && wanted.peek() != Some(&key) {
-                    if let Some(job) = self.view.jobs.get(&key.0) {
+                    if let Some(job) = self.cache.jobs.get(&key.0) {
                         openings.hold(&needs(&job.record), None);
                     }
                 }
@@ -211,21 +211,21 @@
             let age_s = self.now.since(machine.born).as_secs();
             let price = if machine.spot { type_.spot_price.unwrap_or(type_.price) } else { type_.price };
             let price = price / type_.cpus.max(1e-6);
-            let history = self.learned.history(machine).filter(|_| self.tuning.use_lifetimes);
+            let history = self.estimates.history(machine).filter(|_| self.tuning.use_lifetimes);
             seats.push(Seat { name, machine, type_, history, age_s, price, openings, waits: vec![] });
         }
         seats
     }
 
-    pub(super) fn spread(&self, part: PartId, id: &JobRef, job: &Job) -> Spread {
+    pub(super) fn spread(&self, shard: ShardId, id: &JobId, job: &Job) -> Spread {
         let mut spread = Spread::default();
         if !job.record.spec.one_zone && !job.record.spec.apart {
             return spread;
         }
-        let Some(mine) = self.mine.get(&part) else { return spread };
-        for (machine, tasks) in &mine.on {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return spread };
+        for (machine, tasks) in &owned_shard.on {
             let here = tasks.iter().filter(|t| t.0 == *id).count();
-            match mine.machines.get(machine) {
+            match owned_shard.machines.get(machine) {
                 _ if here == 0 => {}
                 Some(m) => *spread.by_zone.entry(m.zone.clone()).or_default() += here,
                 // Where some of its tasks are is not known yet: wait.
@@ -288,10 +288,10 @@
     pub(super) fn allowed(&self, job: &Job, seat: &Seat, spread: &Spread) -> bool {
         let spec = &job.record.spec;
         let zone = &seat.machine.zone;
-        let half = spec.tasks.div_ceil(2) as usize;
+        let half = spec.task_count.div_ceil(2) as usize;
         spec.types.as_ref().is_none_or(|types| types.contains(&seat.machine.kind))
             && spec.zone.as_ref().is_none_or(|z| z == zone)
-            && (spec.spot || !seat.machine.spot)
+            && (spec.spot_allowed || !seat.machine.spot)
             && (!spec.one_zone || spread.by_zone.keys().all(|z| z == zone))
             && (!spec.apart || spread.by_zone.get(zone).copied().unwrap_or(0) < half)
     }
--- a/src/coordination/starting.rs
+++ b/src/coordination/starting.rs
@@ -18,7 +18,7 @@
     /// Users' submissions can be judged and written.
     CanTake,
     /// A part is ours and ready to work.
-    PartReady,
+    ShardReady,
     /// Most machines that our parts' records name have reported.
     WorkersHeld,
     /// A submission was accepted.
@@ -32,7 +32,7 @@
         match self {
             Milestone::RecordsRead => "records read",
             Milestone::CanTake => "can take submissions",
-            Milestone::PartReady => "first part ready",
+            Milestone::ShardReady => "first part ready",
             Milestone::WorkersHeld => "workers held",
             Milestone::Accepted => "first submission accepted",
             Milestone::StartSent => "first start sent",
@@ -44,12 +44,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Start {
     /// When the first input came.
-    began: Option<Time>,
-    reached: BTreeMap<Milestone, Span>,
+    began: Option<MonotonicTime>,
+    reached: BTreeMap<Milestone, Millis>,
 }
 
 impl Start {
-    fn reach(&mut self, what: Milestone, now: Time) {
+    fn reach(&mut self, what: Milestone, now: MonotonicTime) {
         let began = *self.began.get_or_insert(now);
         if self.reached.contains_key(&what) {
             return;
@@ -66,14 +66,14 @@
     }
 
     /// Looks for what is reached without anybody's doing; nothing once all is.
-    pub(super) fn look_for_milestones(&mut self) {
+    pub(super) fn check_milestones(&mut self) {
         let now = self.now;
         self.start.began.get_or_insert(now);
         if !self.start.reached.contains_key(&Milestone::CanTake) && self.can_take() {
             self.reached(Milestone::CanTake);
         }
-        if !self.start.reached.contains_key(&Milestone::PartReady) && self.mine.values().any(|m| m.ready) {
-            self.reached(Milestone::PartReady);
+        if !self.start.reached.contains_key(&Milestone::ShardReady) && self.owned_shards.values().any(|m| m.ready) {
+            self.reached(Milestone::ShardReady);
         }
         if !self.start.reached.contains_key(&Milestone::WorkersHeld) && self.workers_held() {
             self.reached(Milestone::WorkersHeld);
@@ -81,11 +81,11 @@
     }
 
     fn workers_held(&self) -> bool {
-        let ready = self.mine.values().filter(|m| m.ready);
+        let ready = self.owned_shards.values().filter(|m| m.ready);
         let (mut named, mut heard) = (0, 0);
-        for mine in ready {
-            named += mine.on.len();
-            heard += mine.on.keys().filter(|name| mine.machines.contains_key(*name)).count();
+        for owned_shard in ready {
+            named += owned_shard.on.len();
+            heard += owned_shard.on.keys().filter(|name| owned_shard.machines.contains_key(*name)).count();
         }
         heard > 0 && heard as f64 >= HELD * named as f64
     }
@@ -97,9 +97,9 @@
 
     #[test]
     fn a_milestone_counts_from_the_first_input_and_once() {
-        let mut start = Start { began: Some(Time(500)), ..Start::default() };
-        start.reach(Milestone::RecordsRead, Time(900));
-        start.reach(Milestone::RecordsRead, Time(5000));
-        assert_eq!(start.reached[&Milestone::RecordsRead], Span(400));
+        let mut start = Start { began: Some(MonotonicTime(500)), ..Start::default() };
+        start.reach(Milestone::RecordsRead, MonotonicTime(900));
+        start.reach(Milestone::RecordsRead, MonotonicTime(5000));
+        assert_eq!(start.reached[&Milestone::RecordsRead], Millis(400));
     }
 }
--- a/src/coordination/queries.rs
+++ b/src/coordination/status_queries.rs
@@ -14,15 +14,15 @@
 const MOST_WAITING: usize = 400;
 
 /// Pause between two probes: what comes meanwhile shares one.
-const PROBE_EVERY: Span = Span(60);
+const PROBE_EVERY: Millis = Millis(60);
 
 /// A question that could not be answered by then is told to come back: its
 /// user would not wait much longer.
-const PATIENCE: Span = Span(1500);
+const PATIENCE: Millis = Millis(1500);
 
 /// Without any answer of the state service for so long a question is told to come
 /// back at once: watches alone bring several in that time, if it answers at all.
-const STATE_SILENT: Span = Span(2500);
+const STATE_SILENT: Millis = Millis(2500);
 
 /// Nothing is ever kept under this key; reading it tells the revision.
 const PROBE_KEY: &str = "t/q";
@@ -31,89 +31,94 @@
 #[derive(Debug, Clone)]
 pub(super) struct Question {
     request: RequestId,
-    job: JobRef,
-    at: Time,
+    job: JobId,
+    at: MonotonicTime,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Queries {
+pub(super) struct StatusQueries {
     /// Not covered by a probe yet.
     waiting: VecDeque<Question>,
     /// Answered once the view has reached the revision.
     held: Vec<(Revision, Question)>,
     probing: bool,
-    next: Time,
+    next: MonotonicTime,
 }
 
 impl Core {
-    pub(super) fn ask_view(&mut self, request: RequestId, job: JobRef) {
+    pub(super) fn query_status(&mut self, request: RequestId, job: JobId) {
         // A standstill of this node is nobody's silence.
-        let heard = self.last_state_answer.map(|at| at.max(self.resumed));
+        let heard = self.last_state_answer.map(|at| at.max(self.resumed_at));
         if self.loaded && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
-            return self.reply(request, Reply::later("the state service does not answer"));
+            return self.response(request, Response::later("the state service does not answer"));
         }
-        let queries = &mut self.queries;
-        if !self.loaded || queries.waiting.len() + queries.held.len() >= MOST_WAITING {
-            return self.reply(request, Reply::later("busy"));
+        let status_queries = &mut self.status_queries;
+        if !self.loaded || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
+            return self.response(request, Response::later("busy"));
         }
-        queries.waiting.push_back(Question { request, job, at: self.now });
+        status_queries.waiting.push_back(Question { request, job, at: self.now });
     }
 
     /// Sends a probe for what waits, and gives up what waited too long.
-    pub(super) fn tend_queries(&mut self) {
+    pub(super) fn process_status_queries(&mut self) {
         let now = self.now;
-        while self.queries.waiting.front().is_some_and(|q| now.since(q.at) > PATIENCE) {
-            if let Some(question) = self.queries.waiting.pop_front() {
+        while self.status_queries.waiting.front().is_some_and(|q| now.since(q.at) > PATIENCE) {
+            if let Some(question) = self.status_queries.waiting.pop_front() {
                 self.give_up(question);
             }
         }
-        if self.queries.held.iter().any(|(_, q)| now.since(q.at) > PATIENCE) {
-            let held = std::mem::take(&mut self.queries.held);
+        if self.status_queries.held.iter().any(|(_, q)| now.since(q.at) > PATIENCE) {
+            let held = std::mem::take(&mut self.status_queries.held);
             let (late, held): (Vec<_>, Vec<_>) = held.into_iter().partition(|(_, q)| now.since(q.at) > PATIENCE);
-            self.queries.held = held;
+            self.status_queries.held = held;
             late.into_iter().for_each(|(_, question)| self.give_up(question));
         }
-        let queries = &self.queries;
-        if queries.waiting.is_empty() || queries.probing || now < queries.next || now < self.retry_state_at {
+        let status_queries = &self.status_queries;
+        if status_queries.waiting.is_empty()
+            || status_queries.probing
+            || now < status_queries.next
+            || now < self.retry_state_at
+        {
             return;
         }
         if self.reads.take(now, 1.0) {
-            self.queries.probing = true;
-            self.queries.next = now + PROBE_EVERY;
-            let questions = self.queries.waiting.drain(..).collect();
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, Pending::Probe(questions));
+            self.status_queries.probing = true;
+            self.status_queries.next = now + PROBE_EVERY;
+            let questions = self.status_queries.waiting.drain(..).collect();
+            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
         }
     }
 
     fn give_up(&mut self, question: Question) {
-        self.reply(question.request, Reply::later("the state service does not answer"));
+        self.response(question.request, Response::later("the state service does not answer"));
     }
 
     pub(super) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
-        self.queries.probing = false;
+        self.status_queries.probing = false;
         let StateAnswer::Missing(revision) = answer else {
             return questions.into_iter().for_each(|q| self.give_up(q));
         };
-        self.queries.held.extend(questions.into_iter().map(|q| (revision, q)));
-        if self.view.revision < revision {
+        self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
+        if self.cache.revision < revision {
             // The watch need not pause before it brings what is awaited.
             self.next_watch = self.now;
             self.tick_membership();
         }
-        self.answer_held();
+        self.answer_ready_queries();
     }
 
     /// Answers what the view has caught up with.
-    pub(super) fn answer_held(&mut self) {
-        if self.queries.held.is_empty() {
+    pub(super) fn answer_ready_queries(&mut self) {
+        if self.status_queries.held.is_empty() {
             return;
         }
-        let revision = self.view.revision;
-        let (ready, held) = std::mem::take(&mut self.queries.held).into_iter().partition(|(at, _)| *at <= revision);
-        self.queries.held = held;
+        let revision = self.cache.revision;
+        let (ready, held) =
+            std::mem::take(&mut self.status_queries.held).into_iter().partition(|(at, _)| *at <= revision);
+        self.status_queries.held = held;
         let ready: Vec<(Revision, Question)> = ready;
         for (_, question) in ready {
-            self.answer_from_view(question.request, &question.job);
+            self.answer_from_cache(question.request, &question.job);
         }
     }
 }
@@ -126,11 +131,15 @@
     #[test]
     fn without_the_state_service_questions_are_answered_at_once() {
         let mut core = super::super::tests::core();
-        (core.loaded, core.last_state_answer) = (true, Some(Time(1000)));
+        (core.loaded, core.last_state_answer) = (true, Some(MonotonicTime(1000)));
         let mut told = |at: u64| {
-            let outputs = core.handle(Time(at), 0, Input::User(RequestId(at), Ask::Query(JobRef::new("wk-000001"))));
+            let outputs = core.handle(
+                MonotonicTime(at),
+                0,
+                Input::ClientRequest(RequestId(at), ClientRequest::Query(JobId::new("wk-000001"))),
+            );
             outputs.iter().any(|o| {
-                matches!(o, Output::Reply(RequestId(id), Reply::Problem { status: 503, retry_after_s: Some(_), .. })
+                matches!(o, Output::Response(RequestId(id), Response::Error { status: 503, retry_after_s: Some(_), .. })
                     if *id == at)
             })
         };
--- a/src/coordination/stranded.rs
+++ b/src/coordination/unplaceable_services.rs
@@ -9,45 +9,45 @@
 
 use super::demand::Demand;
 use super::*;
-use crate::bookkeeping::records::TaskRecord;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::JobKind;
+use crate::storage::cache::Job;
+use crate::storage::records::TaskRecord;
 
 /// Room that comes free by itself within this time needs no machine.
-const PATIENCE: Span = Span(10_000);
+const PATIENCE: Millis = Millis(10_000);
 
 /// Services rented for at the same time.
 const MOST: usize = 8;
 
 /// Since when, as seen by this leader, and in which zone each needs room.
 #[derive(Debug, Default)]
-pub(super) struct Stranded(BTreeMap<JobRef, (Time, Option<String>)>);
+pub(super) struct UnplaceableServices(BTreeMap<JobId, (MonotonicTime, Option<String>)>);
 
 impl Core {
     /// Looks at services that wait beside replicas that run.
-    pub(super) fn note_stranded(&mut self) {
+    pub(super) fn record_unplaceable_services(&mut self) {
         let waits = |job: &Job| {
             let (done, on) = job.counts();
             let service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
-            service && on > 0 && done + on < job.record.spec.tasks
+            service && on > 0 && done + on < job.record.spec.task_count
         };
-        let jobs = || self.view.active.iter().filter_map(|id| Some((id, self.view.jobs.get(id)?)));
-        let waiting: Vec<(&JobRef, &Job)> = jobs().filter(|(_, job)| waits(job)).collect();
-        let mut stranded = BTreeMap::new();
+        let jobs = || self.cache.active.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?)));
+        let waiting: Vec<(&JobId, &Job)> = jobs().filter(|(_, job)| waits(job)).collect();
+        let mut unplaceable_services = BTreeMap::new();
         if !waiting.is_empty() {
             let mut room = self.room();
             for (id, job) in waiting {
-                let Some(part) = job.part_of(0) else { continue };
+                let Some(shard) = job.shard_of(0) else { continue };
                 let zones = self.open_zones(job);
                 let record = &job.record;
-                if zones.iter().any(|zone| room.tasks_in(Some(zone), part, record, 1, false) > 0) {
+                if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, record, 1, false) > 0) {
                     continue;
                 }
-                let since = self.cloud.stranded.0.get(id).map_or(self.now, |(since, _)| *since);
-                stranded.insert(id.clone(), (since, zones.into_iter().next()));
+                let since = self.fleet.unplaceable_services.0.get(id).map_or(self.now, |(since, _)| *since);
+                unplaceable_services.insert(id.clone(), (since, zones.into_iter().next()));
             }
         }
-        self.cloud.stranded.0 = stranded;
+        self.fleet.unplaceable_services.0 = unplaceable_services;
     }
 
     /// Zones in which one more replica may be beside those that run, the emptiest first.
@@ -55,12 +55,12 @@
         let spec = &job.record.spec;
         let mut on: BTreeMap<&str, usize> = BTreeMap::new();
         for task in job.slices().iter().filter_map(|s| s.newest()).flat_map(|r| &r.tasks) {
-            let TaskRecord::On(_, machine) = task else { continue };
-            if let Some(owned) = self.cloud.machines.get(machine) {
-                *on.entry(&owned.zone).or_default() += 1;
+            let TaskRecord::Placed(_, machine) = task else { continue };
+            if let Some(fleet_machine) = self.fleet.machines.get(machine) {
+                *on.entry(&fleet_machine.zone).or_default() += 1;
             }
         }
-        let half = spec.tasks.div_ceil(2) as usize;
+        let half = spec.task_count.div_ceil(2) as usize;
         let at = |zone: &str| on.get(zone).copied().unwrap_or(0);
         let sold: BTreeSet<&String> = self.catalog.values().flat_map(|t| &t.zones).collect();
         let mut open: Vec<String> = sold
@@ -75,10 +75,10 @@
     }
 
     /// What they want: room for one replica each, in their part.
-    pub(super) fn stranded_demand(&self) -> Vec<Demand> {
-        let long = self.cloud.stranded.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
+    pub(super) fn unplaceable_demand(&self) -> Vec<Demand> {
+        let long = self.fleet.unplaceable_services.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
         let demand = long.filter_map(|(id, (_, zone))| {
-            let job = self.view.jobs.get(id)?;
+            let job = self.cache.jobs.get(id)?;
             let spec = &job.record.spec;
             Some(Demand {
                 cpus: spec.cpus,
@@ -88,8 +88,8 @@
                 run_s: spec.cpus,
                 types: spec.types.clone(),
                 zone: zone.clone(),
-                spot: spec.spot,
-                part: Some(job.part_of(0)?),
+                spot: spec.spot_allowed,
+                shard: Some(job.shard_of(0)?),
             })
         });
         demand.take(MOST).collect()
--- a/src/coordination/upgrade.rs
+++ b/src/coordination/upgrade.rs
@@ -8,45 +8,45 @@
 //! than any restart takes does not hold the others up.
 
 use super::*;
-use crate::bookkeeping::records::{node_key, Level, LevelRecord, NodeRecord, LEADER_KEY, LEVEL_KEY};
-use crate::bookkeeping::view::Held;
+use crate::storage::cache::Versioned;
+use crate::storage::records::{node_key, FeatureLevel, FeatureLevelRecord, NodeRecord, FEATURE_LEVEL_KEY, LEADER_KEY};
 
 /// What this version can do.
-pub(super) const OURS: Level = Level(1);
+pub(super) const SUPPORTED_LEVEL: FeatureLevel = FeatureLevel(1);
 
 /// Jobs may name others that have to be done first.
-const CHAINS: Level = Level(1);
+const JOB_DEPENDENCIES: FeatureLevel = FeatureLevel(1);
 
 /// How long a controller that was never seen to know of something has to be
 /// away for the others to go on without it.
-const AWAY: Span = Span(60_000);
+const AWAY: Millis = Millis(60_000);
 
 /// What is remembered of controllers' announcements.
 #[derive(Debug, Default)]
 pub(super) struct Announced {
     /// What each said last, and since when it has been away.
-    nodes: BTreeMap<NodeName, (Level, Option<Time>)>,
+    nodes: BTreeMap<NodeName, (FeatureLevel, Option<MonotonicTime>)>,
 }
 
 /// True if the record of a node is there and says that it knows of chains.
-pub(super) fn knows_chains(held: &Held<NodeRecord>) -> bool {
-    held.record.as_ref().is_some_and(|record| record.level >= CHAINS)
+pub(super) fn supports_dependencies(held: &Versioned<NodeRecord>) -> bool {
+    held.record.as_ref().is_some_and(|record| record.level >= JOB_DEPENDENCIES)
 }
 
 impl Core {
     /// True if submissions may name other jobs.
-    pub(super) fn chains_on(&self) -> bool {
-        self.level() >= CHAINS
+    pub(super) fn dependencies_enabled(&self) -> bool {
+        self.level() >= JOB_DEPENDENCIES
     }
 
-    fn level(&self) -> Level {
-        self.view.level.record.as_ref().map_or(Level(0), |record| record.level)
+    fn level(&self) -> FeatureLevel {
+        self.cache.level.record.as_ref().map_or(FeatureLevel(0), |record| record.level)
     }
 
     /// A controller came or went.
     pub(super) fn node_changed(&mut self, node: &NodeName) {
-        let record = self.view.nodes.get(node).and_then(|held| held.record.as_ref());
-        let entry = self.announced.nodes.entry(node.clone()).or_insert((Level(0), None));
+        let record = self.cache.nodes.get(node).and_then(|held| held.record.as_ref());
+        let entry = self.announced.nodes.entry(node.clone()).or_insert((FeatureLevel(0), None));
         match record {
             Some(record) => *entry = (record.level, None),
             None => entry.1 = Some(self.now),
@@ -55,31 +55,35 @@
 
     /// The leader turns on what all controllers know of.
     pub(super) fn raise_level(&mut self) {
-        if self.level() >= OURS || !self.leading() || !self.state_fresh() || self.now < self.retry_state_at {
+        if self.level() >= SUPPORTED_LEVEL || !self.leading() || !self.records_fresh() || self.now < self.retry_state_at
+        {
             return;
         }
-        if self.busy_keys.contains(LEVEL_KEY) {
+        if self.busy_keys.contains(FEATURE_LEVEL_KEY) {
             return;
         }
         let nodes: Vec<NodeName> = self.settings.node_names().iter().map(|name| NodeName::new(name)).collect();
         // One not heard of at all has been away since this life began, at least.
-        let unheard = (Level(0), Some(self.began));
+        let unheard = (FeatureLevel(0), Some(self.began));
         let able = |node: &NodeName| {
             let (level, away) = self.announced.nodes.get(node).copied().unwrap_or(unheard);
-            level >= OURS || away.is_some_and(|since| self.now.since(since) >= AWAY)
+            level >= SUPPORTED_LEVEL || away.is_some_and(|since| self.now.since(since) >= AWAY)
         };
         if !nodes.iter().all(able) {
             return;
         }
-        let version = |node| self.view.nodes.get(node).map_or(Revision(0), |held| held.version);
+        let version = |node| self.cache.nodes.get(node).map_or(Revision(0), |held| held.version);
         let mut conditions = vec![
-            Condition { key: LEADER_KEY.into(), version: self.view.leader.version },
-            Condition { key: LEVEL_KEY.into(), version: self.view.level.version },
+            Condition { key: LEADER_KEY.into(), version: self.cache.leader.version },
+            Condition { key: FEATURE_LEVEL_KEY.into(), version: self.cache.level.version },
         ];
         // One that comes, or comes back as another, in this moment is judged again.
         conditions.extend(nodes.iter().map(|node| Condition { key: node_key(node), version: version(node) }));
-        let Ok(value) = serde_json::to_value(LevelRecord { level: OURS }) else { return };
-        tracing::info!("all controllers know of level {}: it is turned on", OURS.0);
-        self.simple_txn(Txn { conditions, changes: vec![Change::put(LEVEL_KEY.into(), value)] });
+        let Ok(value) = serde_json::to_value(FeatureLevelRecord { level: SUPPORTED_LEVEL }) else { return };
+        tracing::info!("all controllers know of level {}: it is turned on", SUPPORTED_LEVEL.0);
+        self.submit_transaction(Transaction {
+            conditions,
+            changes: vec![Change::put(FEATURE_LEVEL_KEY.into(), value)],
+        });
     }
 }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -2,8 +2,8 @@
 
 use super::refusing::Refusal;
 use super::*;
-use crate::bookkeeping::records::{job_key, past_key, End, JobRecord, Plan};
 use crate::protocol::users::JobState;
+use crate::storage::records::{archived_job_key, job_key, JobOutcome, JobRecord, SlicePlan};
 
 /// Tries of a cancellation that meets other changes of its job.
 const CANCEL_TRIES: u32 = 4;
@@ -18,16 +18,16 @@
 pub(super) const TASK_BYTES: u32 = 32;
 
 impl Core {
-    pub(super) fn user(&mut self, request: RequestId, ask: Ask) {
+    pub(super) fn handle_client_request(&mut self, request: RequestId, ask: ClientRequest) {
         match ask {
-            Ask::Up => {
-                let reply = if self.can_take() { Reply::Up } else { Reply::later("starting") };
-                self.reply(request, reply);
+            ClientRequest::Health => {
+                let response = if self.can_take() { Response::Healthy } else { Response::later("starting") };
+                self.response(request, response);
             }
-            Ask::Submit(spec) => self.submit(request, spec),
-            Ask::Malformed { id, reason } => self.refuse(request, id, Refusal::malformed(reason)),
-            Ask::Query(job) => self.query(request, job),
-            Ask::Cancel(job) => self.cancel(request, job),
+            ClientRequest::Submit(spec) => self.submit(request, spec),
+            ClientRequest::Malformed { id, reason } => self.refuse(request, id, Refusal::malformed(reason)),
+            ClientRequest::Query(job) => self.query(request, job),
+            ClientRequest::Cancel(job) => self.cancel(request, job),
         }
     }
 
@@ -35,37 +35,37 @@
     /// if others do not reach them either: then it is not this node's trouble.
     /// One that hears no other at all is left alone, as far as it can tell.
     pub(super) fn can_take(&self) -> bool {
-        let lately = |at: Option<Time>| at.is_some_and(|at| self.now.since(at) < Span(3000));
+        let lately = |at: Option<MonotonicTime>| at.is_some_and(|at| self.now.since(at) < Millis(3000));
         let mut heard = self.peers.values().filter(|p| lately(p.heard)).peekable();
         let not_ours = self.peers.is_empty() || heard.peek().is_some() && heard.all(|p| !p.state_reachable);
         self.loaded && !self.catalog.is_empty() && (lately(self.last_state_answer) || not_ours)
     }
 
-    fn known_final(&self, job: &JobRef) -> Option<JobState> {
+    fn known_final(&self, job: &JobId) -> Option<JobState> {
         self.final_state(job).map(state_of)
     }
 
-    pub(super) fn answer_job(&mut self, request: RequestId, status: u16, id: &JobRef, record: Option<&JobRecord>) {
+    pub(super) fn answer_job(&mut self, request: RequestId, status: u16, id: &JobId, record: Option<&JobRecord>) {
         // A wrong answer could not be taken back: not before those that it
         // follows are looked up.
-        if self.chains.unsettled(id) {
-            return self.reply(request, Reply::later("a job before it is being looked up"));
+        if self.dependency_graph.unsettled(id) {
+            return self.response(request, Response::later("a job before it is being looked up"));
         }
         let ended = record.and_then(|r| r.end).map(state_of).or_else(|| self.known_final(id));
-        let counts = self.view.jobs.get(id).map_or((0, 0), |j| j.counts());
+        let counts = self.cache.jobs.get(id).map_or((0, 0), |j| j.counts());
         let (state, counts) = match ended {
             Some(JobState::Done) => {
                 let all = record
-                    .map(|r| r.spec.tasks)
-                    .or(self.view.jobs.get(id).map(|j| j.record.spec.tasks))
-                    .or(self.view.past(id).map(|p| p.tasks));
+                    .map(|r| r.spec.task_count)
+                    .or(self.cache.jobs.get(id).map(|j| j.record.spec.task_count))
+                    .or(self.cache.archived(id).map(|p| p.tasks));
                 (JobState::Done, all.map(|tasks| (tasks, 0)))
             }
             Some(state) => (state, Some((counts.0, 0))),
             None if counts.1 > 0 => (JobState::Running, Some(counts)),
             None => (JobState::Queued, Some(counts)),
         };
-        self.reply(request, Reply::Job { status, id: id.clone(), state, counts });
+        self.response(request, Response::Job { status, id: id.clone(), state, counts });
     }
 
     /// Takes from the share of reads what a user's request needs.
@@ -73,7 +73,7 @@
         if self.now >= self.retry_state_at && self.reads.take(self.now, cost) {
             return true;
         }
-        self.reply(request, Reply::Problem { status: 503, reason: "busy".into(), retry_after_s: Some(1) });
+        self.response(request, Response::Error { status: 503, reason: "busy".into(), retry_after_s: Some(1) });
         false
     }
 
@@ -82,33 +82,33 @@
             let id = spec.id.clone();
             return self.answer_job(request, 200, &id, None);
         }
-        if self.view.jobs.contains_key(&spec.id) {
-            return self.ask_view(request, spec.id);
+        if self.cache.jobs.contains_key(&spec.id) {
+            return self.query_status(request, spec.id);
         }
         if !self.loaded || self.catalog.is_empty() {
-            return self.reply(request, Reply::later("starting"));
+            return self.response(request, Response::later("starting"));
         }
         if let Some(reason) = self.impossible(&spec) {
             return self.refuse(request, spec.id, Refusal::impossible(reason));
         }
         // Acceptance goes first: on credit, as far as the share bears it.
         if self.now < self.retry_state_at || self.reads.level(self.now) < -0.5 * self.reads.per_s() {
-            return self.reply(request, Reply::later("busy"));
+            return self.response(request, Response::later("busy"));
         }
-        if !spec.awaits.is_empty() {
+        if !spec.dependencies.is_empty() {
             return self.submit_after(request, spec);
         }
-        let record = JobRecord { plan: self.first_plan(&spec), ..JobRecord::new((*spec).clone(), self.wall_ms) };
+        let record = JobRecord { plan: self.first_plan(&spec), ..JobRecord::new((*spec).clone(), self.time_of_day_ms) };
         self.write_submission(request, spec, record);
     }
 
     /// Accepts a job with its record.
     pub(super) fn write_submission(&mut self, request: RequestId, spec: Box<JobSpec>, record: JobRecord) {
         let Ok(value) = serde_json::to_value(&record) else {
-            return self.reply(request, Reply::problem(400, "not a job"));
+            return self.response(request, Response::problem(400, "not a job"));
         };
         // With room for its plan, if that comes later, and for its end.
-        let plan = if record.plan.is_none() { self.plan_bytes(spec.tasks) } else { 0 };
+        let plan = if record.plan.is_none() { self.plan_bytes(spec.task_count) } else { 0 };
         if !self.fits(value.to_string().len() + plan + END_BYTES) {
             let reason = "the job and the names it awaits are too large to be kept";
             return self.refuse(request, spec.id, Refusal::impossible(reason));
@@ -116,24 +116,27 @@
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
         let key = job_key(&spec.id);
-        let txn = Txn {
+        let transaction = Transaction {
             // A retry may come when the job is long over and put away.
             conditions: vec![
                 Condition { key: key.clone(), version: Revision(0) },
-                Condition { key: past_key(&spec.id), version: Revision(0) },
+                Condition { key: archived_job_key(&spec.id), version: Revision(0) },
             ],
             changes: vec![Change::put(key, value)],
         };
-        self.call_state(StateCall::Txn(txn.clone()), Pending::SubmitWrite { request, txn, spec });
+        self.call_state(
+            StateCall::Transaction(transaction.clone()),
+            PendingRequest::SubmitWrite { request, transaction, spec },
+        );
     }
 
     /// A job of one slice, or one that must stay whole, goes to the part its
     /// name hashes to; larger arrays are left to the leader.
-    pub(super) fn first_plan(&self, spec: &JobSpec) -> Option<Plan> {
-        let size = self.slice_size(spec.tasks);
-        let home = PartId::of(spec.id.as_str(), self.parts);
-        let slices = spec.tasks.div_ceil(size) as usize;
-        (slices == 1 || spec.whole()).then(|| Plan { size, parts: vec![home; slices] })
+    pub(super) fn first_plan(&self, spec: &JobSpec) -> Option<SlicePlan> {
+        let size = self.slice_size(spec.task_count);
+        let home = ShardId::of(spec.id.as_str(), self.shard_count);
+        let slices = spec.task_count.div_ceil(size) as usize;
+        (slices == 1 || spec.whole()).then(|| SlicePlan { size, shards: vec![home; slices] })
     }
 
     /// Tasks per slice; more for large jobs, whose tasks then share writes,
@@ -141,8 +144,8 @@
     /// huge ones, so that their plan does.
     pub(super) fn slice_size(&self, tasks: u32) -> u32 {
         let value = (self.settings.cluster.state.value_kb * 1024.0 * 0.6) as u32;
-        let digits = self.parts.to_string().len() as u32 + 1;
-        let shared = tasks.div_ceil(self.parts.max(1) * SLICES_A_PART).min(value / TASK_BYTES);
+        let digits = self.shard_count.to_string().len() as u32 + 1;
+        let shared = tasks.div_ceil(self.shard_count.max(1) * SLICES_A_PART).min(value / TASK_BYTES);
         self.tuning.slice_tasks.max(shared).max(tasks.div_ceil((value / digits).max(1)))
     }
 
@@ -157,135 +160,155 @@
 
     /// What the plan of a job with so many tasks takes.
     fn plan_bytes(&self, tasks: u32) -> usize {
-        let digits = self.parts.to_string().len() + 1;
+        let digits = self.shard_count.to_string().len() + 1;
         tasks.div_ceil(self.slice_size(tasks)) as usize * digits + 32
     }
 
-    pub(super) fn submit_written(&mut self, request: RequestId, txn: Txn, spec: Box<JobSpec>, answer: StateAnswer) {
+    pub(super) fn submit_written(
+        &mut self,
+        request: RequestId,
+        transaction: Transaction,
+        spec: Box<JobSpec>,
+        answer: StateAnswer,
+    ) {
         let key = job_key(&spec.id);
         match answer {
             StateAnswer::Committed(revision) => {
-                self.committed(&txn, revision);
-                self.nudge(revision);
+                self.committed(&transaction, revision);
+                self.send_revision_hint(revision);
                 self.reached(Milestone::Accepted);
                 self.answer_job(request, 201, &spec.id, None);
             }
             // Known already, or our own transaction after all.
             StateAnswer::Conflict(_) => {
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Get { key }, Pending::SubmitRead { request, job: spec.id, fresh: false });
+                self.call_state(
+                    StateCall::Get { key },
+                    PendingRequest::SubmitRead { request, job: spec.id, fresh: false },
+                );
             }
             StateAnswer::Unknown => {
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Get { key }, Pending::SubmitRead { request, job: spec.id, fresh: true });
+                self.call_state(
+                    StateCall::Get { key },
+                    PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
+                );
             }
-            StateAnswer::Rejected(_) => self.reply(request, Reply::problem(400, "too large to keep")),
-            _ => self.reply(request, Reply::later("the state service does not answer")),
+            StateAnswer::Rejected(_) => self.response(request, Response::problem(400, "too large to keep")),
+            _ => self.response(request, Response::later("the state service does not answer")),
         }
     }
 
-    pub(super) fn submit_read(&mut self, request: RequestId, job: JobRef, fresh: bool, answer: StateAnswer) {
+    pub(super) fn submit_read(&mut self, request: RequestId, job: JobId, fresh: bool, answer: StateAnswer) {
         if matches!(answer, StateAnswer::Missing(_)) {
-            return self.ask_past(request, job, true);
+            return self.look_up_archived(request, job, true);
         }
         match self.take_job(answer) {
             Some((id, record)) => self.answer_job(request, if fresh { 201 } else { 200 }, &id, Some(&record)),
-            None => self.reply(request, Reply::later("the state service does not answer")),
+            None => self.response(request, Response::later("the state service does not answer")),
         }
     }
 
     /// Takes a job that was read into the view.
-    pub(super) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobRef, JobRecord)> {
+    pub(super) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobId, JobRecord)> {
         let StateAnswer::Found(item) = answer else { return None };
         let record: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
-        let changed = self.view.apply(&item.key, Some(item.value), item.version);
+        let changed = self.cache.apply(&item.key, Some(item.value), item.version);
         self.changed(changed);
         Some((record.spec.id.clone(), record))
     }
 
-    fn query(&mut self, request: RequestId, job: JobRef) {
+    fn query(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
             return self.answer_job(request, 200, &job, None);
         }
-        self.ask_view(request, job);
+        self.query_status(request, job);
     }
 
     /// Answers from the view once it is provably as new as the question.
-    pub(super) fn answer_from_view(&mut self, request: RequestId, job: &JobRef) {
-        if self.view.jobs.contains_key(job) {
+    pub(super) fn answer_from_cache(&mut self, request: RequestId, job: &JobId) {
+        if self.cache.jobs.contains_key(job) {
             self.answer_job(request, 200, job, None);
         } else {
-            self.ask_past(request, job.clone(), false);
+            self.look_up_archived(request, job.clone(), false);
         }
     }
 
-    fn cancel(&mut self, request: RequestId, job: JobRef) {
+    fn cancel(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
             return self.answer_job(request, 200, &job, None);
         }
         if self.afford(request, 1.0) {
             let call = StateCall::Get { key: job_key(&job) };
-            self.call_state(call, Pending::CancelRead { request, job, tries: CANCEL_TRIES });
+            self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
         }
     }
 
-    pub(super) fn cancel_read(&mut self, request: RequestId, job: JobRef, tries: u32, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) && !self.view.jobs.contains_key(&job) {
-            return self.ask_past(request, job, false);
+    pub(super) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StateAnswer) {
+        if matches!(answer, StateAnswer::Missing(_)) && !self.cache.jobs.contains_key(&job) {
+            return self.look_up_archived(request, job, false);
         }
         let version = match &answer {
             StateAnswer::Found(item) => item.version,
             _ => Revision(0),
         };
         let Some((id, record)) = self.take_job(answer) else {
-            return self.reply(request, Reply::later("the state service does not answer"));
+            return self.response(request, Response::later("the state service does not answer"));
         };
         if self.final_state(&id).is_some() {
             return self.answer_job(request, 200, &id, None);
         }
         if record.end.is_some() || tries == 0 {
             if record.end.is_none() {
-                return self.reply(request, Reply::later("the job is changing"));
+                return self.response(request, Response::later("the job is changing"));
             }
             return self.answer_job(request, 200, &id, Some(&record));
         }
-        let record = JobRecord { end: Some(End::Cancelled), ..record };
+        let record = JobRecord { end: Some(JobOutcome::Cancelled), ..record };
         let key = job_key(&id);
         let Ok(value) = serde_json::to_value(record) else { return };
-        let txn =
-            Txn { conditions: vec![Condition { key: key.clone(), version }], changes: vec![Change::put(key, value)] };
+        let transaction = Transaction {
+            conditions: vec![Condition { key: key.clone(), version }],
+            changes: vec![Change::put(key, value)],
+        };
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
-        self.call_state(StateCall::Txn(txn.clone()), Pending::CancelWrite { request, job, txn, tries: tries - 1 });
+        self.call_state(
+            StateCall::Transaction(transaction.clone()),
+            PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
+        );
     }
 
     pub(super) fn cancel_written(
         &mut self,
         request: RequestId,
-        job: JobRef,
-        txn: Txn,
+        job: JobId,
+        transaction: Transaction,
         tries: u32,
         answer: StateAnswer,
     ) {
         match answer {
             StateAnswer::Committed(revision) => {
-                self.committed(&txn, revision);
-                self.nudge(revision);
+                self.committed(&transaction, revision);
+                self.send_revision_hint(revision);
                 self.answer_job(request, 200, &job, None);
             }
             StateAnswer::Conflict(_) | StateAnswer::Unknown => {
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Get { key: job_key(&job) }, Pending::CancelRead { request, job, tries });
+                self.call_state(
+                    StateCall::Get { key: job_key(&job) },
+                    PendingRequest::CancelRead { request, job, tries },
+                );
             }
-            _ => self.reply(request, Reply::later("the state service does not answer")),
+            _ => self.response(request, Response::later("the state service does not answer")),
         }
     }
 }
 
-fn state_of(end: End) -> JobState {
+fn state_of(end: JobOutcome) -> JobState {
     match end {
-        End::Done => JobState::Done,
-        End::Cancelled => JobState::Cancelled,
+        JobOutcome::Done => JobState::Done,
+        JobOutcome::Cancelled => JobState::Cancelled,
     }
 }
 
@@ -301,13 +324,13 @@
         let kind = serde_json::json!({"sku": "m", "cores": 8.0, "gpus": 0.0, "mem_gb": 32.0, "local_gb": 50.0,
             "fetch_gb_per_s": 1.0, "hourly": 1.0, "market_price": null, "ready_s": 20.0, "berths": ["a"]});
         core.catalog.insert("m".into(), serde_json::from_value(kind).expect("a machine type"));
-        (core.loaded, core.now) = (true, Time(60_000));
+        (core.loaded, core.now) = (true, MonotonicTime(60_000));
         let mut up = |state: u64, peer: Option<(u64, bool)>| {
-            core.last_state_answer = Some(Time(state));
-            let peer = peer.map(|(heard, state_reachable)| PeerState {
-                heard: Some(Time(heard)),
+            core.last_state_answer = Some(MonotonicTime(state));
+            let peer = peer.map(|(heard, state_reachable)| Peer {
+                heard: Some(MonotonicTime(heard)),
                 state_reachable,
-                note: None,
+                status: None,
             });
             core.peers.insert(NodeName::new("n1"), peer.unwrap_or_default());
             core.can_take()
--- a/src/coordination/waiting.rs
+++ b/src/coordination/waiting.rs
@@ -1,10 +1,10 @@
 //! Which jobs wait, in what order they are served, and who is within a guarantee.
 
-use super::queue::{serve_order, Contender};
+use super::queue::{serve_order, QueuedJob};
 use super::*;
-use crate::bookkeeping::names::Label;
-use crate::bookkeeping::view::Job;
 use crate::protocol::users::Priority;
+use crate::storage::cache::Job;
+use crate::storage::names::InternedName;
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 
@@ -14,7 +14,7 @@
 pub(super) struct Place(pub usize);
 
 /// Jobs that are asked about often, in no order that means anything.
-pub(super) type JobSet = HashSet<JobRef, FixedState>;
+pub(super) type JobSet = HashSet<JobId, FixedState>;
 
 /// Not of a high priority, not within a guarantee, the priority: less first.
 type Precedence = (bool, bool, std::cmp::Reverse<Priority>);
@@ -25,19 +25,19 @@
     /// be in time with all that goes before it yields.
     pub(super) fn waiting_jobs(&self, guaranteed: &JobSet) -> Vec<Place> {
         // With its place, and whether tasks of ours wait.
-        let mut queue: Vec<Contender<Precedence, (&JobRef, Place, bool)>> = vec![];
+        let mut queue: Vec<QueuedJob<Precedence, (&JobId, Place, bool)>> = vec![];
         let mut any_ours = false;
-        for (place, (id, job)) in self.view.jobs.iter().enumerate() {
+        for (place, (id, job)) in self.cache.jobs.iter().enumerate() {
             if job.record.end.is_some() || job.record.waits() || self.held_back(id, job) {
                 continue;
             }
-            let ours = job.idle() > 0;
+            let ours = job.pending_tasks() > 0;
             any_ours |= ours;
             let spec = &job.record.spec;
-            let run_s = self.learned.run_time(job);
+            let run_s = self.estimates.run_time(job);
             let (done, on) = job.counts();
-            let left = f64::from(spec.tasks.saturating_sub(done + on)) + f64::from(on) * 0.5;
-            queue.push(Contender {
+            let left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * 0.5;
+            queue.push(QueuedJob {
                 rank: (job.priority() < Priority::High, !guaranteed.contains(id), std::cmp::Reverse(job.priority())),
                 left_s: (self.allowed_s(job) - self.age_s(job)).clamp(-1e6, 1e6),
                 run_s,
@@ -55,15 +55,15 @@
 
     /// Cores of all parts, judged by ours: machines hash to parts evenly.
     fn cluster_cpus(&self) -> f64 {
-        let machines = self.mine.values().flat_map(|m| m.machines.values());
+        let machines = self.owned_shards.values().flat_map(|m| m.machines.values());
         let ours: f64 = machines.filter_map(|m| self.catalog.get(&m.kind)).map(|t| t.cpus).sum();
-        ours * f64::from(self.parts) / self.mine.len().max(1) as f64
+        ours * f64::from(self.shard_count) / self.owned_shards.len().max(1) as f64
     }
 
     /// Time since a job was accepted, or since it may start if it waited for
     /// others, estimated by the time of day.
     pub(super) fn age_s(&self, job: &Job) -> f64 {
-        self.wall_ms.saturating_sub(job.record.since()) as f64 / 1000.0
+        self.time_of_day_ms.saturating_sub(job.record.since()) as f64 / 1000.0
     }
 
     /// Time a job may take from then, as its user or those that need it say,
@@ -75,22 +75,24 @@
         // A deadline counts from the submission, however long the job waited.
         let own = spec.deadline_s.map(|deadline| deadline + after(job.record.at));
         let own = own.unwrap_or_else(|| {
-            let soonest_s = self.age_s(job) + 0.5 * self.learned.run_time(job);
-            self.aims.finish_within_s(&job.class, soonest_s).unwrap_or(600.0 + spec.estimate_s * 3.0)
+            let soonest_s = self.age_s(job) + 0.5 * self.estimates.run_time(job);
+            self.objectives.finish_within_s(&job.class, soonest_s).unwrap_or(600.0 + spec.estimated_run_s * 3.0)
         });
-        job.urge.and_then(|urge| urge.due_ms).map_or(own, |due| own.min(after(due)))
+        job.effective_priority
+            .and_then(|effective_priority| effective_priority.due_ms)
+            .map_or(own, |due| own.min(after(due)))
     }
 
     /// Jobs that fit into their team's guarantee along with its earlier ones.
     pub(super) fn guaranteed_jobs(&self) -> JobSet {
         // A handful of teams: looked through faster than a map.
-        let mut left: Vec<(&Label, [f64; 2])> =
+        let mut left: Vec<(&InternedName, [f64; 2])> =
             self.guarantees.iter().map(|(team, cpus, gpus)| (team, [*cpus, *gpus])).collect();
         if left.is_empty() {
             return JobSet::default();
         }
-        let mut jobs: Vec<(&JobRef, &Job)> = self
-            .view
+        let mut jobs: Vec<(&JobId, &Job)> = self
+            .cache
             .jobs
             .iter()
             .filter(|(id, j)| {
@@ -105,7 +107,7 @@
         for (id, job) in jobs {
             let spec = &job.record.spec;
             let Some((_, room)) = left.iter_mut().find(|(team, _)| **team == job.team) else { continue };
-            let tasks = f64::from(spec.tasks);
+            let tasks = f64::from(spec.task_count);
             room[0] -= spec.cpus * tasks;
             room[1] -= spec.gpus * tasks;
             if room[0] >= -1e-6 && room[1] >= -1e-6 {
--- a/src/coordination/withdrawing.rs
+++ b/src/coordination/withdrawing.rs
@@ -14,32 +14,32 @@
 const LEAST_MACHINES: usize = 3;
 
 /// Pauses before it tries again: the first, and the last that doubling leads to.
-const FIRST_PAUSE: Span = Span(30_000);
-const LAST_PAUSE: Span = Span(240_000);
+const FIRST_PAUSE: Millis = Millis(30_000);
+const LAST_PAUSE: Millis = Millis(240_000);
 
 #[derive(Debug, Default)]
-pub(super) struct Withdrawal {
+pub(super) struct ShardRelease {
     /// When a worker, any worker, was heard last.
-    heard: Option<Time>,
+    heard: Option<MonotonicTime>,
     /// When one of our machines last showed that it hears.
-    answered: Option<Time>,
+    answered: Option<MonotonicTime>,
     /// Workers that reported since one last showed that it hears, and since when.
     unanswered: BTreeSet<MachineId>,
-    unanswered_since: Option<Time>,
+    unanswered_since: Option<MonotonicTime>,
     /// Since when, and until when at the latest.
-    away: Option<(Time, Time)>,
+    away: Option<(MonotonicTime, MonotonicTime)>,
     /// Workers do reach it, but do not hear it.
     mute: bool,
-    pause: Span,
+    pause: Millis,
 }
 
-impl Withdrawal {
-    pub fn heard(&mut self, now: Time) {
+impl ShardRelease {
+    pub fn heard(&mut self, now: MonotonicTime) {
         self.heard = Some(now);
     }
 
     /// One of our machines reported, and showed or did not that it hears.
-    pub fn reported(&mut self, now: Time, machine: &MachineId, hears: bool) {
+    pub fn reported(&mut self, now: MonotonicTime, machine: &MachineId, hears: bool) {
         if hears {
             self.answered = Some(now);
             self.unanswered.clear();
@@ -55,8 +55,8 @@
 }
 
 impl Core {
-    pub(super) fn withdrawn(&self) -> bool {
-        self.withdrawal.away.is_some()
+    pub(super) fn has_released_shards(&self) -> bool {
+        self.shard_release.away.is_some()
     }
 
     /// If all workers of our parts fell silent or deaf, though nothing else did:
@@ -65,62 +65,63 @@
         // Soon enough for a successor to answer within the workers' leases:
         // they wait 4 s for us, and a second before they ask the next node.
         let quiet =
-            Span((self.timing.worker_lease.0 / 4).max((self.settings.cluster.workers.report_s * 2500.0) as u64));
+            Millis((self.timing.worker_lease.0 / 4).max((self.settings.cluster.workers.report_s * 2500.0) as u64));
         // A part taken over counts from then, with the machines that its records name.
-        let owned = self.mine.values().map(|m| m.since).max();
-        let heard = self.withdrawal.heard.max(owned).unwrap_or(self.now).max(self.resumed);
+        let fleet_machine = self.owned_shards.values().map(|m| m.since).max();
+        let heard = self.shard_release.heard.max(fleet_machine).unwrap_or(self.now).max(self.resumed_at);
         let silent = self.now.since(heard) > quiet;
-        if !silent && !self.unheard(quiet, owned) {
+        if !silent && !self.unheard(quiet, fleet_machine) {
             return None;
         }
-        let names = self.mine.values().flat_map(|m| m.on.keys().chain(m.machines.keys()));
+        let names = self.owned_shards.values().flat_map(|m| m.on.keys().chain(m.machines.keys()));
         let machines = names.collect::<BTreeSet<_>>().len();
-        let others = self.view.live().filter(|(node, _)| **node != self.me && self.heard_for(node, quiet)).count();
-        (machines >= LEAST_MACHINES && others > 0 && self.state_fresh()).then_some(!silent)
+        let others =
+            self.cache.live().filter(|(node, _)| **node != self.node_name && self.heard_for(node, quiet)).count();
+        (machines >= LEAST_MACHINES && others > 0 && self.records_fresh()).then_some(!silent)
     }
 
     /// True if workers reach this node, but none of them hears it.
-    fn unheard(&self, quiet: Span, owned: Option<Time>) -> bool {
+    fn unheard(&self, quiet: Millis, fleet_machine: Option<MonotonicTime>) -> bool {
         // They report many times in that time, each time showing that they hear.
-        if let Some(at) = self.withdrawal.answered.filter(|at| Some(*at) >= owned) {
-            return self.now.since(at.max(self.resumed)) > quiet;
+        if let Some(at) = self.shard_release.answered.filter(|at| Some(*at) >= fleet_machine) {
+            return self.now.since(at.max(self.resumed_at)) > quiet;
         }
         // They have not all come yet; two reports of one show that it hears.
-        let pause = Span::secs(2.0 * self.settings.cluster.workers.report_s);
-        let since = self.withdrawal.unanswered_since.map(|at| at.max(self.resumed));
-        let several = self.withdrawal.unanswered.len() >= LEAST_MACHINES;
+        let pause = Millis::secs(2.0 * self.settings.cluster.workers.report_s);
+        let since = self.shard_release.unanswered_since.map(|at| at.max(self.resumed_at));
+        let several = self.shard_release.unanswered.len() >= LEAST_MACHINES;
         several && since.is_some_and(|at| self.now.since(at) > quiet + pause)
     }
 
-    pub(super) fn tend_withdrawal(&mut self) {
+    pub(super) fn update_shard_release(&mut self) {
         let now = self.now;
-        match self.withdrawal.away {
+        match self.shard_release.away {
             None => {
                 let Some(mute) = self.out_of_reach() else { return };
-                self.withdrawal.mute = mute;
-                let what = if self.withdrawal.mute { "no worker hears" } else { "no worker reaches" };
+                self.shard_release.mute = mute;
+                let what = if self.shard_release.mute { "no worker hears" } else { "no worker reaches" };
                 tracing::info!("{what} this node: its parts go to others");
-                let pause = Span((self.withdrawal.pause.0 * 2).clamp(FIRST_PAUSE.0, LAST_PAUSE.0));
-                self.withdrawal.pause = pause;
-                self.withdrawal.away = Some((now, now + pause));
+                let pause = Millis((self.shard_release.pause.0 * 2).clamp(FIRST_PAUSE.0, LAST_PAUSE.0));
+                self.shard_release.pause = pause;
+                self.shard_release.away = Some((now, now + pause));
             }
             Some((since, until)) => {
-                let reached = !self.withdrawal.mute && self.withdrawal.heard.is_some_and(|at| at > since);
+                let reached = !self.shard_release.mute && self.shard_release.heard.is_some_and(|at| at > since);
                 if reached || now >= until {
                     tracing::info!("this node takes parts again");
-                    self.withdrawal.away = None;
-                    self.withdrawal.unanswered.clear();
-                    self.withdrawal.unanswered_since = None;
-                    self.withdrawal.pause = if reached { Span(0) } else { self.withdrawal.pause };
+                    self.shard_release.away = None;
+                    self.shard_release.unanswered.clear();
+                    self.shard_release.unanswered_since = None;
+                    self.shard_release.pause = if reached { Millis(0) } else { self.shard_release.pause };
                     return;
                 }
             }
         }
-        let key = records::node_key(&self.me);
-        let listed = self.view.nodes.get(&self.me).filter(|h| h.record.is_some()).map(|h| h.version);
+        let key = records::node_key(&self.node_name);
+        let listed = self.cache.nodes.get(&self.node_name).filter(|h| h.record.is_some()).map(|h| h.version);
         if let (Some(version), false) = (listed, self.busy_keys.contains(&key)) {
             let conditions = vec![Condition { key: key.clone(), version }];
-            self.simple_txn(Txn { conditions, changes: vec![Change::delete(key)] });
+            self.submit_transaction(Transaction { conditions, changes: vec![Change::delete(key)] });
         }
     }
 }
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -1,11 +1,11 @@
 //! Workers' reports: what is on which machine, and what they are told.
 
-use super::hearing::Hearing;
-use super::mine::{Machine, TaskKey};
+use super::owned_shard::{Machine, TaskKey};
+use super::reachability::Reachability;
 use super::*;
-use crate::bookkeeping::records::TaskRecord;
-use crate::protocol::workers::{TaskName, TaskReport, TaskState, Why};
-use crate::units::{Attempt, Seq, Session};
+use crate::protocol::workers::{ExitReason, TaskName, TaskState, TaskStatus};
+use crate::storage::records::TaskRecord;
+use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
 
 /// Machines remembered that were given up, by part.
 const MOST_GIVEN_UP: usize = 1000;
@@ -14,46 +14,46 @@
 pub(super) const MOST_COMMANDS: usize = 200;
 
 impl Core {
-    pub(super) fn report(&mut self, request: RequestId, report: Report) {
-        let part = self.part_of(&report.machine);
-        self.withdrawal.heard(self.now);
-        let Some(mine) = self.mine.get(&part) else {
-            let reply = self.answer_stranger(part, &report);
-            return self.reply(request, reply);
+    pub(super) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+        let shard = self.shard_of(&heartbeat.machine);
+        self.shard_release.heard(self.now);
+        let Some(owned_shard) = self.owned_shards.get(&shard) else {
+            let response = self.answer_stranger(shard, &heartbeat);
+            return self.response(request, response);
         };
-        if !self.entitled() || report.token > mine.token {
-            return self.reply(request, Reply::Elsewhere(None));
+        if !self.may_answer_workers() || heartbeat.token > owned_shard.token {
+            return self.response(request, Response::Redirect(None));
         }
-        let fresh = self.note_machine(part, &report);
-        self.answer_report(part, request, report, fresh);
+        let fresh = self.note_machine(shard, &heartbeat);
+        self.answer_heartbeat(shard, request, heartbeat, fresh);
     }
 
     /// False if cut off from the records for too long: workers' leases must be
     /// allowed to run out.
-    pub(super) fn entitled(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.horizon)
+    pub(super) fn may_answer_workers(&self) -> bool {
+        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
     }
 
     /// Takes in what a report says of its machine; false if it came late.
-    fn note_machine(&mut self, part: PartId, report: &Report) -> bool {
+    fn note_machine(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
-        let Some(mine) = self.mine.get_mut(&part) else { return false };
-        let token = mine.token;
-        let number = (report.session, report.seq);
-        let given_up = mine.given_up.get(&report.machine).copied();
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return false };
+        let token = owned_shard.token;
+        let number = (heartbeat.agent_epoch, heartbeat.heartbeat_number);
+        let given_up = owned_shard.given_up.get(&heartbeat.machine).copied();
         if given_up.is_some_and(|last| number <= last) {
             // A copy from before: the machine's lease was over since then.
             return false;
         }
-        let machine = mine.machines.entry(report.machine.clone()).or_insert_with(|| Machine {
-            addr: report.addr.clone(),
-            kind: report.kind.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            session: Session(0),
-            seq: Seq(0),
+        let machine = owned_shard.machines.entry(heartbeat.machine.clone()).or_insert_with(|| Machine {
+            addr: heartbeat.addr.clone(),
+            kind: heartbeat.kind.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            agent_epoch: AgentEpoch(0),
+            heartbeat_number: HeartbeatNumber(0),
             acked: false,
-            last_report: now,
+            last_heartbeat: now,
             born: now,
             notice: None,
             listed: BTreeMap::new(),
@@ -61,41 +61,43 @@
             images: vec![],
             failed_jobs: BTreeMap::new(),
             faulty: false,
-            hearing: Hearing::new(now, given_up.is_some()),
-            rests_until: Time(0),
+            reachability: Reachability::new(now, given_up.is_some()),
+            rests_until: MonotonicTime(0),
         });
         // A copy renews nothing: the worker counts its lease from when it sent
         // the report, which was before the newer one came.
-        let last = (machine.session, machine.seq);
+        let last = (machine.agent_epoch, machine.heartbeat_number);
         if number <= last {
             return false;
         }
         // The answer we are about to give renews the worker's lease.
-        machine.last_report = now;
+        machine.last_heartbeat = now;
         let others = !self.peers.is_empty();
-        let hears = machine.hearing.reported(now, last, number, others, self.timing.worker_lease);
-        self.withdrawal.reported(now, &report.machine, hears);
-        if report.session > machine.session {
+        let hears = machine.reachability.reported(now, last, number, others, self.timing.worker_lease);
+        self.shard_release.reported(now, &heartbeat.machine, hears);
+        if heartbeat.agent_epoch > machine.agent_epoch {
             machine.listed.clear();
             machine.sent.clear();
         }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        machine.acked = report.token == token;
-        machine.notice = match (report.notice_s, machine.notice) {
+        machine.agent_epoch = heartbeat.agent_epoch;
+        machine.heartbeat_number = heartbeat.heartbeat_number;
+        machine.acked = heartbeat.token == token;
+        machine.notice = match (heartbeat.notice_s, machine.notice) {
             (Some(_), Some(at)) => Some(at),
-            (Some(s), None) => Some(now + Span::secs(s)),
+            (Some(s), None) => Some(now + Millis::secs(s)),
             (None, _) => None,
         };
         let before = std::mem::take(&mut machine.listed);
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             let key = (task.task.job.clone(), task.task.index);
             let since = match before.get(&key) {
                 Some((attempt, state, since)) if *attempt == task.attempt && *state == task.state => *since,
                 _ => now,
             };
-            if task.state == TaskState::Running && mine.on.get(&report.machine).is_some_and(|on| on.contains(&key)) {
-                mine.running_since.entry(key.clone()).or_insert(now);
+            if task.state == TaskState::Running
+                && owned_shard.on.get(&heartbeat.machine).is_some_and(|on| on.contains(&key))
+            {
+                owned_shard.running_since.entry(key.clone()).or_insert(now);
             }
             machine.listed.insert(key, (task.attempt, task.state, since));
         }
@@ -103,69 +105,72 @@
     }
 
     /// Reconciles a report with the records and says what the worker is to do.
-    pub(super) fn commands(&mut self, part: PartId, report: &Report) -> Vec<Command> {
+    pub(super) fn commands(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> Vec<Command> {
         let mut commands = vec![];
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             if task.state == TaskState::Exited {
-                self.take_exit(&report.machine, task);
+                self.take_exit(&heartbeat.machine, task);
             }
         }
-        for task in &report.tasks {
+        for task in &heartbeat.tasks {
             let key = (task.task.job.clone(), task.task.index);
-            let holds = |record: Option<&TaskRecord>| matches!(record, Some(TaskRecord::On(a, m)) if *a == task.attempt && *m == report.machine);
+            let holds = |record: Option<&TaskRecord>| matches!(record, Some(TaskRecord::Placed(a, m)) if *a == task.attempt && *m == heartbeat.machine);
             let wanted = holds(self.wanted(&key));
             let durable = holds(self.durable(&key));
             let name = task.task.clone();
             let attempt = task.attempt;
             if task.state == TaskState::Exited {
                 // The exit is durable, or the attempt was never the task's.
-                let done = self.view.jobs.get(&key.0).is_some_and(|j| !j.holds_machines());
+                let done = self.cache.jobs.get(&key.0).is_some_and(|j| !j.holds_machines());
                 if (!durable || done) && !wanted {
                     commands.push(Command::Forget { task: name, attempt });
                 }
                 continue;
             }
-            let ended = self.view.jobs.get(&key.0).is_some_and(|j| j.record.end.is_some());
+            let ended = self.cache.jobs.get(&key.0).is_some_and(|j| j.record.end.is_some());
             if (!wanted && !durable) || ended {
                 commands.push(Command::Stop { task: name, attempt, grace_s: 0.0 });
                 continue;
             }
-            let stop = self.mine.get(&part).and_then(|m| m.stopping.get(&key).copied());
+            let stop = self.owned_shards.get(&shard).and_then(|m| m.stopping.get(&key).copied());
             match stop {
                 Some(_) if task.state == TaskState::Saving => {}
                 Some(grace_s) => commands.push(Command::Stop { task: name, attempt, grace_s }),
                 None => {}
             }
         }
-        self.start_or_close(part, report, &mut commands);
+        self.start_or_close(shard, heartbeat, &mut commands);
         commands.truncate(MOST_COMMANDS);
         commands
     }
 
     /// Handles tasks that should be on the machine but are not listed.
-    fn start_or_close(&mut self, part: PartId, report: &Report, commands: &mut Vec<Command>) {
-        let Some(mine) = self.mine.get(&part) else { return };
-        let Some(machine) = mine.machines.get(&report.machine) else { return };
+    fn start_or_close(&mut self, shard: ShardId, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
+        let Some(machine) = owned_shard.machines.get(&heartbeat.machine) else { return };
         let listed = |key: &TaskKey, attempt: Attempt| machine.listed.get(key).is_some_and(|l| l.0 == attempt);
-        let usable =
-            machine.notice.is_none() && !machine.faulty && !self.is_deaf(machine) && !self.draining(&report.machine);
-        let startable = usable && !mine.releasing && self.state_fresh();
+        let usable = machine.notice.is_none()
+            && !machine.faulty
+            && !self.is_downlink_lost(machine)
+            && !self.draining(&heartbeat.machine);
+        let startable = usable && !owned_shard.releasing && self.records_fresh();
         let (acked, sent) = (machine.acked, &machine.sent);
         let mut starts = vec![];
         let mut gone = vec![];
-        for key in mine.on.get(&report.machine).into_iter().flatten() {
-            let Some(TaskRecord::On(attempt, _)) = self.wanted(key) else { continue };
+        for key in owned_shard.on.get(&heartbeat.machine).into_iter().flatten() {
+            let Some(TaskRecord::Placed(attempt, _)) = self.wanted(key) else { continue };
             if listed(key, *attempt) {
                 continue;
             }
             let durable = self.durable(key) == self.wanted(key);
-            let ended = self.view.jobs.get(&key.0).is_some_and(|j| j.record.end.is_some());
-            let stopped = mine.stopping.contains_key(key);
-            if ended || stopped || !usable || self.over_allowance(part, mine, &key.0) {
+            let ended = self.cache.jobs.get(&key.0).is_some_and(|j| j.record.end.is_some());
+            let stopped = owned_shard.stopping.contains_key(key);
+            if ended || stopped || !usable || self.over_quota(shard, owned_shard, &key.0) {
                 // Not on the machine, and nothing that could still put it
                 // there: earlier owners' answers are void once the worker
                 // has seen our token, and ours once a later report came.
-                let ours_void = sent.get(key).is_none_or(|at| *at < (report.session, report.seq));
+                let ours_void =
+                    sent.get(key).is_none_or(|at| *at < (heartbeat.agent_epoch, heartbeat.heartbeat_number));
                 if acked && ours_void {
                     gone.push((key.clone(), *attempt));
                 }
@@ -174,23 +179,25 @@
             }
         }
         for (key, attempt) in gone {
-            self.set_task(&key, TaskRecord::Idle(attempt));
+            self.set_task(&key, TaskRecord::Pending(attempt));
         }
         if !starts.is_empty() {
             self.reached(Milestone::StartSent);
         }
         for (key, attempt) in starts {
-            self.remember_image(part, &report.machine, &key.0);
-            if let Some(machine) = self.mine.get_mut(&part).and_then(|m| m.machines.get_mut(&report.machine)) {
-                machine.sent.insert(key.clone(), (report.session, report.seq));
+            self.remember_image(shard, &heartbeat.machine, &key.0);
+            if let Some(machine) =
+                self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&heartbeat.machine))
+            {
+                machine.sent.insert(key.clone(), (heartbeat.agent_epoch, heartbeat.heartbeat_number));
             }
             commands.push(Command::Start { task: TaskName { job: key.0, index: key.1 }, attempt });
         }
     }
 
-    fn remember_image(&mut self, part: PartId, machine: &MachineId, job: &JobRef) {
-        let Some(job) = self.view.jobs.get(job) else { return };
-        let Some(m) = self.mine.get_mut(&part).and_then(|m| m.machines.get_mut(machine)) else { return };
+    fn remember_image(&mut self, shard: ShardId, machine: &MachineId, job: &JobId) {
+        let Some(job) = self.cache.jobs.get(job) else { return };
+        let Some(m) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(machine)) else { return };
         m.images.retain(|(name, _)| *name != job.image);
         m.images.push((job.image.clone(), job.record.spec.image_gb));
         let room = self.catalog.get(&m.kind).map_or(0.0, |t| t.cache_gb);
@@ -200,59 +207,59 @@
     }
 
     /// Takes an exit into what is wanted, once.
-    fn take_exit(&mut self, machine: &MachineId, task: &TaskReport) {
+    fn take_exit(&mut self, machine: &MachineId, task: &TaskStatus) {
         let key = (task.task.job.clone(), task.task.index);
-        let current = matches!(self.wanted(&key), Some(TaskRecord::On(a, m)) if *a == task.attempt && m == machine);
+        let current = matches!(self.wanted(&key), Some(TaskRecord::Placed(a, m)) if *a == task.attempt && m == machine);
         if !current {
             return;
         }
-        let part = self.part_of(machine);
-        let why = task.why.unwrap_or(Why::Other);
-        if why == Why::Done {
-            self.learn_run_time(part, &key);
+        let shard = self.shard_of(machine);
+        let why = task.why.unwrap_or(ExitReason::Other);
+        if why == ExitReason::Done {
+            self.learn_run_time(shard, &key);
             self.set_task(&key, TaskRecord::Done);
         } else {
-            self.set_task(&key, TaskRecord::Idle(task.attempt));
+            self.set_task(&key, TaskRecord::Pending(task.attempt));
         }
-        let Some(m) = self.mine.get_mut(&part).and_then(|m| m.machines.get_mut(machine)) else { return };
+        let Some(m) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(machine)) else { return };
         match why {
-            Why::Done => m.failed_jobs.clear(),
-            Why::Error => {
+            ExitReason::Done => m.failed_jobs.clear(),
+            ExitReason::Error => {
                 m.failed_jobs.insert(key.0.clone(), self.now);
                 tracing::info!("task {}/{} failed on {machine}", key.0, key.1);
                 self.note_error(&key, task.attempt);
-                self.learned.failures.failed(&key.0, machine, self.now);
-                self.judge_machine(part, machine);
+                self.estimates.failures.failed(&key.0, machine, self.now);
+                self.update_faulty_machine(shard, machine);
             }
             _ => {}
         }
     }
 
     /// Everything that was on the machine is gone for certain.
-    pub(super) fn clear_machine(&mut self, part: PartId, name: &MachineId) {
+    pub(super) fn clear_machine(&mut self, shard: ShardId, name: &MachineId) {
         let lost = !self.returned(name);
-        let Some(mine) = self.mine.get_mut(&part) else { return };
-        let keys: Vec<TaskKey> = mine.on.get(name).into_iter().flatten().cloned().collect();
-        if let Some(machine) = mine.machines.remove(name) {
-            mine.given_up.insert(name.clone(), (machine.session, machine.seq));
-            if mine.given_up.len() > MOST_GIVEN_UP {
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        let keys: Vec<TaskKey> = owned_shard.on.get(name).into_iter().flatten().cloned().collect();
+        if let Some(machine) = owned_shard.machines.remove(name) {
+            owned_shard.given_up.insert(name.clone(), (machine.agent_epoch, machine.heartbeat_number));
+            if owned_shard.given_up.len() > MOST_GIVEN_UP {
                 // Names rise: the first is the oldest, more or less.
-                mine.given_up.pop_first();
+                owned_shard.given_up.pop_first();
             }
-            self.learned.machine_gone(&machine, self.now, lost);
+            self.estimates.machine_gone(&machine, self.now, lost);
         }
         for key in keys {
-            if let Some(TaskRecord::On(attempt, _)) = self.wanted(&key).cloned() {
-                self.set_task(&key, TaskRecord::Idle(attempt));
+            if let Some(TaskRecord::Placed(attempt, _)) = self.wanted(&key).cloned() {
+                self.set_task(&key, TaskRecord::Pending(attempt));
             }
         }
     }
 }
 
-impl std::ops::Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0 + other.0)
+impl std::ops::Add for Millis {
+    type Output = Millis;
+    fn add(self, other: Millis) -> Millis {
+        Millis(self.0 + other.0)
     }
 }
 
--- a/src/coordination/writing.rs
+++ b/src/coordination/writing.rs
@@ -1,11 +1,11 @@
 //! Making a part's changes durable: one transaction at a time, what presses
 //! first, and nothing that somebody else has changed meanwhile.
 
-use super::mine::Machine;
+use super::owned_shard::Machine;
 use super::*;
-use crate::bookkeeping::records::{job_key, owner_key, slice_key, End, JobRecord, SliceRecord, TaskRecord};
-use crate::bookkeeping::view::{Job, Slice};
 use crate::protocol::users::Priority;
+use crate::storage::cache::{Job, Slice};
+use crate::storage::records::{job_key, owner_key, slice_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
 
 /// How soon a slice's changes should be durable; less is sooner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,11 +22,11 @@
 
 impl Haste {
     /// What has waited for so long must not starve.
-    fn after(self, waited: Span) -> Haste {
+    fn after(self, waited: Millis) -> Haste {
         let patience = match self {
             Haste::Start | Haste::Soon => return self,
-            Haste::Exit => Span(2000),
-            Haste::Whenever => Span(20_000),
+            Haste::Exit => Millis(2000),
+            Haste::Whenever => Millis(20_000),
         };
         if waited >= patience {
             Haste::Soon
@@ -37,11 +37,11 @@
 }
 
 fn haste_of(slice: &Slice, ended: bool) -> Haste {
-    if ended || slice.want().is_none() {
+    if ended || slice.desired().is_none() {
         Haste::Whenever
-    } else if slice.starts_unwritten() {
+    } else if slice.has_unwritten_starts() {
         Haste::Start
-    } else if slice.wants_done() {
+    } else if slice.is_desired_done() {
         Haste::Soon
     } else {
         Haste::Exit
@@ -63,11 +63,11 @@
 const DENSE_BYTES: usize = 12;
 
 /// The change that makes a slice of a job as it is wanted, if one is needed.
-fn slice_change(job: &Job, id: &JobRef, index: usize) -> Option<Change> {
+fn slice_change(job: &Job, id: &JobId, index: usize) -> Option<Change> {
     let slice = &job.slices()[index];
-    let want = slice.want()?;
+    let want = slice.desired()?;
     let key = slice_key(id, index);
-    if job.record.end.is_some() && !want.any_on() {
+    if job.record.end.is_some() && !want.has_placed_task() {
         // Nothing of an ended job is left here: the slice has served.
         return slice.record().map(|_| Change::delete(key));
     }
@@ -78,26 +78,26 @@
 }
 
 impl Core {
-    pub(super) fn flush_all(&mut self) {
+    pub(super) fn write_pending_changes(&mut self) {
         if self.now < self.retry_state_at {
             return;
         }
-        for part in self.mine.keys().copied().collect::<Vec<_>>() {
-            self.flush(part);
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            self.write_shard_changes(shard);
         }
     }
 
     /// Sends one transaction with the part's oldest changes, each slice's
     /// coalesced; all of it holds only if we still own the part, no slice was
     /// changed behind our back, and no job was cancelled or dealt anew.
-    pub(super) fn flush(&mut self, part: PartId) {
+    pub(super) fn write_shard_changes(&mut self, shard: ShardId) {
         let level = self.writes.level(self.now).floor();
-        let Some(mine) = self.mine.get(&part) else { return };
-        if !mine.ready
-            || mine.inflight.is_some()
-            || mine.rereads > 0
-            || self.now < mine.retry_at
-            || mine.dirty.is_empty()
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
+        if !owned_shard.ready
+            || owned_shard.inflight.is_some()
+            || owned_shard.rereads > 0
+            || self.now < owned_shard.retry_at
+            || owned_shard.dirty.is_empty()
         {
             return;
         }
@@ -105,21 +105,21 @@
         if limit < 2 {
             return;
         }
-        let mut order: Vec<(Haste, Time, (JobRef, usize))> = vec![];
-        for (key, since) in &mine.dirty {
-            let job = self.view.jobs.get(&key.0);
+        let mut order: Vec<(Haste, MonotonicTime, (JobId, usize))> = vec![];
+        for (key, since) in &owned_shard.dirty {
+            let job = self.cache.jobs.get(&key.0);
             let slice = job.and_then(|j| Some((j.record.end, j.slices().get(key.1)?)));
             let haste = slice.map_or(Haste::Whenever, |(end, slice)| haste_of(slice, end.is_some()));
             let priority = job.map_or(Priority::Low, |j| j.priority());
-            let due = Time(since.0 + patience_ms(priority));
+            let due = MonotonicTime(since.0 + patience_ms(priority));
             order.push((haste.after(self.now.since(*since)), due, key.clone()));
         }
         order.sort();
         // Writes are scarce: what can wait for more to come to the same slice
         // leaves half of them to starts.
         let thrifty = level < self.writes.per_s() / 2.0;
-        let mut txn = Txn {
-            conditions: vec![Condition { key: owner_key(part), version: Revision(mine.token.0) }],
+        let mut transaction = Transaction {
+            conditions: vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }],
             changes: vec![],
         };
         let mut sent = vec![];
@@ -129,7 +129,7 @@
             if thrifty && haste > Haste::Soon {
                 break;
             }
-            let Some(job) = self.view.jobs.get(&id) else {
+            let Some(job) = self.cache.jobs.get(&id) else {
                 sent.push((id, index));
                 continue;
             };
@@ -140,53 +140,58 @@
             // What does not fit waits: as its tasks end, its record shrinks.
             let Some(change) = self.fitted_slice(change, &job.slices()[index]) else { continue };
             // Room for the job's own record, should this slice be its last.
-            if txn.changes.len() + 2 > limit || bytes > 40_000 {
+            if transaction.changes.len() + 2 > limit || bytes > 40_000 {
                 break;
             }
             bytes += serde_json::to_vec(&change).map_or(0, |b| b.len()) + 200;
-            txn.conditions.push(Condition { key: slice_key(&id, index), version: job.slices()[index].held().version });
+            transaction
+                .conditions
+                .push(Condition { key: slice_key(&id, index), version: job.slices()[index].held().version });
             if jobs.insert(id.clone()) {
-                txn.conditions.push(Condition { key: job_key(&id), version: job.version });
+                transaction.conditions.push(Condition { key: job_key(&id), version: job.version });
             }
             let last = job.record.end.is_none()
                 && job.slices().iter().enumerate().all(|(at, s)| {
                     if at == index {
-                        s.want().is_some_and(SliceRecord::is_done)
+                        s.desired().is_some_and(SliceRecord::is_done)
                     } else {
                         s.is_done()
                     }
                 });
             if last && !self.busy_keys.contains(&job_key(&id)) {
                 // Done with its last slice: the slice need not be kept.
-                let record = JobRecord { end: Some(End::Done), ..job.record.clone() };
+                let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
                 if let Ok(value) = serde_json::to_value(record) {
                     bytes += 800;
-                    txn.changes.push(Change::put(job_key(&id), value));
+                    transaction.changes.push(Change::put(job_key(&id), value));
                     // While writes are scarce, clearing away is left for later.
                     if job.slices()[index].record().is_some() && !thrifty {
-                        txn.changes.push(Change::delete(slice_key(&id, index)));
+                        transaction.changes.push(Change::delete(slice_key(&id, index)));
                     }
                 }
             } else {
-                txn.changes.push(change);
+                transaction.changes.push(change);
             }
             sent.push((id, index));
         }
-        let Some(mine) = self.mine.get_mut(&part) else { return };
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         for key in &sent {
-            mine.dirty.remove(key);
+            owned_shard.dirty.remove(key);
         }
-        if txn.changes.is_empty() {
+        if transaction.changes.is_empty() {
             // All of it can wait for writes: not to be weighed at every input.
-            mine.retry_at = self.now + Span(20);
+            owned_shard.retry_at = self.now + Millis(20);
             return;
         }
         self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, txn.changes.len() as f64);
-        self.call_state(StateCall::Txn(txn.clone()), Pending::PartTxn { part, txn });
+        self.writes.force(self.now, transaction.changes.len() as f64);
+        self.call_state(
+            StateCall::Transaction(transaction.clone()),
+            PendingRequest::ShardTransaction { shard, transaction },
+        );
         let id = CallId(self.last_call);
-        if let Some(mine) = self.mine.get_mut(&part) {
-            mine.inflight = Some(id);
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+            owned_shard.inflight = Some(id);
         }
     }
 
@@ -194,12 +199,12 @@
     /// have been cut when values were larger.
     fn fitted_slice(&self, change: Change, slice: &Slice) -> Option<Change> {
         let Change::Put { put, value, lease } = change else { return Some(change) };
-        let small = slice.want().is_some_and(|want| self.fits(want.tasks.len() * users::TASK_BYTES as usize));
+        let small = slice.desired().is_some_and(|want| self.fits(want.tasks.len() * users::TASK_BYTES as usize));
         if small || self.fits_value(&value) {
             return Some(Change::Put { put, value, lease });
         }
-        let dense = slice.want().filter(|_| self.chains_on()).and_then(SliceRecord::dense);
-        dense.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
+        let compact = slice.desired().filter(|_| self.dependencies_enabled()).and_then(SliceRecord::compact);
+        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
     }
 
     /// Tasks of a slice that may be on machines at the same time, so that its
@@ -207,64 +212,66 @@
     /// but for those cut when values were larger and those of huge jobs.
     pub(super) fn most_on(&self) -> usize {
         let bytes = (self.settings.cluster.state.value_kb * 1024.0 * 0.9) as usize;
-        bytes / if self.chains_on() { DENSE_BYTES } else { users::TASK_BYTES as usize }
+        bytes / if self.dependencies_enabled() { DENSE_BYTES } else { users::TASK_BYTES as usize }
     }
 
     /// Machines that a committed transaction put tasks on may be told so now:
     /// those that do not list them yet. A slice names all machines that its
     /// tasks are on, and each answer made in vain costs as much as a report.
-    fn touch_machines(&mut self, part: PartId, txn: &Txn) {
-        let Some(mine) = self.mine.get(&part) else { return };
-        for change in &txn.changes {
-            let Some(records::Key::Slice(id, index)) = records::Key::read(change_key(change)) else { continue };
-            let Some(job) = self.view.jobs.get(&id) else { continue };
+    fn touch_machines(&mut self, shard: ShardId, transaction: &Transaction) {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
+        for change in &transaction.changes {
+            let Some(records::RecordKey::Slice(id, index)) = records::RecordKey::read(change_key(change)) else {
+                continue;
+            };
+            let Some(job) = self.cache.jobs.get(&id) else { continue };
             let Some(first) = job.record.plan.as_ref().map(|plan| plan.first_task(index)) else { continue };
             let slice = job.slices().get(index).and_then(Slice::record);
             for (at, task) in slice.into_iter().flat_map(|record| record.tasks.iter().enumerate()) {
-                let TaskRecord::On(attempt, machine) = task else { continue };
+                let TaskRecord::Placed(attempt, machine) = task else { continue };
                 let key = (id.clone(), first + at as u32);
                 let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.0 == *attempt);
-                if !mine.machines.get(machine).is_some_and(listed) {
-                    self.answers.touch(machine);
+                if !owned_shard.machines.get(machine).is_some_and(listed) {
+                    self.deferred_responses.touch(machine);
                 }
             }
         }
     }
 
-    pub(super) fn part_txn_answer(&mut self, part: PartId, txn: Txn, answer: StateAnswer) {
+    pub(super) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
         // The slices of a transaction that failed, or whose outcome is not
         // known, are sent again under the same versions: if it did go
         // through after all, the conflict says so and the records are read.
         let committed = matches!(answer, StateAnswer::Committed(_));
-        if let Some(mine) = self.mine.get_mut(&part) {
-            mine.inflight = None;
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+            owned_shard.inflight = None;
             if !committed {
-                for key in txn.conditions.iter() {
-                    if let Some(records::Key::Slice(id, index)) = records::Key::read(&key.key) {
-                        mine.dirty.entry((id, index)).or_insert(self.now);
+                for key in transaction.conditions.iter() {
+                    if let Some(records::RecordKey::Slice(id, index)) = records::RecordKey::read(&key.key) {
+                        owned_shard.dirty.entry((id, index)).or_insert(self.now);
                     }
                 }
-                mine.retry_at = self.now + Span(150);
+                owned_shard.retry_at = self.now + Millis(150);
             }
         }
         match answer {
             StateAnswer::Committed(revision) => {
-                self.committed(&txn, revision);
-                self.touch_machines(part, &txn);
+                self.committed(&transaction, revision);
+                self.touch_machines(shard, &transaction);
                 // Tell others only of what they may have to act on: ends of jobs.
-                if txn.changes.iter().any(|c| change_key(c).starts_with("t/j/")) {
-                    self.nudge(revision);
+                if transaction.changes.iter().any(|c| change_key(c).starts_with("t/j/")) {
+                    self.send_revision_hint(revision);
                 }
             }
             StateAnswer::Conflict(failed) => {
-                if let Some(mine) = self.mine.get_mut(&part) {
-                    mine.rereads += failed.len();
+                if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+                    owned_shard.rereads += failed.len();
                 }
-                self.reread(failed, Some(part));
+                self.reread(failed, Some(shard));
             }
             StateAnswer::Rejected(_) => {
-                if let Some(mine) = self.mine.get_mut(&part) {
-                    mine.retry_at = self.now + Span(2000);
+                if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+                    owned_shard.retry_at = self.now + Millis(2000);
                 }
             }
             _ => {}
@@ -280,20 +287,20 @@
     fn slice(held: &[TaskRecord], want: &[TaskRecord]) -> Slice {
         let record = |tasks: &[TaskRecord]| Some(SliceRecord { tasks: tasks.to_vec() });
         let mut slice = Slice::known(Revision(1), record(held));
-        slice.set_want(record(want));
+        slice.set_desired(record(want));
         slice
     }
 
     /// Starts waited seconds behind exits for the part's share of writes.
     #[test]
     fn starts_are_written_before_exits_but_nothing_starves() {
-        let on = |n: u64| TaskRecord::On(Attempt(n), MachineId::new("i-000001"));
-        let start = haste_of(&slice(&[on(1), TaskRecord::Idle(Attempt(0))], &[TaskRecord::Done, on(1)]), false);
+        let on = |n: u64| TaskRecord::Placed(Attempt(n), MachineId::new("i-000001"));
+        let start = haste_of(&slice(&[on(1), TaskRecord::Pending(Attempt(0))], &[TaskRecord::Done, on(1)]), false);
         let exit = haste_of(&slice(&[on(1), on(1)], &[TaskRecord::Done, on(1)]), false);
         let last = haste_of(&slice(&[TaskRecord::Done, on(1)], &[TaskRecord::Done, TaskRecord::Done]), false);
         assert!(start < last && last < exit, "{start:?} {last:?} {exit:?}");
-        assert_eq!(exit.after(Span(500)), Haste::Exit);
-        assert_eq!(exit.after(Span(2500)), Haste::Soon);
-        assert_eq!(haste_of(&slice(&[on(1)], &[on(1)]), true).after(Span(22_000)), Haste::Soon);
+        assert_eq!(exit.after(Millis(500)), Haste::Exit);
+        assert_eq!(exit.after(Millis(2500)), Haste::Soon);
+        assert_eq!(haste_of(&slice(&[on(1)], &[on(1)]), true).after(Millis(22_000)), Haste::Soon);
     }
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListedState {
+pub enum ListedMachineState {
     #[serde(rename = "starting")]
     Booting,
     #[serde(rename = "running")]
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     #[serde(rename = "ref")]
     pub machine: MachineId,
     #[serde(rename = "hull")]
@@ -79,7 +79,7 @@
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
     #[serde(rename = "trim")]
-    pub state: ListedState,
+    pub state: ListedMachineState,
     #[serde(default)]
     pub age_s: f64,
 }
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachinePage {
     #[serde(rename = "decks")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     #[serde(rename = "truncated", default)]
     pub more: bool,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
     #[serde(rename = "apply")]
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct TxnDone {
+pub struct TransactionResult {
     #[serde(rename = "logline")]
     pub revision: Revision,
     #[serde(default)]
@@ -76,8 +76,8 @@
 
 /// A change that a watch brings.
 #[derive(Debug, Clone, Deserialize)]
-#[serde(try_from = "AnyEvent")]
-pub enum Event {
+#[serde(try_from = "AnyWatchEvent")]
+pub enum WatchEvent {
     Put { put: String, value: Value, version: Revision },
     Delete { delete: String, version: Revision },
 }
@@ -85,7 +85,7 @@
 /// An event of either kind as it stands on the wire, told apart by what is
 /// there: trying one kind after the other would read every value twice.
 #[derive(Deserialize)]
-struct AnyEvent {
+struct AnyWatchEvent {
     put: Option<String>,
     #[serde(rename = "drop")]
     delete: Option<String>,
@@ -95,25 +95,25 @@
     version: Revision,
 }
 
-impl TryFrom<AnyEvent> for Event {
+impl TryFrom<AnyWatchEvent> for WatchEvent {
     type Error = &'static str;
 
-    fn try_from(any: AnyEvent) -> Result<Event, Self::Error> {
-        let AnyEvent { put, delete, value, version } = any;
+    fn try_from(any: AnyWatchEvent) -> Result<WatchEvent, Self::Error> {
+        let AnyWatchEvent { put, delete, value, version } = any;
         match (put, delete) {
-            (Some(put), None) => Ok(Event::Put { put, value, version }),
-            (None, Some(delete)) => Ok(Event::Delete { delete, version }),
+            (Some(put), None) => Ok(WatchEvent::Put { put, value, version }),
+            (None, Some(delete)) => Ok(WatchEvent::Delete { delete, version }),
             _ => Err("an event is either a put or a drop"),
         }
     }
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Events {
+pub struct WatchEvents {
     #[serde(rename = "logline")]
     pub revision: Revision,
     #[serde(rename = "news", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 #[derive(Debug, Clone, Copy, Serialize)]
@@ -132,7 +132,7 @@
 pub enum StateCall {
     Get { key: String },
     List { prefix: String, after: Option<String> },
-    Txn(Txn),
+    Transaction(Transaction),
     Grant { ttl_ms: u64 },
     Renew { lease: LeaseId },
     Watch { prefix: String, after: Revision, wait_ms: u64 },
@@ -150,7 +150,7 @@
     Granted(LeaseId),
     Renewed,
     LeaseGone,
-    Events(Events),
+    WatchEvents(WatchEvents),
     /// The watch's revision is too old: read the keys again.
     TooOld,
     /// Not carried out: an outage, or the limit on requests.
@@ -171,7 +171,7 @@
                 let from = after.as_ref().map(|a| format!("&from={a}")).unwrap_or_default();
                 ("GET", format!("/kv?starts={prefix}{from}&limit=1000"), vec![])
             }
-            StateCall::Txn(txn) => ("POST", "/txn".into(), json(txn)),
+            StateCall::Transaction(transaction) => ("POST", "/txn".into(), json(transaction)),
             StateCall::Grant { ttl_ms } => ("POST", "/leases".into(), json(&LeaseRequest { ttl_ms: *ttl_ms })),
             StateCall::Renew { lease } => ("POST", format!("/leases/{lease}/renew"), b"{}".to_vec()),
             StateCall::Watch { prefix, after, wait_ms } => {
@@ -188,11 +188,15 @@
         match (self, status) {
             (_, 429 | 503) => StateAnswer::Refused,
             (StateCall::Get { .. }, 200) => read(body, StateAnswer::Found),
-            (StateCall::Get { .. }, 404) => read(body, |done: TxnDone| StateAnswer::Missing(done.revision)),
+            (StateCall::Get { .. }, 404) => read(body, |done: TransactionResult| StateAnswer::Missing(done.revision)),
             (StateCall::List { .. }, 200) => read(body, StateAnswer::Page),
-            (StateCall::Txn(_), 200) => read(body, |done: TxnDone| StateAnswer::Committed(done.revision)),
-            (StateCall::Txn(_), 409) => read(body, |done: TxnDone| StateAnswer::Conflict(done.failed)),
-            (StateCall::Txn(_), 400) => {
+            (StateCall::Transaction(_), 200) => {
+                read(body, |done: TransactionResult| StateAnswer::Committed(done.revision))
+            }
+            (StateCall::Transaction(_), 409) => {
+                read(body, |done: TransactionResult| StateAnswer::Conflict(done.failed))
+            }
+            (StateCall::Transaction(_), 400) => {
                 let text = String::from_utf8_lossy(body);
                 if text.contains("no such lease") {
                     StateAnswer::LeaseGone
@@ -205,7 +209,7 @@
             }
             (StateCall::Renew { .. }, 200) => StateAnswer::Renewed,
             (StateCall::Renew { .. }, 404) => StateAnswer::LeaseGone,
-            (StateCall::Watch { .. }, 200) => read(body, StateAnswer::Events),
+            (StateCall::Watch { .. }, 200) => read(body, StateAnswer::WatchEvents),
             (StateCall::Watch { .. }, 410) => StateAnswer::TooOld,
             (_, 400) => StateAnswer::Rejected(String::from_utf8_lossy(body).chars().take(200).collect()),
             _ => StateAnswer::Unknown,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,6 +1,6 @@
 //! What users send and receive.
 
-use crate::units::JobRef;
+use crate::units::JobId;
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     #[serde(rename = "ref")]
-    pub id: JobRef,
+    pub id: JobId,
     #[serde(rename = "haul")]
     pub class: String,
     #[serde(rename = "crew")]
@@ -42,7 +42,7 @@
     #[serde(rename = "rank")]
     pub priority: Priority,
     #[serde(rename = "loads")]
-    pub tasks: u32,
+    pub task_count: u32,
     #[serde(rename = "cores")]
     pub cpus: f64,
     #[serde(default)]
@@ -60,9 +60,9 @@
     #[serde(default)]
     pub apart: bool,
     #[serde(rename = "driftwood", default)]
-    pub spot: bool,
+    pub spot_allowed: bool,
     #[serde(rename = "reckon_s")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     #[serde(rename = "mark_s", default)]
     pub checkpoint_s: f64,
     #[serde(rename = "stow_s", default)]
@@ -70,8 +70,8 @@
     #[serde(rename = "tide_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each once.
-    #[serde(default, skip_serializing, deserialize_with = "job_refs")]
-    pub awaits: Vec<JobRef>,
+    #[serde(rename = "awaits", default, skip_serializing, deserialize_with = "job_ids")]
+    pub dependencies: Vec<JobId>,
 }
 
 /// Fields without which a submission is malformed, though a record may lack them.
@@ -96,20 +96,20 @@
 #[derive(Deserialize)]
 struct Named {
     #[serde(rename = "ref")]
-    id: JobRef,
+    id: JobId,
 }
 
 /// Why a submission is no valid one, and the job that it names if that can be
 /// read: one that was accepted before stays known, whatever its repeat says.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Malformed {
-    pub id: Option<JobRef>,
+    pub id: Option<JobId>,
     pub reason: String,
 }
 
 /// A list of job ids or null.
-fn job_refs<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobRef>, D::Error> {
-    let mut refs = Option::<Vec<JobRef>>::deserialize(deserializer)?.unwrap_or_default();
+fn job_ids<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
+    let mut refs = Option::<Vec<JobId>>::deserialize(deserializer)?.unwrap_or_default();
     refs.sort();
     refs.dedup();
     Ok(refs)
@@ -118,21 +118,21 @@
 /// The most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
-const REF_PREFIX: &str = "wk-";
+const JOB_ID_PREFIX: &str = "wk-";
 
 /// What a job's id has after the prefix that all of them share.
-pub fn job_ref_rest(id: &JobRef) -> &str {
-    id.as_str().strip_prefix(REF_PREFIX).unwrap_or(id.as_str())
+pub fn job_id_suffix(id: &JobId) -> &str {
+    id.as_str().strip_prefix(JOB_ID_PREFIX).unwrap_or(id.as_str())
 }
 
 /// The id that has this after its prefix.
-pub fn job_ref_of(rest: &str) -> JobRef {
-    JobRef::new(&format!("{REF_PREFIX}{rest}"))
+pub fn job_id_from_suffix(rest: &str) -> JobId {
+    JobId::new(&format!("{JOB_ID_PREFIX}{rest}"))
 }
 
 /// Ids are `wk-` and digits; anything else was never accepted.
-pub fn valid_job_ref(text: &str) -> bool {
-    text.strip_prefix(REF_PREFIX)
+pub fn is_valid_job_id(text: &str) -> bool {
+    text.strip_prefix(JOB_ID_PREFIX)
         .is_some_and(|rest| !rest.is_empty() && rest.len() <= 40 && rest.bytes().all(|b| b.is_ascii_alphanumeric()))
 }
 
@@ -142,7 +142,7 @@
         JobSpec::read(body).map_err(|mut reason| {
             reason.truncate(reason.char_indices().nth(160).map_or(reason.len(), |(at, _)| at));
             let named = serde_json::from_slice::<Named>(body).ok().map(|named| named.id);
-            Malformed { id: named.filter(|id| valid_job_ref(id.as_str())), reason }
+            Malformed { id: named.filter(|id| is_valid_job_id(id.as_str())), reason }
         })
     }
 
@@ -166,13 +166,13 @@
                 Err(format!("{name} is out of range"))
             }
         };
-        if !valid_job_ref(self.id.as_str()) {
+        if !is_valid_job_id(self.id.as_str()) {
             return Err("ref is not a job id".into());
         }
-        if self.awaits.iter().any(|name| !valid_job_ref(name.as_str())) {
+        if self.dependencies.iter().any(|name| !is_valid_job_id(name.as_str())) {
             return Err("awaits names what is not a job id".into());
         }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
+        if self.task_count == 0 || self.task_count > MAX_TASKS {
             return Err("loads is out of range".into());
         }
         for (name, text) in [("haul", &self.class), ("crew", &self.team), ("kit", &self.image)] {
@@ -191,7 +191,7 @@
             return Err("the tasks take nothing".into());
         }
         amount("image_gb", self.image_gb, 0.0)?;
-        amount("reckon_s", self.estimate_s, 0.0)?;
+        amount("reckon_s", self.estimated_run_s, 0.0)?;
         amount("mark_s", self.checkpoint_s, 0.0)?;
         amount("stow_s", self.save_s, 0.0)?;
         if let Some(deadline) = self.deadline_s {
@@ -219,9 +219,9 @@
 }
 
 #[derive(Debug, Serialize)]
-pub struct JobAnswer<'a> {
+pub struct JobStatus<'a> {
     #[serde(rename = "ref")]
-    pub id: &'a JobRef,
+    pub id: &'a JobId,
     #[serde(rename = "trim")]
     pub state: JobState,
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,10 +1,10 @@
 //! What workers report and which commands they take.
 
-use crate::units::{Attempt, JobRef, MachineId, Seq, Session, Token};
+use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, MachineId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "deck")]
     pub machine: MachineId,
     #[serde(rename = "endpoint")]
@@ -16,19 +16,19 @@
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
     #[serde(rename = "watch")]
-    pub session: Session,
+    pub agent_epoch: AgentEpoch,
     #[serde(rename = "tally")]
-    pub seq: Seq,
+    pub heartbeat_number: HeartbeatNumber,
     #[serde(rename = "helm", default)]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "loads", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "load")]
     pub task: TaskName,
     #[serde(rename = "cast")]
@@ -36,7 +36,7 @@
     #[serde(rename = "trim")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -44,7 +44,7 @@
 /// `job/number`, as tasks are called on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
-    pub job: JobRef,
+    pub job: JobId,
     pub index: u32,
 }
 
@@ -72,7 +72,7 @@
 
     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<TaskName, E> {
         text.rsplit_once('/')
-            .and_then(|(job, index)| Some(TaskName { job: JobRef::new(job), index: index.parse().ok()? }))
+            .and_then(|(job, index)| Some(TaskName { job: JobId::new(job), index: index.parse().ok()? }))
             .ok_or_else(|| E::custom("not a task name"))
     }
 }
@@ -92,7 +92,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "halted")]
@@ -141,15 +141,15 @@
 }
 
 #[derive(Debug, Serialize)]
-pub struct ReportAnswer<'a> {
+pub struct HeartbeatResponse<'a> {
     #[serde(rename = "helm")]
-    pub token: Token,
+    pub token: FencingToken,
     #[serde(rename = "calls")]
     pub commands: &'a [Command],
 }
 
 #[derive(Debug, Serialize)]
-pub struct GoElsewhere<'a> {
+pub struct Redirect<'a> {
     #[serde(rename = "harbour", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<&'a str>,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -58,7 +58,8 @@
     pub workers: Workers,
     pub state: StateLimits,
     pub cloud: CloudLimits,
-    pub quota: Quota,
+    #[serde(rename = "quota")]
+    pub process_limits: ProcessLimits,
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -98,7 +99,7 @@
 
 /// The least time that an owner must be able to go on without the state service: a
 /// watch that brings nothing takes a second, and its answer some of the next.
-const LEAST_HORIZON_S: f64 = 2.0;
+const MIN_STORE_ISOLATION_S: f64 = 2.0;
 
 impl Workers {
     /// A worker's lease in seconds, with room for drifting clocks.
@@ -109,7 +110,7 @@
     /// How long an owner may go on answering workers after its last read of the
     /// records, in seconds: their leases then run out before a cancellation that it
     /// cannot have heard of is due. 0 if there is no such time.
-    pub fn horizon_s(&self) -> f64 {
+    pub fn store_isolation_limit_s(&self) -> f64 {
         let margin = (self.report_s + 0.5).min(self.cancel_s / 8.0);
         ((self.cancel_s - margin) / DRIFT - self.longest_lease_s()).max(0.0)
     }
@@ -162,7 +163,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Quota {
+pub struct ProcessLimits {
     /// Share of one core; none: not said.
     #[serde(default)]
     pub cpu_share: Option<f64>,
@@ -191,7 +192,7 @@
             ("cluster.state.write_rps", state.write_rps),
             ("cluster.state.value_kb", state.value_kb),
             ("cluster.cloud.rps", c.cloud.rps),
-            ("cluster.quota.ram_mb", c.quota.ram_mb),
+            ("cluster.process_limits.ram_mb", c.process_limits.ram_mb),
         ];
         for (field, value) in positive {
             if !(value.is_finite() && value > 0.0) {
@@ -204,10 +205,10 @@
         if state.txn_ops < 4 {
             return Err(SettingsError::Value(file.into(), "cluster.state.txn_ops", "must be at least 4"));
         }
-        if c.quota.fd_limit < 32 {
-            return Err(SettingsError::Value(file.into(), "cluster.quota.fd_limit", "must be at least 32"));
+        if c.process_limits.fd_limit < 32 {
+            return Err(SettingsError::Value(file.into(), "cluster.process_limits.fd_limit", "must be at least 32"));
         }
-        if c.workers.horizon_s() < LEAST_HORIZON_S {
+        if c.workers.store_isolation_limit_s() < MIN_STORE_ISOLATION_S {
             let why = "must exceed lease_s, report_s and three seconds together, or no worker could be answered";
             return Err(SettingsError::Value(file.into(), "cluster.workers.cancel_s", why));
         }
@@ -320,14 +321,17 @@
     fn a_cancellation_must_leave_time_to_answer_workers() {
         let checked = |cancel_s: f64| {
             let settings = example(cancel_s);
-            (settings.check("f").is_ok(), settings.cluster.workers.horizon_s())
+            (settings.check("f").is_ok(), settings.cluster.workers.store_isolation_limit_s())
         };
         for cancel_s in [9.0, 10.5, 12.0, 13.5] {
             assert!(!checked(cancel_s).0, "{cancel_s}");
         }
         for cancel_s in [14.0, 16.0, 40.0] {
-            let (taken, horizon_s) = checked(cancel_s);
-            assert!(taken && (horizon_s + 10.2) * 1.0005 < cancel_s, "{cancel_s}: {horizon_s}");
+            let (taken, store_isolation_limit_s) = checked(cancel_s);
+            assert!(
+                taken && (store_isolation_limit_s + 10.2) * 1.0005 < cancel_s,
+                "{cancel_s}: {store_isolation_limit_s}"
+            );
         }
     }
 
--- a/src/bookkeeping/view.rs
+++ b/src/storage/cache.rs
@@ -1,15 +1,15 @@
 //! A node's picture of all durable records, kept current by a watch, by its
 //! own committed transactions and by reads; versions decide what is newer.
 
-use super::names::{Label, Names};
+use super::effective_priority::EffectivePriority;
+use super::names::{InternedName, NameInterner};
 use super::records::{
-    AllowanceRecord, End, FleetRecord, HolderRecord, JobRecord, Key, LevelRecord, NodeRecord, PastRecord, SliceRecord,
-    TaskRecord,
+    ArchivedJob, FeatureLevelRecord, FleetRecord, JobOutcome, JobRecord, LeaseHolderRecord, NodeRecord, QuotaRecord,
+    RecordKey, SliceRecord, TaskRecord,
 };
-use super::urge::Urge;
 use crate::protocol::cloud::Catalog;
 use crate::protocol::users::Priority;
-use crate::units::{Attempt, JobRef, NodeName, PartId, Revision};
+use crate::units::{Attempt, JobId, NodeName, Revision, ShardId};
 use foldhash::fast::FixedState;
 use indexmap::IndexMap;
 use serde::de::DeserializeOwned;
@@ -17,25 +17,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Ended jobs remembered beyond those with a record under the root.
-const MOST_PAST: usize = 2000;
+const MAX_ARCHIVED: usize = 2000;
 
 /// A record with the version it was read at; absent records remember the
 /// revision at which they were seen to be absent.
 #[derive(Debug, Clone)]
-pub struct Held<T> {
+pub struct Versioned<T> {
     pub version: Revision,
     /// The newest revision this was known at; older news is dropped.
     pub known_at: Revision,
     pub record: Option<T>,
 }
 
-impl<T> Default for Held<T> {
+impl<T> Default for Versioned<T> {
     fn default() -> Self {
-        Held { version: Revision(0), known_at: Revision(0), record: None }
+        Versioned { version: Revision(0), known_at: Revision(0), record: None }
     }
 }
 
-impl<T> Held<T> {
+impl<T> Versioned<T> {
     /// Takes newer news; false if it is old.
     fn take(&mut self, at: Revision, record: Option<T>) -> bool {
         if at <= self.known_at {
@@ -51,15 +51,15 @@
 /// A slice of a job. What rounds ask of every slice is counted when it changes.
 #[derive(Debug, Clone, Default)]
 pub struct Slice {
-    held: Held<SliceRecord>,
+    held: Versioned<SliceRecord>,
     /// What the part's owner wants to be durable; none: untouched.
-    want: Option<SliceRecord>,
-    sums: Sums,
+    desired: Option<SliceRecord>,
+    counts: TaskCounts,
 }
 
 /// What rounds and answers ask of slices, counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Sums {
+struct TaskCounts {
     /// Tasks done and on machines, of the durable record.
     done: u32,
     on: u32,
@@ -70,10 +70,10 @@
     unwritten: u32,
 }
 
-impl Sums {
+impl TaskCounts {
     /// With one slice's part of them replaced.
-    fn replaced(self, old: Sums, new: Sums) -> Sums {
-        Sums {
+    fn replaced(self, old: TaskCounts, new: TaskCounts) -> TaskCounts {
+        TaskCounts {
             done: self.done - old.done + new.done,
             on: self.on - old.on + new.on,
             idle: self.idle - old.idle + new.idle,
@@ -91,7 +91,7 @@
         slice
     }
 
-    pub fn held(&self) -> &Held<SliceRecord> {
+    pub fn held(&self) -> &Versioned<SliceRecord> {
         &self.held
     }
 
@@ -100,55 +100,55 @@
         self.held.record.as_ref()
     }
 
-    pub fn want(&self) -> Option<&SliceRecord> {
-        self.want.as_ref()
+    pub fn desired(&self) -> Option<&SliceRecord> {
+        self.desired.as_ref()
     }
 
     /// What is wanted, or else what is durable.
     pub fn newest(&self) -> Option<&SliceRecord> {
-        self.want().or(self.record())
+        self.desired().or(self.record())
     }
 
     /// Tasks that are wanted and wait for a machine.
-    pub fn idle(&self) -> u32 {
-        self.sums.idle
+    pub fn pending_tasks(&self) -> u32 {
+        self.counts.idle
     }
 
     /// Tasks that take room in the record: those wanted on machines, and those
     /// tried before.
     pub fn tried(&self) -> usize {
-        let fresh = |task: &&TaskRecord| matches!(task, TaskRecord::Done | TaskRecord::Idle(Attempt(0)));
-        self.want.iter().flat_map(|w| &w.tasks).filter(|task| !fresh(task)).count()
+        let fresh = |task: &&TaskRecord| matches!(task, TaskRecord::Done | TaskRecord::Pending(Attempt(0)));
+        self.desired.iter().flat_map(|w| &w.tasks).filter(|task| !fresh(task)).count()
     }
 
     /// True if any task is on a machine, as is wanted or else as is durable.
-    pub fn any_on(&self) -> bool {
-        if self.want.is_some() {
-            self.sums.wanted_on > 0
+    pub fn has_placed_task(&self) -> bool {
+        if self.desired.is_some() {
+            self.counts.wanted_on > 0
         } else {
-            self.sums.on > 0
+            self.counts.on > 0
         }
     }
 
     /// True if tasks are wanted on machines that the record does not name yet.
-    pub fn starts_unwritten(&self) -> bool {
-        self.sums.unwritten > 0
+    pub fn has_unwritten_starts(&self) -> bool {
+        self.counts.unwritten > 0
     }
 
     /// True if all tasks are wanted to be done.
-    pub fn wants_done(&self) -> bool {
-        self.want.is_some() && self.sums.idle == 0 && self.sums.wanted_on == 0
+    pub fn is_desired_done(&self) -> bool {
+        self.desired.is_some() && self.counts.idle == 0 && self.counts.wanted_on == 0
     }
 
     fn unwritten_at(&self, at: usize) -> bool {
-        let want = self.want.as_ref().and_then(|r| r.tasks.get(at));
+        let desired = self.desired.as_ref().and_then(|r| r.tasks.get(at));
         let held = self.held.record.as_ref().and_then(|r| r.tasks.get(at));
-        matches!(want, Some(TaskRecord::On(..))) && want != held
+        matches!(desired, Some(TaskRecord::Placed(..))) && desired != held
     }
 
     fn count_unwritten(&mut self) {
-        let tasks = self.want.as_ref().map_or(0, |w| w.tasks.len());
-        self.sums.unwritten = (0..tasks).filter(|at| self.unwritten_at(*at)).count() as u32;
+        let tasks = self.desired.as_ref().map_or(0, |w| w.tasks.len());
+        self.counts.unwritten = (0..tasks).filter(|at| self.unwritten_at(*at)).count() as u32;
     }
 
     /// Takes newer news of the durable record; false if it is old.
@@ -161,61 +161,61 @@
     }
 
     fn count_durable(&mut self) {
-        (self.sums.done, self.sums.on) = (0, 0);
+        (self.counts.done, self.counts.on) = (0, 0);
         for task in self.held.record.iter().flat_map(|r| &r.tasks) {
             match task {
-                TaskRecord::Done => self.sums.done += 1,
-                TaskRecord::On(..) => self.sums.on += 1,
-                TaskRecord::Idle(_) => {}
+                TaskRecord::Done => self.counts.done += 1,
+                TaskRecord::Placed(..) => self.counts.on += 1,
+                TaskRecord::Pending(_) => {}
             }
         }
         self.count_unwritten();
     }
 
-    pub fn set_want(&mut self, want: Option<SliceRecord>) {
-        (self.sums.idle, self.sums.wanted_on) = (0, 0);
-        for task in want.iter().flat_map(|r| &r.tasks) {
+    pub fn set_desired(&mut self, desired: Option<SliceRecord>) {
+        (self.counts.idle, self.counts.wanted_on) = (0, 0);
+        for task in desired.iter().flat_map(|r| &r.tasks) {
             match task {
-                TaskRecord::Idle(_) => self.sums.idle += 1,
-                TaskRecord::On(..) => self.sums.wanted_on += 1,
+                TaskRecord::Pending(_) => self.counts.idle += 1,
+                TaskRecord::Placed(..) => self.counts.wanted_on += 1,
                 TaskRecord::Done => {}
             }
         }
-        self.want = want;
+        self.desired = desired;
         self.count_unwritten();
     }
 
     /// Changes what is wanted of one task; what was wanted before, if the
     /// slice is wanted at all and has such a task.
     pub fn set_task(&mut self, at: usize, to: TaskRecord) -> Option<TaskRecord> {
-        self.sums.unwritten -= u32::from(self.unwritten_at(at));
-        let slot = self.want.as_mut()?.tasks.get_mut(at)?;
-        self.sums.idle += u32::from(matches!(to, TaskRecord::Idle(_)));
-        self.sums.wanted_on += u32::from(matches!(to, TaskRecord::On(..)));
+        self.counts.unwritten -= u32::from(self.unwritten_at(at));
+        let slot = self.desired.as_mut()?.tasks.get_mut(at)?;
+        self.counts.idle += u32::from(matches!(to, TaskRecord::Pending(_)));
+        self.counts.wanted_on += u32::from(matches!(to, TaskRecord::Placed(..)));
         let from = std::mem::replace(slot, to);
-        self.sums.idle -= u32::from(matches!(from, TaskRecord::Idle(_)));
-        self.sums.wanted_on -= u32::from(matches!(from, TaskRecord::On(..)));
-        self.sums.unwritten += u32::from(self.unwritten_at(at));
+        self.counts.idle -= u32::from(matches!(from, TaskRecord::Pending(_)));
+        self.counts.wanted_on -= u32::from(matches!(from, TaskRecord::Placed(..)));
+        self.counts.unwritten += u32::from(self.unwritten_at(at));
         Some(from)
     }
 
     /// True if all tasks are durably done.
     pub fn is_done(&self) -> bool {
-        self.record().is_some_and(|r| r.tasks.len() == self.sums.done as usize)
+        self.record().is_some_and(|r| r.tasks.len() == self.counts.done as usize)
     }
 
     /// True if the owner has changes that are not durable yet.
     pub fn dirty(&self) -> bool {
-        match (&self.want, &self.held.record) {
+        match (&self.desired, &self.held.record) {
             (None, _) => false,
             // An untouched slice needs no record: it may still be dealt elsewhere.
-            (Some(want), None) => want.tasks.iter().any(|t| *t != TaskRecord::Idle(Attempt(0))),
-            (Some(want), Some(held)) => want != held,
+            (Some(desired), None) => desired.tasks.iter().any(|t| *t != TaskRecord::Pending(Attempt(0))),
+            (Some(desired), Some(held)) => desired != held,
         }
     }
     /// True if no task of the slice can be on a machine: it may be dealt anew.
-    pub fn movable(&self) -> bool {
-        self.sums.on == 0 && !self.is_done()
+    pub fn is_reassignable(&self) -> bool {
+        self.counts.on == 0 && !self.is_done()
     }
 }
 
@@ -224,13 +224,13 @@
     pub version: Revision,
     pub record: JobRecord,
     slices: Vec<Slice>,
-    sums: Sums,
+    counts: TaskCounts,
     /// The names of the specification, as the core compares them.
-    pub class: Label,
-    pub team: Label,
-    pub image: Label,
+    pub class: InternedName,
+    pub team: InternedName,
+    pub image: InternedName,
     /// What those that need the job make of its urgency.
-    pub urge: Option<Urge>,
+    pub effective_priority: Option<EffectivePriority>,
 }
 
 impl Job {
@@ -240,17 +240,17 @@
 
     /// Tasks done and on machines, of the durable records.
     pub fn counts(&self) -> (u32, u32) {
-        (self.sums.done, self.sums.on)
+        (self.counts.done, self.counts.on)
     }
 
     /// Tasks of ours that wait for a machine.
-    pub fn idle(&self) -> u32 {
-        self.sums.idle
+    pub fn pending_tasks(&self) -> u32 {
+        self.counts.idle
     }
 
     /// Changes what is wanted of a slice.
-    pub fn set_want(&mut self, index: usize, want: Option<SliceRecord>) {
-        self.change(index, |slice| slice.set_want(want));
+    pub fn set_desired(&mut self, index: usize, desired: Option<SliceRecord>) {
+        self.change(index, |slice| slice.set_desired(desired));
     }
 
     /// Changes what is wanted of one task of a slice; what was wanted before,
@@ -262,38 +262,38 @@
     /// All changes of slices go through here: the sums follow.
     fn change<R>(&mut self, index: usize, change: impl FnOnce(&mut Slice) -> R) -> Option<R> {
         let slice = self.slices.get_mut(index)?;
-        let before = slice.sums;
+        let before = slice.counts;
         let result = change(slice);
-        self.sums = self.sums.replaced(before, slice.sums);
+        self.counts = self.counts.replaced(before, slice.counts);
         Some(result)
     }
 
     /// True if any task is, or is wanted, on a machine.
-    pub fn wants_any_on(&self) -> bool {
-        self.slices.iter().any(|s| s.newest().is_some_and(|r| r.any_on()))
+    pub fn has_placed_tasks(&self) -> bool {
+        self.slices.iter().any(|s| s.newest().is_some_and(|r| r.has_placed_task()))
     }
 
     /// False once all tasks are known to have completed, whatever slices that
     /// are not cleared away yet say.
     pub fn holds_machines(&self) -> bool {
-        self.record.end != Some(End::Done)
+        self.record.end != Some(JobOutcome::Done)
     }
 
     /// The job's priority, or that of any that needs it.
     pub fn priority(&self) -> Priority {
         let own = self.record.spec.priority;
-        self.urge.map_or(own, |urge| urge.priority.max(own))
+        self.effective_priority.map_or(own, |effective_priority| effective_priority.priority.max(own))
     }
 
-    pub fn part_of(&self, slice: usize) -> Option<PartId> {
-        self.record.plan.as_ref()?.parts.get(slice).copied()
+    pub fn shard_of(&self, slice: usize) -> Option<ShardId> {
+        self.record.plan.as_ref()?.shards.get(slice).copied()
     }
 }
 
 /// What a job's newer record says that was not known before. What a node reads
 /// when it starts is no news: the job ended whenever it did, not now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum JobChange {
     /// The job was not known.
     First,
     /// It has ended since its record was last seen.
@@ -303,42 +303,42 @@
 
 /// What changed, for whoever has to act on it.
 #[derive(Debug, PartialEq)]
-pub enum Changed {
+pub enum CacheChange {
     Nothing,
     Leader,
-    Owner(PartId),
+    Owner(ShardId),
     Node(NodeName),
-    Keep(PartId),
-    Job(JobRef, News),
+    LeaseProxy(ShardId),
+    Job(JobId, JobChange),
     /// The job's record is gone: it was put away.
-    JobGone(JobRef),
-    Slice(JobRef, usize),
+    JobGone(JobId),
+    Slice(JobId, usize),
     Fleet,
     Other,
 }
 
 #[derive(Debug, Default)]
-pub struct View {
+pub struct StateCache {
     pub revision: Revision,
-    pub nodes: BTreeMap<NodeName, Held<NodeRecord>>,
-    pub owners: BTreeMap<PartId, Held<HolderRecord>>,
-    pub leader: Held<HolderRecord>,
-    pub catalog: Held<Catalog>,
-    pub fleet: Held<FleetRecord>,
-    pub level: Held<LevelRecord>,
-    pub allowances: BTreeMap<PartId, Held<AllowanceRecord>>,
+    pub nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
+    pub owners: BTreeMap<ShardId, Versioned<LeaseHolderRecord>>,
+    pub leader: Versioned<LeaseHolderRecord>,
+    pub catalog: Versioned<Catalog>,
+    pub fleet: Versioned<FleetRecord>,
+    pub level: Versioned<FeatureLevelRecord>,
+    pub quotas: BTreeMap<ShardId, Versioned<QuotaRecord>>,
     /// Who answers workers of a part in its owner's name.
-    pub keeps: BTreeMap<(PartId, NodeName), Held<NodeRecord>>,
+    pub lease_proxies: BTreeMap<(ShardId, NodeName), Versioned<NodeRecord>>,
     /// In no order that means anything.
-    pub jobs: IndexMap<JobRef, Job, FixedState>,
+    pub jobs: IndexMap<JobId, Job, FixedState>,
     /// Jobs with anything left to do or to clear away.
-    pub active: BTreeSet<JobRef>,
+    pub active: BTreeSet<JobId>,
     /// Jobs that ended long ago, as far as they were asked for lately.
-    past: BTreeMap<JobRef, PastRecord>,
-    past_order: VecDeque<JobRef>,
-    pub names: Names,
+    archived: BTreeMap<JobId, ArchivedJob>,
+    archived_order: VecDeque<JobId>,
+    pub names: NameInterner,
     /// Slices that came before their job did.
-    early: BTreeMap<(JobRef, usize), Held<SliceRecord>>,
+    slices_without_job: BTreeMap<(JobId, usize), Versioned<SliceRecord>>,
 }
 
 fn read<T: DeserializeOwned>(key: &str, value: Option<Value>) -> Result<Option<T>, ()> {
@@ -352,128 +352,132 @@
     }
 }
 
-impl View {
+impl StateCache {
     /// Takes news of a key: its value as of revision `at`, or its absence.
-    pub fn apply(&mut self, key: &str, value: Option<Value>, at: Revision) -> Changed {
-        self.apply_read(key, value, at).unwrap_or(Changed::Nothing)
+    pub fn apply(&mut self, key: &str, value: Option<Value>, at: Revision) -> CacheChange {
+        self.apply_read(key, value, at).unwrap_or(CacheChange::Nothing)
     }
 
-    fn apply_read(&mut self, key: &str, value: Option<Value>, at: Revision) -> Result<Changed, ()> {
-        let changed = |new: bool, what: Changed| if new { what } else { Changed::Nothing };
-        let Some(name) = Key::read(key) else { return Ok(Changed::Nothing) };
+    fn apply_read(&mut self, key: &str, value: Option<Value>, at: Revision) -> Result<CacheChange, ()> {
+        let changed = |new: bool, what: CacheChange| if new { what } else { CacheChange::Nothing };
+        let Some(name) = RecordKey::read(key) else { return Ok(CacheChange::Nothing) };
         Ok(match name {
-            Key::Leader => changed(self.leader.take(at, read(key, value)?), Changed::Leader),
-            Key::Catalog => changed(self.catalog.take(at, read(key, value)?), Changed::Other),
-            Key::Fleet => changed(self.fleet.take(at, read(key, value)?), Changed::Fleet),
-            Key::Level => changed(self.level.take(at, read(key, value)?), Changed::Other),
-            Key::Node(node) => {
+            RecordKey::Leader => changed(self.leader.take(at, read(key, value)?), CacheChange::Leader),
+            RecordKey::Catalog => changed(self.catalog.take(at, read(key, value)?), CacheChange::Other),
+            RecordKey::Fleet => changed(self.fleet.take(at, read(key, value)?), CacheChange::Fleet),
+            RecordKey::FeatureLevel => changed(self.level.take(at, read(key, value)?), CacheChange::Other),
+            RecordKey::Node(node) => {
                 let record = read(key, value)?;
-                changed(self.nodes.entry(node.clone()).or_default().take(at, record), Changed::Node(node))
+                changed(self.nodes.entry(node.clone()).or_default().take(at, record), CacheChange::Node(node))
             }
-            Key::Owner(part) => {
+            RecordKey::Owner(shard) => {
                 let record = read(key, value)?;
-                changed(self.owners.entry(part).or_default().take(at, record), Changed::Owner(part))
+                changed(self.owners.entry(shard).or_default().take(at, record), CacheChange::Owner(shard))
             }
-            Key::Keep(part, node) => {
+            RecordKey::LeaseProxy(shard, node) => {
                 let record = read(key, value)?;
-                changed(self.keeps.entry((part, node)).or_default().take(at, record), Changed::Keep(part))
+                changed(
+                    self.lease_proxies.entry((shard, node)).or_default().take(at, record),
+                    CacheChange::LeaseProxy(shard),
+                )
             }
-            Key::Allowance(part) => {
+            RecordKey::Quota(shard) => {
                 let record = read(key, value)?;
-                changed(self.allowances.entry(part).or_default().take(at, record), Changed::Other)
+                changed(self.quotas.entry(shard).or_default().take(at, record), CacheChange::Other)
             }
-            Key::Job(job) => match read(key, value)? {
+            RecordKey::Job(job) => match read(key, value)? {
                 Some(record) => {
-                    self.take_job(&job, record, at).map_or(Changed::Nothing, |news| Changed::Job(job, news))
+                    self.take_job(&job, record, at).map_or(CacheChange::Nothing, |news| CacheChange::Job(job, news))
                 }
                 None => {
                     let gone = self.drop_job(&job, at);
-                    changed(gone, Changed::JobGone(job))
+                    changed(gone, CacheChange::JobGone(job))
                 }
             },
-            Key::Slice(job, index) => {
+            RecordKey::Slice(job, index) => {
                 let known = self.jobs.get_mut(&job).filter(|known| index < known.slices.len());
                 // Our own changes come back by the watch: they need no second reading.
                 if known.as_ref().is_some_and(|known| at <= known.slices[index].held.known_at) {
-                    return Ok(Changed::Nothing);
+                    return Ok(CacheChange::Nothing);
                 }
                 let record = read(key, value)?;
                 let new = match known {
                     Some(known) => known.change(index, |slice| slice.take(at, record)).unwrap_or(false),
-                    None => self.early.entry((job.clone(), index)).or_default().take(at, record),
+                    None => self.slices_without_job.entry((job.clone(), index)).or_default().take(at, record),
                 };
                 self.settle(&job);
-                changed(new, Changed::Slice(job, index))
+                changed(new, CacheChange::Slice(job, index))
             }
         })
     }
 
     /// What is new in a job's record; none if it is old.
-    fn take_job(&mut self, id: &JobRef, record: JobRecord, at: Revision) -> Option<News> {
+    fn take_job(&mut self, id: &JobId, record: JobRecord, at: Revision) -> Option<JobChange> {
         let names = &mut self.names;
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Job {
             version: Revision(0),
             slices: vec![],
-            sums: Sums::default(),
-            class: names.label(&record.spec.class),
-            team: names.label(&record.spec.team),
-            image: names.label(&record.spec.image),
+            counts: TaskCounts::default(),
+            class: names.intern(&record.spec.class),
+            team: names.intern(&record.spec.team),
+            image: names.intern(&record.spec.image),
             record: record.clone(),
-            urge: None,
+            effective_priority: None,
         });
         if at <= job.version {
             return None;
         }
         let news = match (job.version, job.record.end, record.end) {
-            (Revision(0), ..) => News::First,
-            (_, None, Some(_)) => News::Ended,
-            _ => News::Other,
+            (Revision(0), ..) => JobChange::First,
+            (_, None, Some(_)) => JobChange::Ended,
+            _ => JobChange::Other,
         };
         job.version = at;
-        let count = record.plan.as_ref().map_or(0, |p| p.parts.len());
+        let count = record.plan.as_ref().map_or(0, |p| p.shards.len());
         job.record = record;
         if job.slices.len() != count {
             job.slices.resize_with(count, Slice::default);
         }
         for (index, slice) in job.slices.iter_mut().enumerate() {
-            if let Some(held) = self.early.remove(&(id.clone(), index)) {
+            if let Some(held) = self.slices_without_job.remove(&(id.clone(), index)) {
                 slice.held = held;
                 slice.count_durable();
             }
         }
-        job.sums = job.slices.iter().fold(Sums::default(), |all, s| all.replaced(Sums::default(), s.sums));
+        job.counts =
+            job.slices.iter().fold(TaskCounts::default(), |all, s| all.replaced(TaskCounts::default(), s.counts));
         self.settle(id);
         Some(news)
     }
 
     /// A job's record is gone: it was put away with those that ended long ago.
-    fn drop_job(&mut self, id: &JobRef, at: Revision) -> bool {
+    fn drop_job(&mut self, id: &JobId, at: Revision) -> bool {
         if self.jobs.get(id).is_none_or(|j| at <= j.version) {
             return false;
         }
         if let Some(job) = self.jobs.swap_remove(id) {
             self.active.remove(id);
             if let Some(end) = job.record.end {
-                self.remember_past(id, PastRecord { end, tasks: job.record.spec.tasks });
+                self.remember_archived(id, ArchivedJob { end, tasks: job.record.spec.task_count });
             }
         }
         true
     }
 
-    pub fn remember_past(&mut self, id: &JobRef, record: PastRecord) {
-        if self.past.insert(id.clone(), record).is_none() {
-            self.past_order.push_back(id.clone());
+    pub fn remember_archived(&mut self, id: &JobId, record: ArchivedJob) {
+        if self.archived.insert(id.clone(), record).is_none() {
+            self.archived_order.push_back(id.clone());
         }
-        while self.past_order.len() > MOST_PAST {
-            if let Some(oldest) = self.past_order.pop_front() {
-                self.past.remove(&oldest);
+        while self.archived_order.len() > MAX_ARCHIVED {
+            if let Some(oldest) = self.archived_order.pop_front() {
+                self.archived.remove(&oldest);
             }
         }
     }
 
     /// Keeps the list of active jobs: a job leaves it when nothing of it can
     /// still be on a machine, and comes to it when it may start.
-    fn settle(&mut self, id: &JobRef) {
+    fn settle(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         let left = job.slices.iter().any(|s| s.record().is_some());
         if (job.record.end.is_none() && !job.record.waits()) || left {
@@ -489,8 +493,8 @@
         let mut absent: Vec<String> = vec![];
         absent.extend(self.nodes.keys().map(r::node_key));
         absent.extend(self.owners.keys().map(|&p| r::owner_key(p)));
-        absent.extend(self.allowances.keys().map(|&p| r::allowance_key(p)));
-        absent.extend(self.keeps.keys().map(|(part, node)| r::keep_key(*part, node)));
+        absent.extend(self.quotas.keys().map(|&p| r::quota_key(p)));
+        absent.extend(self.lease_proxies.keys().map(|(shard, node)| r::lease_proxy_key(*shard, node)));
         absent.push(r::LEADER_KEY.into());
         for (id, job) in &self.jobs {
             absent.push(r::job_key(id));
@@ -512,16 +516,16 @@
         self.nodes.iter().filter_map(|(name, held)| Some((name, held.record.as_ref()?)))
     }
 
-    pub fn owner(&self, part: PartId) -> Option<&NodeName> {
-        self.owners.get(&part)?.record.as_ref().map(|r| &r.node)
+    pub fn owner(&self, shard: ShardId) -> Option<&NodeName> {
+        self.owners.get(&shard)?.record.as_ref().map(|r| &r.node)
     }
 
-    pub fn final_state(&self, job: &JobRef) -> Option<End> {
-        self.jobs.get(job).map_or_else(|| self.past(job).map(|p| p.end), |j| j.record.end)
+    pub fn final_state(&self, job: &JobId) -> Option<JobOutcome> {
+        self.jobs.get(job).map_or_else(|| self.archived(job).map(|p| p.end), |j| j.record.end)
     }
 
-    pub fn past(&self, job: &JobRef) -> Option<PastRecord> {
-        self.past.get(job).copied()
+    pub fn archived(&self, job: &JobId) -> Option<ArchivedJob> {
+        self.archived.get(job).copied()
     }
 }
 
@@ -533,15 +537,15 @@
 
     fn task() -> impl Strategy<Value = TaskRecord> {
         prop_oneof![
-            (0u64..3).prop_map(|a| TaskRecord::Idle(Attempt(a))),
-            (1u64..3, 0u32..2).prop_map(|(a, m)| TaskRecord::On(Attempt(a), MachineId::new(&format!("i-{m}")))),
+            (0u64..3).prop_map(|a| TaskRecord::Pending(Attempt(a))),
+            (1u64..3, 0u32..2).prop_map(|(a, m)| TaskRecord::Placed(Attempt(a), MachineId::new(&format!("i-{m}")))),
             Just(TaskRecord::Done),
         ]
     }
 
     #[derive(Debug, Clone)]
     enum Step {
-        Held(Option<Vec<TaskRecord>>),
+        Versioned(Option<Vec<TaskRecord>>),
         Want(Option<Vec<TaskRecord>>),
         Task(usize, TaskRecord),
     }
@@ -549,7 +553,7 @@
     fn step() -> impl Strategy<Value = Step> {
         let tasks = || proptest::option::of(proptest::collection::vec(task(), 5));
         prop_oneof![
-            1 => tasks().prop_map(Step::Held),
+            1 => tasks().prop_map(Step::Versioned),
             1 => tasks().prop_map(Step::Want),
             4 => (0usize..6, task()).prop_map(|(at, to)| Step::Task(at, to)),
         ]
@@ -566,31 +570,31 @@
                     "cores": 1.0, "mem_gb": 1.0, "kit": "i", "image_gb": 1.0, "reckon_s": 1.0},
                 "at": 0, "plan": {"size": 5, "parts": [0, 1]}
             });
-            let mut view = View::default();
-            view.apply("t/j/wk-1", Some(text), Revision(1));
-            let id = JobRef::new("wk-1");
+            let mut cache = StateCache::default();
+            cache.apply("t/j/wk-1", Some(text), Revision(1));
+            let id = JobId::new("wk-1");
             for (at, (index, step)) in steps.into_iter().enumerate() {
                 let revision = Revision(2 + at as u64);
                 match step {
-                    Step::Held(tasks) => {
+                    Step::Versioned(tasks) => {
                         let value = tasks.map(|tasks| serde_json::to_value(SliceRecord { tasks }).unwrap());
-                        view.apply(&format!("t/s/wk-1/{index}"), value, revision);
+                        cache.apply(&format!("t/s/wk-1/{index}"), value, revision);
                     }
                     Step::Want(tasks) => {
-                        view.jobs[&id].set_want(index, tasks.map(|tasks| SliceRecord { tasks }));
+                        cache.jobs[&id].set_desired(index, tasks.map(|tasks| SliceRecord { tasks }));
                     }
                     Step::Task(at, to) => {
-                        view.jobs[&id].set_task(index, at, to);
+                        cache.jobs[&id].set_task(index, at, to);
                     }
                 }
-                let mut sums = Sums::default();
-                for slice in view.jobs[&id].slices() {
+                let mut counts = TaskCounts::default();
+                for slice in cache.jobs[&id].slices() {
                     let mut fresh = Slice::known(revision, slice.record().cloned());
-                    fresh.set_want(slice.want().cloned());
-                    prop_assert_eq!(slice.sums, fresh.sums);
-                    sums = sums.replaced(Sums::default(), fresh.sums);
+                    fresh.set_desired(slice.desired().cloned());
+                    prop_assert_eq!(slice.counts, fresh.counts);
+                    counts = counts.replaced(TaskCounts::default(), fresh.counts);
                 }
-                prop_assert_eq!(view.jobs[&id].sums, sums);
+                prop_assert_eq!(cache.jobs[&id].counts, counts);
             }
         }
     }
--- a/src/bookkeeping/dense.rs
+++ b/src/storage/compact.rs
@@ -6,7 +6,7 @@
 //! `-` for the rest of the name. So an array spread over a fleet takes some
 //! five bytes a running task, where the plain form takes twenty.
 
-use super::records::Tried;
+use super::records::StartedTask;
 use crate::units::{Attempt, MachineId};
 
 /// Characters that part words, or what a word is made of.
@@ -25,7 +25,7 @@
 
 /// Writes tasks in the order of their indexes; none if a machine's name could
 /// be taken for something else.
-pub(super) fn write(tasks: &[Tried]) -> Option<String> {
+pub(super) fn write(tasks: &[StartedTask]) -> Option<String> {
     let names: Vec<&str> = tasks.iter().filter_map(|t| t.2.as_ref()).map(MachineId::as_str).collect();
     let prefix = names.first().map_or("", |name| &name[..shared(&names)]);
     if names.iter().any(|name| name.contains(MARKS) || &name[prefix.len()..] == NOWHERE) {
@@ -51,7 +51,7 @@
 }
 
 /// Reads what `write` wrote; none if it makes no sense.
-pub(super) fn read(text: &str) -> Option<Vec<Tried>> {
+pub(super) fn read(text: &str) -> Option<Vec<StartedTask>> {
     let mut words = text.split(' ');
     let prefix = words.next()?;
     let mut tasks = vec![];
--- a/src/bookkeeping/lifetimes.rs
+++ b/src/storage/lifetimes.rs
@@ -8,7 +8,7 @@
 /// One machine's life: its length, and whether its end was a loss. Machines
 /// still up or given back only show that they survived so long.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Life {
+pub struct Lifetime {
     pub age_s: f64,
     pub lost: bool,
 }
@@ -16,8 +16,8 @@
 /// Survival of machines, estimated as Kaplan and Meier do, so that censored
 /// lives count for as long as they were watched and no longer.
 #[derive(Debug, Clone, Default)]
-pub struct History {
-    ended: VecDeque<Life>,
+pub struct LifetimeHistory {
+    ended: VecDeque<Lifetime>,
     /// Ages at which lives were lost, rising.
     steps: Vec<Step>,
     longest: f64,
@@ -33,8 +33,8 @@
     lost_ages: f64,
 }
 
-impl History {
-    pub fn add(&mut self, life: Life) {
+impl LifetimeHistory {
+    pub fn add(&mut self, life: Lifetime) {
         if self.ended.len() == WINDOW {
             self.ended.pop_front();
         }
@@ -47,8 +47,8 @@
 
     /// Rebuilds the curve from the ended lives and the ages of machines still up.
     pub fn rebuild(&mut self, still_up: &[f64]) {
-        let mut lives: Vec<Life> = self.ended.iter().copied().collect();
-        lives.extend(still_up.iter().map(|&age_s| Life { age_s, lost: false }));
+        let mut lives: Vec<Lifetime> = self.ended.iter().copied().collect();
+        lives.extend(still_up.iter().map(|&age_s| Lifetime { age_s, lost: false }));
         lives.sort_by(|a, b| a.age_s.total_cmp(&b.age_s));
         self.longest = lives.last().map_or(0.0, |l| l.age_s);
         self.steps.clear();
@@ -111,10 +111,10 @@
 mod tests {
     use super::*;
 
-    fn history(lost: &[f64], up: &[f64]) -> History {
-        let mut history = History::default();
+    fn history(lost: &[f64], up: &[f64]) -> LifetimeHistory {
+        let mut history = LifetimeHistory::default();
         for &age_s in lost {
-            history.add(Life { age_s, lost: true });
+            history.add(Lifetime { age_s, lost: true });
         }
         history.rebuild(up);
         history
@@ -132,7 +132,7 @@
 
     #[test]
     fn edges_give_certainty() {
-        assert_eq!(History::default().outlasts(5.0, 100.0), 1.0);
+        assert_eq!(LifetimeHistory::default().outlasts(5.0, 100.0), 1.0);
         assert_eq!(history(&[10.0], &[]).outlasts(11.0, 5.0), 1.0);
     }
 
--- a/src/bookkeeping/mod.rs
+++ b/src/storage/mod.rs
@@ -1,9 +1,9 @@
 //! What is known: durable records, the view of them, and machine lifetimes.
 
-pub mod budget;
-mod dense;
+pub mod cache;
+mod compact;
+pub mod effective_priority;
 pub mod lifetimes;
 pub mod names;
+pub mod rate_limiter;
 pub mod records;
-pub mod urge;
-pub mod view;
--- a/src/bookkeeping/names.rs
+++ b/src/storage/names.rs
@@ -9,25 +9,25 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A name of a [`Names`]; labels of different ones must not be compared.
+/// A name of a [`NameInterner`]; labels of different ones must not be compared.
 #[derive(Debug, Clone)]
-pub struct Label(Arc<str>);
+pub struct InternedName(Arc<str>);
 
-impl Label {
+impl InternedName {
     fn address(&self) -> usize {
         self.0.as_ptr() as usize
     }
 }
 
-impl PartialEq for Label {
+impl PartialEq for InternedName {
     fn eq(&self, other: &Self) -> bool {
         self.address() == other.address()
     }
 }
 
-impl Eq for Label {}
+impl Eq for InternedName {}
 
-impl Hash for Label {
+impl Hash for InternedName {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.address().hash(state);
     }
@@ -38,18 +38,18 @@
 
 /// All names in use.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameInterner {
     known: HashSet<Arc<str>, FixedState>,
     /// Names left when those out of use were last dropped.
     kept: usize,
 }
 
-impl Names {
+impl NameInterner {
     /// The label of a text. Memory follows the names in use, not all there ever
     /// were: users choose them.
-    pub fn label(&mut self, text: &str) -> Label {
+    pub fn intern(&mut self, text: &str) -> InternedName {
         if let Some(known) = self.known.get(text) {
-            return Label(known.clone());
+            return InternedName(known.clone());
         }
         if self.known.len() >= 2 * self.kept.max(FEW) {
             self.known.retain(|name| Arc::strong_count(name) > 1);
@@ -57,7 +57,7 @@
         }
         let name: Arc<str> = Arc::from(text);
         self.known.insert(name.clone());
-        Label(name)
+        InternedName(name)
     }
 }
 
@@ -67,13 +67,13 @@
 
     #[test]
     fn equal_texts_get_one_label_and_unused_names_are_dropped() {
-        let mut names = Names::default();
-        let kept = names.label("img-a");
+        let mut names = NameInterner::default();
+        let kept = names.intern("img-a");
         for n in 0..10_000 {
-            assert_ne!(names.label(&format!("img-{n}")), kept);
+            assert_ne!(names.intern(&format!("img-{n}")), kept);
         }
         // Tidying must not give a name in use a second label.
-        assert_eq!(names.label("img-a"), kept);
+        assert_eq!(names.intern("img-a"), kept);
         assert!(names.known.len() <= 2 * FEW + 1, "{}", names.known.len());
     }
 }
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -1,7 +1,7 @@
 //! The durable records, as they stand in the state service.
 
-use crate::protocol::users::{job_ref_of, job_ref_rest, JobSpec};
-use crate::units::{Attempt, JobRef, LeaseId, MachineId, NodeName, PartId};
+use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
+use crate::units::{Attempt, JobId, LeaseId, MachineId, NodeName, ShardId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -11,70 +11,70 @@
 pub const LEADER_KEY: &str = "t/l";
 pub const CATALOG_KEY: &str = "t/k";
 pub const FLEET_KEY: &str = "t/f";
-pub const LEVEL_KEY: &str = "t/v";
+pub const FEATURE_LEVEL_KEY: &str = "t/v";
 
 pub fn node_key(node: &NodeName) -> String {
     format!("t/n/{node}")
 }
-pub fn owner_key(part: PartId) -> String {
-    format!("t/o/{part}")
+pub fn owner_key(shard: ShardId) -> String {
+    format!("t/o/{shard}")
 }
-pub fn allowance_key(part: PartId) -> String {
-    format!("t/a/{part}")
+pub fn quota_key(shard: ShardId) -> String {
+    format!("t/a/{shard}")
 }
-pub fn job_key(job: &JobRef) -> String {
+pub fn job_key(job: &JobId) -> String {
     format!("t/j/{job}")
 }
 /// What is kept of a job for ever. Not under the root that every node reads
 /// and watches: start-up and memory must not grow with all jobs there ever were.
-pub fn past_key(job: &JobRef) -> String {
+pub fn archived_job_key(job: &JobId) -> String {
     format!("f/{job}")
 }
 /// A node's note that it answers workers of a part in its owner's name.
-pub fn keep_key(part: PartId, node: &NodeName) -> String {
-    format!("t/w/{part}/{node}")
+pub fn lease_proxy_key(shard: ShardId, node: &NodeName) -> String {
+    format!("t/w/{shard}/{node}")
 }
-pub fn slice_key(job: &JobRef, slice: usize) -> String {
+pub fn slice_key(job: &JobId, slice: usize) -> String {
     format!("t/s/{job}/{slice}")
 }
 
 /// What a key stands for.
 #[derive(Debug, PartialEq)]
-pub enum Key {
+pub enum RecordKey {
     Leader,
     Catalog,
     Fleet,
-    Level,
+    FeatureLevel,
     Node(NodeName),
-    Owner(PartId),
-    Allowance(PartId),
-    Job(JobRef),
-    Slice(JobRef, usize),
-    Keep(PartId, NodeName),
+    Owner(ShardId),
+    Quota(ShardId),
+    Job(JobId),
+    Slice(JobId, usize),
+    LeaseProxy(ShardId, NodeName),
 }
 
-impl Key {
-    pub fn read(key: &str) -> Option<Key> {
+impl RecordKey {
+    pub fn read(key: &str) -> Option<RecordKey> {
         match key {
-            LEADER_KEY => return Some(Key::Leader),
-            CATALOG_KEY => return Some(Key::Catalog),
-            FLEET_KEY => return Some(Key::Fleet),
-            LEVEL_KEY => return Some(Key::Level),
+            LEADER_KEY => return Some(RecordKey::Leader),
+            CATALOG_KEY => return Some(RecordKey::Catalog),
+            FLEET_KEY => return Some(RecordKey::Fleet),
+            FEATURE_LEVEL_KEY => return Some(RecordKey::FeatureLevel),
             _ => {}
         }
         let (family, rest) = key.strip_prefix(ROOT)?.split_once('/')?;
         Some(match family {
-            "n" => Key::Node(NodeName::new(rest)),
-            "o" => Key::Owner(PartId(rest.parse().ok()?)),
-            "a" => Key::Allowance(PartId(rest.parse().ok()?)),
-            "j" => Key::Job(JobRef::new(rest)),
+            "n" => RecordKey::Node(NodeName::new(rest)),
+            "o" => RecordKey::Owner(ShardId(rest.parse().ok()?)),
+            "a" => RecordKey::Quota(ShardId(rest.parse().ok()?)),
+            "j" => RecordKey::Job(JobId::new(rest)),
             "w" => {
-                let (part, node) = rest.split_once('/')?;
-                Key::Keep(PartId(part.parse().ok()?), NodeName::new(node))
+                let (shard, node) = rest.split_once('/')?;
+                RecordKey::LeaseProxy(ShardId(shard.parse().ok()?), NodeName::new(node))
             }
             "s" => {
                 let (job, slice) = rest.rsplit_once('/')?;
-                Key::Slice(JobRef::new(job), slice.parse().ok()?)
+                RecordKey::Slice(JobId::new(job), slice.parse().ok()?)
             }
             _ => return None,
         })
@@ -87,24 +87,24 @@
     pub lease: LeaseId,
     /// What the controller can do; older ones say nothing.
     #[serde(default)]
-    pub level: Level,
+    pub level: FeatureLevel,
 }
 
 /// What controllers can do, each level all that is below it as well. 1: jobs
 /// that name others which have to be done first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Level(pub u32);
+pub struct FeatureLevel(pub u32);
 
 /// What is turned on, for good.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct LevelRecord {
-    pub level: Level,
+pub struct FeatureLevelRecord {
+    pub level: FeatureLevel,
 }
 
 /// Who owns a part, or leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HolderRecord {
+pub struct LeaseHolderRecord {
     pub node: NodeName,
     /// The lease that keeps the key; tells a node's lives apart.
     pub lease: LeaseId,
@@ -112,12 +112,13 @@
 
 /// How a job is cut: slices of `size` tasks, each dealt to a part.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct SlicePlan {
     pub size: u32,
-    pub parts: Vec<PartId>,
+    #[serde(rename = "parts")]
+    pub shards: Vec<ShardId>,
 }
 
-impl Plan {
+impl SlicePlan {
     pub fn slice_of(&self, task: u32) -> (usize, usize) {
         ((task / self.size.max(1)) as usize, (task % self.size.max(1)) as usize)
     }
@@ -129,13 +130,13 @@
         tasks.saturating_sub(self.first_task(slice)).min(self.size) as usize
     }
     pub fn is_empty(&self) -> bool {
-        self.parts.is_empty()
+        self.shards.is_empty()
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum End {
+pub enum JobOutcome {
     Done,
     Cancelled,
 }
@@ -146,14 +147,14 @@
     /// Time of day at acceptance in milliseconds; only ever an estimate of age.
     pub at: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub plan: Option<Plan>,
+    pub plan: Option<SlicePlan>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<End>,
+    pub end: Option<JobOutcome>,
     /// Jobs that have to be done before this one may start. Controllers that
     /// do not know of them drop them when they write a job's end, after which
     /// nobody asks; until then the plan without slices keeps it from starting.
-    #[serde(default, skip_serializing_if = "Awaits::is_empty")]
-    pub awaits: Awaits,
+    #[serde(rename = "awaits", default, skip_serializing_if = "Dependencies::is_empty")]
+    pub dependencies: Dependencies,
     /// Time of day in milliseconds when the last job that it waited for was
     /// seen to be done; orders work, nothing else.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -163,12 +164,12 @@
 impl JobRecord {
     /// A job accepted at this time of day, not dealt to any part.
     pub fn new(spec: JobSpec, at: u64) -> JobRecord {
-        JobRecord { spec, at, plan: None, end: None, awaits: Awaits::default(), ready: None }
+        JobRecord { spec, at, plan: None, end: None, dependencies: Dependencies::default(), ready: None }
     }
 
     /// True while the job waits for others: its plan has no slices.
     pub fn waits(&self) -> bool {
-        self.end.is_none() && self.plan.as_ref().is_some_and(Plan::is_empty)
+        self.end.is_none() && self.plan.as_ref().is_some_and(SlicePlan::is_empty)
     }
 
     /// Since when the job may start, time of day in milliseconds.
@@ -181,30 +182,30 @@
 /// is one value.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
-pub struct Awaits(pub Vec<JobRef>);
+pub struct Dependencies(pub Vec<JobId>);
 
-impl Awaits {
+impl Dependencies {
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-impl From<String> for Awaits {
+impl From<String> for Dependencies {
     fn from(text: String) -> Self {
-        Awaits(text.split_whitespace().map(job_ref_of).collect())
+        Dependencies(text.split_whitespace().map(job_id_from_suffix).collect())
     }
 }
 
-impl From<Awaits> for String {
-    fn from(awaits: Awaits) -> Self {
-        awaits.0.iter().map(job_ref_rest).collect::<Vec<_>>().join(" ")
+impl From<Dependencies> for String {
+    fn from(dependencies: Dependencies) -> Self {
+        dependencies.0.iter().map(job_id_suffix).collect::<Vec<_>>().join(" ")
     }
 }
 
 /// A job that ended long ago.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct PastRecord {
-    pub end: End,
+pub struct ArchivedJob {
+    pub end: JobOutcome,
     pub tasks: u32,
 }
 
@@ -212,9 +213,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskRecord {
     /// On no machine for certain, after so many attempts.
-    Idle(Attempt),
+    Pending(Attempt),
     /// Possibly on this machine until proof of the contrary.
-    On(Attempt, MachineId),
+    Placed(Attempt, MachineId),
     Done,
 }
 
@@ -226,19 +227,19 @@
 
 impl SliceRecord {
     pub fn fresh(len: usize) -> Self {
-        SliceRecord { tasks: vec![TaskRecord::Idle(Attempt(0)); len] }
+        SliceRecord { tasks: vec![TaskRecord::Pending(Attempt(0)); len] }
     }
     pub fn is_done(&self) -> bool {
         self.tasks.iter().all(|t| *t == TaskRecord::Done)
     }
-    pub fn any_on(&self) -> bool {
-        self.tasks.iter().any(|t| matches!(t, TaskRecord::On(..)))
+    pub fn has_placed_task(&self) -> bool {
+        self.tasks.iter().any(|t| matches!(t, TaskRecord::Placed(..)))
     }
     /// The dense form: for slices whose plain form does not fit into one value,
     /// once all controllers can read it. None if machines' names are too odd.
-    pub fn dense(&self) -> Option<Value> {
+    pub fn compact(&self) -> Option<Value> {
         let plain = PackedSlice::from(self.clone());
-        let packed = PackedSlice { t: vec![], z: Some(super::dense::write(&plain.t)?), ..plain };
+        let packed = PackedSlice { t: vec![], z: Some(super::compact::write(&plain.t)?), ..plain };
         serde_json::to_value(packed).ok()
     }
 
@@ -249,7 +250,7 @@
 
 /// A task that was ever tried and is not done: its index, attempt, and machine
 /// unless it is on none.
-pub(super) type Tried = (usize, Attempt, Option<MachineId>);
+pub(super) type StartedTask = (usize, Attempt, Option<MachineId>);
 
 /// The packed form: the number of tasks, those done as ranges, and the rest
 /// that were ever tried as `[index, attempt, machine or null]`.
@@ -259,7 +260,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     d: Vec<(usize, usize)>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    t: Vec<Tried>,
+    t: Vec<StartedTask>,
     /// The same in less room.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     z: Option<String>,
@@ -270,9 +271,9 @@
         let mut packed = PackedSlice { n: slice.tasks.len(), d: vec![], t: vec![], z: None };
         for (index, task) in slice.tasks.into_iter().enumerate() {
             match task {
-                TaskRecord::Idle(Attempt(0)) => {}
-                TaskRecord::Idle(attempt) => packed.t.push((index, attempt, None)),
-                TaskRecord::On(attempt, machine) => packed.t.push((index, attempt, Some(machine))),
+                TaskRecord::Pending(Attempt(0)) => {}
+                TaskRecord::Pending(attempt) => packed.t.push((index, attempt, None)),
+                TaskRecord::Placed(attempt, machine) => packed.t.push((index, attempt, Some(machine))),
                 TaskRecord::Done => match packed.d.last_mut() {
                     Some(range) if range.1 + 1 == index => range.1 = index,
                     _ => packed.d.push((index, index)),
@@ -294,11 +295,11 @@
             let range = slice.tasks.get_mut(first..=last).ok_or("a range out of bounds")?;
             range.fill(TaskRecord::Done);
         }
-        let dense = packed.z.map(|text| super::dense::read(&text).ok_or("a dense form that makes no sense"));
-        for (index, attempt, machine) in packed.t.into_iter().chain(dense.transpose()?.into_iter().flatten()) {
+        let compact = packed.z.map(|text| super::compact::read(&text).ok_or("a dense form that makes no sense"));
+        for (index, attempt, machine) in packed.t.into_iter().chain(compact.transpose()?.into_iter().flatten()) {
             *slice.tasks.get_mut(index).ok_or("an index out of bounds")? = match machine {
-                Some(machine) => TaskRecord::On(attempt, machine),
-                None => TaskRecord::Idle(attempt),
+                Some(machine) => TaskRecord::Placed(attempt, machine),
+                None => TaskRecord::Pending(attempt),
             };
         }
         Ok(slice)
@@ -307,7 +308,7 @@
 
 /// What a part may use of each team's limit.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct AllowanceRecord {
+pub struct QuotaRecord {
     pub teams: BTreeMap<String, (f64, f64)>,
 }
 
@@ -329,8 +330,9 @@
 
     fn task() -> impl Strategy<Value = TaskRecord> {
         prop_oneof![
-            (0u64..9).prop_map(|a| TaskRecord::Idle(Attempt(a))),
-            (1u64..9, 0u32..999).prop_map(|(a, m)| TaskRecord::On(Attempt(a), MachineId::new(&format!("i-{m:06}")))),
+            (0u64..9).prop_map(|a| TaskRecord::Pending(Attempt(a))),
+            (1u64..9, 0u32..999)
+                .prop_map(|(a, m)| TaskRecord::Placed(Attempt(a), MachineId::new(&format!("i-{m:06}")))),
             Just(TaskRecord::Done),
         ]
     }
@@ -342,7 +344,7 @@
             let slice = SliceRecord { tasks };
             let text = serde_json::to_string(&slice).unwrap();
             prop_assert_eq!(serde_json::from_str::<SliceRecord>(&text).unwrap(), slice.clone());
-            prop_assert_eq!(serde_json::from_value::<SliceRecord>(slice.dense().unwrap()).unwrap(), slice);
+            prop_assert_eq!(serde_json::from_value::<SliceRecord>(slice.compact().unwrap()).unwrap(), slice);
         }
 
         #[test]
@@ -356,12 +358,12 @@
 
     #[test]
     fn keys_read_back() {
-        let job = JobRef::new("wk-000001");
-        assert_eq!(Key::read(&slice_key(&job, 3)), Some(Key::Slice(job.clone(), 3)));
-        assert_eq!(Key::read(&job_key(&job)), Some(Key::Job(job)));
-        assert_eq!(Key::read(&owner_key(PartId(2))), Some(Key::Owner(PartId(2))));
+        let job = JobId::new("wk-000001");
+        assert_eq!(RecordKey::read(&slice_key(&job, 3)), Some(RecordKey::Slice(job.clone(), 3)));
+        assert_eq!(RecordKey::read(&job_key(&job)), Some(RecordKey::Job(job)));
+        assert_eq!(RecordKey::read(&owner_key(ShardId(2))), Some(RecordKey::Owner(ShardId(2))));
         let node = NodeName::new("n1");
-        assert_eq!(Key::read(&keep_key(PartId(2), &node)), Some(Key::Keep(PartId(2), node)));
-        assert_eq!(Key::read("elsewhere"), None);
+        assert_eq!(RecordKey::read(&lease_proxy_key(ShardId(2), &node)), Some(RecordKey::LeaseProxy(ShardId(2), node)));
+        assert_eq!(RecordKey::read("elsewhere"), None);
     }
 }
--- a/src/transport/engine.rs
+++ b/src/transport/engine.rs
@@ -4,9 +4,9 @@
 use super::outside::{self, Outside};
 use super::rollouts::Controller;
 use super::{peers, server};
-use crate::coordination::{Core, Input, Output, Reply};
+use crate::coordination::{Core, Input, Output, Response};
 use crate::settings::{Settings, Tuning};
-use crate::units::{RequestId, Time};
+use crate::units::{MonotonicTime, RequestId};
 use std::collections::{HashMap, VecDeque};
 use std::sync::mpsc::{sync_channel, RecvTimeoutError, SyncSender};
 use std::sync::Arc;
@@ -38,8 +38,8 @@
 ///
 /// If the limits leave too little for them.
 pub fn plan(settings: &Settings, tuning: &Tuning, rollouts: Option<&Rollouts>) -> Result<Plan, PlanError> {
-    let quota = &settings.cluster.quota;
-    let limits = Limits { threads: tuning.threads, sockets: quota.fd_limit, memory_mib: quota.ram_mb };
+    let limits = &settings.cluster.process_limits;
+    let limits = Limits { threads: tuning.threads, sockets: limits.fd_limit, memory_mib: limits.ram_mb };
     let for_rollouts = rollouts.map_or(0, Rollouts::threads);
     let own = Own {
         threads: OTHER_THREADS + outside::THREADS + for_rollouts,
@@ -74,7 +74,7 @@
 
     let begin = Instant::now();
     let mut core = Core::new(settings, tuning);
-    let mut waiting: HashMap<RequestId, SyncSender<Reply>> = HashMap::new();
+    let mut waiting: HashMap<RequestId, SyncSender<Response>> = HashMap::new();
     let mut last_request = 0;
     let mut next_tick = begin;
     let mut again: VecDeque<Input> = VecDeque::new();
@@ -96,8 +96,8 @@
                     let id = RequestId(last_request);
                     waiting.insert(id, answer);
                     match asked {
-                        Asked::User(ask) => Input::User(id, ask),
-                        Asked::Report(report) => Input::Report(id, *report),
+                        Asked::User(ask) => Input::ClientRequest(id, ask),
+                        Asked::Heartbeat(heartbeat) => Input::Heartbeat(id, *heartbeat),
                     }
                 }
                 Err(RecvTimeoutError::Timeout) if last_turn.elapsed() >= STOOD_STILL && hear_until.is_none() => {
@@ -116,19 +116,19 @@
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
             }
         };
-        let now = Time(begin.elapsed().as_millis() as u64 + 1);
-        let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-        for output in core.handle(now, wall_ms, input) {
+        let now = MonotonicTime(begin.elapsed().as_millis() as u64 + 1);
+        let time_of_day_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        for output in core.handle(now, time_of_day_ms, input) {
             match output {
-                Output::Reply(id, reply) => {
+                Output::Response(id, response) => {
                     if let Some(answer) = waiting.remove(&id) {
-                        let _ = answer.try_send(reply);
+                        let _ = answer.try_send(response);
                     }
                 }
                 Output::State(id, call) => again.extend(outside.state(id, call)),
                 Output::Cloud(id, call) => again.extend(outside.cloud(id, call)),
-                Output::Tell(note) => notes.tell(note),
-                Output::Nudge(revision) => notes.nudge(revision),
+                Output::BroadcastStatus(status) => notes.tell(status),
+                Output::RevisionHint(revision) => notes.nudge(revision),
             }
         }
         // A steady stream of events must not keep the clock from ticking.
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -5,8 +5,10 @@
 use crate::coordination::{Input, Replica, ReplicaState};
 use crate::protocol::peer::peer_client::PeerClient;
 use crate::protocol::peer::peer_server::{Peer, PeerServer};
-use crate::protocol::peer::{Heard, Note, ReachAsk, ReachTold, ReplicasAsk, ReplicasTold};
-use crate::units::{JobRef, Revision};
+use crate::protocol::peer::{
+    PeerStatus, PeerStatusAck, ReachRequest, ReachResponse, ReplicasRequest, ReplicasResponse,
+};
+use crate::units::{JobId, Revision};
 use std::net::SocketAddr;
 use std::sync::mpsc::SyncSender;
 use std::sync::Arc;
@@ -36,28 +38,28 @@
 
 #[tonic::async_trait]
 impl Peer for Ear {
-    async fn tell(&self, request: Request<Note>) -> Result<Response<Heard>, Status> {
-        let note = request.into_inner();
-        let revision = note.revision;
+    async fn tell(&self, request: Request<PeerStatus>) -> Result<Response<PeerStatusAck>, Status> {
+        let status = request.into_inner();
+        let revision = status.revision;
         self.engine
-            .try_send(Event::Input(Input::Note(note)))
+            .try_send(Event::Input(Input::PeerStatus(status)))
             .map_err(|_| Status::resource_exhausted("too much to do"))?;
-        Ok(Response::new(Heard { revision }))
+        Ok(Response::new(PeerStatusAck { revision }))
     }
 
-    async fn replicas(&self, request: Request<ReplicasAsk>) -> Result<Response<ReplicasTold>, Status> {
+    async fn replicas(&self, request: Request<ReplicasRequest>) -> Result<Response<ReplicasResponse>, Status> {
         self.on()?;
-        let jobs = request.into_inner().jobs.iter().map(|job| JobRef::new(job)).collect();
+        let jobs = request.into_inner().jobs.iter().map(|job| JobId::new(job)).collect();
         let (to, told) = tokio::sync::oneshot::channel();
         let answer = Box::new(move |replicas| drop(to.send(replicas)));
         self.engine
             .try_send(Event::Replicas(jobs, answer))
             .map_err(|_| Status::resource_exhausted("too much to do"))?;
         let replicas = told.await.map_err(|_| Status::unavailable("ending"))?;
-        Ok(Response::new(ReplicasTold { replicas: replicas.iter().map(replica_told).collect() }))
+        Ok(Response::new(ReplicasResponse { replicas: replicas.iter().map(replica_told).collect() }))
     }
 
-    async fn reach(&self, request: Request<ReachAsk>) -> Result<Response<ReachTold>, Status> {
+    async fn reach(&self, request: Request<ReachRequest>) -> Result<Response<ReachResponse>, Status> {
         self.on()?;
         let addr: SocketAddr =
             request.into_inner().addr.parse().map_err(|_| Status::invalid_argument("not an address"))?;
@@ -65,7 +67,7 @@
         // A refusal comes from the other end: it is reached.
         let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
         let reached = connected.is_ok_and(|c| c.as_ref().map_or_else(refused, |_| true));
-        Ok(Response::new(ReachTold { reached }))
+        Ok(Response::new(ReachResponse { reached }))
     }
 }
 
@@ -141,7 +143,7 @@
         PeerAsk::Replicas(jobs, to) => {
             let question = |mut client: PeerClient<Channel>| {
                 let jobs = jobs.clone();
-                async move { client.replicas(ReplicasAsk { jobs }).await }
+                async move { client.replicas(ReplicasRequest { jobs }).await }
             };
             let told = gather(clients, question).await;
             let _ = to.try_send(told.into_iter().flat_map(|t| t.replicas).collect());
@@ -149,7 +151,7 @@
         PeerAsk::Reach(addr, to) => {
             let question = |mut client: PeerClient<Channel>| {
                 let addr = addr.clone();
-                async move { client.reach(ReachAsk { addr }).await }
+                async move { client.reach(ReachRequest { addr }).await }
             };
             let told = gather(clients, question).await;
             let _ = to.try_send((!told.is_empty()).then(|| told.iter().any(|t| t.reached)));
@@ -160,22 +162,22 @@
 /// What is to be told: the newest whole note, and how far the records have
 /// come since.
 #[derive(Clone, Default)]
-struct News {
+struct JobChange {
     /// Counts whole notes.
     number: u64,
-    note: Arc<Note>,
+    status: Arc<PeerStatus>,
     revision: u64,
 }
 
 /// Puts notes on their way to all peers.
-pub struct Notes(watch::Sender<News>);
+pub struct Notes(watch::Sender<JobChange>);
 
 impl Notes {
-    pub fn tell(&self, note: Note) {
+    pub fn tell(&self, status: PeerStatus) {
         self.0.send_modify(|news| {
             news.number += 1;
-            news.revision = news.revision.max(note.revision);
-            news.note = Arc::new(note);
+            news.revision = news.revision.max(status.revision);
+            news.status = Arc::new(status);
         });
     }
 
@@ -184,19 +186,19 @@
     }
 }
 
-impl News {
+impl JobChange {
     /// The note for a peer that got the whole one of this number last: all of
     /// it only if it is new.
-    fn after(&self, number: u64) -> Note {
-        let whole = &*self.note;
+    fn after(&self, number: u64) -> PeerStatus {
+        let whole = &*self.status;
         if self.number != number {
-            return Note { revision: self.revision, ..whole.clone() };
+            return PeerStatus { revision: self.revision, ..whole.clone() };
         }
-        Note {
+        PeerStatus {
             from: whole.from.clone(),
             revision: self.revision,
             state_reachable: whole.state_reachable,
-            ..Note::default()
+            ..PeerStatus::default()
         }
     }
 }
@@ -215,7 +217,7 @@
 
 /// Passes the newest note on to one peer; notes that another one overtakes
 /// are not sent.
-async fn talk(addr: SocketAddr, mut client: PeerClient<Channel>, mut notes: watch::Receiver<News>) {
+async fn talk(addr: SocketAddr, mut client: PeerClient<Channel>, mut notes: watch::Receiver<JobChange>) {
     let mut heard = 0;
     while notes.changed().await.is_ok() {
         let news = notes.borrow_and_update().clone();
@@ -241,7 +243,7 @@
     engine: SyncSender<Event>,
     rollouts: bool,
 ) -> std::io::Result<(Notes, Asker)> {
-    let (notes, told) = watch::channel(News::default());
+    let (notes, told) = watch::channel(JobChange::default());
     let (asker, mut asked) = tokio::sync::mpsc::channel(MOST_ASKED);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
     std::thread::Builder::new().name("peers".into()).stack_size(STACK).spawn(move || {
@@ -282,14 +284,15 @@
     /// whole note must still get it, however many nudges come between.
     #[test]
     fn a_nudge_is_short_but_never_takes_a_notes_place() {
-        let (sender, mut receiver) = watch::channel(News::default());
+        let (sender, mut receiver) = watch::channel(JobChange::default());
         let notes = Notes(sender);
-        let whole = Note { from: "n0".into(), revision: 5, faulty: vec!["i-000001".into()], ..Note::default() };
+        let whole =
+            PeerStatus { from: "n0".into(), revision: 5, faulty: vec!["i-000001".into()], ..PeerStatus::default() };
         notes.tell(whole.clone());
         notes.nudge(Revision(9));
         let news = receiver.borrow_and_update().clone();
-        assert_eq!(news.after(0), Note { revision: 9, ..whole });
-        assert_eq!(news.after(1), Note { from: "n0".into(), revision: 9, ..Note::default() });
+        assert_eq!(news.after(0), PeerStatus { revision: 9, ..whole });
+        assert_eq!(news.after(1), PeerStatus { from: "n0".into(), revision: 9, ..PeerStatus::default() });
         notes.nudge(Revision(7));
         assert_eq!(receiver.borrow_and_update().after(1).revision, 9);
     }
