--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -4,11 +4,11 @@
 use super::events::{Asked, Event};
 use super::http::Client;
 use super::peers::{replica_told, Asker};
-use crate::coordination::{Ask, Reply};
+use crate::coordination::{ClientRequest, Response};
 use crate::protocol::peer;
-use crate::protocol::state::{Change, Condition, Event as StateEvent, StateAnswer, StateCall, Txn};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
 use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
-use crate::units::{JobRef, LeaseId as OurLease, Revision};
+use crate::units::{JobId, LeaseId as OurLease, Revision};
 use std::net::SocketAddr;
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::{Mutex, PoisonError};
@@ -16,7 +16,7 @@
 use tillercleat_rollout::file;
 use tillercleat_rollout::host::Site;
 use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
-use tillercleat_rollout::units::{JobId, LeaseId, Millis, Stamp};
+use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId, Millis as RolloutMillis, Stamp};
 
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
 const CORE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -60,14 +60,14 @@
         }
     }
 
-    fn ask_core(&self, ask: Ask) -> Option<Reply> {
+    fn ask_core(&self, ask: ClientRequest) -> Option<Response> {
         let (to, told) = sync_channel(1);
         self.engine.try_send(Event::Asked(Asked::User(ask), to)).ok()?;
         told.recv_timeout(CORE_TIMEOUT).ok()
     }
 
-    fn replicas(&self, jobs: &[JobId]) -> Vec<ReplicaSeen> {
-        let ours: Vec<JobRef> = jobs.iter().map(|job| JobRef::new(&job.0)).collect();
+    fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ReplicaSeen> {
+        let ours: Vec<JobId> = jobs.iter().map(|job| JobId::new(&job.0)).collect();
         let (to, told) = sync_channel(1);
         let answer = Box::new(move |replicas| drop(to.try_send(replicas)));
         let asked = self.engine.try_send(Event::Replicas(ours, answer)).is_ok();
@@ -82,15 +82,17 @@
 impl Site for Controller {
     fn call(&self, call: &Call) -> Answer {
         match call {
-            Call::Submit { job, order } => submit_answer(self.ask_core(Ask::Submit(Box::new(spec(job, order))))),
-            Call::Withdraw { job } => withdraw_answer(self.ask_core(Ask::Cancel(JobRef::new(&job.0)))),
+            Call::Submit { job, order } => {
+                submit_answer(self.ask_core(ClientRequest::Submit(Box::new(spec(job, order)))))
+            }
+            Call::Withdraw { job } => withdraw_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
             Call::Reach { addr } => Answer::Reached(self.peers.reach(addr.clone())),
             Call::Get { key } => state_answer(self.state_call(&StateCall::Get { key: key.clone() })),
             Call::List { prefix, after } => {
                 state_answer(self.state_call(&StateCall::List { prefix: prefix.clone(), after: after.clone() }))
             }
-            Call::Commit(commit) => state_answer(self.state_call(&StateCall::Txn(txn(commit)))),
+            Call::Commit(commit) => state_answer(self.state_call(&StateCall::Transaction(transaction(commit)))),
             Call::Grant { ttl } => state_answer(self.state_call(&StateCall::Grant { ttl_ms: ttl.0 })),
             Call::Renew { lease } => state_answer(self.state_call(&StateCall::Renew { lease: OurLease(lease.0) })),
             Call::Watch { prefix, after, wait } => state_answer(self.state_call(&StateCall::Watch {
@@ -102,14 +104,14 @@
     }
 }
 
-fn txn(commit: &Commit) -> Txn {
+fn transaction(commit: &Commit) -> Transaction {
     let conditions = commit.when.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
     let (key, value) = (commit.key.clone(), commit.value.clone());
     let change = match commit.lease {
         Some(lease) => Change::put_leased(key, value, OurLease(lease.0)),
         None => Change::put(key, value),
     };
-    Txn { conditions: conditions.collect(), changes: vec![change] }
+    Transaction { conditions: conditions.collect(), changes: vec![change] }
 }
 
 fn state_answer(answer: StateAnswer) -> Answer {
@@ -128,14 +130,14 @@
         StateAnswer::Granted(lease) => Answer::Granted(LeaseId(lease.0)),
         StateAnswer::Renewed => Answer::Renewed,
         StateAnswer::LeaseGone => Answer::LeaseGone,
-        StateAnswer::Events(news) => Answer::Changes {
+        StateAnswer::WatchEvents(news) => Answer::Changes {
             revision: Stamp(news.revision.0),
             changed: news
                 .events
                 .into_iter()
                 .map(|event| match event {
-                    StateEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
-                    StateEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
+                    WatchEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
+                    WatchEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
                 })
                 .collect(),
         },
@@ -150,10 +152,10 @@
 }
 
 /// A standing job as users submit it.
-fn spec(id: &JobId, order: &Order) -> JobSpec {
+fn spec(id: &RolloutJobId, order: &Order) -> JobSpec {
     let job = &order.job;
     JobSpec {
-        id: JobRef::new(&id.0),
+        id: JobId::new(&id.0),
         class: job.class.clone(),
         team: job.team.clone(),
         kind: JobKind::Standing,
@@ -163,7 +165,7 @@
             file::Priority::High => Priority::High,
             file::Priority::Critical => Priority::Critical,
         },
-        tasks: order.replicas,
+        task_count: order.replicas,
         cpus: job.cpus,
         gpus: job.gpus,
         mem_gb: job.mem_gb,
@@ -173,12 +175,12 @@
         zone: order.zone.clone().or_else(|| job.zone.clone()),
         one_zone: false,
         apart: false,
-        spot: job.spot,
-        estimate_s: 0.0,
+        spot_allowed: job.spot,
+        estimated_run_s: 0.0,
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        awaits: vec![],
+        dependencies: vec![],
     }
 }
 
@@ -189,20 +191,20 @@
     })
 }
 
-fn submit_answer(reply: Option<Reply>) -> Answer {
-    match reply {
-        Some(Reply::Job { state, .. }) => fate(state),
-        Some(Reply::Problem { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
-        Some(Reply::Problem { status: 429 | 503, .. }) => Answer::Refused,
+fn submit_answer(response: Option<Response>) -> Answer {
+    match response {
+        Some(Response::Job { state, .. }) => fate(state),
+        Some(Response::Error { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
+        Some(Response::Error { status: 429 | 503, .. }) => Answer::Refused,
         _ => Answer::Unknown,
     }
 }
 
-fn withdraw_answer(reply: Option<Reply>) -> Answer {
-    match reply {
-        Some(Reply::Job { state, .. }) => fate(state),
-        Some(Reply::Problem { status: 404, .. }) => Answer::Job(JobFate::Unknown),
-        Some(Reply::Problem { .. }) => Answer::Refused,
+fn withdraw_answer(response: Option<Response>) -> Answer {
+    match response {
+        Some(Response::Job { state, .. }) => fate(state),
+        Some(Response::Error { status: 404, .. }) => Answer::Job(JobFate::Unknown),
+        Some(Response::Error { .. }) => Answer::Refused,
         _ => Answer::Unknown,
     }
 }
@@ -219,12 +221,12 @@
     };
     ReplicaSeen {
         host: told.addr.parse::<SocketAddr>().map(|a| a.ip().to_string()).unwrap_or_default(),
-        replica: (JobId(told.job), told.index),
+        replica: (RolloutJobId(told.job), told.index),
         attempt: told.attempt,
         standing,
         zone: told.zone,
         error: told.error,
-        age: Millis(told.age_ms),
+        age: RolloutMillis(told.age_ms),
         token: told.token,
     }
 }
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -2,10 +2,10 @@
 
 use super::events::Asked;
 use super::http::{Connection, HttpError};
-use crate::coordination::{Ask, Reply};
-use crate::protocol::users::{valid_job_ref, JobAnswer, JobSpec, Malformed};
-use crate::protocol::workers::{GoElsewhere, Report, ReportAnswer};
-use crate::units::JobRef;
+use crate::coordination::{ClientRequest, Response};
+use crate::protocol::users::{is_valid_job_id, JobSpec, JobStatus, Malformed};
+use crate::protocol::workers::{Heartbeat, HeartbeatResponse, Redirect};
+use crate::units::JobId;
 use serde::Serialize;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 /// What a request asks for, or the answer it gets at once.
 pub enum Routed {
-    Ask(Asked),
+    ClientRequest(Asked),
     Answer(u16, String),
 }
 
@@ -33,10 +33,10 @@
         }
     };
     match path {
-        "/up" => return allow("GET", &|| Routed::Ask(Asked::User(Ask::Up))),
+        "/up" => return allow("GET", &|| Routed::ClientRequest(Asked::User(ClientRequest::Health))),
         REPORTS => {
-            return allow("POST", &|| match serde_json::from_slice::<Report>(body) {
-                Ok(report) => Routed::Ask(Asked::Report(Box::new(report))),
+            return allow("POST", &|| match serde_json::from_slice::<Heartbeat>(body) {
+                Ok(heartbeat) => Routed::ClientRequest(Asked::Heartbeat(Box::new(heartbeat))),
                 Err(error) => {
                     tracing::warn!("a report makes no sense: {error}");
                     problem(400, "not a report")
@@ -45,8 +45,10 @@
         }
         "/v2/runs" => {
             return allow("POST", &|| match JobSpec::parse(body) {
-                Ok(spec) => Routed::Ask(Asked::User(Ask::Submit(Box::new(spec)))),
-                Err(Malformed { id: Some(id), reason }) => Routed::Ask(Asked::User(Ask::Malformed { id, reason })),
+                Ok(spec) => Routed::ClientRequest(Asked::User(ClientRequest::Submit(Box::new(spec)))),
+                Err(Malformed { id: Some(id), reason }) => {
+                    Routed::ClientRequest(Asked::User(ClientRequest::Malformed { id, reason }))
+                }
                 Err(Malformed { id: None, reason }) => problem(400, &reason),
             })
         }
@@ -58,12 +60,12 @@
         Some((id, "withdraw")) => (id, true),
         Some(_) => return problem(404, "no such path"),
     };
-    let known = valid_job_ref(id);
+    let known = is_valid_job_id(id);
     allow(if cancel { "POST" } else { "GET" }, &|| match (known, cancel) {
         (false, true) => problem(400, "not a job id"),
         (false, false) => problem(404, "no such job"),
-        (true, true) => Routed::Ask(Asked::User(Ask::Cancel(JobRef::new(id)))),
-        (true, false) => Routed::Ask(Asked::User(Ask::Query(JobRef::new(id)))),
+        (true, true) => Routed::ClientRequest(Asked::User(ClientRequest::Cancel(JobId::new(id)))),
+        (true, false) => Routed::ClientRequest(Asked::User(ClientRequest::Query(JobId::new(id)))),
     })
 }
 
@@ -72,18 +74,18 @@
 }
 
 /// Status, body and `Retry-After` of a reply.
-pub fn render(reply: &Reply) -> (u16, String, Option<u32>) {
-    match reply {
-        Reply::Up => (200, "{}".into(), None),
-        Reply::Job { status, id, state, counts } => {
+pub fn render(response: &Response) -> (u16, String, Option<u32>) {
+    match response {
+        Response::Healthy => (200, "{}".into(), None),
+        Response::Job { status, id, state, counts } => {
             let (done, running) = counts.unzip();
-            (*status, json(&JobAnswer { id, state: *state, done, running }), None)
+            (*status, json(&JobStatus { id, state: *state, done, running }), None)
         }
-        Reply::Problem { status, reason, retry_after_s } => {
+        Response::Error { status, reason, retry_after_s } => {
             (*status, serde_json::json!({ "error": reason }).to_string(), *retry_after_s)
         }
-        Reply::Commands { token, commands } => (200, json(&ReportAnswer { token: *token, commands }), None),
-        Reply::Elsewhere(node) => (421, json(&GoElsewhere { report_to: node.as_ref().map(|n| n.as_str()) }), None),
+        Response::Commands { token, commands } => (200, json(&HeartbeatResponse { token: *token, commands }), None),
+        Response::Redirect(node) => (421, json(&Redirect { report_to: node.as_ref().map(|n| n.as_str()) }), None),
     }
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -122,14 +122,14 @@
         let close = head.close || last;
         match route(&head.method, &head.path, &body) {
             Routed::Answer(status, body) => write(&mut connection, status, &body, None, close, WHOLE)?,
-            Routed::Ask(asked) => {
+            Routed::ClientRequest(asked) => {
                 let sent = engine.try_send(Event::Asked(asked, answers.clone())).is_ok();
-                let reply = if sent { answered.recv_timeout(ANSWER_WITHIN).ok() } else { None };
-                let Some(reply) = reply else {
+                let response = if sent { answered.recv_timeout(ANSWER_WITHIN).ok() } else { None };
+                let Some(response) = response else {
                     // Overloaded; a late answer must not be taken for the next one.
                     return write(&mut connection, 503, r#"{"error":"overloaded"}"#, Some(1), true, WHOLE);
                 };
-                let (status, body, retry) = render(&reply);
+                let (status, body, retry) = render(&response);
                 write(&mut connection, status, &body, retry, close, WHOLE)?;
             }
         }
@@ -171,7 +171,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::coordination::Reply;
+    use crate::coordination::Response;
     use std::io::{Read, Write};
 
     /// Sends a request to a crowded node and says whether it may send another.
@@ -182,7 +182,7 @@
         let (engine, events) = sync_channel(4);
         std::thread::spawn(move || {
             while let Ok(Event::Asked(_, answer)) = events.recv() {
-                let _ = answer.send(Reply::Up);
+                let _ = answer.send(Response::Healthy);
             }
         });
         let front = Front::new(Plan { connections: 4, crowded: 2, strangers: 8, workers: 1 });
@@ -207,8 +207,8 @@
     /// Users that kept their connections could leave none for workers.
     #[test]
     fn a_crowded_node_keeps_workers_connections_only() {
-        let report = r#"{"deck":"i-1","endpoint":"a","hull":"h","berth":"z","watch":1,"tally":1}"#;
-        let hello = format!("POST /hello HTTP/1.1\r\nContent-Length: {}\r\n\r\n{report}", report.len());
+        let heartbeat = r#"{"deck":"i-1","endpoint":"a","hull":"h","berth":"z","watch":1,"tally":1}"#;
+        let hello = format!("POST /hello HTTP/1.1\r\nContent-Length: {}\r\n\r\n{heartbeat}", heartbeat.len());
         assert!(kept_after(&hello));
         assert!(!kept_after("GET /up HTTP/1.1\r\n\r\n"));
     }
--- a/src/units.rs
+++ b/src/units.rs
@@ -126,10 +126,10 @@
 
 number!(
     /// One of as many parts as controllers are configured.
-    PartId, u32);
+    ShardId, u32);
 number!(
     /// Shows a worker who may command it: the revision of the ownership transaction.
-    Token, u64);
+    FencingToken, u64);
 number!(
     /// A change number of the state service; 0 stands for "no such key".
     Revision, u64);
@@ -138,10 +138,10 @@
     Attempt, u64);
 number!(
     /// A worker's session: a new one begins whenever its lease ran out.
-    Session, u64);
+    AgentEpoch, u64);
 number!(
     /// Orders a worker's messages within a session.
-    Seq, u64);
+    HeartbeatNumber, u64);
 number!(
     /// A lease of the state service.
     LeaseId, u64);
@@ -154,7 +154,7 @@
 
 name!(
     /// A job's unique id, chosen by its user.
-    JobRef);
+    JobId);
 name!(
     /// A machine's name, which is also its worker's.
     MachineId);
@@ -164,39 +164,39 @@
 
 /// A moment on this process's steady clock, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Time(pub u64);
+pub struct MonotonicTime(pub u64);
 
 /// A length of time in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Span(pub u64);
+pub struct Millis(pub u64);
 
-impl Span {
+impl Millis {
     pub fn secs(seconds: f64) -> Self {
-        Span((seconds.max(0.0) * 1000.0) as u64)
+        Millis((seconds.max(0.0) * 1000.0) as u64)
     }
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
-impl Time {
+impl MonotonicTime {
     /// Time passed since `earlier`; nothing if that lies ahead.
-    pub fn since(self, earlier: Time) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: MonotonicTime) -> Millis {
+        Millis(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Time {
-    type Output = Time;
-    fn add(self, span: Span) -> Time {
-        Time(self.0 + span.0)
+impl Add<Millis> for MonotonicTime {
+    type Output = MonotonicTime;
+    fn add(self, span: Millis) -> MonotonicTime {
+        MonotonicTime(self.0 + span.0)
     }
 }
 
-impl Sub<Span> for Time {
-    type Output = Time;
-    fn sub(self, span: Span) -> Time {
-        Time(self.0.saturating_sub(span.0))
+impl Sub<Millis> for MonotonicTime {
+    type Output = MonotonicTime;
+    fn sub(self, span: Millis) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_sub(span.0))
     }
 }
 
@@ -215,10 +215,10 @@
     hash ^ (hash >> 33)
 }
 
-impl PartId {
+impl ShardId {
     /// The part that a name belongs to for life.
-    pub fn of(name: &str, parts: u32) -> PartId {
-        PartId((stable_hash(&["part", name]) % u64::from(parts.max(1))) as u32)
+    pub fn of(name: &str, shards: u32) -> ShardId {
+        ShardId((stable_hash(&["part", name]) % u64::from(shards.max(1))) as u32)
     }
 }
 
@@ -233,10 +233,10 @@
         #[test]
         fn names_compare_as_their_texts_do(a in "[a-c\\x00é]{0,18}", b in "[a-c\\x00é]{0,18}", tail in "[ab]{0,3}") {
             for (a, b) in [(a.clone(), b.clone()), (a.clone(), format!("{a}{tail}")), (format!("{a}{b}"), a.clone())] {
-                let (x, y) = (JobRef::new(&a), JobRef::new(&b));
+                let (x, y) = (JobId::new(&a), JobId::new(&b));
                 prop_assert_eq!(x.cmp(&y), a.cmp(&b));
                 prop_assert_eq!(x == y, a == b);
-                let hash = |name: &JobRef| {
+                let hash = |name: &JobId| {
                     let mut hasher = std::hash::DefaultHasher::new();
                     name.hash(&mut hasher);
                     hasher.finish()
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -8,17 +8,17 @@
 use standin::{Fault, Shape, World};
 use std::collections::BTreeSet;
 use tillercleat::protocol::users::JobSpec;
-use tillercleat::units::JobRef;
+use tillercleat::units::JobId;
 
-fn id(number: usize) -> JobRef {
-    JobRef::new(&format!("wk-{number:06}"))
+fn id(number: usize) -> JobId {
+    JobId::new(&format!("wk-{number:06}"))
 }
 
-fn job(number: usize, tasks: u32, run_s: f64, rank: &str, awaits: &[usize]) -> JobSpec {
+fn job(number: usize, tasks: u32, run_s: f64, rank: &str, dependencies: &[usize]) -> JobSpec {
     let text = serde_json::json!({
-        "ref": id(number), "haul": if awaits.is_empty() { "first" } else { "later" }, "crew": "blue",
+        "ref": id(number), "haul": if dependencies.is_empty() { "first" } else { "later" }, "crew": "blue",
         "rig": "array", "rank": rank, "loads": tasks, "cores": 1.0, "mem_gb": 1.0, "kit": "img", "image_gb": 0.2,
-        "driftwood": true, "reckon_s": run_s, "awaits": awaits.iter().map(|n| id(*n)).collect::<Vec<_>>()
+        "driftwood": true, "reckon_s": run_s, "awaits": dependencies.iter().map(|n| id(*n)).collect::<Vec<_>>()
     });
     standin::users::job_spec(text)
 }
@@ -179,9 +179,9 @@
 /// What is no list of ids, or names what was never accepted or never ends.
 #[test]
 fn names_are_checked_at_the_door() {
-    let spec = |awaits: serde_json::Value| {
+    let spec = |dependencies: serde_json::Value| {
         let mut text = serde_json::to_value(job(1, 1, 1.0, "normal", &[])).expect("a job");
-        text["awaits"] = awaits;
+        text["awaits"] = dependencies;
         JobSpec::parse(text.to_string().as_bytes())
     };
     for bad in
@@ -190,10 +190,10 @@
         assert!(spec(bad.clone()).is_err(), "{bad}");
     }
     for none in [serde_json::json!(null), serde_json::json!([])] {
-        assert!(spec(none).expect("fine").awaits.is_empty());
+        assert!(spec(none).expect("fine").dependencies.is_empty());
     }
     let twice = spec(serde_json::json!(["wk-000002", "wk-000003", "wk-000002"])).expect("fine");
-    assert_eq!(twice.awaits, [id(2), id(3)]);
+    assert_eq!(twice.dependencies, [id(2), id(3)]);
 
     let mut world = World::new(3, 10.0);
     let service = JobSpec { kind: tillercleat::protocol::users::JobKind::Standing, ..job(2, 1, 0.0, "normal", &[]) };
@@ -332,7 +332,7 @@
     assert_eq!((world.problems(), world.unsettled()), (vec![], vec![]));
 }
 
-/// Names of finished jobs in `awaits` are looked at once each.
+/// Names of finished jobs in `dependencies` are looked at once each.
 #[test]
 fn names_are_bounded_by_what_a_record_holds() {
     let names: BTreeSet<usize> = (1..=100).collect();
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use standin::{settings, Shape, StateService, World};
-use tillercleat::coordination::{Ask, CloudAnswer, CloudCall, Core, Input, Output, Reply};
+use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StateAnswer, StateCall};
 use tillercleat::protocol::users::{JobSpec, Malformed};
 use tillercleat::settings::Tuning;
-use tillercleat::units::{RequestId, Time};
+use tillercleat::units::{MonotonicTime, RequestId};
 
 fn valid(number: usize) -> Value {
     json!({
@@ -99,14 +99,14 @@
     }
 
     /// Feeds an input and all that follows from it; what users are told.
-    fn step(&mut self, input: Input, shape: &Shape) -> Vec<(RequestId, Reply)> {
+    fn step(&mut self, input: Input, shape: &Shape) -> Vec<(RequestId, Response)> {
         self.now += 50;
         let mut next = vec![input];
         let mut told = vec![];
         while let Some(input) = next.pop() {
-            for output in self.core.handle(Time(self.now), 1_000_000, input) {
+            for output in self.core.handle(MonotonicTime(self.now), 1_000_000, input) {
                 match output {
-                    Output::Reply(id, reply) => told.push((id, reply)),
+                    Output::Response(id, response) => told.push((id, response)),
                     Output::State(_, StateCall::Watch { .. }) if !self.watched => {}
                     Output::State(id, _) if !self.reached => next.push(Input::State(id, StateAnswer::Refused)),
                     Output::State(id, call) => next.push(Input::State(id, self.state.run(self.now, call))),
@@ -124,18 +124,18 @@
     /// The status that this body gets.
     fn submit(&mut self, body: &Value, shape: &Shape) -> u16 {
         let ask = match parse(body) {
-            Ok(spec) => Ask::Submit(Box::new(spec)),
-            Err(Malformed { id: Some(id), reason }) => Ask::Malformed { id, reason },
+            Ok(spec) => ClientRequest::Submit(Box::new(spec)),
+            Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
             Err(Malformed { id: None, .. }) => return 400,
         };
         self.asked += 1;
         let request = RequestId(self.asked);
-        let mut told = self.step(Input::User(request, ask), shape);
+        let mut told = self.step(Input::ClientRequest(request, ask), shape);
         // A question waits for a probe.
         (0..8).for_each(|_| told.extend(self.step(Input::Tick, shape)));
-        let reply = told.into_iter().find(|(id, _)| *id == request).expect("an answer").1;
-        match reply {
-            Reply::Job { status, .. } | Reply::Problem { status, .. } => status,
+        let response = told.into_iter().find(|(id, _)| *id == request).expect("an answer").1;
+        match response {
+            Response::Job { status, .. } | Response::Error { status, .. } => status,
             other => panic!("{other:?}"),
         }
     }
@@ -159,14 +159,14 @@
     let shape = Shape::small();
     // What an earlier version accepted, written behind this node's back.
     let record = json!({"spec": without(valid(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
-    let put_away = json!({"end": "done", "tasks": 2});
+    let archive_ended_jobs = json!({"end": "done", "tasks": 2});
     let lagging = || {
         let mut node = Node::new(&shape);
         node.watched = false;
         node.state.revision += 2;
         let revision = node.state.revision;
         node.state.rows.insert("t/j/wk-000007".into(), (record.clone(), revision - 1, None));
-        node.state.rows.insert("f/wk-000008".into(), (put_away.clone(), revision, None));
+        node.state.rows.insert("f/wk-000008".into(), (archive_ended_jobs.clone(), revision, None));
         node
     };
     let odd = |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
@@ -277,7 +277,7 @@
             let refused = world.final_no.get(&spec.id).copied();
             prop_assert_eq!(refused, (!can_run(fields)).then_some(422), "{}", fields);
             let started = world.tries.get(&spec.id).copied().unwrap_or(0);
-            prop_assert!(refused.is_some() || started >= spec.tasks as usize, "{} started {}", fields, started);
+            prop_assert!(refused.is_some() || started >= spec.task_count as usize, "{} started {}", fields, started);
         }
         world.run(500_000);
         prop_assert!(world.broken.is_empty(), "{:?}", world.broken);
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -137,13 +137,13 @@
 
     let mut worker = Client::new(client_addr);
     let mut tally = 0;
-    let mut report = |worker: &mut Client| {
+    let mut heartbeat = |worker: &mut Client| {
         tally += 1;
-        let report = json!({"deck": "i-000002", "endpoint": "127.0.0.1:1", "hull": "m", "berth": "a",
+        let heartbeat = json!({"deck": "i-000002", "endpoint": "127.0.0.1:1", "hull": "m", "berth": "a",
             "watch": 1, "tally": tally, "helm": 0, "loads": []});
-        worker.call("POST", "/hello", report.to_string().as_bytes(), SECOND).map(|answer| answer.0).ok()
+        worker.call("POST", "/hello", heartbeat.to_string().as_bytes(), SECOND).map(|answer| answer.0).ok()
     };
-    assert!(matches!(report(&mut worker), Some(200 | 421)));
+    assert!(matches!(heartbeat(&mut worker), Some(200 | 421)));
     let mut flood = vec![];
     for wave in 0..6 {
         for _ in 0..80 {
@@ -151,9 +151,9 @@
         }
         assert!(threads(&process) <= CEILING, "{} threads in wave {wave}", threads(&process));
         // One that was there goes on, whatever knocks.
-        assert!(matches!(report(&mut worker), Some(200 | 421)), "a worker lost its connection in wave {wave}");
+        assert!(matches!(heartbeat(&mut worker), Some(200 | 421)), "a worker lost its connection in wave {wave}");
         // One that comes gets in before long.
-        wait_for("a new worker", || matches!(report(&mut Client::new(client_addr)), Some(200 | 421)));
+        wait_for("a new worker", || matches!(heartbeat(&mut Client::new(client_addr)), Some(200 | 421)));
     }
     assert!(flood.len() > 400, "the flood was no flood: {}", flood.len());
     drop(flood);
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tillercleat::protocol::state::{StateAnswer, StateCall, Txn};
+use tillercleat::protocol::state::{StateAnswer, StateCall, Transaction};
 use tillercleat::transport::http::{Client, Connection};
 use tillercleat::units::{LeaseId, Revision};
 
@@ -53,7 +53,9 @@
 fn state_call(method: &str, path: &str, body: &Value) -> StateCall {
     let number = |name: &str| query(path, name).and_then(|v| v.parse().ok()).unwrap_or(0);
     match (method, path) {
-        ("POST", "/txn") => StateCall::Txn(serde_json::from_value::<Txn>(body.clone()).expect("a transaction")),
+        ("POST", "/txn") => {
+            StateCall::Transaction(serde_json::from_value::<Transaction>(body.clone()).expect("a transaction"))
+        }
         ("POST", "/leases") => StateCall::Grant { ttl_ms: body["ttl_ms"].as_u64().expect("a length") },
         ("POST", _) => {
             let lease = path.split('/').nth(2).and_then(|l| l.parse().ok()).expect("a lease");
@@ -72,7 +74,7 @@
 }
 
 fn state_answer(answer: StateAnswer) -> (u16, Value) {
-    use tillercleat::protocol::state::Event;
+    use tillercleat::protocol::state::WatchEvent;
     match answer {
         StateAnswer::Found(item) => (200, serde_json::to_value(item).expect("json")),
         StateAnswer::Missing(at) => (404, json!({ "logline": at })),
@@ -81,13 +83,13 @@
         StateAnswer::Conflict(failed) => (409, json!({"failed": failed, "logline": 1})),
         StateAnswer::Granted(lease) => (200, json!({ "mooring": lease })),
         StateAnswer::Renewed => (200, json!({})),
-        StateAnswer::Events(news) => {
+        StateAnswer::WatchEvents(news) => {
             let events: Vec<Value> = news
                 .events
                 .into_iter()
                 .map(|event| match event {
-                    Event::Put { put, value, version } => json!({"put": put, "data": value, "stamp": version}),
-                    Event::Delete { delete, version } => json!({"drop": delete, "stamp": version}),
+                    WatchEvent::Put { put, value, version } => json!({"put": put, "data": value, "stamp": version}),
+                    WatchEvent::Delete { delete, version } => json!({"drop": delete, "stamp": version}),
                 })
                 .collect();
             (200, json!({"logline": news.revision, "news": events}))
@@ -107,7 +109,7 @@
         loop {
             let now = begin.elapsed().as_millis() as u64;
             let answer = service.lock().expect("the service").run(now, call.clone());
-            let waiting = matches!(&answer, StateAnswer::Events(news) if news.events.is_empty());
+            let waiting = matches!(&answer, StateAnswer::WatchEvents(news) if news.events.is_empty());
             if !waiting || Instant::now() >= until {
                 return state_answer(answer);
             }
@@ -157,9 +159,9 @@
                 }
             })
             .collect();
-        let report = json!({"deck": name, "endpoint": "127.0.0.1:1", "hull": "m", "berth": "a",
+        let heartbeat = json!({"deck": name, "endpoint": "127.0.0.1:1", "hull": "m", "berth": "a",
             "driftwood": false, "watch": 1, "tally": tally, "helm": token, "recall_s": null, "loads": loads});
-        let answer = client.call("POST", "/hello", report.to_string().as_bytes(), SECOND);
+        let answer = client.call("POST", "/hello", heartbeat.to_string().as_bytes(), SECOND);
         let Ok((200, body)) = answer else {
             at = (at + 1) % nodes.len();
             client = Client::new(nodes[at]);
--- a/tests/loopback/services.rs
+++ b/tests/loopback/services.rs
@@ -104,9 +104,9 @@
                 false => json!({"load": task, "cast": attempt, "trim": "running"}),
             })
             .collect();
-        let report = json!({"deck": name, "endpoint": format!("{host}:9000"), "hull": "m", "berth": "a",
+        let heartbeat = json!({"deck": name, "endpoint": format!("{host}:9000"), "hull": "m", "berth": "a",
             "driftwood": false, "watch": 1, "tally": tally, "helm": token, "recall_s": null, "loads": loads});
-        let answer = client.call("POST", "/hello", report.to_string().as_bytes(), SECOND);
+        let answer = client.call("POST", "/hello", heartbeat.to_string().as_bytes(), SECOND);
         let Ok((200, body)) = answer else {
             at = (at + 1) % nodes.len();
             client = Client::new(nodes[at]);
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -22,13 +22,13 @@
     }
 }
 
-fn job(number: usize, tasks: u32, run_s: f64, awaits: Option<usize>) -> JobSpec {
+fn job(number: usize, tasks: u32, run_s: f64, dependencies: Option<usize>) -> JobSpec {
     let (team, rank) = if number % 2 == 0 { ("red", "high") } else { ("blue", "normal") };
     let text = serde_json::json!({
         "ref": format!("wk-{number:06}"), "haul": "work", "crew": team, "rig": "array", "rank": rank,
         "loads": tasks, "cores": 1.0, "mem_gb": 2.0, "kit": "img", "image_gb": 0.5, "driftwood": true,
         "reckon_s": run_s, "mark_s": 5.0, "stow_s": 4.0,
-        "awaits": awaits.map(|n| vec![format!("wk-{n:06}")]).unwrap_or_default()
+        "awaits": dependencies.map(|n| vec![format!("wk-{n:06}")]).unwrap_or_default()
     });
     standin::users::job_spec(text)
 }
@@ -151,7 +151,7 @@
             _ => (spec.one_zone, spec.apart) = (true, true),
         }
         if number % 3 == 0 && number % 4 < 3 {
-            (spec.kind, spec.estimate_s, spec.tasks) = (JobKind::Standing, 0.0, 2 + number as u32 % 3);
+            (spec.kind, spec.estimated_run_s, spec.task_count) = (JobKind::Standing, 0.0, 2 + number as u32 % 3);
             // Called off at the end; until then it is judged like any other.
             world.cancel(560_000, &spec.id);
         }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -37,20 +37,21 @@
     program
 }
 
-fn job(number: usize, awaits: &[usize]) -> String {
+fn job(number: usize, dependencies: &[usize]) -> String {
     json!({"ref": format!("wk-{number:06}"), "haul": "h", "crew": "red", "rig": "array", "rank": "normal", "loads": 5,
         "cores": 1.0, "mem_gb": 1.0, "kit": "k", "image_gb": 0.1, "driftwood": true, "reckon_s": 1.0,
         "gpus": 0.0, "one_zone": false, "apart": false, "mark_s": 0.0, "stow_s": 0.0,
-        "awaits": awaits.iter().map(|n| format!("wk-{n:06}")).collect::<Vec<_>>()})
+        "awaits": dependencies.iter().map(|n| format!("wk-{n:06}")).collect::<Vec<_>>()})
     .to_string()
 }
 
 /// Submits as users do, at any controller, until it is taken.
-fn submit(users: &[SocketAddr], number: usize, awaits: &[usize]) {
+fn submit(users: &[SocketAddr], number: usize, dependencies: &[usize]) {
     let mut at = number;
     wait_for(&format!("job {number}"), || {
         at += 1;
-        call(users[at % NODES], "POST", "/v2/runs", &job(number, awaits)).is_some_and(|(s, _)| s == 201 || s == 200)
+        call(users[at % NODES], "POST", "/v2/runs", &job(number, dependencies))
+            .is_some_and(|(s, _)| s == 201 || s == 200)
     });
 }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -5,10 +5,10 @@
 use prost::Message;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use tillercleat::bookkeeping::records as new;
-use tillercleat::bookkeeping::view::View;
 use tillercleat::protocol::peer;
-use tillercleat::units::{JobRef, LeaseId, Revision};
+use tillercleat::storage::records as new;
+use tillercleat::storage::cache::StateCache;
+use tillercleat::units::{JobId, LeaseId, Revision};
 
 /// A job's record as the version in production knows it: what else there is, it
 /// does not see, and drops when it writes the record again.
@@ -36,16 +36,16 @@
 #[test]
 fn records_of_the_version_in_production_are_read_and_written_as_they_were() {
     let mut families = std::collections::BTreeSet::new();
-    let mut view = View::default();
+    let mut view = StateCache::default();
     for (at, line) in include_str!("production/records.txt").lines().enumerate() {
         let (key, text) = line.split_once(' ').expect("a key and a value");
         let value: Value = serde_json::from_str(text).expect("json");
         let family = key.split('/').take(2).collect::<Vec<_>>().join("/");
         let written = match family.as_str() {
-            "t/a" => again::<new::AllowanceRecord>(&value),
+            "t/a" => again::<new::QuotaRecord>(&value),
             "t/f" => again::<new::FleetRecord>(&value),
             "t/k" => again::<tillercleat::protocol::cloud::Catalog>(&value),
-            "t/l" | "t/o" => again::<new::HolderRecord>(&value),
+            "t/l" | "t/o" => again::<new::LeaseHolderRecord>(&value),
             "t/j" => again::<new::JobRecord>(&value),
             "t/s" => again::<new::SliceRecord>(&value),
             // Says what it can do beside, which the one before does not see.
@@ -54,7 +54,7 @@
                 assert_eq!(node.as_object_mut().expect("an object").remove("level"), Some(json!(0)));
                 node
             }
-            _ => again::<new::PastRecord>(&value),
+            _ => again::<new::ArchivedJob>(&value),
         };
         assert_eq!(written, value, "{key}");
         view.apply(key, Some(value), Revision(at as u64 + 1));
@@ -74,12 +74,12 @@
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
         let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
         let again = match name {
-            "note" => same::<peer::Note>(&bytes),
-            "heard" => same::<peer::Heard>(&bytes),
-            "replicas-ask" => same::<peer::ReplicasAsk>(&bytes),
-            "replicas-told" => same::<peer::ReplicasTold>(&bytes),
-            "reach-ask" => same::<peer::ReachAsk>(&bytes),
-            "reach-told" => same::<peer::ReachTold>(&bytes),
+            "note" => same::<peer::PeerStatus>(&bytes),
+            "heard" => same::<peer::PeerStatusAck>(&bytes),
+            "replicas-ask" => same::<peer::ReplicasRequest>(&bytes),
+            "replicas-told" => same::<peer::ReplicasResponse>(&bytes),
+            "reach-ask" => same::<peer::ReachRequest>(&bytes),
+            "reach-told" => same::<peer::ReachResponse>(&bytes),
             other => panic!("{other}"),
         };
         assert_eq!(again, bytes, "{name}");
@@ -96,8 +96,8 @@
     for text in open {
         let open: new::JobRecord = serde_json::from_str(text).expect("a record");
         let waiting = new::JobRecord {
-            plan: Some(new::Plan { size: 1, parts: vec![] }),
-            awaits: new::Awaits(vec![JobRef::new("wk-000001"), JobRef::new("wk-abc")]),
+            plan: Some(new::SlicePlan { size: 1, shards: vec![] }),
+            dependencies: new::Dependencies(vec![JobId::new("wk-000001"), JobId::new("wk-abc")]),
             ..open.clone()
         };
         let value = serde_json::to_value(&waiting).expect("a value");
@@ -109,7 +109,10 @@
         let cancelled = OldJob { end: Some("cancelled".into()), ..old };
         let read: new::JobRecord =
             serde_json::from_value(serde_json::to_value(cancelled).expect("a value")).expect("a record");
-        assert_eq!((read.end, read.waits(), read.awaits.is_empty()), (Some(new::End::Cancelled), false, true));
+        assert_eq!(
+            (read.end, read.waits(), read.dependencies.is_empty()),
+            (Some(new::JobOutcome::Cancelled), false, true)
+        );
         // Once it may start it is a job like any other, also without the time since when.
         let ready = new::JobRecord { ready: Some(open.at + 5), ..open.clone() };
         let old: OldJob = serde_json::from_value(serde_json::to_value(ready).expect("a value"))
@@ -118,6 +121,7 @@
             serde_json::from_value(serde_json::to_value(old).expect("a value")).expect("a record");
         assert_eq!(read, open);
     }
-    let node = serde_json::to_value(new::NodeRecord { lease: LeaseId(7), level: new::Level(1) }).expect("a value");
+    let node =
+        serde_json::to_value(new::NodeRecord { lease: LeaseId(7), level: new::FeatureLevel(1) }).expect("a value");
     assert_eq!(node["lease"], 7);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use standin::{Fault, Shape, World};
 use tillercleat::protocol::users::JobSpec;
-use tillercleat::units::JobRef;
+use tillercleat::units::JobId;
 
 fn job(number: usize, tasks: u32, cpus: f64, run_s: f64, shape: &str) -> JobSpec {
     let text = serde_json::json!({
@@ -29,7 +29,7 @@
         let at = 3000 + number as u64 * 2500;
         world.submit(at, job(number, tasks, 1.0 + (number % 3) as f64, 4.0 + (number % 5) as f64 * 3.0, shape));
         if number % 5 == 0 || shape == "standing" {
-            world.cancel(at + 15_000 + number as u64 * 700, &JobRef::new(&format!("wk-{number:06}")));
+            world.cancel(at + 15_000 + number as u64 * 700, &JobId::new(&format!("wk-{number:06}")));
         }
     }
 }
@@ -168,7 +168,7 @@
     let mut world = World::new(6, 10.0);
     steady(&mut world, 120_000);
     for number in 0..6 {
-        let id = JobRef::new(&format!("wk-{:06}", 900 + number));
+        let id = JobId::new(&format!("wk-{:06}", 900 + number));
         world.mistaken.insert(id.clone());
         let at = 30_000 + number as u64 * 4000;
         world.submit(at, job(900 + number, 12, 1.0, 10.0, "plain"));
@@ -202,7 +202,7 @@
 #[test]
 fn a_job_goes_back_to_the_only_machine_there_is() {
     let mut world = World::sized(10, Shape { machines: 1, ..Shape::small() });
-    let id = JobRef::new("wk-000001");
+    let id = JobId::new("wk-000001");
     world.submit(3000, job(1, 2, 1.0, 10.0, "plain"));
     world.mistaken.insert(id.clone());
     world.run(60_000);
@@ -224,7 +224,7 @@
         world.submit(40_000 + number * 50, job(2000 + number as usize, 1, 0.25, 8.0, "plain"));
     }
     for poll in 0..9000 {
-        world.poll(40_000 + poll * 5, &JobRef::new(&format!("wk-{:06}", 500 + poll % 10)));
+        world.poll(40_000 + poll * 5, &JobId::new(&format!("wk-{:06}", 500 + poll % 10)));
     }
     world.run(100_000);
     assert!(world.refused < 100, "{} requests refused", world.refused);
@@ -297,7 +297,7 @@
         spec.team = "blue".into();
         if number % 9 == 4 {
             (spec.class, spec.priority) = ("rolls".into(), tillercleat::protocol::users::Priority::Low);
-            (spec.tasks, spec.cpus) = (6 + number as u32 % 5, 2.0);
+            (spec.task_count, spec.cpus) = (6 + number as u32 % 5, 2.0);
         }
         world.submit(3000 + 3000 * number as u64, spec);
         if number > 170 {
--- a/tests/standin/judging.rs
+++ b/tests/standin/judging.rs
@@ -48,7 +48,7 @@
     /// Open jobs whose users get no answer whatsoever, not even a refusal.
     fn judge_silence(&mut self) {
         let (now, calm) = (self.now, self.calm_from);
-        let silent = |(id, j): &(&JobRef, &Job)| {
+        let silent = |(id, j): &(&JobId, &Job)| {
             let asks = j.accepted && !j.done_told && j.cancel_told.is_none() && !self.given_up.contains(*id);
             asks && now > calm.max(j.answered) + FORGOTTEN
         };
@@ -77,7 +77,7 @@
     }
 
     /// Tasks of a job that are neither done nor on any machine; and where the others are.
-    fn missing(&self, id: &JobRef, job: &Job) -> (usize, Vec<usize>) {
+    fn missing(&self, id: &JobId, job: &Job) -> (usize, Vec<usize>) {
         let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
         let on: Vec<usize> = (self.placed.range(range))
             .flat_map(|(key, workers)| workers.iter().map(move |at| (key, *at)))
@@ -87,7 +87,7 @@
             })
             .map(|(_, at)| self.workers[at].zone)
             .collect();
-        ((job.spec.tasks as usize).saturating_sub(job.finished.len() + on.len()), on)
+        ((job.spec.task_count as usize).saturating_sub(job.finished.len() + on.len()), on)
     }
 
     /// No job is left waiting while a machine that fits has room and its team is
@@ -96,9 +96,10 @@
         let used = self.in_use();
         let mut waiting = BTreeMap::new();
         for (id, job) in &self.jobs {
-            let done = |name: &JobRef| self.jobs.get(name).is_some_and(|j| j.finished.len() == j.spec.tasks as usize);
+            let done =
+                |name: &JobId| self.jobs.get(name).is_some_and(|j| j.finished.len() == j.spec.task_count as usize);
             let over = job.cancel_asked || job.cancelled().is_some() || self.mistaken.contains(id);
-            if !job.accepted || over || !job.spec.awaits.iter().all(done) {
+            if !job.accepted || over || !job.spec.dependencies.iter().all(done) {
                 continue;
             }
             let (missing, zones) = self.missing(id, job);
@@ -134,17 +135,17 @@
         if limit > 0.0 && team + spec.cpus > limit + 1e-6 {
             return BTreeSet::new();
         }
-        let half = spec.tasks.div_ceil(2) as usize;
+        let half = spec.task_count.div_ceil(2) as usize;
         let fits = |worker: &Worker, (cpus, mem_gb): (f64, f64)| {
             let Some(kind) = self.shape.types.iter().find(|t| t.name == worker.kind) else { return false };
-            let reports = worker.alive && self.now > worker.up_at && !worker.faulty && self.now >= worker.hung_until;
+            let heartbeats = worker.alive && self.now > worker.up_at && !worker.faulty && self.now >= worker.hung_until;
             let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.kind))
                 && spec.zone.as_ref().is_none_or(|z| *z == self.shape.zones[worker.zone])
-                && (spec.spot || !worker.spot);
+                && (spec.spot_allowed || !worker.spot);
             let together = zones.iter().filter(|z| **z == worker.zone).count();
             let spread = !(spec.one_zone && together < zones.len() || spec.apart && together >= half);
             let room = cpus + spec.cpus <= kind.cpus + 1e-6 && mem_gb + spec.mem_gb <= kind.mem_gb + 1e-6;
-            reports && allowed && spread && room
+            heartbeats && allowed && spread && room
         };
         let fitting = self.workers.iter().zip(&used.machine).enumerate().filter(|(_, (w, used))| fits(w, **used));
         fitting.map(|(at, _)| at).collect()
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -12,14 +12,18 @@
 pub use state::StateService;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use tillercleat::coordination::{Ask, CloudAnswer, CloudCall, Core, Input, Output, Reply};
-use tillercleat::protocol::cloud::{Catalog, Listed, ListedState, MachineNames, MachinePage, MachineType};
-use tillercleat::protocol::peer::Note;
+use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
+use tillercleat::protocol::cloud::{
+    Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, MachineType,
+};
+use tillercleat::protocol::peer::PeerStatus;
 use tillercleat::protocol::state::{Change, StateAnswer, StateCall};
 use tillercleat::protocol::users::{JobSpec, JobState, Malformed};
-use tillercleat::protocol::workers::{Command, Report, TaskName, TaskReport, TaskState, Why};
+use tillercleat::protocol::workers::{Command, ExitReason, Heartbeat, TaskName, TaskState, TaskStatus};
 use tillercleat::settings::{Settings, Tuning};
-use tillercleat::units::{Attempt, CallId, JobRef, MachineId, NodeName, RequestId, Seq, Session, Time, Token};
+use tillercleat::units::{
+    AgentEpoch, Attempt, CallId, FencingToken, HeartbeatNumber, JobId, MachineId, MonotonicTime, NodeName, RequestId,
+};
 use trace::Trace;
 use users::Odd;
 
@@ -131,13 +135,13 @@
 fn kind_of(input: &Input) -> &'static str {
     match input {
         Input::Tick => "tick",
-        Input::User(..) => "question",
-        Input::Report(..) => "report",
-        Input::State(_, StateAnswer::Events(_)) => "watch",
+        Input::ClientRequest(..) => "question",
+        Input::Heartbeat(..) => "report",
+        Input::State(_, StateAnswer::WatchEvents(_)) => "watch",
         Input::State(_, StateAnswer::Page(_)) => "page",
         Input::State(..) => "state",
         Input::Cloud(..) => "cloud",
-        Input::Note(_) => "note",
+        Input::PeerStatus(_) => "note",
     }
 }
 
@@ -393,7 +397,7 @@
         match output {
             Output::State(_, StateCall::List { .. }) => Some(Moment::Reads),
             Output::State(_, StateCall::Grant { .. }) => Some(Moment::Leases),
-            Output::State(_, StateCall::Txn(txn)) => txn.changes.iter().find_map(|change| {
+            Output::State(_, StateCall::Transaction(transaction)) => transaction.changes.iter().find_map(|change| {
                 let Change::Put { put, value, .. } = change else { return None };
                 Some(match put.split('/').nth(1)? {
                     "n" => Moment::Announces,
@@ -436,17 +440,17 @@
     ReportTimer(usize),
     /// A worker tries the next node, its report of this number having failed.
     TryNext(usize, u64),
-    Report(usize, u32, usize, Report),
-    Answer(usize, u64, Reply, u64),
+    Heartbeat(usize, u32, usize, Heartbeat),
+    Answer(usize, u64, Response, u64),
     /// A report once more.
-    Copy(usize, Report),
+    Copy(usize, Heartbeat),
     Restart(usize),
     Fault(Fault),
     Submit(JobSpec, u32),
-    Cancel(JobRef, u32),
-    Poll(JobRef),
+    Cancel(JobId, u32),
+    Poll(JobId),
     /// A question that nobody repeats.
-    Ask(JobRef),
+    ClientRequest(JobId),
     Odd(Odd),
     /// Odd requests go on until then; so many were sent.
     OddRequests(u64, u64),
@@ -470,7 +474,7 @@
 struct OnMachine {
     attempt: Attempt,
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     ends: u64,
 }
 
@@ -489,12 +493,12 @@
     /// Until when its answers are held up, and for how long each at the most.
     held: (u64, u64),
     faulty: bool,
-    session: u64,
-    seq: u64,
+    agent_epoch: u64,
+    heartbeat_number: u64,
     token: u64,
     node: usize,
     lease_from: u64,
-    tasks: BTreeMap<(JobRef, u32), OnMachine>,
+    tasks: BTreeMap<(JobId, u32), OnMachine>,
     /// The report in flight: its number and when it was sent.
     flight: Option<(u64, u64)>,
 }
@@ -537,7 +541,7 @@
     workers: Vec<Worker>,
     rentals: BTreeMap<String, Vec<MachineId>>,
     /// Workers that were ever told to start a task.
-    placed: BTreeMap<(JobRef, u32), Vec<usize>>,
+    placed: BTreeMap<(JobId, u32), Vec<usize>>,
     /// The last second in which all workers were checked.
     checked: u64,
     /// The last second in which the use of teams was summed up.
@@ -546,7 +550,7 @@
     pub trace: Trace,
     /// What the controllers' inputs cost, by kind.
     pub costs: BTreeMap<&'static str, Cost>,
-    pub jobs: BTreeMap<JobRef, Job>,
+    pub jobs: BTreeMap<JobId, Job>,
     requests: BTreeMap<(usize, RequestId), Asked>,
     last_request: u64,
     state_out: Vec<u64>,
@@ -556,16 +560,16 @@
     /// Boots that begin before then: how much longer, and which never end.
     slow_boots: (u64, u64, usize),
     /// Jobs submitted with a mistake.
-    pub mistaken: BTreeSet<JobRef>,
+    pub mistaken: BTreeSet<JobId>,
     /// Starts per job.
-    pub tries: BTreeMap<JobRef, usize>,
+    pub tries: BTreeMap<JobId, usize>,
     /// Nodes that are to end in the middle of something, and how often any did.
     traps: Vec<(usize, Moment, u64, Option<u64>)>,
     pub sprung: BTreeMap<Moment, usize>,
     /// Requests of users that were told to come back.
     pub refused: usize,
     /// What users were last told of jobs that were refused for good.
-    pub final_no: BTreeMap<JobRef, u16>,
+    pub final_no: BTreeMap<JobId, u16>,
     /// Until when, what share, and how late at the most.
     copies: (u64, u64, u64),
     late_writes: (u64, u64),
@@ -578,14 +582,14 @@
     /// Starts after a user was told that their job is cancelled.
     pub late_starts: usize,
     /// When work that waits beside room was first seen to, and when all was last judged.
-    waiting: BTreeMap<JobRef, Waiting>,
+    waiting: BTreeMap<JobId, Waiting>,
     judged: u64,
     /// Tasks that ended of late: when, on which machine, and of which job.
-    left: VecDeque<(u64, usize, JobRef)>,
+    left: VecDeque<(u64, usize, JobId)>,
     lost_starts: usize,
     last_done: u64,
     /// Jobs whose users ask no more.
-    given_up: BTreeSet<JobRef>,
+    given_up: BTreeSet<JobId>,
     /// When the last trouble is over of those that have begun, and of all.
     calm_from: u64,
     over_from: u64,
@@ -596,7 +600,7 @@
 
 enum Asked {
     /// With whether the job had been accepted when its user asked.
-    User(JobRef, &'static str, u32, bool),
+    User(JobId, &'static str, u32, bool),
     Odd(Odd),
     Worker(usize, u64),
 }
@@ -604,8 +608,8 @@
 /// What the version before would have written: it knows of no levels, and drops
 /// what it does not know of a job's record.
 fn as_older(call: &mut StateCall) {
-    let StateCall::Txn(txn) = call else { return };
-    for change in &mut txn.changes {
+    let StateCall::Transaction(transaction) = call else { return };
+    for change in &mut transaction.changes {
         if let Change::Put { value: serde_json::Value::Object(value), .. } = change {
             for field in ["level", "awaits", "ready"] {
                 value.remove(field);
@@ -753,8 +757,8 @@
             mute_until: 0,
             held: (0, 0),
             faulty: false,
-            session: 1,
-            seq: 0,
+            agent_epoch: 1,
+            heartbeat_number: 0,
             token: 0,
             node,
             lease_from: up_at,
@@ -791,7 +795,7 @@
         self.at(at, Due::Submit(spec, 0));
     }
 
-    pub fn cancel(&mut self, at: u64, job: &JobRef) {
+    pub fn cancel(&mut self, at: u64, job: &JobId) {
         self.at(at, Due::Cancel(job.clone(), 0));
     }
 
@@ -823,7 +827,7 @@
         self.judge();
         // What comes to a node that stands still waits, its own ticks first.
         let to = match &what {
-            Due::Tick(node, _) | Due::ToNode(node, ..) | Due::Report(node, ..) => Some(*node),
+            Due::Tick(node, _) | Due::ToNode(node, ..) | Due::Heartbeat(node, ..) => Some(*node),
             _ => None,
         };
         if let Some(until) = to.map(|node| self.nodes[node].still_until).filter(|until| self.now < *until) {
@@ -846,7 +850,7 @@
                 if self.workers[worker].alive {
                     let (report_ms, spread) = (self.shape.report_ms, worker as u64 % 7);
                     self.at(self.now + report_ms * 3 / 4 + spread * (report_ms * 3 / 50), Due::ReportTimer(worker));
-                    self.send_report(worker);
+                    self.send_heartbeat(worker);
                 }
             }
             Due::TryNext(worker, flight) => {
@@ -855,30 +859,32 @@
                 if w.alive && w.flight.is_some_and(|(number, _)| number == flight) {
                     w.flight = None;
                     w.node = (w.node + 1) % nodes;
-                    self.send_report(worker);
+                    self.send_heartbeat(worker);
                 }
             }
-            Due::Report(node, life, worker, report) => {
+            Due::Heartbeat(node, life, worker, heartbeat) => {
                 if self.nodes[node].life != life || self.nodes[node].core.is_none() {
                     // Refused or reset: the next node, a second later.
-                    self.at(self.now + 1000, Due::TryNext(worker, report.seq.0));
+                    self.at(self.now + 1000, Due::TryNext(worker, heartbeat.heartbeat_number.0));
                 } else {
                     self.last_request += 1;
                     let id = RequestId(self.last_request);
-                    self.requests.insert((node, id), Asked::Worker(worker, report.seq.0));
-                    self.feed(node, Input::Report(id, report));
+                    self.requests.insert((node, id), Asked::Worker(worker, heartbeat.heartbeat_number.0));
+                    self.feed(node, Input::Heartbeat(id, heartbeat));
                 }
             }
-            Due::Copy(worker, report) => {
+            Due::Copy(worker, heartbeat) => {
                 let node = self.random_node();
                 self.last_request += 1;
                 if self.nodes[node].core.is_some() {
                     let id = RequestId(self.last_request);
                     self.requests.insert((node, id), Asked::Worker(worker, 0));
-                    self.feed(node, Input::Report(id, report));
+                    self.feed(node, Input::Heartbeat(id, heartbeat));
                 }
             }
-            Due::Answer(worker, flight, reply, session) => self.worker_answered(worker, flight, reply, session),
+            Due::Answer(worker, flight, response, agent_epoch) => {
+                self.worker_answered(worker, flight, response, agent_epoch)
+            }
             Due::Restart(node) => {
                 let core = Core::new(self.settings[node].clone(), Tuning::default());
                 let n = &mut self.nodes[node];
@@ -890,13 +896,15 @@
             }
             Due::Fault(fault) => self.strike(fault),
             // Names are named once they are accepted.
-            Due::Submit(spec, tries) if spec.awaits.iter().any(|n| self.jobs.get(n).is_some_and(|j| !j.accepted)) => {
+            Due::Submit(spec, tries)
+                if spec.dependencies.iter().any(|n| self.jobs.get(n).is_some_and(|j| !j.accepted)) =>
+            {
                 self.at(self.now + 200, Due::Submit(spec, tries));
             }
             Due::Submit(spec, tries) => {
                 let id = spec.id.clone();
                 let doomed = spec
-                    .awaits
+                    .dependencies
                     .iter()
                     .any(|n| self.jobs.get(n).is_some_and(|j| j.doomed.is_some() || j.cancel_told.is_some()));
                 let doomed = doomed.then_some(self.now);
@@ -913,16 +921,16 @@
                     last_start: 0,
                     finished: BTreeSet::new(),
                 });
-                self.ask(Ask::Submit(Box::new(spec)), id, "submit", tries);
+                self.ask(ClientRequest::Submit(Box::new(spec)), id, "submit", tries);
             }
             Due::Cancel(job, tries) => {
                 if let Some(job) = self.jobs.get_mut(&job) {
                     job.cancel_asked = true;
                 }
-                self.ask(Ask::Cancel(job.clone()), job, "cancel", tries)
+                self.ask(ClientRequest::Cancel(job.clone()), job, "cancel", tries)
             }
-            Due::Poll(job) => self.ask(Ask::Query(job.clone()), job, "poll", 0),
-            Due::Ask(job) => self.ask(Ask::Query(job.clone()), job, "ask", 0),
+            Due::Poll(job) => self.ask(ClientRequest::Query(job.clone()), job, "poll", 0),
+            Due::ClientRequest(job) => self.ask(ClientRequest::Query(job.clone()), job, "ask", 0),
             Due::Odd(odd) => self.send_odd(odd),
             Due::OddRequests(until, number) => {
                 self.odd_request(number);
@@ -935,7 +943,7 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask, job: JobRef, what: &'static str, tries: u32) {
+    fn ask(&mut self, ask: ClientRequest, job: JobId, what: &'static str, tries: u32) {
         let node = self.random_node();
         if self.nodes[node].core.is_none() || self.now < self.nodes[node].hidden_until {
             return self.ask_again(job, what, tries);
@@ -945,10 +953,10 @@
         let accepted = self.jobs.get(&job).is_some_and(|j| j.accepted);
         self.requests.insert((node, id), Asked::User(job, what, tries, accepted));
         let (life, at) = (self.nodes[node].life, self.now + self.link());
-        self.at(at, Due::ToNode(node, life, Input::User(id, ask)));
+        self.at(at, Due::ToNode(node, life, Input::ClientRequest(id, ask)));
     }
 
-    fn ask_again(&mut self, job: JobRef, what: &'static str, tries: u32) {
+    fn ask_again(&mut self, job: JobId, what: &'static str, tries: u32) {
         let at = self.now + 1000;
         if self.given_up.contains(&job) {
             return;
@@ -971,7 +979,7 @@
         let steady = (self.now - n.started) * (100_000 + [0, 40, 25][node % 3]) / 100_000 + 1;
         let kind = kind_of(&input);
         let began = std::time::Instant::now();
-        let outputs = core.handle(Time(steady), self.now + 500 * (node % 3) as u64, input);
+        let outputs = core.handle(MonotonicTime(steady), self.now + 500 * (node % 3) as u64, input);
         self.costs.entry(kind).or_default().add(began.elapsed().as_nanos() as u64);
         let life = n.life;
         self.trace.add(self.now, node, &outputs);
@@ -981,7 +989,7 @@
                 return;
             }
             match output {
-                Output::Reply(id, reply) => self.replied(node, id, reply),
+                Output::Response(id, response) => self.replied(node, id, response),
                 Output::State(id, mut call) => {
                     if self.nodes[node].older {
                         as_older(&mut call);
@@ -1001,12 +1009,12 @@
                     self.at(self.now + delay, Due::State(node, life, id, call, self.now + wait));
                 }
                 Output::Cloud(id, call) => self.at(self.now + 80, Due::Cloud(node, life, id, call)),
-                Output::Nudge(revision) => {
-                    let note = Note { from: format!("n{node}"), revision: revision.0, ..Note::default() };
-                    let note = Note { state_reachable: true, ..note };
-                    self.tell(node, note);
+                Output::RevisionHint(revision) => {
+                    let status = PeerStatus { from: format!("n{node}"), revision: revision.0, ..PeerStatus::default() };
+                    let status = PeerStatus { state_reachable: true, ..status };
+                    self.tell(node, status);
                 }
-                Output::Tell(note) => self.tell(node, note),
+                Output::BroadcastStatus(status) => self.tell(node, status),
             }
         }
     }
@@ -1034,12 +1042,12 @@
         true
     }
 
-    fn tell(&mut self, node: usize, note: Note) {
+    fn tell(&mut self, node: usize, status: PeerStatus) {
         for peer in (0..self.nodes.len()).filter(|p| *p != node) {
             let alone = self.nodes[node].alone_until.max(self.nodes[peer].alone_until);
             if self.now >= self.peers_cut.max(alone) && self.nodes[peer].core.is_some() {
                 let (to, link) = (self.nodes[peer].life, self.link());
-                self.at(self.now + 2 + link, Due::ToNode(peer, to, Input::Note(note.clone())));
+                self.at(self.now + 2 + link, Due::ToNode(peer, to, Input::PeerStatus(status.clone())));
             }
         }
     }
@@ -1055,22 +1063,23 @@
         }
         let (until, late) = self.silent[node];
         if self.now < until {
-            if late > 0 && matches!(call, StateCall::Txn(_)) {
+            if late > 0 && matches!(call, StateCall::Transaction(_)) {
                 // Carried out late; the answer never comes.
                 self.at(self.now + late, Due::State(node, u32::MAX, id, call, 0));
             }
             return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StateAnswer::Unknown)));
         }
         let (until, share) = self.late_writes;
-        if self.now < until && matches!(call, StateCall::Txn(_)) && life != u32::MAX && self.random(100) < share {
+        if self.now < until && matches!(call, StateCall::Transaction(_)) && life != u32::MAX && self.random(100) < share
+        {
             let late = 2000 + self.random(10_000);
             self.at(self.now + late, Due::State(node, u32::MAX, id, call, 0));
             return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StateAnswer::Unknown)));
         }
-        if let StateCall::Txn(txn) = &call {
+        if let StateCall::Transaction(transaction) = &call {
             // Carried out late, it would undo what is newer.
-            if !txn.changes.is_empty() && txn.conditions.is_empty() {
-                self.broken.push(format!("unconditional: {:?} at {}", txn.changes, self.now));
+            if !transaction.changes.is_empty() && transaction.conditions.is_empty() {
+                self.broken.push(format!("unconditional: {:?} at {}", transaction.changes, self.now));
             }
         }
         if let StateCall::Watch { after, .. } = &call {
@@ -1089,12 +1098,16 @@
             CloudCall::List { .. } => {
                 let machines = self.workers.iter().filter(|w| w.alive && self.now >= w.rented + 2000);
                 let machines = machines
-                    .map(|w| Listed {
+                    .map(|w| ListedMachine {
                         machine: w.name.clone(),
                         kind: w.kind.clone(),
                         zone: self.shape.zones[w.zone].clone(),
                         spot: w.spot,
-                        state: if self.now >= w.up_at { ListedState::Running } else { ListedState::Booting },
+                        state: if self.now >= w.up_at {
+                            ListedMachineState::Running
+                        } else {
+                            ListedMachineState::Booting
+                        },
                         age_s: (self.now - w.rented) as f64 / 1000.0,
                     })
                     .collect();
@@ -1139,7 +1152,7 @@
         let now = self.now;
         let worker = &mut self.workers[index];
         if now > worker.lease_from + self.shape.lease_ms {
-            worker.session += 1;
+            worker.agent_epoch += 1;
             worker.lease_from = now;
             worker.tasks.clear();
         }
@@ -1152,10 +1165,10 @@
                 task.state = TaskState::Exited;
                 self.left.push_back((now, index, key.0.clone()));
                 if worker.faulty || self.mistaken.contains(&key.0) {
-                    task.why = Some(Why::Error);
+                    task.why = Some(ExitReason::Error);
                     continue;
                 }
-                task.why = Some(Why::Done);
+                task.why = Some(ExitReason::Done);
                 if let Some(job) = self.jobs.get_mut(&key.0) {
                     job.finished.insert(key.1);
                     self.last_done = now;
@@ -1164,7 +1177,7 @@
         }
     }
 
-    fn send_report(&mut self, index: usize) {
+    fn send_heartbeat(&mut self, index: usize) {
         if self.now < self.workers[index].hung_until {
             return;
         }
@@ -1180,97 +1193,97 @@
         if worker.flight.is_some() {
             return;
         }
-        worker.seq += 1;
-        worker.flight = Some((worker.seq, now));
-        let tasks = worker.tasks.iter().map(|(key, task)| TaskReport {
+        worker.heartbeat_number += 1;
+        worker.flight = Some((worker.heartbeat_number, now));
+        let tasks = worker.tasks.iter().map(|(key, task)| TaskStatus {
             task: TaskName { job: key.0.clone(), index: key.1 },
             attempt: task.attempt,
             state: task.state,
             why: task.why,
             saved: None,
         });
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: worker.name.clone(),
             addr: "127.0.0.1:1".into(),
             kind: worker.kind.clone(),
             zone: self.shape.zones[worker.zone].clone(),
             spot: worker.spot,
-            session: Session(worker.session),
-            seq: Seq(worker.seq),
-            token: Token(worker.token),
+            agent_epoch: AgentEpoch(worker.agent_epoch),
+            heartbeat_number: HeartbeatNumber(worker.heartbeat_number),
+            token: FencingToken(worker.token),
             notice_s: None,
             tasks: tasks.collect(),
         };
-        let (node, zone, flight) = (worker.node, worker.zone, worker.seq);
+        let (node, zone, flight) = (worker.node, worker.zone, worker.heartbeat_number);
         if now < worker.mute_until {
             // No connection opens.
             return self.at(now + 5000, Due::TryNext(index, flight));
         }
         if now < self.held_reports.0 && self.random(100) < self.held_reports.1 {
             let late = 1000 + self.random(self.held_reports.2);
-            self.at(now + late, Due::Copy(index, report));
+            self.at(now + late, Due::Copy(index, heartbeat));
             return self.at(now + 5000, Due::TryNext(index, flight));
         }
         if now < self.copies.0 && self.random(100) < self.copies.1 {
             let late = 1 + self.random(self.copies.2);
-            self.at(now + late, Due::Copy(index, report.clone()));
+            self.at(now + late, Due::Copy(index, heartbeat.clone()));
         }
         self.at(now + 5000, Due::TryNext(index, flight));
         let (life, link) = (self.nodes[node].life, self.link());
         match self.cuts.get(&(node, zone)) {
-            Some(&(until, true)) if now < until => self.at(until + 1, Due::Report(node, life, index, report)),
+            Some(&(until, true)) if now < until => self.at(until + 1, Due::Heartbeat(node, life, index, heartbeat)),
             Some(&(until, false)) if now < until => {}
-            _ => self.at(now + 2 + link, Due::Report(node, life, index, report)),
+            _ => self.at(now + 2 + link, Due::Heartbeat(node, life, index, heartbeat)),
         }
     }
 
-    fn replied(&mut self, node: usize, id: RequestId, reply: Reply) {
+    fn replied(&mut self, node: usize, id: RequestId, response: Response) {
         match self.requests.remove(&(node, id)) {
-            Some(Asked::User(job, what, tries, accepted)) => self.user_answered(job, what, tries, accepted, reply),
-            Some(Asked::Odd(odd)) => self.odd_answered(odd, reply),
+            Some(Asked::User(job, what, tries, accepted)) => self.user_answered(job, what, tries, accepted, response),
+            Some(Asked::Odd(odd)) => self.odd_answered(odd, response),
             Some(Asked::Worker(worker, flight)) => {
                 if self.now < self.workers[worker].deaf_until.max(self.nodes[node].mute_until) {
-                    if let Reply::Commands { commands, .. } = &reply {
+                    if let Response::Commands { commands, .. } = &response {
                         let starts = commands.iter().filter(|c| matches!(c, Command::Start { .. }));
                         self.lost_starts += starts.count();
                     }
                     return;
                 }
                 let zone = self.workers[worker].zone;
-                let session = self.workers[worker].session;
+                let agent_epoch = self.workers[worker].agent_epoch;
                 if let Some(most) = Some(self.workers[worker].held).filter(|held| self.now < held.0).map(|held| held.1)
                 {
                     let late = 2 + self.random(most);
-                    return self.at(self.now + late, Due::Answer(worker, flight, reply, session));
+                    return self.at(self.now + late, Due::Answer(worker, flight, response, agent_epoch));
                 }
                 let at = match self.cuts.get(&(node, zone)) {
                     Some(&(until, true)) if self.now < until => until + 1,
                     Some(&(until, false)) if self.now < until => return,
                     _ => self.now + 2 + self.link(),
                 };
-                self.at(at, Due::Answer(worker, flight, reply, session));
+                self.at(at, Due::Answer(worker, flight, response, agent_epoch));
             }
             None => {}
         }
     }
 
-    fn worker_answered(&mut self, index: usize, flight: u64, reply: Reply, session: u64) {
+    fn worker_answered(&mut self, index: usize, flight: u64, response: Response, agent_epoch: u64) {
         if self.now < self.workers[index].hung_until {
             // Processed when it goes on, if it still is in time then.
             let at = self.workers[index].hung_until;
-            return self.at(at, Due::Answer(index, flight, reply, session));
+            return self.at(at, Due::Answer(index, flight, response, agent_epoch));
         }
         self.live(index);
         let nodes = self.nodes.len();
         let worker = &mut self.workers[index];
         let Some((current, sent)) = worker.flight else { return };
         // Late answers, and those to an earlier session, are dropped.
-        if !worker.alive || current != flight || self.now > sent + 4000 || session != worker.session {
+        if !worker.alive || current != flight || self.now > sent + 4000 || agent_epoch != worker.agent_epoch {
             return;
         }
         worker.flight = None;
-        match reply {
-            Reply::Commands { token, commands } => {
+        match response {
+            Response::Commands { token, commands } => {
                 if token.0 < worker.token {
                     return;
                 }
@@ -1280,7 +1293,7 @@
                     self.carry_out(index, command);
                 }
             }
-            Reply::Elsewhere(Some(node)) => {
+            Response::Redirect(Some(node)) => {
                 worker.node = (0..nodes).find(|n| NodeName::new(&format!("n{n}")) == node).unwrap_or(0);
             }
             _ => worker.node = (worker.node + 1) % nodes,
@@ -1296,7 +1309,7 @@
                     return;
                 }
                 self.check_start(index, &key);
-                let run = self.jobs.get(&task.job).map_or(1000, |j| (j.spec.estimate_s * 1000.0) as u64);
+                let run = self.jobs.get(&task.job).map_or(1000, |j| (j.spec.estimated_run_s * 1000.0) as u64);
                 let ends = now + run * (80 + self.random(60)) / 100;
                 let fails = self.workers[index].faulty || self.mistaken.contains(&task.job);
                 let ends = if fails { now + 1000 } else { ends };
@@ -1312,7 +1325,7 @@
                 if let Some(on) = self.workers[index].tasks.get_mut(&(task.job, task.index)) {
                     if on.attempt == attempt && on.state != TaskState::Exited {
                         on.state = TaskState::Exited;
-                        on.why = Some(Why::Stopped);
+                        on.why = Some(ExitReason::Stopped);
                     }
                 }
             }
@@ -1326,7 +1339,7 @@
     }
 
     /// Checks what must hold when a task starts.
-    fn check_start(&mut self, index: usize, key: &(JobRef, u32)) {
+    fn check_start(&mut self, index: usize, key: &(JobId, u32)) {
         self.starts += 1;
         if let Some(job) = self.jobs.get_mut(&key.0) {
             job.began.get_or_insert(self.now);
@@ -1363,17 +1376,17 @@
         let Some(job) = self.jobs.get(&key.0) else {
             return self.broken.push(format!("invented start: {}", key.0));
         };
-        let undone = |name: &JobRef| self.jobs.get(name).is_none_or(|j| j.finished.len() < j.spec.tasks as usize);
-        if let Some(name) = job.spec.awaits.iter().find(|name| undone(name)) {
+        let undone = |name: &JobId| self.jobs.get(name).is_none_or(|j| j.finished.len() < j.spec.task_count as usize);
+        if let Some(name) = job.spec.dependencies.iter().find(|name| undone(name)) {
             self.broken.push(format!("too_early: {}/{} at {}, {name} is not done", key.0, key.1, self.now));
         }
         let spec = &job.spec;
         let worker = &self.workers[index];
         let zone_ok = spec.zone.as_deref().is_none_or(|z| z == self.shape.zones[worker.zone]);
-        if !zone_ok || (worker.spot && !spec.spot) {
+        if !zone_ok || (worker.spot && !spec.spot_allowed) {
             self.broken.push(format!("wrong_place: {}/{} at {}", key.0, key.1, self.now));
         }
-        let zones = |of: &JobRef| -> Vec<usize> {
+        let zones = |of: &JobId| -> Vec<usize> {
             let live = job_on.iter().map(|at| &self.workers[*at]).filter(|w| w.alive);
             live.flat_map(|w| {
                 w.tasks.iter().filter(|(k, t)| k.0 == *of && t.state != TaskState::Exited).map(|_| w.zone)
@@ -1382,7 +1395,7 @@
         };
         let others = zones(&key.0);
         let together = others.iter().filter(|z| **z == worker.zone).count();
-        let half = spec.tasks.div_ceil(2) as usize;
+        let half = spec.task_count.div_ceil(2) as usize;
         if spec.one_zone && together < others.len() || spec.apart && together >= half {
             self.broken.push(format!("wrong_place by zone: {}/{} at {}", key.0, key.1, self.now));
         }
@@ -1422,21 +1435,21 @@
         }
     }
 
-    fn user_answered(&mut self, id: JobRef, what: &'static str, tries: u32, accepted: bool, reply: Reply) {
+    fn user_answered(&mut self, id: JobId, what: &'static str, tries: u32, accepted: bool, response: Response) {
         let now = self.now;
         let (cancel_ms, calm_from) = (self.shape.cancel_ms, self.calm_from);
         let Some(job) = self.jobs.get_mut(&id) else {
-            if matches!(reply, Reply::Job { .. }) {
+            if matches!(response, Response::Job { .. }) {
                 self.broken.push(format!("invented: {id}"));
             }
             return;
         };
-        match reply {
-            Reply::Job { status, state, .. } => {
+        match response {
+            Response::Job { status, state, .. } => {
                 if accepted && status == 201 {
                     self.broken.push(format!("accepted twice: {id} at {now}"));
                 }
-                if state == JobState::Done && job.finished.len() < job.spec.tasks as usize {
+                if state == JobState::Done && job.finished.len() < job.spec.task_count as usize {
                     self.broken.push(format!("not_done: {id} at {now}"));
                 }
                 let back = (job.done_told && state != JobState::Done)
@@ -1453,7 +1466,7 @@
                 let told = state == JobState::Cancelled && job.cancel_told.is_none();
                 if told {
                     job.cancel_told = Some(now);
-                    if !job.cancel_asked && job.doomed.is_none() && job.spec.awaits.is_empty() {
+                    if !job.cancel_asked && job.doomed.is_none() && job.spec.dependencies.is_empty() {
                         self.broken.push(format!("went_back: nobody cancelled {id} at {now}"));
                     }
                 }
@@ -1466,7 +1479,7 @@
                     self.at(now + 3000, Due::Poll(id));
                 }
             }
-            Reply::Problem { status, .. } => {
+            Response::Error { status, .. } => {
                 if accepted && matches!(status, 400 | 404 | 422) {
                     self.broken.push(format!("forgotten: {id} gets {status} at {now}"));
                 }
@@ -1485,11 +1498,11 @@
     }
 
     /// All that needs a cancelled job is cancelled with it.
-    fn doom_after(&mut self, id: &JobRef) {
+    fn doom_after(&mut self, id: &JobId) {
         let mut next = vec![id.clone()];
         while let Some(id) = next.pop() {
             for (follower, job) in &mut self.jobs {
-                if job.doomed.is_none() && job.spec.awaits.contains(&id) {
+                if job.doomed.is_none() && job.spec.dependencies.contains(&id) {
                     job.doomed = Some(self.now);
                     next.push(follower.clone());
                 }
@@ -1624,7 +1637,7 @@
     }
 
     /// Jobs that were accepted and neither done nor cancelled in their users' eyes.
-    pub fn open_jobs(&self) -> Vec<&JobRef> {
+    pub fn open_jobs(&self) -> Vec<&JobId> {
         let open = |j: &Job| j.accepted && !j.done_told && j.cancel_told.is_none();
         self.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| id).collect()
     }
@@ -1636,8 +1649,8 @@
     }
 
     /// True if all tasks of a job have completed.
-    pub fn done(&self, id: &JobRef) -> bool {
-        self.jobs.get(id).is_some_and(|j| j.finished.len() == j.spec.tasks as usize)
+    pub fn done(&self, id: &JobId) -> bool {
+        self.jobs.get(id).is_some_and(|j| j.finished.len() == j.spec.task_count as usize)
     }
 
     /// What controllers are told of limits to come, from their next lives on.
@@ -1674,29 +1687,29 @@
     }
 
     /// The user of a job no longer asks, but keeps in mind what it sent.
-    pub fn forget_user(&mut self, at: u64, id: &JobRef) {
+    pub fn forget_user(&mut self, at: u64, id: &JobId) {
         self.run(at);
         self.given_up.insert(id.clone());
     }
 
     /// Users ask about a job, this once.
-    pub fn poll(&mut self, at: u64, job: &JobRef) {
+    pub fn poll(&mut self, at: u64, job: &JobId) {
         self.at(at, Due::Poll(job.clone()));
     }
 
     /// The largest jobs of each class: its tenth with most cores times tasks,
     /// and that with most tasks.
-    fn largest(&self) -> BTreeSet<&JobRef> {
-        let mut classes: BTreeMap<&str, Vec<(&JobRef, &JobSpec)>> = BTreeMap::new();
+    fn largest(&self) -> BTreeSet<&JobId> {
+        let mut classes: BTreeMap<&str, Vec<(&JobId, &JobSpec)>> = BTreeMap::new();
         for (id, job) in &self.jobs {
             classes.entry(&job.spec.class).or_default().push((id, &job.spec));
         }
         let mut largest = BTreeSet::new();
         for mut jobs in classes.into_values() {
             let tenth = jobs.len().div_ceil(10);
-            jobs.sort_by_key(|(_, spec)| Reverse(spec.tasks));
+            jobs.sort_by_key(|(_, spec)| Reverse(spec.task_count));
             largest.extend(jobs.iter().take(tenth).map(|(id, _)| *id));
-            jobs.sort_by(|(_, a), (_, b)| (b.cpus * f64::from(b.tasks)).total_cmp(&(a.cpus * f64::from(a.tasks))));
+            jobs.sort_by(|(_, a), (_, b)| (b.cpus * f64::from(b.task_count)).total_cmp(&(a.cpus * f64::from(a.task_count))));
             largest.extend(jobs.iter().take(tenth).map(|(id, _)| *id));
         }
         largest
@@ -1716,12 +1729,12 @@
                 [format!("class {}", job.spec.class), format!("team {}", job.spec.team)].into_iter().chain(among)
             {
                 // The largest must begin in time, unless they wait for others.
-                let largest = name.starts_with("largest") && job.spec.awaits.is_empty();
+                let largest = name.starts_with("largest") && job.spec.dependencies.is_empty();
                 let within = if largest { LARGEST_BEGIN } else { u64::MAX };
                 let sum = served.entry(name).or_default();
                 sum.came += 1;
                 sum.started += usize::from(job.began.is_some_and(|at| at - job.came <= within));
-                sum.done += usize::from(job.finished.len() == job.spec.tasks as usize);
+                sum.done += usize::from(job.finished.len() == job.spec.task_count as usize);
             }
         }
         served
@@ -1768,6 +1781,6 @@
 
     /// Leases of living workers that have run out.
     pub fn sessions_ended(&self) -> u64 {
-        self.workers.iter().filter(|w| w.alive).map(|w| w.session - 1).sum()
+        self.workers.iter().filter(|w| w.alive).map(|w| w.agent_epoch - 1).sum()
     }
 }
--- a/tests/standin/state.rs
+++ b/tests/standin/state.rs
@@ -1,7 +1,7 @@
 //! The state service: conditional transactions, leases, watches and limits.
 
 use std::collections::BTreeMap;
-use tillercleat::protocol::state::{Change, Event as Changed, Events, Item, Page, StateAnswer, StateCall, Txn};
+use tillercleat::protocol::state::{Change, Item, Page, StateAnswer, StateCall, Transaction, WatchEvent, WatchEvents};
 use tillercleat::units::{LeaseId, Revision};
 
 /// Refills with time, one second's worth at the most.
@@ -70,8 +70,8 @@
         }
     }
 
-    fn txn(&mut self, txn: Txn) -> StateAnswer {
-        for change in &txn.changes {
+    fn transaction(&mut self, transaction: Transaction) -> StateAnswer {
+        for change in &transaction.changes {
             if let Change::Put { lease: Some(lease), .. } = change {
                 if !self.leases.contains_key(&lease.0) {
                     return StateAnswer::LeaseGone;
@@ -80,19 +80,19 @@
         }
         let too_large =
             |c: &Change| matches!(c, Change::Put { value, .. } if value.to_string().len() > self.most_bytes);
-        let too_many = txn.changes.len() > self.most_ops || txn.conditions.len() > 4 * self.most_ops;
-        if self.buckets.is_some() && (too_many || txn.changes.iter().any(too_large)) {
-            *self.rejected.entry(format!("{txn:?}")).or_default() += 1;
+        let too_many = transaction.changes.len() > self.most_ops || transaction.conditions.len() > 4 * self.most_ops;
+        if self.buckets.is_some() && (too_many || transaction.changes.iter().any(too_large)) {
+            *self.rejected.entry(format!("{transaction:?}")).or_default() += 1;
             return StateAnswer::Rejected("too large".into());
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
         let failed: Vec<String> =
-            txn.conditions.iter().filter(|c| version(&c.key) != c.version.0).map(|c| c.key.clone()).collect();
+            transaction.conditions.iter().filter(|c| version(&c.key) != c.version.0).map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
             return StateAnswer::Conflict(failed);
         }
         self.revision += 1;
-        for change in txn.changes {
+        for change in transaction.changes {
             match change {
                 Change::Put { put, value, lease } => {
                     self.log.push((self.revision, put.clone(), Some(value.clone())));
@@ -110,7 +110,7 @@
     pub fn run(&mut self, now: u64, call: StateCall) -> StateAnswer {
         self.expire(now);
         *self.requests.entry(now / 1000).or_default() += 1;
-        let changes = if let StateCall::Txn(txn) = &call { txn.changes.len() } else { 0 };
+        let changes = if let StateCall::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
         if let Some((requests, writes)) = &mut self.buckets {
             if !requests.take(now, 1.0) || !writes.take(now, changes as f64) {
                 self.limited += 1;
@@ -139,9 +139,9 @@
                     revision: Revision(self.revision),
                 })
             }
-            StateCall::Txn(txn) => {
-                *self.writes.entry(now / 1000).or_default() += txn.changes.len();
-                self.txn(txn)
+            StateCall::Transaction(transaction) => {
+                *self.writes.entry(now / 1000).or_default() += transaction.changes.len();
+                self.transaction(transaction)
             }
             StateCall::Grant { ttl_ms } => {
                 self.last_lease += 1;
@@ -161,10 +161,10 @@
                     return StateAnswer::TooOld;
                 }
                 let events = self.log[from..].iter().map(|(at, key, value)| match value {
-                    Some(value) => Changed::Put { put: key.clone(), value: value.clone(), version: Revision(*at) },
-                    None => Changed::Delete { delete: key.clone(), version: Revision(*at) },
+                    Some(value) => WatchEvent::Put { put: key.clone(), value: value.clone(), version: Revision(*at) },
+                    None => WatchEvent::Delete { delete: key.clone(), version: Revision(*at) },
                 });
-                StateAnswer::Events(Events { events: events.collect(), revision: Revision(self.revision) })
+                StateAnswer::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
             }
         }
     }
--- a/tests/standin/trace.rs
+++ b/tests/standin/trace.rs
@@ -4,9 +4,9 @@
 
 use prost::Message;
 use std::hash::Hasher;
-use tillercleat::coordination::{CloudCall, Output, Reply};
-use tillercleat::protocol::users::JobAnswer;
-use tillercleat::protocol::workers::ReportAnswer;
+use tillercleat::coordination::{CloudCall, Output, Response};
+use tillercleat::protocol::users::JobStatus;
+use tillercleat::protocol::workers::HeartbeatResponse;
 
 /// FNV-1a, which is the same in every process and version.
 #[derive(Debug, Clone, Copy)]
@@ -73,23 +73,23 @@
             };
             format!("cloud {call} {request}").into_bytes()
         }
-        Output::Reply(request, reply) => format!("reply {request} {}", reply_form(reply)).into_bytes(),
-        Output::Tell(note) => [b"tell ".as_slice(), &note.encode_to_vec()].concat(),
-        Output::Nudge(revision) => format!("nudge {revision}").into_bytes(),
+        Output::Response(request, response) => format!("reply {request} {}", reply_form(response)).into_bytes(),
+        Output::BroadcastStatus(status) => [b"tell ".as_slice(), &status.encode_to_vec()].concat(),
+        Output::RevisionHint(revision) => format!("nudge {revision}").into_bytes(),
     }
 }
 
-fn reply_form(reply: &Reply) -> String {
-    match reply {
-        Reply::Up => "up".into(),
-        Reply::Job { status, id, state, counts } => {
+fn reply_form(response: &Response) -> String {
+    match response {
+        Response::Healthy => "up".into(),
+        Response::Job { status, id, state, counts } => {
             let (done, running) = counts.unzip();
-            format!("job {status} {}", json(&JobAnswer { id, state: *state, done, running }))
+            format!("job {status} {}", json(&JobStatus { id, state: *state, done, running }))
         }
-        Reply::Problem { status, retry_after_s, .. } => format!("problem {status} {}", json(retry_after_s)),
-        Reply::Commands { token, commands } => {
-            format!("commands {}", json(&ReportAnswer { token: *token, commands }))
+        Response::Error { status, retry_after_s, .. } => format!("problem {status} {}", json(retry_after_s)),
+        Response::Commands { token, commands } => {
+            format!("commands {}", json(&HeartbeatResponse { token: *token, commands }))
         }
-        Reply::Elsewhere(node) => format!("elsewhere {}", json(node)),
+        Response::Redirect(node) => format!("elsewhere {}", json(node)),
     }
 }
--- a/tests/standin/users.rs
+++ b/tests/standin/users.rs
@@ -16,7 +16,7 @@
 /// A request that is no valid submission or repeats one, and the status that it has to get.
 #[derive(Debug, Clone)]
 pub struct Odd {
-    id: JobRef,
+    id: JobId,
     body: String,
     expected: u16,
     tries: u32,
@@ -25,7 +25,7 @@
 /// A submission as its user writes it.
 fn body(spec: &JobSpec) -> serde_json::Value {
     let mut fields = serde_json::to_value(spec).expect("a job");
-    fields["awaits"] = serde_json::to_value(&spec.awaits).expect("ids");
+    fields["awaits"] = serde_json::to_value(&spec.dependencies).expect("ids");
     fields
 }
 
@@ -54,7 +54,7 @@
     /// Running jobs are called off within a fifth of a second; some of their machines hang.
     pub(super) fn call_off(&mut self, count: usize, hang_ms: u64) {
         let long = self.now + 5000;
-        let mut running: BTreeMap<JobRef, usize> = BTreeMap::new();
+        let mut running: BTreeMap<JobId, usize> = BTreeMap::new();
         for (at, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.alive) {
             for (key, task) in &worker.tasks {
                 let open = self.jobs.get(&key.0).is_some_and(|j| j.accepted && !j.cancel_asked && j.doomed.is_none());
@@ -75,11 +75,11 @@
 
     /// A job's last task is about to end: its user may call it off, ask and send it
     /// again, before, in and after the transaction that ends it.
-    pub(super) fn about_to_end(&mut self, id: &JobRef) {
+    pub(super) fn about_to_end(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|j| j.accepted && !j.cancel_asked) else { return };
         let on = |w: &Worker| w.tasks.iter().filter(|(k, t)| k.0 == *id && t.state != TaskState::Exited).count();
         let running: usize = self.workers.iter().filter(|w| w.alive).map(on).sum();
-        if job.finished.len() + running < job.spec.tasks as usize {
+        if job.finished.len() + running < job.spec.task_count as usize {
             return;
         }
         let of_job = |w: &Worker| w.tasks.iter().filter(|(k, _)| k.0 == *id).map(|(_, t)| t.ends).max();
@@ -91,21 +91,21 @@
         let mut moment = || end.saturating_sub(300).max(self.now) + self.random(1800);
         let (cancel, polls, again) = (moment(), [moment(), moment()], moment());
         self.at(cancel, Due::Cancel(id.clone(), 0));
-        polls.into_iter().for_each(|at| self.at(at, Due::Ask(id.clone())));
+        polls.into_iter().for_each(|at| self.at(at, Due::ClientRequest(id.clone())));
         self.at(again, Due::Submit(spec, 0));
     }
 
     /// One odd request, whichever comes next.
     pub(super) fn odd_request(&mut self, number: u64) {
-        let accepted: Vec<JobRef> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
+        let accepted: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         if accepted.is_empty() {
             return;
         }
         let id = accepted[self.random(accepted.len() as u64) as usize].clone();
-        let fresh = JobRef::new(&format!("wk-9{number:06}"));
+        let fresh = JobId::new(&format!("wk-9{number:06}"));
         let field = REQUIRED[self.random(REQUIRED.len() as u64) as usize];
         let mut fields = body(&self.jobs[&id].spec);
-        let odd = |id: &JobRef, fields: &serde_json::Value, expected: u16| Odd {
+        let odd = |id: &JobId, fields: &serde_json::Value, expected: u16| Odd {
             id: id.clone(),
             body: fields.to_string(),
             expected,
@@ -151,8 +151,8 @@
             return self.odd_again(odd);
         }
         let ask = match JobSpec::parse(odd.body.as_bytes()) {
-            Ok(spec) => Ask::Submit(Box::new(spec)),
-            Err(Malformed { id: Some(id), reason }) => Ask::Malformed { id, reason },
+            Ok(spec) => ClientRequest::Submit(Box::new(spec)),
+            Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
             // Answered where it arrives.
             Err(Malformed { id: None, .. }) => return self.odd_status(odd, 400),
         };
@@ -160,7 +160,7 @@
         let id = RequestId(self.last_request);
         let (life, at) = (self.nodes[node].life, self.now + self.link());
         self.requests.insert((node, id), Asked::Odd(odd));
-        self.at(at, Due::ToNode(node, life, Input::User(id, ask)));
+        self.at(at, Due::ToNode(node, life, Input::ClientRequest(id, ask)));
     }
 
     pub(super) fn odd_again(&mut self, odd: Odd) {
@@ -169,10 +169,10 @@
         }
     }
 
-    pub(super) fn odd_answered(&mut self, odd: Odd, reply: Reply) {
-        match reply {
-            Reply::Problem { status: 503, .. } => self.odd_again(odd),
-            Reply::Problem { status, .. } | Reply::Job { status, .. } => self.odd_status(odd, status),
+    pub(super) fn odd_answered(&mut self, odd: Odd, response: Response) {
+        match response {
+            Response::Error { status: 503, .. } => self.odd_again(odd),
+            Response::Error { status, .. } | Response::Job { status, .. } => self.odd_status(odd, status),
             _ => {}
         }
     }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -7,14 +7,17 @@
 use proptest::prelude::*;
 use standin::{Shape, StateService};
 use std::collections::VecDeque;
-use tillercleat::bookkeeping::records::{job_key, owner_key, slice_key, SliceRecord, TaskRecord};
-use tillercleat::coordination::{Ask, CloudAnswer, CloudCall, Core, Input, Output, Reply};
+use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
 use tillercleat::protocol::state::{StateAnswer, StateCall};
 use tillercleat::protocol::users::JobSpec;
-use tillercleat::protocol::workers::{Command, Report, TaskName, TaskReport, TaskState};
+use tillercleat::protocol::workers::{Command, Heartbeat, TaskName, TaskState, TaskStatus};
 use tillercleat::settings::Tuning;
-use tillercleat::units::{Attempt, CallId, JobRef, MachineId, PartId, RequestId, Revision, Seq, Session, Time, Token};
+use tillercleat::storage::records::{job_key, owner_key, slice_key, SliceRecord, TaskRecord};
+use tillercleat::units::{
+    AgentEpoch, Attempt, CallId, FencingToken, HeartbeatNumber, JobId, MachineId, MonotonicTime, RequestId, Revision,
+    ShardId,
+};
 
 const MACHINE: &str = "i-000001";
 
@@ -28,7 +31,7 @@
     Lose(usize, bool),
     Submit,
     Query,
-    Report,
+    Heartbeat,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -39,7 +42,7 @@
         1 => (0usize..16, any::<bool>()).prop_map(|(pick, done)| Step::Lose(pick, done)),
         1 => Just(Step::Submit),
         1 => Just(Step::Query),
-        2 => Just(Step::Report),
+        2 => Just(Step::Heartbeat),
     ]
 }
 
@@ -51,11 +54,11 @@
     now: u64,
     began: u64,
     on_way: VecDeque<(CallId, StateCall)>,
-    replies: Vec<(RequestId, Reply)>,
+    replies: Vec<(RequestId, Response)>,
     requests: u64,
     tally: u64,
-    token: Token,
-    session: u64,
+    token: FencingToken,
+    agent_epoch: u64,
     /// Since when the worker's lease counts; and when it sent its last report.
     lease_from: u64,
     sent: u64,
@@ -89,8 +92,8 @@
             replies,
             requests: 0,
             tally: 0,
-            token: Token(0),
-            session: 1,
+            token: FencingToken(0),
+            agent_epoch: 1,
             lease_from: 1000,
             sent: 0,
             running: None,
@@ -100,7 +103,7 @@
     /// The process ends, and another begins; what was on its way may still be carried out.
     fn restart(&mut self) {
         for (_, call) in std::mem::take(&mut self.on_way) {
-            if self.on_way.is_empty() && matches!(call, StateCall::Txn(_)) {
+            if self.on_way.is_empty() && matches!(call, StateCall::Transaction(_)) {
                 self.service.run(self.now, call);
             }
         }
@@ -109,11 +112,11 @@
     }
 
     fn feed(&mut self, input: Input) {
-        let steady = Time(self.now - self.began + 1);
+        let steady = MonotonicTime(self.now - self.began + 1);
         for output in self.core.handle(steady, self.now, input) {
             match output {
                 Output::State(id, call) => self.on_way.push_back((id, call)),
-                Output::Reply(request, reply) => self.replies.push((request, reply)),
+                Output::Response(request, response) => self.replies.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
                         CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.shape.types.clone() }),
@@ -123,47 +126,47 @@
                     };
                     self.feed(Input::Cloud(id, answer));
                 }
-                Output::Tell(_) | Output::Nudge(_) => {}
+                Output::BroadcastStatus(_) | Output::RevisionHint(_) => {}
             }
         }
     }
 
-    fn ask(&mut self, ask: Ask) -> RequestId {
+    fn ask(&mut self, ask: ClientRequest) -> RequestId {
         self.requests += 1;
-        self.feed(Input::User(RequestId(self.requests), ask));
+        self.feed(Input::ClientRequest(RequestId(self.requests), ask));
         RequestId(self.requests)
     }
 
-    fn report(&mut self) {
+    fn heartbeat(&mut self) {
         if self.now > self.lease_from + self.shape.lease_ms {
             // The lease is over, and with it all that ran.
             self.running = None;
-            self.session += 1;
+            self.agent_epoch += 1;
             self.lease_from = self.now;
         }
         self.sent = self.now;
         self.requests += 1;
         self.tally += 1;
-        let tasks = self.running.iter().map(|(task, attempt)| TaskReport {
+        let tasks = self.running.iter().map(|(task, attempt)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: TaskState::Running,
             why: None,
             saved: None,
         });
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: MachineId::new(MACHINE),
             addr: "127.0.0.1:1".into(),
             kind: "m8".into(),
             zone: "a".into(),
             spot: true,
-            session: Session(self.session),
-            seq: Seq(self.tally),
+            agent_epoch: AgentEpoch(self.agent_epoch),
+            heartbeat_number: HeartbeatNumber(self.tally),
             token: self.token,
             notice_s: None,
             tasks: tasks.collect(),
         };
-        self.feed(Input::Report(RequestId(self.requests), report));
+        self.feed(Input::Heartbeat(RequestId(self.requests), heartbeat));
     }
 
     fn wait(&mut self, ms: u64) {
@@ -197,18 +200,18 @@
     /// Checks what was answered against what is durable, and obeys commands.
     fn take_replies(&mut self) -> Vec<(RequestId, u16)> {
         let mut statuses = vec![];
-        for (request, reply) in std::mem::take(&mut self.replies) {
-            match reply {
-                Reply::Job { status, id, .. } => {
+        for (request, response) in std::mem::take(&mut self.replies) {
+            match response {
+                Response::Job { status, id, .. } => {
                     assert!(self.record(&job_key(&id)).is_some(), "{id} was told to be accepted and is not durable");
                     statuses.push((request, status));
                 }
-                Reply::Problem { status, .. } => statuses.push((request, status)),
-                Reply::Up => statuses.push((request, 200)),
-                Reply::Elsewhere(_) => statuses.push((request, 421)),
-                Reply::Commands { token, commands } => {
-                    let part = PartId::of(MACHINE, 3);
-                    let owner = self.record(&owner_key(part));
+                Response::Error { status, .. } => statuses.push((request, status)),
+                Response::Healthy => statuses.push((request, 200)),
+                Response::Redirect(_) => statuses.push((request, 421)),
+                Response::Commands { token, commands } => {
+                    let shard = ShardId::of(MACHINE, 3);
+                    let owner = self.record(&owner_key(shard));
                     // Its own key, or one that it cannot yet know to be gone.
                     assert!(owner.is_none_or(|(_, version)| version >= token.0), "commands under a token of nobody");
                     if token >= self.token && self.now <= self.sent + 4000 {
@@ -228,7 +231,7 @@
             Command::Start { task, attempt } => {
                 let (record, _) = self.record(&slice_key(&task.job, 0)).expect("a durable slice before a start");
                 let slice: SliceRecord = serde_json::from_value(record).expect("a slice");
-                let on = TaskRecord::On(attempt, MachineId::new(MACHINE));
+                let on = TaskRecord::Placed(attempt, MachineId::new(MACHINE));
                 assert_eq!(slice.tasks[task.index as usize], on, "a start that is not durable");
                 assert!(self.running.as_ref().is_none_or(|(running, _)| *running != task), "{task:?} twice");
                 if self.running.is_none() {
@@ -261,20 +264,20 @@
     site.settle(5000);
     // The first report shows the token, the second that the worker has seen it.
     for _ in 0..2 {
-        site.report();
+        site.heartbeat();
         site.settle(2500);
     }
-    assert!(site.token > Token(0) && site.running.is_none());
-    site.report();
-    let reports = site.tally;
+    assert!(site.token > FencingToken(0) && site.running.is_none());
+    site.heartbeat();
+    let heartbeats = site.tally;
     site.take_replies();
     // A job that goes to the part of the machine at once.
-    let here = |n: &u32| PartId::of(job(*n).id.as_str(), 3) == PartId::of(MACHINE, 3);
+    let here = |n: &u32| ShardId::of(job(*n).id.as_str(), 3) == ShardId::of(MACHINE, 3);
     let number = (1..).find(here).expect("a job of the part");
-    site.ask(Ask::Submit(Box::new(job(number))));
+    site.ask(ClientRequest::Submit(Box::new(job(number))));
     site.settle(700);
     assert!(site.running.is_some(), "the start was not sent with the answer that waited");
-    assert_eq!(site.tally, reports);
+    assert_eq!(site.tally, heartbeats);
 }
 
 /// Two answers in the worker's hands would start a task twice over.
@@ -283,15 +286,15 @@
     let mut site = Site::reporting_every(2500);
     site.settle(5000);
     for _ in 0..2 {
-        site.report();
+        site.heartbeat();
         site.settle(2500);
     }
-    site.report();
+    site.heartbeat();
     let older = RequestId(site.requests);
     assert!(site.replies.is_empty(), "an answer was given at once: {:?}", site.replies);
-    site.report();
-    let empty = |(request, reply): &(RequestId, Reply)| {
-        *request == older && matches!(reply, Reply::Commands { commands, .. } if commands.is_empty())
+    site.heartbeat();
+    let empty = |(request, response): &(RequestId, Response)| {
+        *request == older && matches!(response, Response::Commands { commands, .. } if commands.is_empty())
     };
     assert!(site.replies.len() == 1 && site.replies.iter().all(empty), "{:?}", site.replies);
     site.settle(2000);
@@ -316,11 +319,11 @@
     ) {
         let mut site = Site::reporting_every(report_ms);
         site.settle(5000);
-        site.ask(Ask::Submit(Box::new(job(1))));
+        site.ask(ClientRequest::Submit(Box::new(job(1))));
         site.settle(400);
         // A worker that has seen the token is told to start.
         for _ in 0..8 {
-            site.report();
+            site.heartbeat();
             site.settle(500);
         }
         prop_assert!(site.running.is_some(), "nothing runs before the trouble");
@@ -337,26 +340,26 @@
                         }
                         StateAnswer::Unknown
                     }),
-                    Step::Submit => drop(site.ask(Ask::Submit(Box::new(job(2))))),
+                    Step::Submit => drop(site.ask(ClientRequest::Submit(Box::new(job(2))))),
                     Step::Query => {
-                        let request = site.ask(Ask::Query(JobRef::new("wk-000001")));
+                        let request = site.ask(ClientRequest::Query(JobId::new("wk-000001")));
                         for (answered, status) in site.take_replies() {
                             prop_assert!(answered != request || status != 404, "forgotten");
                         }
                     }
-                    Step::Report => site.report(),
+                    Step::Heartbeat => site.heartbeat(),
                 }
                 site.take_replies();
             }
         }
         for _ in 0..60 {
             site.settle(500);
-            site.report();
+            site.heartbeat();
         }
         site.take_replies();
-        let up = site.ask(Ask::Up);
+        let up = site.ask(ClientRequest::Health);
         prop_assert!(site.take_replies().contains(&(up, 200)), "not healthy after 30 s of answers");
-        let asked = site.ask(Ask::Submit(Box::new(job(3))));
+        let asked = site.ask(ClientRequest::Submit(Box::new(job(3))));
         let mut accepted = None;
         for _ in 0..20 {
             site.wait(20);
@@ -373,10 +376,10 @@
             }
         }
         prop_assert_eq!(accepted, Some((asked, 201)));
-        site.report();
+        site.heartbeat();
         let token = site.token;
         site.take_replies();
-        prop_assert!(site.token >= token && site.token > Token(0), "nobody owns the worker");
+        prop_assert!(site.token >= token && site.token > FencingToken(0), "nobody owns the worker");
     }
 }
 
@@ -384,26 +387,26 @@
 /// deal of a job counted it once more as a usual one.
 #[test]
 fn what_a_start_reads_is_no_news() {
-    use tillercleat::bookkeeping::view::{Changed, News, View};
-    let record = |end: Option<&str>, parts: Option<[u32; 1]>| {
+    use tillercleat::storage::cache::{CacheChange, JobChange, StateCache};
+    let record = |end: Option<&str>, shards: Option<[u32; 1]>| {
         let mut record = serde_json::json!({"spec": job(1), "at": 1000});
         if let Some(end) = end {
             record["end"] = end.into();
         }
-        if let Some(parts) = parts {
-            record["plan"] = serde_json::json!({"size": 16, "parts": parts});
+        if let Some(shards) = shards {
+            record["plan"] = serde_json::json!({"size": 16, "parts": shards});
         }
         Some(record)
     };
-    let id = JobRef::new("wk-000001");
+    let id = JobId::new("wk-000001");
     let key = job_key(&id);
-    let mut view = View::default();
+    let mut view = StateCache::default();
     let mut news = |value, at| view.apply(&key, value, Revision(at));
-    assert_eq!(news(record(None, None), 3), Changed::Job(id.clone(), News::First));
-    assert_eq!(news(record(None, Some([1])), 4), Changed::Job(id.clone(), News::Other));
-    assert_eq!(news(record(None, None), 3), Changed::Nothing);
-    assert_eq!(news(record(Some("done"), Some([1])), 5), Changed::Job(id.clone(), News::Ended));
-    assert_eq!(news(record(Some("done"), Some([1])), 6), Changed::Job(id.clone(), News::Other));
-    let mut later = View::default();
-    assert_eq!(later.apply(&key, record(Some("done"), Some([1])), Revision(6)), Changed::Job(id, News::First));
+    assert_eq!(news(record(None, None), 3), CacheChange::Job(id.clone(), JobChange::First));
+    assert_eq!(news(record(None, Some([1])), 4), CacheChange::Job(id.clone(), JobChange::Other));
+    assert_eq!(news(record(None, None), 3), CacheChange::Nothing);
+    assert_eq!(news(record(Some("done"), Some([1])), 5), CacheChange::Job(id.clone(), JobChange::Ended));
+    assert_eq!(news(record(Some("done"), Some([1])), 6), CacheChange::Job(id.clone(), JobChange::Other));
+    let mut later = StateCache::default();
+    assert_eq!(later.apply(&key, record(Some("done"), Some([1])), Revision(6)), CacheChange::Job(id, JobChange::First));
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -7,14 +7,14 @@
 
 use standin::{Fault, Shape, World};
 use tillercleat::protocol::users::JobSpec;
-use tillercleat::units::JobRef;
+use tillercleat::units::JobId;
 
-fn id(number: usize) -> JobRef {
-    JobRef::new(&format!("wk-{number:06}"))
+fn id(number: usize) -> JobId {
+    JobId::new(&format!("wk-{number:06}"))
 }
 
 /// Arrays, services and gangs of both teams, some with a deadline or tasks kept apart.
-fn job(number: usize, tasks: u32, awaits: &[usize]) -> JobSpec {
+fn job(number: usize, tasks: u32, dependencies: &[usize]) -> JobSpec {
     let (class, cpus, run_s, rank) = [
         ("plans", 2.0, 24.0, "normal"),
         ("lists", 1.0, 9.0, "high"),
@@ -35,7 +35,7 @@
         "apart": number % 19 == 7, "driftwood": number % 8 != 1, "reckon_s": run_s,
         "mark_s": if number % 7 == 0 { 3.0 } else { 0.0 }, "stow_s": if number % 7 == 0 { 1.0 } else { 0.0 },
         "tide_s": if number % 2 == 0 { Some(5.0 * run_s + 20.0) } else { None },
-        "awaits": awaits.iter().map(|n| id(*n)).collect::<Vec<_>>()
+        "awaits": dependencies.iter().map(|n| id(*n)).collect::<Vec<_>>()
     }))
 }
 
@@ -98,9 +98,9 @@
     for chain in 0..14 {
         for step in 0..5usize {
             let number = 1000 + chain * 20 + step;
-            let awaits: &[usize] = if step == 0 { &[] } else { &[number - 1] };
+            let dependencies: &[usize] = if step == 0 { &[] } else { &[number - 1] };
             let at = 4000 + chain as u64 * 1500 + step as u64 * 200;
-            world.submit(at, job(number, 2 + (number as u32) % 6, awaits));
+            world.submit(at, job(number, 2 + (number as u32) % 6, dependencies));
         }
     }
     work(&mut world, 45_000, 450, 11);
