--- a/crates/admission/src/gate.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -1,6 +1,6 @@
 //! The state machine that keeps connections within their budget.
 
-use crate::Plan;
+use crate::ResourceBudget;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
@@ -21,7 +21,7 @@
 
 /// Why a connection is not taken, or a request not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// The budget is used up, and nobody can be let go.
     Full,
     /// Too many that have not asked anything yet.
@@ -32,23 +32,23 @@
 
 /// What becomes of a connection that has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Arrival {
+pub struct Admission {
     /// Its name if it is taken; if not, it is to be answered at once that there
     /// is no room, and closed.
-    pub taken: Result<ConnectionId, Why>,
+    pub taken: Result<ConnectionId, RefusalReason>,
     /// Another connection that is to be closed now.
     pub leave: Option<ConnectionId>,
 }
 
 /// What becomes of a connection when its request is there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Keep {
+pub enum ConnectionAction {
     /// Serve the request and wait for the next.
     Open,
     /// Serve the request and close.
     Last,
     /// Answer at once that there is no room, and close.
-    Refused(Why),
+    Refused(RefusalReason),
 }
 
 /// A stranger that has said nothing for so long may be let go for another:
@@ -86,12 +86,12 @@
 
 /// Connections that are open, and who must go first.
 #[derive(Debug)]
-pub struct Gate {
-    plan: Plan,
+pub struct ConnectionLimiter {
+    resource_budget: ResourceBudget,
     last: u64,
     open: BTreeMap<ConnectionId, Open>,
     /// Strangers and idle users, by how long they have been so.
-    strangers: BTreeSet<(Millis, ConnectionId)>,
+    unidentified: BTreeSet<(Millis, ConnectionId)>,
     /// The same by where they come from: one address must not take the places
     /// of all others.
     by_address: BTreeMap<IpAddr, BTreeSet<(Millis, ConnectionId)>>,
@@ -102,13 +102,13 @@
     peak: (f64, Millis),
 }
 
-impl Gate {
-    pub fn new(plan: Plan) -> Gate {
-        Gate {
-            plan,
+impl ConnectionLimiter {
+    pub fn new(resource_budget: ResourceBudget) -> ConnectionLimiter {
+        ConnectionLimiter {
+            resource_budget,
             last: 0,
             open: BTreeMap::new(),
-            strangers: BTreeSet::new(),
+            unidentified: BTreeSet::new(),
             by_address: BTreeMap::new(),
             idle_users: BTreeSet::new(),
             users: 0,
@@ -123,50 +123,52 @@
     }
 
     /// Connections kept for workers now: what they needed of late.
-    pub fn kept_for_workers(&self, now: Millis) -> usize {
+    pub fn reserved_for_workers(&self, now: Millis) -> usize {
         let halves = now.0.saturating_sub(self.peak.1 .0) as f64 / PEAK_HALVES_MS as f64;
         let peak = self.peak.0 * 0.5f64.powf(halves);
-        let most = (self.plan.connections as f64 * MOST_KEPT) as usize;
-        ((peak.max(self.workers as f64) * PEAK_MARGIN) as usize).max(self.plan.workers).min(most)
+        let most = (self.resource_budget.connections as f64 * MOST_KEPT) as usize;
+        ((peak.max(self.workers as f64) * PEAK_MARGIN) as usize).max(self.resource_budget.workers).min(most)
     }
 
     fn users_may_have(&self, now: Millis) -> usize {
-        self.plan.connections - self.kept_for_workers(now)
+        self.resource_budget.connections - self.reserved_for_workers(now)
     }
 
     /// A connection has come.
-    pub fn arrived(&mut self, from: IpAddr, now: Millis) -> Arrival {
+    pub fn admit(&mut self, from: IpAddr, now: Millis) -> Admission {
         let of_it = self.by_address.get(&from);
-        let leave = if of_it.is_some_and(|s| s.len() >= (self.plan.strangers / 2).max(1)) {
-            let Some(id) = quiet(of_it, now) else { return Arrival { taken: Err(Why::Strangers), leave: None } };
+        let leave = if of_it.is_some_and(|s| s.len() >= (self.resource_budget.unidentified / 2).max(1)) {
+            let Some(id) = quiet(of_it, now) else {
+                return Admission { taken: Err(RefusalReason::Strangers), leave: None };
+            };
             Some(id)
-        } else if self.strangers.len() >= self.plan.strangers {
-            let quiet = quiet(Some(&self.strangers), now);
-            let Some(id) = quiet else { return Arrival { taken: Err(Why::Strangers), leave: None } };
+        } else if self.unidentified.len() >= self.resource_budget.unidentified {
+            let quiet = quiet(Some(&self.unidentified), now);
+            let Some(id) = quiet else { return Admission { taken: Err(RefusalReason::Strangers), leave: None } };
             Some(id)
-        } else if self.open.len() >= self.plan.crowded {
-            quiet(Some(&self.strangers), now).or_else(|| self.idle_users.first().map(|(_, id)| *id))
+        } else if self.open.len() >= self.resource_budget.crowded {
+            quiet(Some(&self.unidentified), now).or_else(|| self.idle_users.first().map(|(_, id)| *id))
         } else {
             None
         };
         if let Some(id) = leave {
             self.set(id, |state| State::Leaving(role(state)), now);
         }
-        if self.open.len() >= self.plan.connections {
+        if self.open.len() >= self.resource_budget.connections {
             // The one that was told to go makes room for the next that comes.
-            return Arrival { taken: Err(Why::Full), leave };
+            return Admission { taken: Err(RefusalReason::Full), leave };
         }
         self.last += 1;
         let id = ConnectionId(self.last);
         self.open.insert(id, Open { state: State::Stranger, since: now, from });
         self.count(id);
-        Arrival { taken: Ok(id), leave }
+        Admission { taken: Ok(id), leave }
     }
 
     /// A whole request is there.
-    pub fn asked(&mut self, id: ConnectionId, by: Role, now: Millis) -> Keep {
+    pub fn request_started(&mut self, id: ConnectionId, by: Role, now: Millis) -> ConnectionAction {
         if self.open.get(&id).is_none_or(|open| matches!(open.state, State::Leaving(_))) {
-            return Keep::Last;
+            return ConnectionAction::Last;
         }
         self.set(id, |_| State::Busy(by), now);
         match by {
@@ -174,27 +176,27 @@
                 if self.workers as f64 >= self.peak.0 * 0.5f64.powf(self.peak_age(now)) {
                     self.peak = (self.workers as f64, now);
                 }
-                Keep::Open
+                ConnectionAction::Open
             }
             Role::User if self.users > self.users_may_have(now) => {
                 self.set(id, |state| State::Leaving(role(state)), now);
-                Keep::Refused(Why::Users)
+                ConnectionAction::Refused(RefusalReason::Users)
             }
             // With few connections left, users' are not kept between requests.
-            Role::User if self.open.len() * 4 > self.plan.connections * 3 => Keep::Last,
-            Role::User => Keep::Open,
+            Role::User if self.open.len() * 4 > self.resource_budget.connections * 3 => ConnectionAction::Last,
+            Role::User => ConnectionAction::Open,
         }
     }
 
     /// The request was answered, and the connection stays.
-    pub fn answered(&mut self, id: ConnectionId, now: Millis) {
+    pub fn response_sent(&mut self, id: ConnectionId, now: Millis) {
         if let Some(State::Busy(by)) = self.open.get(&id).map(|open| open.state) {
             self.set(id, |_| State::Idle(by), now);
         }
     }
 
     /// The connection has ended, and its thread with it.
-    pub fn ended(&mut self, id: ConnectionId) {
+    pub fn closed(&mut self, id: ConnectionId) {
         self.uncount(id);
         self.open.remove(&id);
     }
@@ -221,7 +223,7 @@
         }
         match state {
             State::Stranger => {
-                self.strangers.insert((since, id));
+                self.unidentified.insert((since, id));
                 self.by_address.entry(from).or_default().insert((since, id));
             }
             State::Idle(Role::User) => {
@@ -240,7 +242,7 @@
         }
         match state {
             State::Stranger => {
-                self.strangers.remove(&(since, id));
+                self.unidentified.remove(&(since, id));
                 if let Some(of_it) = self.by_address.get_mut(&from) {
                     of_it.remove(&(since, id));
                     if of_it.is_empty() {
@@ -257,8 +259,8 @@
 }
 
 /// The stranger that has been quiet for longest, if for long enough.
-fn quiet(strangers: Option<&BTreeSet<(Millis, ConnectionId)>>, now: Millis) -> Option<ConnectionId> {
-    let (since, id) = strangers?.first()?;
+fn quiet(unidentified: Option<&BTreeSet<(Millis, ConnectionId)>>, now: Millis) -> Option<ConnectionId> {
+    let (since, id) = unidentified?.first()?;
     (now.0.saturating_sub(since.0) >= STRANGER_MS).then_some(*id)
 }
 
--- a/crates/admission/src/gate/tests.rs
+++ b/crates/connection-limits/src/connection_limiter/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
-use crate::{Limits, Own};
+use crate::{Limits, ReservedResources};
 use proptest::prelude::*;
 
-fn plan() -> Plan {
+fn resource_budget() -> ResourceBudget {
     let limits = Limits { threads: 60, sockets: 100, memory_mib: 100.0 };
-    Plan::new(limits, Own { threads: 20, sockets: 40 }).unwrap()
+    ResourceBudget::new(limits, ReservedResources { threads: 20, sockets: 40 }).unwrap()
 }
 
 fn address(n: u8) -> IpAddr {
@@ -43,7 +43,7 @@
     /// or a quiet stranger could go instead.
     #[test]
     fn the_budget_holds_and_users_go_before_workers(steps in proptest::collection::vec(step(), 1..400)) {
-        let mut gate = Gate::new(plan());
+        let mut connection_limiter = ConnectionLimiter::new(resource_budget());
         let mut now = Millis(0);
         // What the model knows of each: who asked, whether it is being
         // answered, since when, and whether it was told to go.
@@ -52,7 +52,7 @@
             let pick = |n: usize| open.keys().nth(n % open.len().max(1)).copied();
             match step {
                 Step::Arrive(from) => {
-                    let arrival = gate.arrived(address(from), now);
+                    let arrival = connection_limiter.admit(address(from), now);
                     if let Some(id) = arrival.leave {
                         let one = open.get_mut(&id).expect("a connection that is open");
                         prop_assert!(one.0 != Some(Role::Worker) && !one.1 && !one.3, "{one:?} told to go");
@@ -60,18 +60,18 @@
                     }
                     match arrival.taken {
                         Ok(id) => prop_assert!(open.insert(id, (None, false, now, false)).is_none()),
-                        Err(Why::Full) => {
+                        Err(RefusalReason::Full) => {
                             let could_go = |c: &&(Option<Role>, bool, Millis, bool)| {
                                 let quiet = now.0 - c.2.0 >= STRANGER_MS;
                                 !c.3 && (c.0.is_none() && quiet || c.0 == Some(Role::User) && !c.1)
                             };
                             prop_assert!(arrival.leave.is_some() || !open.values().any(|c| could_go(&c)));
                         }
-                        Err(Why::Strangers) => {
+                        Err(RefusalReason::Strangers) => {
                             let silent = open.values().filter(|c| c.0.is_none() && !c.3).count();
-                            prop_assert!(silent >= plan().strangers / 2);
+                            prop_assert!(silent >= resource_budget().unidentified / 2);
                         }
-                        Err(Why::Users) => prop_assert!(false, "nobody has said to be a user"),
+                        Err(RefusalReason::Users) => prop_assert!(false, "nobody has said to be a user"),
                     }
                 }
                 Step::Ask(n, by) => {
@@ -81,36 +81,36 @@
                         continue;
                     }
                     let users = open.values().filter(|c| c.0 == Some(Role::User)).count();
-                    match gate.asked(id, by, now) {
-                        Keep::Refused(_) => {
+                    match connection_limiter.request_started(id, by, now) {
+                        ConnectionAction::Refused(_) => {
                             prop_assert_eq!(by, Role::User);
                             open.insert(id, (Some(by), true, now, true));
                         }
-                        Keep::Last => prop_assert!(one.3 || by == Role::User),
-                        Keep::Open => {}
+                        ConnectionAction::Last => prop_assert!(one.3 || by == Role::User),
+                        ConnectionAction::Open => {}
                     }
                     if !open[&id].3 {
                         open.insert(id, (Some(by), true, now, false));
                         let held = users + usize::from(by == Role::User && one.0.is_none());
-                        prop_assert!(by == Role::Worker || held <= plan().connections - plan().workers);
+                        prop_assert!(by == Role::Worker || held <= resource_budget().connections - resource_budget().workers);
                     }
                 }
                 Step::Answer(n) => {
                     let Some(id) = pick(n) else { continue };
-                    gate.answered(id, now);
+                    connection_limiter.response_sent(id, now);
                     if let Some(one) = open.get_mut(&id).filter(|c| c.1 && !c.3) {
                         *one = (one.0, false, now, false);
                     }
                 }
                 Step::End(n) => {
                     let Some(id) = pick(n) else { continue };
-                    gate.ended(id);
+                    connection_limiter.closed(id);
                     open.remove(&id);
                 }
                 Step::Wait(ms) => now = Millis(now.0 + ms),
             }
-            prop_assert_eq!(gate.open(), open.len());
-            prop_assert!(gate.open() <= plan().connections);
+            prop_assert_eq!(connection_limiter.open(), open.len());
+            prop_assert!(connection_limiter.open() <= resource_budget().connections);
         }
     }
 }
@@ -118,13 +118,13 @@
 /// Half-open connections took every thread, and workers found none.
 #[test]
 fn a_flood_from_one_address_leaves_room_for_all_others() {
-    let mut gate = Gate::new(plan());
-    let flood = (0..1000).filter(|_| gate.arrived(address(1), Millis(10)).taken.is_ok()).count();
-    assert_eq!(flood, plan().strangers / 2);
-    let worker = gate.arrived(address(2), Millis(11)).taken.unwrap();
-    assert_eq!(gate.asked(worker, Role::Worker, Millis(12)), Keep::Open);
+    let mut connection_limiter = ConnectionLimiter::new(resource_budget());
+    let flood = (0..1000).filter(|_| connection_limiter.admit(address(1), Millis(10)).taken.is_ok()).count();
+    assert_eq!(flood, resource_budget().unidentified / 2);
+    let worker = connection_limiter.admit(address(2), Millis(11)).taken.unwrap();
+    assert_eq!(connection_limiter.request_started(worker, Role::Worker, Millis(12)), ConnectionAction::Open);
     // Quiet for long enough, each makes way for the next.
-    let later = gate.arrived(address(1), Millis(600));
+    let later = connection_limiter.admit(address(1), Millis(600));
     assert!(later.taken.is_ok() && later.leave.is_some());
 }
 
@@ -132,15 +132,15 @@
 /// taken its places meanwhile.
 #[test]
 fn what_workers_needed_of_late_is_kept_for_them() {
-    let mut gate = Gate::new(plan());
+    let mut connection_limiter = ConnectionLimiter::new(resource_budget());
     let mut ids = vec![];
     for n in 0..20u8 {
-        let id = gate.arrived(address(n), Millis(0)).taken.unwrap();
-        assert_eq!(gate.asked(id, Role::Worker, Millis(0)), Keep::Open);
+        let id = connection_limiter.admit(address(n), Millis(0)).taken.unwrap();
+        assert_eq!(connection_limiter.request_started(id, Role::Worker, Millis(0)), ConnectionAction::Open);
         ids.push(id);
     }
-    assert_eq!(gate.kept_for_workers(Millis(0)), 25);
-    ids.into_iter().for_each(|id| gate.ended(id));
-    assert_eq!(gate.kept_for_workers(Millis(1000)), 24);
-    assert_eq!(gate.kept_for_workers(Millis(600_000)), plan().workers);
+    assert_eq!(connection_limiter.reserved_for_workers(Millis(0)), 25);
+    ids.into_iter().for_each(|id| connection_limiter.closed(id));
+    assert_eq!(connection_limiter.reserved_for_workers(Millis(1000)), 24);
+    assert_eq!(connection_limiter.reserved_for_workers(Millis(600_000)), resource_budget().workers);
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,7 +1,7 @@
 //! Which connections a process takes, refuses and lets go.
 //!
 //! A process has so many threads, sockets and so much memory, and all that it
-//! talks to shares them. [`Plan`] derives one budget from the limits; [`Gate`]
+//! talks to shares them. [`ResourceBudget`] derives one budget from the limits; [`ConnectionLimiter`]
 //! keeps to it, as a state machine without sockets, threads or clocks: told what
 //! happens to connections and when, it says which to take and which to close.
 //!
@@ -9,8 +9,10 @@
 //! behind it before its first request, so strangers have a share of their own,
 //! in which the one that has said nothing for longest makes way.
 
-mod gate;
-mod plan;
+mod connection_limiter;
+mod resource_budget;
 
-pub use gate::{Arrival, ConnectionId, Gate, Keep, Millis, Role, Why};
-pub use plan::{Limits, Own, Plan, PlanError};
+pub use connection_limiter::{
+    Admission, ConnectionAction, ConnectionId, ConnectionLimiter, Millis, RefusalReason, Role,
+};
+pub use resource_budget::{BudgetError, Limits, ReservedResources, ResourceBudget};
--- a/crates/admission/src/plan.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -25,27 +25,27 @@
 
 /// What the process needs for its own dealings, before it takes a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
+pub struct ReservedResources {
     pub threads: usize,
     pub sockets: usize,
 }
 
 /// Connections that users and workers may have, in all and in part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Plan {
+pub struct ResourceBudget {
     /// All that may be open or ending at the same time.
     pub connections: usize,
     /// From so many on, one is let go for each that comes.
     pub crowded: usize,
     /// Of these, those that have not asked anything yet.
-    pub strangers: usize,
+    pub unidentified: usize,
     /// The least that is kept for workers.
     pub workers: usize,
 }
 
 /// Why no budget can be made.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum PlanError {
+pub enum BudgetError {
     /// The limit named leaves too little beside the process's own needs.
     #[error(
         "{what} for {have} leave no {LEAST_CONNECTIONS} connections beside the {own} that the process needs itself"
@@ -60,18 +60,18 @@
     },
 }
 
-impl Plan {
+impl ResourceBudget {
     /// The budget under these limits: each limit allows so many connections,
     /// and the scarcest rules.
     ///
     /// # Errors
     ///
     /// If a limit leaves room for fewer than a handful of connections.
-    pub fn new(limits: Limits, own: Own) -> Result<Plan, PlanError> {
+    pub fn new(limits: Limits, own: ReservedResources) -> Result<ResourceBudget, BudgetError> {
         let left = |what, have: usize, own: usize| {
             let left = have.saturating_sub(own);
             if left < LEAST_CONNECTIONS {
-                return Err(PlanError::TooFew { what, have, own });
+                return Err(BudgetError::TooFew { what, have, own });
             }
             Ok(left)
         };
@@ -79,11 +79,11 @@
         let sockets = left("sockets", limits.sockets, own.sockets)?;
         let memory = (limits.memory_mib.max(0.0) * 1024.0 * MEMORY_SHARE / CONNECTION_KIB as f64) as usize;
         let connections = threads.min(sockets).min(memory.max(LEAST_CONNECTIONS));
-        Ok(Plan {
+        Ok(ResourceBudget {
             connections,
             // Room for those that are asked to end and have not ended yet.
             crowded: connections - (connections / 16).max(2),
-            strangers: (connections / 4).max(2),
+            unidentified: (connections / 4).max(2),
             workers: connections / 4,
         })
     }
--- /dev/null
+++ b/crates/connection-limits/src/resource_budget/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+
+/// Sockets and memory allowed 2,005 connections, a thread each, where a
+/// process may have 2,000 threads.
+#[test]
+fn threads_are_a_limit_of_their_own() {
+    let limits = Limits { threads: 1800, sockets: 2382, memory_mib: 188.0 };
+    let resource_budget = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap();
+    assert_eq!(resource_budget.connections, 1784);
+    let small = Limits { memory_mib: 28.0, ..limits };
+    assert_eq!(ResourceBudget::new(small, ReservedResources { threads: 16, sockets: 40 }).unwrap().connections, 298);
+}
+
+#[test]
+fn limits_that_serve_nobody_are_refused_with_the_reason() {
+    let limits = Limits { threads: 20, sockets: 800, memory_mib: 56.0 };
+    let error = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap_err();
+    assert_eq!(error, BudgetError::TooFew { what: "threads", have: 20, own: 16 });
+}
--- a/crates/rollout/benches/exposure.rs
+++ b/crates/rollout/benches/exposure.rs
@@ -9,8 +9,8 @@
 
 use std::time::Instant;
 use tillercleat_rollout::file::{OnFailure, RollOut};
-use tillercleat_rollout::record::Course;
-use world::{file, Manner, World};
+use tillercleat_rollout::record::RolloutProgress;
+use world::{file, RolloutStrategy, World};
 
 const NAME: &str = "routeplan";
 const HOUR: u64 = 3_600_000;
@@ -53,12 +53,14 @@
 fn run(way: Way, seed: u64) -> Run {
     let mut world = World::new(seed, 2);
     world.start(&file("v1", ""));
-    assert!(world.run(HOUR, |w| w.service(NAME).and_then(|s| s.rolling).is_some_and(|r| r.course == Course::New)));
+    assert!(
+        world.run(HOUR, |w| w.service(NAME).and_then(|s| s.rolling).is_some_and(|r| r.course == RolloutProgress::New))
+    );
     let after = world.random(20_000);
     let manner = match seed % 3 {
-        0 => Manner::FailsAfter(after),
-        1 => Manner::HangsAfter(after),
-        _ => Manner::EndsAfter(after.max(1000)),
+        0 => RolloutStrategy::FailsAfter(after),
+        1 => RolloutStrategy::HangsAfter(after),
+        _ => RolloutStrategy::EndsAfter(after.max(1000)),
     };
     world.manners.insert("v2".into(), manner);
     world.start(&brought(way, "v2"));
@@ -111,7 +113,7 @@
         let all_done = |w: &World, number: u64| {
             (0..count).all(|n| {
                 let rolling = w.service(&format!("s{n}")).and_then(|s| s.rolling);
-                rolling.is_some_and(|r| r.number == number && r.course == Course::New)
+                rolling.is_some_and(|r| r.number == number && r.course == RolloutProgress::New)
             })
         };
         for number in 1..=2 {
--- a/crates/rollout/src/desk.rs
+++ b/crates/rollout/src/commands.rs
@@ -3,7 +3,7 @@
 
 use crate::driver::{service_key, Claim, DRIVER_KEY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
-use crate::record::{Command, Course, Service, Way};
+use crate::record::{Command, RolloutProgress, Service, Way};
 use crate::units::{CallId, RequestId, Stamp};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 /// What an operator asks.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum OperatorRequest {
     List,
     Status(String),
     Command(String, Command),
@@ -21,28 +21,28 @@
 
 /// What an operator is told.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reply {
+pub struct OperatorResponse {
     pub status: u16,
     pub body: Value,
     /// Seconds after which to ask again, if it may be different then.
     pub retry_after_s: Option<u32>,
 }
 
-impl Reply {
-    pub fn problem(status: u16, why: &str) -> Reply {
-        Reply { status, body: json!({ "error": why }), retry_after_s: None }
+impl OperatorResponse {
+    pub fn problem(status: u16, why: &str) -> OperatorResponse {
+        OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
 
     /// Not carried out, but may be later.
-    pub fn later(why: &str) -> Reply {
-        Reply { status: 503, body: json!({ "error": why }), retry_after_s: Some(1) }
+    pub fn later(why: &str) -> OperatorResponse {
+        OperatorResponse { status: 503, body: json!({ "error": why }), retry_after_s: Some(1) }
     }
 }
 
 #[derive(Debug)]
 struct Waiting {
     request: RequestId,
-    ask: Ask,
+    ask: OperatorRequest,
     tries: u32,
     /// The record that was written, if one was.
     written: Option<Service>,
@@ -54,38 +54,38 @@
 
 /// What comes of an input: calls to make, and replies.
 #[derive(Debug, Default)]
-pub struct Turn {
+pub struct HandlerOutput {
     pub calls: Vec<(CallId, Call)>,
-    pub replies: Vec<(RequestId, Reply)>,
+    pub replies: Vec<(RequestId, OperatorResponse)>,
 }
 
 /// The commands of one controller's operators.
 #[derive(Debug)]
-pub struct Desk {
+pub struct CommandHandler {
     value_bytes: usize,
     last_call: u64,
     waiting: BTreeMap<CallId, Waiting>,
 }
 
-impl Desk {
+impl CommandHandler {
     /// `value_bytes`: the most bytes of a record.
-    pub fn new(value_bytes: usize) -> Desk {
-        Desk { value_bytes, last_call: 0, waiting: BTreeMap::new() }
+    pub fn new(value_bytes: usize) -> CommandHandler {
+        CommandHandler { value_bytes, last_call: 0, waiting: BTreeMap::new() }
     }
 
     /// Takes a request.
-    pub fn ask(&mut self, request: RequestId, ask: Ask) -> Turn {
+    pub fn ask(&mut self, request: RequestId, ask: OperatorRequest) -> HandlerOutput {
         let call = match &ask {
-            Ask::List => Call::List { prefix: SERVICES.into(), after: None },
-            Ask::Status(name) | Ask::Command(name, _) => Call::Get { key: service_key(name) },
+            OperatorRequest::List => Call::List { prefix: SERVICES.into(), after: None },
+            OperatorRequest::Status(name) | OperatorRequest::Command(name, _) => Call::Get { key: service_key(name) },
         };
-        let mut turn = Turn::default();
+        let mut turn = HandlerOutput::default();
         let waiting = Waiting { request, ask, tries: 0, written: None, rows: vec![], found: None };
         self.call(call, waiting, &mut turn);
         turn
     }
 
-    fn call(&mut self, call: Call, waiting: Waiting, turn: &mut Turn) {
+    fn call(&mut self, call: Call, waiting: Waiting, turn: &mut HandlerOutput) {
         self.last_call += 1;
         let id = CallId(self.last_call);
         self.waiting.insert(id, waiting);
@@ -93,21 +93,21 @@
     }
 
     /// Takes in the answer to a call.
-    pub fn answer(&mut self, id: CallId, answer: Answer) -> Turn {
-        let mut turn = Turn::default();
+    pub fn answer(&mut self, id: CallId, answer: Answer) -> HandlerOutput {
+        let mut turn = HandlerOutput::default();
         let Some(waiting) = self.waiting.remove(&id) else { return turn };
         let request = waiting.request;
         let reply = match (&waiting.ask, waiting.written.is_some()) {
             (_, true) => self.written(waiting, answer, &mut turn),
-            (Ask::List, _) => self.listed(waiting, answer, &mut turn),
-            (Ask::Status(_), _) => self.status(waiting, answer, &mut turn),
-            (Ask::Command(..), _) => self.read(waiting, answer, &mut turn),
+            (OperatorRequest::List, _) => self.listed(waiting, answer, &mut turn),
+            (OperatorRequest::Status(_), _) => self.status(waiting, answer, &mut turn),
+            (OperatorRequest::Command(..), _) => self.read(waiting, answer, &mut turn),
         };
         turn.replies.extend(reply.map(|reply| (request, reply)));
         turn
     }
 
-    fn listed(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut Turn) -> Option<Reply> {
+    fn listed(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
         let Answer::Page { items, more, .. } = answer else { return Some(unreachable()) };
         let after = items.last().map(|item| item.key.clone());
         for item in items {
@@ -122,11 +122,11 @@
             self.call(Call::List { prefix: SERVICES.into(), after }, waiting, turn);
             return None;
         }
-        Some(Reply { status: 200, body: json!({ "services": waiting.rows }), retry_after_s: None })
+        Some(OperatorResponse { status: 200, body: json!({ "services": waiting.rows }), retry_after_s: None })
     }
 
-    fn status(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut Turn) -> Option<Reply> {
-        let Ask::Status(name) = &waiting.ask else { return None };
+    fn status(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
+        let OperatorRequest::Status(name) = &waiting.ask else { return None };
         if let Some(service) = &waiting.found {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
@@ -134,12 +134,12 @@
                     body["driver"] = json!({ "node": claim.node, "listen": claim.listen });
                 }
             }
-            return Some(Reply { status: 200, body, retry_after_s: None });
+            return Some(OperatorResponse { status: 200, body, retry_after_s: None });
         }
         match answer {
-            Answer::Missing => Some(Reply::problem(404, "no such service")),
+            Answer::Missing => Some(OperatorResponse::problem(404, "no such service")),
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
-                Err(error) => Some(Reply::problem(500, &format!("the record can't be read: {error}"))),
+                Err(error) => Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}"))),
                 Ok(service) => {
                     waiting.found = Some(service);
                     self.call(Call::Get { key: DRIVER_KEY.into() }, waiting, turn);
@@ -151,20 +151,22 @@
     }
 
     /// The record was read: the command is applied to it and written.
-    fn read(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut Turn) -> Option<Reply> {
-        let Ask::Command(name, command) = &waiting.ask else { return None };
+    fn read(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
+        let OperatorRequest::Command(name, command) = &waiting.ask else { return None };
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Ok(service) => (service, item.stamp),
-                Err(error) => return Some(Reply::problem(500, &format!("the record can't be read: {error}"))),
+                Err(error) => {
+                    return Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}")))
+                }
             },
             Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Stamp(0)),
-            Answer::Missing => return Some(Reply::problem(404, "no such service")),
+            Answer::Missing => return Some(OperatorResponse::problem(404, "no such service")),
             _ => return Some(unreachable()),
         };
         let next = match service.command(command, self.value_bytes) {
             Ok(next) => next,
-            Err(refusal) => return Some(Reply::problem(409, &refusal.to_string())),
+            Err(refusal) => return Some(OperatorResponse::problem(409, &refusal.to_string())),
         };
         let key = service_key(name);
         let value = serde_json::to_value(&next).unwrap_or_default();
@@ -174,10 +176,14 @@
         None
     }
 
-    fn written(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut Turn) -> Option<Reply> {
-        let (Ask::Command(name, _), Some(service)) = (&waiting.ask, waiting.written.take()) else { return None };
+    fn written(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
+        let (OperatorRequest::Command(name, _), Some(service)) = (&waiting.ask, waiting.written.take()) else {
+            return None;
+        };
         match answer {
-            Answer::Committed(_) => Some(Reply { status: 200, body: summary(name, &service), retry_after_s: None }),
+            Answer::Committed(_) => {
+                Some(OperatorResponse { status: 200, body: summary(name, &service), retry_after_s: None })
+            }
             // Somebody changed the record meanwhile: judged anew by what it is now.
             Answer::Conflict if waiting.tries < TRIES => {
                 waiting.tries += 1;
@@ -185,15 +191,17 @@
                 self.call(Call::Get { key }, waiting, turn);
                 None
             }
-            Answer::Conflict => Some(Reply::later("the record changes all the time")),
+            Answer::Conflict => Some(OperatorResponse::later("the record changes all the time")),
             Answer::Refused => Some(unreachable()),
-            _ => Some(Reply::problem(504, "it is not known whether this was carried out: ask for the status")),
+            _ => {
+                Some(OperatorResponse::problem(504, "it is not known whether this was carried out: ask for the status"))
+            }
         }
     }
 }
 
-fn unreachable() -> Reply {
-    Reply::later("the state service can't be reached: nothing was changed")
+fn unreachable() -> OperatorResponse {
+    OperatorResponse::later("the state service can't be reached: nothing was changed")
 }
 
 /// A service as operators see it.
@@ -233,12 +241,12 @@
         })
         .collect();
     let state = service.rolling.as_ref().map_or("none", |r| match (r.course, r.way) {
-        (Course::Going, Way::Reverting) => "reverting",
-        (Course::Going, _) => "rolling",
-        (Course::Paused, _) => "paused",
-        (Course::Halted, _) => "halted",
-        (Course::New, _) => "done",
-        (Course::Old, _) => "reverted",
+        (RolloutProgress::Going, Way::Reverting) => "reverting",
+        (RolloutProgress::Going, _) => "rolling",
+        (RolloutProgress::Paused, _) => "paused",
+        (RolloutProgress::Halted, _) => "halted",
+        (RolloutProgress::New, _) => "done",
+        (RolloutProgress::Old, _) => "reverted",
     });
     json!({"service": name, "state": state, "versions": by_version, "rollout": rolling, "members": members,
         "past": service.past})
--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -6,16 +6,16 @@
 
 mod checks;
 mod jobs;
-mod reign;
+mod leadership;
 mod tracked;
 
-use crate::decide::Event;
 use crate::file::valid_name;
 use crate::ports::{Answer, Call, Probe};
+use crate::reconcile::Event;
 use crate::record::Service;
 use crate::units::{CallId, CheckId, JobId, LeaseId, Millis, ReplicaKey, Stamp};
 use checks::UnderWay;
-use reign::Reign;
+use leadership::Leadership;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tracked::Tracked;
@@ -137,7 +137,7 @@
     out: Vec<Output>,
     last_call: u64,
     calls: BTreeMap<CallId, Pending>,
-    reign: Reign,
+    leadership: Leadership,
     /// The lease last granted in this life.
     granted: Option<LeaseId>,
     /// The claim that ours is to take the place of.
@@ -163,7 +163,7 @@
             out: vec![],
             last_call: 0,
             calls: BTreeMap::new(),
-            reign: Reign::default(),
+            leadership: Leadership::default(),
             granted: None,
             claims_over: Stamp(0),
             ids: 0,
@@ -192,7 +192,7 @@
                 self.tend_rereads(name);
                 self.pass_time(name);
                 self.tend_jobs(name);
-                self.decide(name);
+                self.reconcile(name);
             }
             self.begin_checks(&names);
         }
@@ -234,7 +234,7 @@
 
     /// True if this node drives, as far as it knows.
     pub fn drives(&self) -> bool {
-        matches!(self.reign, Reign::Driving { .. })
+        matches!(self.leadership, Leadership::Driving { .. })
     }
 
     /// What is seen of a service's replicas, if this node drives.
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -3,9 +3,9 @@
 
 use super::tracked::JobWork;
 use super::*;
-use crate::decide::{decide, Facts, Seen};
 use crate::ports::{Commit, JobFate, Order};
-use crate::record::{Course, Way};
+use crate::reconcile::{reconcile, Observations, Seen};
+use crate::record::{RolloutProgress, Way};
 
 /// Submissions and withdrawals under way at the same time, over all services.
 const MOST_JOB_CALLS: usize = 8;
@@ -31,7 +31,9 @@
         let Some(tracked) = self.services.get_mut(name) else { return };
         let passed = Millis(now.since(tracked.last_tick).0.min(MOST_PER_TICK.0));
         tracked.last_tick = now;
-        let Some(rolling) = tracked.record.rolling.as_ref().filter(|r| r.course == Course::Going) else { return };
+        let Some(rolling) = tracked.record.rolling.as_ref().filter(|r| r.course == RolloutProgress::Going) else {
+            return;
+        };
         if reached {
             tracked.passed.spent = tracked.passed.spent + passed;
         }
@@ -46,7 +48,7 @@
     }
 
     /// Decides on the service's next record, and has it written.
-    pub(super) fn decide(&mut self, name: &str) {
+    pub(super) fn reconcile(&mut self, name: &str) {
         let now = self.now;
         let writes = self.calls.values().filter(|p| matches!(p, Pending::Write { .. })).count();
         let Some(claim) = self.claim() else { return };
@@ -61,8 +63,8 @@
             ids += 1;
             JobId(format!("wk-{digits}{:012}{ids:06}", claim.0))
         };
-        let facts = Facts { seen: &of, passed: tracked.passed };
-        let Some((next, events)) = decide(&tracked.record, &facts, &mut fresh) else { return };
+        let facts = Observations { seen: &of, passed: tracked.passed };
+        let Some((next, events)) = reconcile(&tracked.record, &facts, &mut fresh) else { return };
         self.ids = ids;
         let Ok(value) = serde_json::to_value(&next) else { return };
         tracked.busy = true;
--- a/crates/rollout/src/driver/reign.rs
+++ b/crates/rollout/src/driver/leadership.rs
@@ -11,7 +11,7 @@
 
 /// Where this node is on its way to driving.
 #[derive(Debug)]
-pub(super) enum Reign {
+pub(super) enum Leadership {
     /// Somebody else drives, or nobody does yet.
     Away { look_at: Millis },
     /// A call on the way to a claim is under way.
@@ -37,33 +37,33 @@
     },
 }
 
-impl Default for Reign {
+impl Default for Leadership {
     fn default() -> Self {
-        Reign::Away { look_at: Millis(0) }
+        Leadership::Away { look_at: Millis(0) }
     }
 }
 
-impl Reign {
-    fn load(claim: Stamp, lease: LeaseId, now: Millis) -> Reign {
-        Reign::Loading { claim, lease, after: None, seen: vec![], revision: None, calling: false, retry: now }
+impl Leadership {
+    fn load(claim: Stamp, lease: LeaseId, now: Millis) -> Leadership {
+        Leadership::Loading { claim, lease, after: None, seen: vec![], revision: None, calling: false, retry: now }
     }
 }
 
 impl Driver {
     pub(super) fn tend_reign(&mut self) {
         let (now, quarter) = (self.now, Millis(self.config.ttl.0 / 4));
-        match &mut self.reign {
-            Reign::Away { look_at } if now >= *look_at => {
-                self.reign = Reign::Asking;
+        match &mut self.leadership {
+            Leadership::Away { look_at } if now >= *look_at => {
+                self.leadership = Leadership::Asking;
                 self.call(Call::Get { key: DRIVER_KEY.into() }, Pending::Look);
             }
-            Reign::Driving { lease, renewing, renew_at, .. } if !*renewing && now >= *renew_at => {
+            Leadership::Driving { lease, renewing, renew_at, .. } if !*renewing && now >= *renew_at => {
                 *renewing = true;
                 *renew_at = now + quarter;
                 let lease = *lease;
                 self.call(Call::Renew { lease }, Pending::Renew(now));
             }
-            Reign::Loading { after, calling, retry, .. } if !*calling && now >= *retry => {
+            Leadership::Loading { after, calling, retry, .. } if !*calling && now >= *retry => {
                 *calling = true;
                 let after = after.clone();
                 self.call(Call::List { prefix: SERVICES.into(), after }, Pending::Load);
@@ -74,15 +74,15 @@
 
     /// The claim that writes are conditional on, while this node drives.
     pub(super) fn claim(&self) -> Option<Stamp> {
-        match self.reign {
-            Reign::Driving { claim, .. } => Some(claim),
+        match self.leadership {
+            Leadership::Driving { claim, .. } => Some(claim),
             _ => None,
         }
     }
 
     pub(super) fn watch(&mut self) {
         let now = self.now;
-        if let Reign::Driving { watch, watching, watch_at, .. } = &mut self.reign {
+        if let Leadership::Driving { watch, watching, watch_at, .. } = &mut self.leadership {
             if !*watching && now >= *watch_at {
                 *watching = true;
                 let after = *watch;
@@ -94,10 +94,10 @@
 
     /// Stops driving; whatever is on its way stays harmless.
     pub(super) fn resign(&mut self) {
-        if !matches!(self.reign, Reign::Away { .. } | Reign::Asking) {
+        if !matches!(self.leadership, Leadership::Away { .. } | Leadership::Asking) {
             self.note(Note::Resigned);
         }
-        self.reign = Reign::Away { look_at: self.now + BACK_OFF };
+        self.leadership = Leadership::Away { look_at: self.now + BACK_OFF };
         self.services.clear();
         self.service_of.clear();
         self.under_way.clear();
@@ -121,10 +121,10 @@
                     };
                     self.call(Call::Commit(commit), Pending::Claim);
                 }
-                _ => self.reign = Reign::Away { look_at: self.now + BACK_OFF },
+                _ => self.leadership = Leadership::Away { look_at: self.now + BACK_OFF },
             },
             // Whatever came of it, the key tells.
-            Pending::Claim => self.reign = Reign::Away { look_at: self.now },
+            Pending::Claim => self.leadership = Leadership::Away { look_at: self.now },
             Pending::Renew(sent) => self.renewed(sent, &answer),
             Pending::Load => self.loaded(answer),
             Pending::Watch => self.watched(answer),
@@ -139,15 +139,15 @@
                 let claim = serde_json::from_value::<Claim>(item.value).ok();
                 match claim.filter(|c| c.node == self.config.node && c.listen == self.config.listen) {
                     Some(claim) if self.granted == Some(LeaseId(claim.lease)) => {
-                        self.reign = Reign::load(item.stamp, LeaseId(claim.lease), self.now);
+                        self.leadership = Leadership::load(item.stamp, LeaseId(claim.lease), self.now);
                     }
                     // An earlier life of this node: claimed anew, so that its
                     // writes that are still on their way, and its ids, end here.
                     Some(_) => self.grant(item.stamp),
-                    None => self.reign = Reign::Away { look_at: self.now + Millis(self.config.ttl.0 / 3) },
+                    None => self.leadership = Leadership::Away { look_at: self.now + Millis(self.config.ttl.0 / 3) },
                 }
             }
-            _ => self.reign = Reign::Away { look_at: self.now + BACK_OFF },
+            _ => self.leadership = Leadership::Away { look_at: self.now + BACK_OFF },
         }
     }
 
@@ -159,7 +159,7 @@
     fn renewed(&mut self, sent: Millis, answer: &Answer) {
         let quarter = Millis(self.config.ttl.0 / 4);
         let mut gone = false;
-        if let Reign::Driving { renewing, renew_at, .. } = &mut self.reign {
+        if let Leadership::Driving { renewing, renew_at, .. } = &mut self.leadership {
             *renewing = false;
             match answer {
                 Answer::Renewed => *renew_at = sent + quarter,
@@ -174,7 +174,9 @@
 
     fn loaded(&mut self, answer: Answer) {
         let now = self.now;
-        let Reign::Loading { claim, lease, after, seen, revision, calling, retry } = &mut self.reign else { return };
+        let Leadership::Loading { claim, lease, after, seen, revision, calling, retry } = &mut self.leadership else {
+            return;
+        };
         *calling = false;
         let Answer::Page { items, more, revision: at } = answer else {
             *retry = now + BACK_OFF;
@@ -191,7 +193,7 @@
         }
         if let Some(seen) = all {
             self.services.retain(|name, _| seen.contains(&service_key(name)));
-            self.reign = Reign::Driving {
+            self.leadership = Leadership::Driving {
                 claim,
                 lease,
                 renewing: false,
@@ -206,7 +208,7 @@
 
     fn watched(&mut self, answer: Answer) {
         let now = self.now;
-        let Reign::Driving { claim, lease, watch, watching, watch_at, .. } = &mut self.reign else { return };
+        let Leadership::Driving { claim, lease, watch, watching, watch_at, .. } = &mut self.leadership else { return };
         *watching = false;
         match answer {
             Answer::Changes { revision, changed } => {
@@ -217,7 +219,7 @@
                 }
             }
             Answer::TooOld => {
-                self.reign = Reign::load(*claim, *lease, now);
+                self.leadership = Leadership::load(*claim, *lease, now);
             }
             _ => *watch_at = now + BACK_OFF,
         }
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -1,11 +1,11 @@
 //! A service as its driver knows it: the durable record, and what is seen.
 
 use super::*;
-use crate::decide::{Passed, Seen};
 use crate::file::Check;
 use crate::health::Health;
 use crate::ports::{Standing, Verdict};
-use crate::record::{Course, Member, Way};
+use crate::reconcile::{Passed, Seen};
+use crate::record::{Member, RolloutProgress, Way};
 
 /// What was done about a member's job in this reign.
 #[derive(Debug, Default)]
@@ -82,7 +82,11 @@
 
     /// True if there may be anything to do about it.
     pub fn works(&self) -> bool {
-        let over = self.record.rolling.as_ref().is_none_or(|r| matches!(r.course, Course::New | Course::Old));
+        let over = self
+            .record
+            .rolling
+            .as_ref()
+            .is_none_or(|r| matches!(r.course, RolloutProgress::New | RolloutProgress::Old));
         !over || self.record.members.iter().any(|m| m.retiring)
     }
 
@@ -96,7 +100,7 @@
         let key = |s: &Service| s.rolling.as_ref().map(|r| (r.number, r.step, r.way == Way::Reverting));
         let way = |s: &Service| s.rolling.as_ref().map(|r| r.way);
         let same_step = key(&self.record) == key(&record);
-        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.course == Course::Halted);
+        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.course == RolloutProgress::Halted);
         let again = halted(&self.record) && !halted(&record);
         let durable = record.rolling.as_ref().map_or(Passed::default(), |r| Passed { spent: r.spent, baked: r.baked });
         if !same_step || again {
--- a/crates/rollout/src/events.rs
+++ b/crates/rollout/src/events.rs
@@ -1,7 +1,7 @@
 //! What reaches the thread that owns the state machines, from its callers, its
 //! checks and the operators' listener.
 
-use crate::desk::{Ask, Reply};
+use crate::commands::{OperatorRequest, OperatorResponse};
 use crate::ports::{Answer, Verdict};
 use crate::units::{CallId, CheckId};
 use std::sync::mpsc::SyncSender;
@@ -10,5 +10,5 @@
     Answer(Box<(CallId, Answer)>),
     DeskAnswer(Box<(CallId, Answer)>),
     Verdict(CheckId, Verdict),
-    Ask(Ask, SyncSender<Reply>),
+    OperatorRequest(OperatorRequest, SyncSender<OperatorResponse>),
 }
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -4,9 +4,9 @@
 //! taken away. It counts once the machine has reported after the check and
 //! still runs the same attempt.
 
-use crate::decide::Seen;
 use crate::file::{Check, CheckKind};
 use crate::ports::{Probe, ReplicaSeen, Standing, Verdict};
+use crate::reconcile::Seen;
 use crate::record::Member;
 use crate::units::{JobId, Millis, ReplicaKey};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -6,11 +6,11 @@
 //!
 //! - [`file`]: what operators write, and what is wrong with it.
 //! - [`record`]: what is durable of a service, one value a service.
-//! - [`decide`]: what to change of the record next. Pure.
+//! - [`reconcile`]: what to change of the record next. Pure.
 //! - [`health`]: what checks and reports say of each replica. Pure.
-//! - [`driver`], [`desk`]: whoever drives, and operators' commands, as state
+//! - [`driver`], [`commands`]: whoever drives, and operators' commands, as state
 //!   machines that say which calls to make. Pure.
-//! - [`check`], [`host`], [`listen`]: sockets and threads around them.
+//! - [`check`], [`runtime`], [`listen`]: sockets and threads around them.
 //!
 //! The record states intentions. Every effect follows from a record that is
 //! durable, and can be repeated without harm by anybody at any later time: a
@@ -19,16 +19,16 @@
 //! nothing.
 
 pub mod check;
-pub mod decide;
-pub mod desk;
+pub mod commands;
 pub mod driver;
 mod events;
 pub mod file;
 pub mod health;
-pub mod host;
 pub mod listen;
 pub mod metrics;
 pub mod ports;
+pub mod reconcile;
 pub mod record;
+pub mod runtime;
 pub mod settings;
 pub mod units;
--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -1,7 +1,7 @@
 //! The operators' listener: HTTP and JSON, a thread a connection, as many as
 //! the settings allow.
 
-use crate::desk::{Ask, Reply};
+use crate::commands::{OperatorRequest, OperatorResponse};
 use crate::events::Event;
 use crate::file::{schema, valid_name, Problems, RollOut};
 use crate::metrics::Metrics;
@@ -24,32 +24,37 @@
 /// What a request asks for, or the answer it gets at once.
 #[derive(Debug, PartialEq)]
 pub enum Routed {
-    Ask(Ask),
+    OperatorRequest(OperatorRequest),
     Metrics,
-    Answer(Reply),
+    Answer(OperatorResponse),
 }
 
 /// Reads a request.
 pub fn route(method: &str, target: &str, body: &[u8]) -> Routed {
     let path = target.split('?').next().unwrap_or("");
-    let not_found = || Routed::Answer(Reply::problem(404, "no such path"));
+    let not_found = || Routed::Answer(OperatorResponse::problem(404, "no such path"));
     let pieces: Vec<&str> = path.trim_matches('/').split('/').collect();
     let (wanted, routed) = match pieces.as_slice() {
         ["metrics"] => ("GET", Routed::Metrics),
-        ["v1", "schema"] => ("GET", Routed::Answer(Reply { status: 200, body: schema(), retry_after_s: None })),
+        ["v1", "schema"] => {
+            ("GET", Routed::Answer(OperatorResponse { status: 200, body: schema(), retry_after_s: None }))
+        }
         ["v1", "rollouts"] if method == "POST" => {
             return match RollOut::from_json(body) {
-                Ok(file) => Routed::Ask(Ask::Command(file.service.clone(), Command::Start(Box::new(file)))),
+                Ok(file) => Routed::OperatorRequest(OperatorRequest::Command(
+                    file.service.clone(),
+                    Command::Start(Box::new(file)),
+                )),
                 Err(Problems(problems)) => {
                     let why = "the roll-out is not valid";
                     let body = json!({ "error": why, "problems": problems });
-                    Routed::Answer(Reply { status: 400, body, retry_after_s: None })
+                    Routed::Answer(OperatorResponse { status: 400, body, retry_after_s: None })
                 }
             };
         }
-        ["v1", "rollouts"] => ("GET", Routed::Ask(Ask::List)),
+        ["v1", "rollouts"] => ("GET", Routed::OperatorRequest(OperatorRequest::List)),
         ["v1", "rollouts", name, ..] if !valid_name(name) => return not_found(),
-        ["v1", "rollouts", name] => ("GET", Routed::Ask(Ask::Status((*name).into()))),
+        ["v1", "rollouts", name] => ("GET", Routed::OperatorRequest(OperatorRequest::Status((*name).into()))),
         ["v1", "rollouts", name, verb] => {
             let command = match *verb {
                 "pause" => Command::Pause,
@@ -58,14 +63,14 @@
                 "revert" => Command::Revert,
                 _ => return not_found(),
             };
-            ("POST", Routed::Ask(Ask::Command((*name).into(), command)))
+            ("POST", Routed::OperatorRequest(OperatorRequest::Command((*name).into(), command)))
         }
         _ => return not_found(),
     };
     if method == wanted {
         routed
     } else {
-        Routed::Answer(Reply::problem(405, "method not allowed"))
+        Routed::Answer(OperatorResponse::problem(405, "method not allowed"))
     }
 }
 
@@ -106,12 +111,16 @@
                 }
                 continue;
             }
-            Routed::Ask(ask) => {
+            Routed::OperatorRequest(ask) => {
                 let (to, told) = sync_channel(1);
-                let sent = events.try_send(Event::Ask(ask, to)).is_ok();
-                let reply = if sent { told.recv_timeout(ANSWER_WITHIN).ok() } else { Some(Reply::later("overloaded")) };
+                let sent = events.try_send(Event::OperatorRequest(ask, to)).is_ok();
+                let reply = if sent {
+                    told.recv_timeout(ANSWER_WITHIN).ok()
+                } else {
+                    Some(OperatorResponse::later("overloaded"))
+                };
                 reply.unwrap_or_else(|| {
-                    Reply::problem(504, "no answer in time: it is not known whether this was carried out")
+                    OperatorResponse::problem(504, "no answer in time: it is not known whether this was carried out")
                 })
             }
         };
--- a/crates/rollout/src/listen/tests.rs
+++ b/crates/rollout/src/listen/tests.rs
@@ -2,8 +2,11 @@
 
 #[test]
 fn requests_find_their_way() {
-    assert_eq!(route("GET", "/v1/rollouts", b""), Routed::Ask(Ask::List));
-    assert_eq!(route("POST", "/v1/rollouts/a/abort", b""), Routed::Ask(Ask::Command("a".into(), Command::Abort)));
+    assert_eq!(route("GET", "/v1/rollouts", b""), Routed::OperatorRequest(OperatorRequest::List));
+    assert_eq!(
+        route("POST", "/v1/rollouts/a/abort", b""),
+        Routed::OperatorRequest(OperatorRequest::Command("a".into(), Command::Abort))
+    );
     let status = |method: &str, target: &str, body: &[u8]| match route(method, target, body) {
         Routed::Answer(reply) => reply.status,
         _ => 0,
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,9 +1,9 @@
 //! Counts and times, in the Prometheus text format.
 
-use crate::decide::Event;
 use crate::driver::Note;
 use crate::ports::Verdict;
-use crate::record::Course;
+use crate::reconcile::Event;
+use crate::record::RolloutProgress;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -70,8 +70,8 @@
                     Event::Failed { .. } => drop(self.steps.get_or_create(&Result { result: "failed" }).inc()),
                     Event::Ended(course) => {
                         let result = match course {
-                            Course::New => "new",
-                            Course::Old => "reverted",
+                            RolloutProgress::New => "new",
+                            RolloutProgress::Old => "reverted",
                             _ => "halted",
                         };
                         self.ends.get_or_create(&Result { result }).inc();
--- a/crates/rollout/src/decide.rs
+++ b/crates/rollout/src/reconcile.rs
@@ -3,7 +3,7 @@
 //! same record.
 
 use crate::file::OnFailure;
-use crate::record::{Course, Member, Rolling, Service, Way};
+use crate::record::{Member, Rolling, RolloutProgress, Service, Way};
 use crate::units::{JobId, Millis, VersionNo};
 
 /// What is seen of a member, as counts of its replicas.
@@ -62,21 +62,21 @@
         step: u32,
         reason: String,
     },
-    Ended(Course),
+    Ended(RolloutProgress),
 }
 
 /// The next record, if anything is to change, and what that means.
 pub type Change = Option<(Service, Vec<Event>)>;
 
 /// What goes into a decision beside the record.
-pub struct Facts<'a> {
+pub struct Observations<'a> {
     /// What is seen of each member; nothing: not known.
     pub seen: &'a dyn Fn(&JobId) -> Seen,
     pub passed: Passed,
 }
 
 /// Decides on the next change of a service. `fresh` gives ids never used before.
-pub fn decide(service: &Service, facts: &Facts, fresh: &mut dyn FnMut() -> JobId) -> Change {
+pub fn reconcile(service: &Service, facts: &Observations, fresh: &mut dyn FnMut() -> JobId) -> Change {
     let mut work = Work { next: service.clone(), facts, fresh, events: vec![] };
     work.bury();
     let active = work.next.rolling.as_ref().is_some_and(Rolling::active);
@@ -88,7 +88,7 @@
 
 struct Work<'a> {
     next: Service,
-    facts: &'a Facts<'a>,
+    facts: &'a Observations<'a>,
     fresh: &'a mut dyn FnMut() -> JobId,
     events: Vec<Event>,
 }
@@ -119,7 +119,7 @@
         if let Some((reason, course)) = faulted {
             return self.fail(reason, course);
         }
-        if rolling.course == Course::Paused {
+        if rolling.course == RolloutProgress::Paused {
             return;
         }
         match rolling.way {
@@ -167,15 +167,15 @@
         let step = rolling.step;
         rolling.reason = Some(reason.clone());
         match course {
-            OnFailure::Halt => rolling.course = Course::Halted,
+            OnFailure::Halt => rolling.course = RolloutProgress::Halted,
             OnFailure::Revert => {
-                rolling.course = Course::Going;
+                rolling.course = RolloutProgress::Going;
                 rolling.turn(Way::Reverting);
             }
         }
         self.events.push(Event::Failed { step, reason });
         if course == OnFailure::Halt {
-            self.events.push(Event::Ended(Course::Halted));
+            self.events.push(Event::Ended(RolloutProgress::Halted));
         }
     }
 
@@ -227,10 +227,10 @@
                 r.turn(Way::Raising);
             });
         }
-        self.change(|r| r.course = Course::New);
+        self.change(|r| r.course = RolloutProgress::New);
         self.next.base = Some(rolling.to);
         self.next.prune();
-        self.events.push(Event::Ended(Course::New));
+        self.events.push(Event::Ended(RolloutProgress::New));
     }
 
     /// Makes time durable now and then, so that a restart costs little of it.
@@ -270,18 +270,18 @@
         self.retire(rolling, order, all, true);
         let done = self.next.staying().all(|m| !wrong(m)) && self.settled();
         if done && back.is_none_or(|back| self.all_well(back)) {
-            self.change(|r| r.course = Course::Old);
+            self.change(|r| r.course = RolloutProgress::Old);
             self.next.prune();
-            return self.events.push(Event::Ended(Course::Old));
+            return self.events.push(Event::Ended(RolloutProgress::Old));
         }
         let patience = rolling.steps.iter().map(|s| s.deadline).max().unwrap_or_default();
         if self.facts.passed.spent >= patience {
             let why = rolling.reason.clone().unwrap_or_default();
             self.change(|r| {
-                r.course = Course::Halted;
+                r.course = RolloutProgress::Halted;
                 r.reason = Some(format!("{why}; the version before was not all back by the deadline"));
             });
-            self.events.push(Event::Ended(Course::Halted));
+            self.events.push(Event::Ended(RolloutProgress::Halted));
         } else {
             self.note_progress(rolling, patience);
         }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -66,7 +66,7 @@
 /// Whether a roll-out goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Course {
+pub enum RolloutProgress {
     Going,
     /// By an operator: no step goes on, but a failure still counts.
     Paused,
@@ -94,7 +94,7 @@
     pub from: u32,
     pub step: u32,
     pub way: Way,
-    pub course: Course,
+    pub course: RolloutProgress,
     /// Time spent on the step, as far as it is durable.
     pub spent: Millis,
     /// Time that the step's replicas have stayed well, as far as it is durable.
@@ -107,7 +107,7 @@
 impl Rolling {
     /// True while replicas may come or go.
     pub fn active(&self) -> bool {
-        matches!(self.course, Course::Going | Course::Paused)
+        matches!(self.course, RolloutProgress::Going | RolloutProgress::Paused)
     }
 
     pub fn plan(&self) -> Option<&StepPlan> {
@@ -127,7 +127,7 @@
 pub struct Outcome {
     pub number: u64,
     pub version: String,
-    pub course: Course,
+    pub course: RolloutProgress,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
@@ -201,29 +201,33 @@
         }
         let Some(rolling) = next.rolling.as_mut() else { return Err(Refusal::Nothing("no roll-out was ever started")) };
         match (command, rolling.course) {
-            (_, Course::New) => return Err(Refusal::Nothing("the roll-out is over: start one to another version")),
-            (_, Course::Old) => return Err(Refusal::Nothing("the roll-out was reverted")),
-            (Command::Pause, Course::Going) => rolling.course = Course::Paused,
+            (_, RolloutProgress::New) => {
+                return Err(Refusal::Nothing("the roll-out is over: start one to another version"))
+            }
+            (_, RolloutProgress::Old) => return Err(Refusal::Nothing("the roll-out was reverted")),
+            (Command::Pause, RolloutProgress::Going) => rolling.course = RolloutProgress::Paused,
             (Command::Pause, _) => return Err(Refusal::Nothing("the roll-out does not go on as it is")),
-            (Command::Resume, Course::Paused) => rolling.course = Course::Going,
-            (Command::Resume, Course::Halted) => {
+            (Command::Resume, RolloutProgress::Paused) => rolling.course = RolloutProgress::Going,
+            (Command::Resume, RolloutProgress::Halted) => {
                 let way = if rolling.way == Way::Reverting { Way::Reverting } else { Way::Raising };
                 rolling.turn(way);
-                rolling.course = Course::Going;
+                rolling.course = RolloutProgress::Going;
                 rolling.reason = None;
             }
             (Command::Resume, _) => return Err(Refusal::Nothing("the roll-out goes on already")),
-            (Command::Abort, Course::Halted) => return Err(Refusal::Nothing("the roll-out is halted already")),
+            (Command::Abort, RolloutProgress::Halted) => {
+                return Err(Refusal::Nothing("the roll-out is halted already"))
+            }
             (Command::Abort, _) => {
-                rolling.course = Course::Halted;
+                rolling.course = RolloutProgress::Halted;
                 rolling.reason = Some("aborted by an operator".into());
             }
-            (Command::Revert, _) if rolling.way == Way::Reverting && rolling.course == Course::Going => {
+            (Command::Revert, _) if rolling.way == Way::Reverting && rolling.course == RolloutProgress::Going => {
                 return Err(Refusal::Nothing("the roll-out is being reverted already"));
             }
             (Command::Revert, _) => {
                 rolling.turn(Way::Reverting);
-                rolling.course = Course::Going;
+                rolling.course = RolloutProgress::Going;
                 rolling.reason = Some("reverted by an operator".into());
             }
             (Command::Start(_), _) => unreachable!("handled above"),
@@ -271,7 +275,7 @@
             from,
             step: 0,
             way: Way::Raising,
-            course: Course::Going,
+            course: RolloutProgress::Going,
             spent: Millis(0),
             baked: Millis(0),
             reason: None,
--- a/crates/rollout/src/host.rs
+++ b/crates/rollout/src/runtime.rs
@@ -2,7 +2,7 @@
 //! calls, and as many as checks may run at the same time.
 
 use crate::check;
-use crate::desk::{Ask, Desk, Reply, Turn};
+use crate::commands::{CommandHandler, HandlerOutput, OperatorRequest, OperatorResponse};
 use crate::driver::{Driver, Note, Output};
 use crate::events::Event;
 use crate::listen;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Caller {
     Driver,
-    Desk,
+    CommandHandler,
 }
 
 type Job = (Caller, CallId, Call);
@@ -54,7 +54,7 @@
     let driver = Driver::new(settings.config(node));
     let owner = Owner {
         driver,
-        desk: Desk::new(value_bytes),
+        commands: CommandHandler::new(value_bytes),
         lanes,
         probes,
         metrics,
@@ -137,12 +137,12 @@
 /// The thread that owns the state machines.
 struct Owner {
     driver: Driver,
-    desk: Desk,
+    commands: CommandHandler,
     lanes: Lanes,
     probes: SyncSender<(CheckId, Probe)>,
     metrics: Arc<Metrics>,
     /// Requests of operators, and the service whose status they ask for.
-    asking: HashMap<RequestId, (SyncSender<Reply>, Option<String>)>,
+    asking: HashMap<RequestId, (SyncSender<OperatorResponse>, Option<String>)>,
     last_request: u64,
     begin: Instant,
 }
@@ -160,19 +160,19 @@
                     self.carry_out(now, outputs);
                 }
                 Ok(Event::DeskAnswer(answer)) => {
-                    let turn = self.desk.answer(answer.0, answer.1);
+                    let turn = self.commands.answer(answer.0, answer.1);
                     self.turn(turn);
                 }
                 Ok(Event::Verdict(id, verdict)) => {
                     let outputs = self.driver.verdict(now, id, verdict);
                     self.carry_out(now, outputs);
                 }
-                Ok(Event::Ask(ask, to)) => {
+                Ok(Event::OperatorRequest(ask, to)) => {
                     self.last_request += 1;
                     let request = RequestId(self.last_request);
-                    let of = if let Ask::Status(name) = &ask { Some(name.clone()) } else { None };
+                    let of = if let OperatorRequest::Status(name) = &ask { Some(name.clone()) } else { None };
                     self.asking.insert(request, (to, of));
-                    let turn = self.desk.ask(request, ask);
+                    let turn = self.commands.ask(request, ask);
                     self.turn(turn);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
@@ -210,7 +210,7 @@
         }
     }
 
-    fn turn(&mut self, turn: Turn) {
+    fn turn(&mut self, turn: HandlerOutput) {
         let mut turns = vec![turn];
         while let Some(turn) = turns.pop() {
             for (request, mut reply) in turn.replies {
@@ -222,8 +222,8 @@
                 }
             }
             for (id, call) in turn.calls {
-                if !self.lanes.send(Caller::Desk, id, call) {
-                    turns.push(self.desk.answer(id, Answer::Refused));
+                if !self.lanes.send(Caller::CommandHandler, id, call) {
+                    turns.push(self.commands.answer(id, Answer::Refused));
                 }
             }
         }
--- a/crates/rollout/tests/driving.rs
+++ b/crates/rollout/tests/driving.rs
@@ -3,20 +3,20 @@
 
 mod world;
 
-use tillercleat_rollout::record::{Command, Course, Service, Way};
-use world::{file, Chances, Manner, World};
+use tillercleat_rollout::record::{Command, RolloutProgress, Service, Way};
+use world::{file, Chances, RolloutStrategy, World};
 
 const NAME: &str = "routeplan";
 const HOUR: u64 = 3_600_000;
 
-fn course(world: &World) -> Course {
+fn course(world: &World) -> RolloutProgress {
     let rolling = world.service(NAME).and_then(|s| s.rolling).expect("a roll-out");
     rolling.course
 }
 
 fn over(world: &mut World) -> bool {
     let settled = world.service(NAME).is_some_and(|s| s.members.iter().all(|m| !m.retiring));
-    settled && matches!(course(world), Course::New | Course::Old | Course::Halted)
+    settled && matches!(course(world), RolloutProgress::New | RolloutProgress::Old | RolloutProgress::Halted)
 }
 
 /// A world in which all six replicas have the first version.
@@ -24,7 +24,7 @@
     let mut world = World::new(seed, nodes);
     assert_eq!(world.start(&file("v1", "")).status, 200);
     assert!(world.run(HOUR, over), "the first version never came out");
-    assert_eq!((course(&world), world.running("v1")), (Course::New, 6));
+    assert_eq!((course(&world), world.running("v1")), (RolloutProgress::New, 6));
     world
 }
 
@@ -60,7 +60,7 @@
 
 /// Lets a roll-out of v2 go on to its end while `disturb` is called, and
 /// watches that no old replica goes before another stands in for it.
-fn roll(world: &mut World, mut disturb: impl FnMut(&mut World)) -> Course {
+fn roll(world: &mut World, mut disturb: impl FnMut(&mut World)) -> RolloutProgress {
     assert_eq!(world.start(&file("v2", "")).status, 200);
     let ended = world.run(HOUR, |w| {
         disturb(w);
@@ -74,13 +74,18 @@
 #[test]
 fn a_good_version_comes_out_and_a_bad_one_is_taken_back() {
     let mut world = with_first(1, 2);
-    assert_eq!(roll(&mut world, |_| ()), Course::New);
+    assert_eq!(roll(&mut world, |_| ()), RolloutProgress::New);
     assert_eq!((world.running("v1"), world.running("v2")), (0, 6));
 
-    for manner in [Manner::FailsAfter(0), Manner::FailsAfter(3000), Manner::HangsAfter(3000), Manner::EndsAfter(2000)] {
+    for manner in [
+        RolloutStrategy::FailsAfter(0),
+        RolloutStrategy::FailsAfter(3000),
+        RolloutStrategy::HangsAfter(3000),
+        RolloutStrategy::EndsAfter(2000),
+    ] {
         let mut world = with_first(2, 2);
         world.manners.insert("v2".into(), manner);
-        assert_eq!(roll(&mut world, |_| ()), Course::Old, "{manner:?}");
+        assert_eq!(roll(&mut world, |_| ()), RolloutProgress::Old, "{manner:?}");
         assert_eq!((world.running("v1"), world.running("v2")), (6, 0), "{manner:?}");
         let steps = world.records.iter().filter_map(|r| r.2.rolling.as_ref()).filter(|r| r.number == 2);
         assert_eq!(steps.map(|r| r.step).max(), Some(0), "{manner:?}: a later step began");
@@ -92,8 +97,8 @@
 fn a_flapping_check_is_a_failure() {
     for rhythm in [700, 1500, 3000] {
         let mut world = with_first(3, 1);
-        world.manners.insert("v2".into(), Manner::Flaps(rhythm));
-        assert_eq!(roll(&mut world, |_| ()), Course::Old, "{rhythm}");
+        world.manners.insert("v2".into(), RolloutStrategy::Flaps(rhythm));
+        assert_eq!(roll(&mut world, |_| ()), RolloutProgress::Old, "{rhythm}");
     }
 }
 
@@ -103,7 +108,9 @@
 fn whatever_ends_the_driver_the_roll_out_ends_the_same() {
     let mut ends = 0;
     for seed in 0..60 {
-        for (manner, wanted) in [(Manner::Well, Course::New), (Manner::FailsAfter(4000), Course::Old)] {
+        for (manner, wanted) in
+            [(RolloutStrategy::Well, RolloutProgress::New), (RolloutStrategy::FailsAfter(4000), RolloutProgress::Old)]
+        {
             let mut world = with_first(seed, 2);
             world.manners.insert("v2".into(), manner);
             world.chances = Chances { lost: 20, late: 40, end_before: 60, end_after: 60 };
@@ -114,7 +121,7 @@
                 }
             });
             assert_eq!(ended, wanted, "seed {seed}, {manner:?}");
-            let left = if wanted == Course::New { (0, 6) } else { (6, 0) };
+            let left = if wanted == RolloutProgress::New { (0, 6) } else { (6, 0) };
             assert_eq!((world.running("v1"), world.running("v2")), left, "seed {seed}");
             ends += world.ends;
         }
@@ -160,7 +167,7 @@
                 w.nodes[at].frozen_until = w.now + 5000 + w.random(4000);
             }
         });
-        assert_eq!(ended, Course::New, "seed {seed}");
+        assert_eq!(ended, RolloutProgress::New, "seed {seed}");
     }
 }
 
@@ -185,10 +192,10 @@
     world.run(1500, |_| false);
     assert_eq!(world.command(NAME, Command::Abort).status, 200);
     world.run(30_000, |_| false);
-    assert_eq!(course(&world), Course::Halted);
+    assert_eq!(course(&world), RolloutProgress::Halted);
     assert_eq!(world.command(NAME, Command::Resume).status, 200);
     assert!(world.run(HOUR, over));
-    assert_eq!((course(&world), world.running("v1"), world.running("v2")), (Course::Old, 6, 0));
+    assert_eq!((course(&world), world.running("v1"), world.running("v2")), (RolloutProgress::Old, 6, 0));
     assert_eq!(world.command(NAME, Command::Resume).status, 409);
     assert_eq!(world.command("nothing", Command::Pause).status, 404);
     judge(&world);
@@ -210,7 +217,7 @@
             }
         }
     });
-    assert_eq!((ended, lost), (Course::New, 4));
+    assert_eq!((ended, lost), (RolloutProgress::New, 4));
 }
 
 /// No room for the surplus, or a cut of our own: the step's deadline halts it;
@@ -219,28 +226,28 @@
 fn want_of_room_and_our_own_cut_halt_without_blame() {
     let mut world = with_first(9, 1);
     world.capacity = 6;
-    assert_eq!(roll(&mut world, |_| ()), Course::Halted);
+    assert_eq!(roll(&mut world, |_| ()), RolloutProgress::Halted);
     let reason = world.service(NAME).and_then(|s| s.rolling).and_then(|r| r.reason).unwrap_or_default();
     assert!(reason.contains("no machine"), "{reason}");
     assert_eq!(world.running("v1"), 6);
 
     let mut world = with_first(10, 1);
     world.nodes[0].cut = true;
-    assert_eq!(roll(&mut world, |_| ()), Course::Halted);
+    assert_eq!(roll(&mut world, |_| ()), RolloutProgress::Halted);
     let reason = world.service(NAME).and_then(|s| s.rolling).and_then(|r| r.reason).unwrap_or_default();
     assert!(reason.contains("checked"), "{reason}");
     // With another controller that reaches them, it is told apart as well.
     let mut world = with_first(11, 2);
     let at = usize::from(!world.nodes[0].driver.drives());
     world.nodes[at].cut = true;
-    assert_eq!(roll(&mut world, |_| ()), Course::Halted);
+    assert_eq!(roll(&mut world, |_| ()), RolloutProgress::Halted);
 }
 
 /// A zone goes in the middle of a step: if it comes back, the step goes on; if
 /// not, the roll-out halts without blame, and no old replica is given up for it.
 #[test]
 fn a_zone_lost_during_a_step_is_waited_for_until_the_deadline() {
-    for (away, wanted) in [(20_000, Course::New), (HOUR, Course::Halted)] {
+    for (away, wanted) in [(20_000, RolloutProgress::New), (HOUR, RolloutProgress::Halted)] {
         let mut world = with_first(12, 2);
         let mut file = file("v2", "");
         file.steps[1].zone = Some("a".into());
@@ -255,7 +262,7 @@
                 jobs.iter().for_each(|job| w.lose(job, 0, away));
                 lost = true;
             }
-            assert!(!lost || w.running("v1") >= 3 || course(w) == Course::New || step(w) > 1);
+            assert!(!lost || w.running("v1") >= 3 || course(w) == RolloutProgress::New || step(w) > 1);
             over(w)
         });
         assert!(ended && lost);
@@ -276,7 +283,7 @@
     world.run(300, |_| false);
     assert_eq!(world.command(NAME, Command::Revert).status, 200);
     assert!(world.run(HOUR, over));
-    assert_eq!(course(&world), Course::Old);
+    assert_eq!(course(&world), RolloutProgress::Old);
     world.run(90_000, |_| false);
     judge(&world);
     assert_eq!((world.running("v1"), world.running("v2")), (6, 0));
@@ -299,15 +306,16 @@
         };
         world.start(&file("v1", ""));
         world.start(&second("v1"));
-        let done =
-            |w: &World, name: &str| w.service(name).and_then(|s| s.rolling).is_some_and(|r| r.course == Course::New);
+        let done = |w: &World, name: &str| {
+            w.service(name).and_then(|s| s.rolling).is_some_and(|r| r.course == RolloutProgress::New)
+        };
         assert!(world.run(HOUR, |w| done(w, NAME) && done(w, "second")));
         let mut hanging = file("bad", "");
         hanging.check.timeout_s = 20.0;
         hanging.steps = hanging.steps.split_off(2);
         (hanging.replicas, hanging.max_surplus, hanging.steps[0].replicas) = (12, 12, Some(12));
         if hangs {
-            world.manners.insert("bad".into(), Manner::HangsAfter(0));
+            world.manners.insert("bad".into(), RolloutStrategy::HangsAfter(0));
             world.start(&hanging);
             world.run(10_000, |_| false);
             assert_eq!(world.running("bad"), 12);
@@ -317,7 +325,7 @@
         assert!(world.run(HOUR, |w| w
             .service("second")
             .and_then(|s| s.rolling)
-            .is_some_and(|r| r.number == 2 && r.course == Course::New)));
+            .is_some_and(|r| r.number == 2 && r.course == RolloutProgress::New)));
         world.now - begin
     };
     let (alone, beside) = (time_of_second(false), time_of_second(true));
--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -3,9 +3,9 @@
 //! time may run out, and an operator may command once.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
-use tillercleat_rollout::decide::{decide, Facts, Passed, Seen};
 use tillercleat_rollout::file::RollOut;
-use tillercleat_rollout::record::{Command, Course, Member, Rolling, Service, Way};
+use tillercleat_rollout::reconcile::{reconcile, Observations, Passed, Seen};
+use tillercleat_rollout::record::{Command, Member, Rolling, RolloutProgress, Service, Way};
 use tillercleat_rollout::units::{JobId, Millis};
 
 /// How a member fares. `Fresh`: nothing is known.
@@ -82,7 +82,7 @@
             JobId(format!("wk-{ids}"))
         };
         let seen = |job: &JobId| self.seen(job);
-        let (service, _) = decide(&self.service, &Facts { seen: &seen, passed: self.passed }, &mut fresh)?;
+        let (service, _) = reconcile(&self.service, &Observations { seen: &seen, passed: self.passed }, &mut fresh)?;
         next.ids = ids;
         let before = (self.rolling().step, self.rolling().way == Way::Reverting);
         next.service = service;
@@ -114,7 +114,7 @@
                 found.push(next);
             }
         }
-        if rolling.course == Course::Going {
+        if rolling.course == RolloutProgress::Going {
             let well = self.service.staying().all(|m| m.version != rolling.to || self.fare(&m.job) == Fare::Ready);
             if rolling.way == Way::Baking && well && self.passed.baked < BAKE {
                 let mut next = self.clone();
@@ -127,7 +127,7 @@
                 found.push(next);
             }
         }
-        if rolling.course == Course::Paused {
+        if rolling.course == RolloutProgress::Paused {
             let service = self.service.command(&Command::Resume, 64 * 1024).expect("resumes");
             found.push(World { service, ..self.clone() });
         }
@@ -159,7 +159,7 @@
     }
     if after.step != before.step {
         assert_eq!(after.step, before.step + 1, "a step was skipped or begun twice");
-        assert!(before.way == Way::Baking && before.course == Course::Going, "{before:?} to {after:?}");
+        assert!(before.way == Way::Baking && before.course == RolloutProgress::Going, "{before:?} to {after:?}");
         let mut new = from.service.staying().filter(|m| m.version == before.to);
         assert!(new.all(|m| from.fare(&m.job) == Fare::Ready), "a step passed with replicas not well");
         assert!(from.passed.baked >= BAKE, "a step passed before its time");
@@ -167,18 +167,18 @@
     if before.way == Way::Reverting {
         assert_eq!(after.way, Way::Reverting, "a roll-out that turned back went on");
     }
-    if matches!(after.course, Course::New) {
+    if matches!(after.course, RolloutProgress::New) {
         assert!(to.service.staying().all(|m| m.version == after.to) && after.reason.is_none());
     }
-    if matches!(after.course, Course::Halted | Course::Old) {
+    if matches!(after.course, RolloutProgress::Halted | RolloutProgress::Old) {
         assert!(after.reason.is_some(), "ended without a reason: {after:?}");
     }
 }
 
 /// Explores everything; the number of states, and of those that end.
-fn explore(first: World, may_go_bad: bool) -> (usize, BTreeMap<Course, usize>) {
+fn explore(first: World, may_go_bad: bool) -> (usize, BTreeMap<RolloutProgress, usize>) {
     let mut index: HashMap<Key, usize> = HashMap::from([(first.key(), 0)]);
-    let mut ends: BTreeMap<Course, usize> = BTreeMap::new();
+    let mut ends: BTreeMap<RolloutProgress, usize> = BTreeMap::new();
     let mut back: Vec<Vec<usize>> = vec![vec![]];
     let mut over = vec![];
     let mut queue = VecDeque::from([(0, first)]);
@@ -225,7 +225,7 @@
         }
         world.passed.baked = BAKE;
     }
-    assert_eq!(world.rolling().course, Course::New);
+    assert_eq!(world.rolling().course, RolloutProgress::New);
     world
 }
 
@@ -240,8 +240,11 @@
             world.commanded = false;
             let (states, ends) = explore(world, true);
             assert!(states > 500, "{states} states only");
-            assert!(ends.contains_key(&Course::New) && ends.contains_key(&Course::Halted), "{ends:?}");
-            assert!(ends.contains_key(&Course::Old), "{ends:?}");
+            assert!(
+                ends.contains_key(&RolloutProgress::New) && ends.contains_key(&RolloutProgress::Halted),
+                "{ends:?}"
+            );
+            assert!(ends.contains_key(&RolloutProgress::Old), "{ends:?}");
         }
     }
 }
@@ -253,5 +256,5 @@
     let service = Service::default().command(&start, 64 * 1024).expect("starts");
     let world = World { service, fares: BTreeMap::new(), passed: Passed::default(), commanded: false, ids: 0 };
     let (_, ends) = explore(world, true);
-    assert!(ends.contains_key(&Course::Old) && ends.contains_key(&Course::New), "{ends:?}");
+    assert!(ends.contains_key(&RolloutProgress::Old) && ends.contains_key(&RolloutProgress::New), "{ends:?}");
 }
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
-use tillercleat_rollout::desk::{Ask, Desk, Reply};
+use tillercleat_rollout::commands::{CommandHandler, OperatorRequest, OperatorResponse};
 use tillercleat_rollout::driver::{Config, Driver, Output, DRIVER_KEY, SERVICES};
 use tillercleat_rollout::file::RollOut;
 use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, ReplicaSeen, Standing, Verdict};
@@ -16,7 +16,7 @@
 
 /// How the checks of an image's replicas go.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Manner {
+pub enum RolloutStrategy {
     Well,
     /// Fails from so long after it began to run.
     FailsAfter(u64),
@@ -79,7 +79,7 @@
     sequence: u64,
     /// Every durable record of a service, in order.
     pub records: Vec<(u64, String, Service)>,
-    pub manners: BTreeMap<String, Manner>,
+    pub manners: BTreeMap<String, RolloutStrategy>,
     pub chances: Chances,
     /// How long a replica takes to run once its job is known.
     pub start_ms: u64,
@@ -164,20 +164,20 @@
     }
 
     /// An operator's command, carried out at once; waits out outages.
-    pub fn command(&mut self, name: &str, command: Command) -> Reply {
-        let mut desk = Desk::new(64 * 1024);
-        let mut turn = desk.ask(RequestId(1), Ask::Command(name.into(), command));
+    pub fn command(&mut self, name: &str, command: Command) -> OperatorResponse {
+        let mut commands = CommandHandler::new(64 * 1024);
+        let mut turn = commands.ask(RequestId(1), OperatorRequest::Command(name.into(), command));
         loop {
             if let Some((_, reply)) = turn.replies.pop() {
                 return reply;
             }
             let (id, call) = turn.calls.pop().expect("a call or a reply");
             let answer = self.carry(0, &call);
-            turn = desk.answer(id, answer);
+            turn = commands.answer(id, answer);
         }
     }
 
-    pub fn start(&mut self, file: &RollOut) -> Reply {
+    pub fn start(&mut self, file: &RollOut) -> OperatorResponse {
         self.command(&file.service.clone(), Command::Start(Box::new(file.clone())))
     }
 
@@ -335,21 +335,21 @@
         };
         let age = self.now - since;
         match self.manner(&image) {
-            Manner::FailsAfter(ms) if age >= ms => (10, Verdict::Fail("status 500".into())),
-            Manner::HangsAfter(ms) if age >= ms => (timeout, Verdict::Fail("no whole answer in time".into())),
-            Manner::Flaps(ms) if ms > 0 && (age / ms) % 2 == 1 => (10, Verdict::Fail("status 503".into())),
+            RolloutStrategy::FailsAfter(ms) if age >= ms => (10, Verdict::Fail("status 500".into())),
+            RolloutStrategy::HangsAfter(ms) if age >= ms => (timeout, Verdict::Fail("no whole answer in time".into())),
+            RolloutStrategy::Flaps(ms) if ms > 0 && (age / ms) % 2 == 1 => (10, Verdict::Fail("status 503".into())),
             _ => (10, Verdict::Pass),
         }
     }
 
-    pub fn manner(&self, image: &str) -> Manner {
-        self.manners.get(image).copied().unwrap_or(Manner::Well)
+    pub fn manner(&self, image: &str) -> RolloutStrategy {
+        self.manners.get(image).copied().unwrap_or(RolloutStrategy::Well)
     }
 
     fn fail_replicas(&mut self) {
         let (now, manners) = (self.now, self.manners.clone());
         for job in self.jobs.values_mut().filter(|j| j.withdrawn.is_none()) {
-            if let Some(Manner::EndsAfter(ms)) = manners.get(&job.image) {
+            if let Some(RolloutStrategy::EndsAfter(ms)) = manners.get(&job.image) {
                 for run in &mut job.runs {
                     if now >= run.1.saturating_add(*ms) {
                         *run = (run.0 + 1, now + 1000, run.0);
--- a/src/main.rs
+++ b/src/main.rs
@@ -75,7 +75,7 @@
             return ExitCode::from(2);
         }
     };
-    if let Err(error) = transport::plan(&settings, &tuning, rollouts.as_ref()) {
+    if let Err(error) = transport::resource_budget(&settings, &tuning, rollouts.as_ref()) {
         eprintln!("tillercleat: {}: {error}", files.config.display());
         return ExitCode::from(2);
     }
--- a/src/transport/engine.rs
+++ b/src/transport/engine.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{sync_channel, RecvTimeoutError, SyncSender};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tillercleat_admission::{Limits, Own, Plan, PlanError};
+use tillercleat_connection_limits::{BudgetError, Limits, ReservedResources, ResourceBudget};
 use tillercleat_rollout::settings::Settings as Rollouts;
 
 /// Events that may wait for the core at the least; a connection that finds the
@@ -37,15 +37,19 @@
 /// # Errors
 ///
 /// If the limits leave too little for them.
-pub fn plan(settings: &Settings, tuning: &Tuning, rollouts: Option<&Rollouts>) -> Result<Plan, PlanError> {
+pub fn resource_budget(
+    settings: &Settings,
+    tuning: &Tuning,
+    rollouts: Option<&Rollouts>,
+) -> Result<ResourceBudget, BudgetError> {
     let limits = &settings.cluster.process_limits;
     let limits = Limits { threads: tuning.threads, sockets: limits.fd_limit, memory_mib: limits.ram_mb };
     let for_rollouts = rollouts.map_or(0, Rollouts::threads);
-    let own = Own {
+    let own = ReservedResources {
         threads: OTHER_THREADS + outside::THREADS + for_rollouts,
         sockets: OWN_SOCKETS + SOCKETS_A_PEER * settings.peers.len() + for_rollouts,
     };
-    Plan::new(limits, own)
+    ResourceBudget::new(limits, own)
 }
 
 /// Serves until the process is killed; roll-outs too, if they are turned on.
@@ -55,8 +59,8 @@
 /// If an address can't be had, a thread can't be started, or the limits leave
 /// too little.
 pub fn run(settings: Settings, tuning: Tuning, rollouts: Option<Rollouts>) -> std::io::Result<()> {
-    let plan = plan(&settings, &tuning, rollouts.as_ref()).map_err(std::io::Error::other)?;
-    let (engine, events) = sync_channel(QUEUE.max(plan.connections));
+    let resource_budget = resource_budget(&settings, &tuning, rollouts.as_ref()).map_err(std::io::Error::other)?;
+    let (engine, events) = sync_channel(QUEUE.max(resource_budget.connections));
     let listener = super::http::listen(settings.client_listen)?;
     let outside = Outside::new(&engine, settings.services.state, settings.services.cloud)?;
     let peer_addrs = settings.peers.iter().map(|p| p.addr).collect();
@@ -64,13 +68,13 @@
     if let Some(rollouts) = rollouts {
         let site = Arc::new(Controller::new(engine.clone(), asker, settings.services.state));
         let value_bytes = (settings.cluster.state.least().value_kb * 1024.0) as usize;
-        tillercleat_rollout::host::start(&rollouts, &settings.node, value_bytes, site)?;
+        tillercleat_rollout::runtime::start(&rollouts, &settings.node, value_bytes, site)?;
     }
-    tracing::info!("room for {} connections", plan.connections);
+    tracing::info!("room for {} connections", resource_budget.connections);
     std::thread::Builder::new()
         .name("listen".into())
         .stack_size(128 * 1024)
-        .spawn(move || server::listen(listener, plan, engine))?;
+        .spawn(move || server::listen(listener, resource_budget, engine))?;
 
     let begin = Instant::now();
     let mut core = Core::new(settings, tuning);
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -10,4 +10,4 @@
 
 pub use tillercleat_http as http;
 
-pub use engine::{plan, run};
+pub use engine::{resource_budget, run};
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -14,8 +14,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tillercleat_rollout::file;
-use tillercleat_rollout::host::Site;
 use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
+use tillercleat_rollout::runtime::Site;
 use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId, Millis as RolloutMillis, Stamp};
 
 const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{sync_channel, SyncSender};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use tillercleat_admission::{ConnectionId, Gate, Keep, Millis, Plan, Role};
+use tillercleat_connection_limits::{ConnectionAction, ConnectionId, ConnectionLimiter, Millis, ResourceBudget, Role};
 
 const STACK: usize = 128 * 1024;
 /// How long a new connection may take to ask something.
@@ -23,7 +23,7 @@
 
 /// The gate, and the sockets behind what it decides on.
 struct Door {
-    gate: Gate,
+    limiter: ConnectionLimiter,
     streams: HashMap<ConnectionId, Arc<TcpStream>>,
     begin: Instant,
 }
@@ -39,8 +39,9 @@
 struct Front(Arc<Mutex<Door>>);
 
 impl Front {
-    fn new(plan: Plan) -> Front {
-        let door = Door { gate: Gate::new(plan), streams: HashMap::new(), begin: Instant::now() };
+    fn new(resource_budget: ResourceBudget) -> Front {
+        let door =
+            Door { limiter: ConnectionLimiter::new(resource_budget), streams: HashMap::new(), begin: Instant::now() };
         Front(Arc::new(Mutex::new(door)))
     }
 
@@ -54,7 +55,7 @@
         let from = stream.peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |addr| addr.ip());
         let mut door = self.door();
         let now = door.now();
-        let arrival = door.gate.arrived(from, now);
+        let arrival = door.limiter.admit(from, now);
         if let Some(stream) = arrival.leave.and_then(|id| door.streams.get(&id)) {
             // Its thread wakes with an end of file, and ends.
             let _ = stream.shutdown(Shutdown::Both);
@@ -71,21 +72,21 @@
         }
     }
 
-    fn asked(&self, id: ConnectionId, by: Role) -> Keep {
+    fn asked(&self, id: ConnectionId, by: Role) -> ConnectionAction {
         let mut door = self.door();
         let now = door.now();
-        door.gate.asked(id, by, now)
+        door.limiter.request_started(id, by, now)
     }
 
     fn answered(&self, id: ConnectionId) {
         let mut door = self.door();
         let now = door.now();
-        door.gate.answered(id, now);
+        door.limiter.response_sent(id, now);
     }
 
     fn ended(&self, id: ConnectionId) {
         let mut door = self.door();
-        door.gate.ended(id);
+        door.limiter.closed(id);
         door.streams.remove(&id);
     }
 }
@@ -112,9 +113,9 @@
         patience = IDLE;
         let by = if of_worker(&head.path) { Role::Worker } else { Role::User };
         let last = match front.asked(id, by) {
-            Keep::Open => false,
-            Keep::Last => true,
-            Keep::Refused(_) => {
+            ConnectionAction::Open => false,
+            ConnectionAction::Last => true,
+            ConnectionAction::Refused(_) => {
                 let body = r#"{"error":"too many connections"}"#;
                 return write(&mut connection, 503, body, Some(1), true, WHOLE);
             }
@@ -141,8 +142,8 @@
 }
 
 /// Accepts connections for as long as the process lives.
-pub fn listen(listener: TcpListener, plan: Plan, engine: SyncSender<Event>) {
-    let front = Front::new(plan);
+pub fn listen(listener: TcpListener, resource_budget: ResourceBudget, engine: SyncSender<Event>) {
+    let front = Front::new(resource_budget);
     for stream in listener.incoming() {
         let Ok(stream) = stream else {
             std::thread::sleep(Duration::from_millis(20));
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -13,11 +13,11 @@
             let _ = answer.send(Response::Healthy);
         }
     });
-    let front = Front::new(Plan { connections: 4, crowded: 2, strangers: 8, workers: 1 });
+    let front = Front::new(ResourceBudget { connections: 4, crowded: 2, unidentified: 8, workers: 1 });
     let stream = Arc::new(stream);
     // Others are there already.
     let others: Vec<_> = (0..3).map(|_| front.arrived(&stream)).collect();
-    assert!(others.iter().flatten().all(|other| front.asked(*other, Role::Worker) == Keep::Open));
+    assert!(others.iter().flatten().all(|other| front.asked(*other, Role::Worker) == ConnectionAction::Open));
     let id = front.arrived(&stream).expect("room for one more");
     std::thread::spawn(move || {
         let _ = serve(stream, id, &front, &engine);
