--- /dev/null
+++ b/crates/rollout/tests/wire.rs
@@ -0,0 +1,275 @@
+//! Golden tests of what roll-outs store, read and answer: records, settings, the files of
+//! operators, and the listener's replies. The files under `tests/wire` hold wire words only, so
+//! that a change of names in the code touches this file and none of them. The one exception is
+//! the published schema, into which names of types and their comments go.
+
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+use std::path::PathBuf;
+use std::time::Duration;
+use tillercleat_rollout::decide::Event;
+use tillercleat_rollout::desk::{summary, Ask};
+use tillercleat_rollout::driver::{service_key, Claim, Note, DRIVER_KEY, ROOT, SERVICES};
+use tillercleat_rollout::file::*;
+use tillercleat_rollout::listen::{route, Routed};
+use tillercleat_rollout::metrics::Metrics;
+use tillercleat_rollout::ports::Verdict;
+use tillercleat_rollout::record::*;
+use tillercleat_rollout::settings::Settings;
+use tillercleat_rollout::units::{JobId, Millis, VersionNo};
+
+fn path_of(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name)
+}
+
+fn temporary(name: &str, text: &str) -> PathBuf {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&path, text).expect("a temporary file");
+    path
+}
+
+/// Compares lines with a golden file. If they differ, the new text is left in the directory for
+/// temporary files of tests, to be looked at.
+fn assert_golden(name: &str, lines: &[String]) {
+    let new = lines.join("\n") + "\n";
+    let golden = std::fs::read_to_string(path_of(name)).unwrap_or_default();
+    if new == golden {
+        return;
+    }
+    temporary(&format!("rollout-{name}"), &new);
+    let differs = golden.lines().zip(new.lines()).position(|(golden, new)| golden != new);
+    let at = differs.unwrap_or(golden.lines().count().min(new.lines().count()));
+    panic!("{name}:{}: {:?} became {:?}", at + 1, golden.lines().nth(at), new.lines().nth(at));
+}
+
+/// A value as it is stored, after reading it back.
+fn stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, record: &T) -> String {
+    let value = serde_json::to_value(record).expect("a value");
+    assert_eq!(serde_json::from_value::<T>(value.clone()).expect("a record"), *record);
+    format!("{key} {value}")
+}
+
+fn job() -> Job {
+    Job {
+        class: "service".into(),
+        team: "plan".into(),
+        priority: Priority::High,
+        cpus: 1.5,
+        gpus: 2.0,
+        mem_gb: 3.25,
+        image: "routeplan-v2".into(),
+        image_gb: 0.5,
+        types: Some(vec!["m8".into(), "g2".into()]),
+        zone: Some("a".into()),
+        spot: true,
+    }
+}
+
+fn check() -> Check {
+    Check {
+        kind: CheckKind::Http,
+        port: 8080,
+        port_step: 1,
+        method: "HEAD".into(),
+        path: "/health".into(),
+        status: vec![200, 204],
+        body: Some("well".into()),
+        interval_s: 0.5,
+        timeout_s: 1.5,
+        successes: 3,
+        failures_allowed: 4,
+    }
+}
+
+fn roll_out() -> RollOut {
+    let first = Step { replicas: Some(2), share: None, zone: Some("a".into()), bake_s: 60.5, deadline_s: 600.5 };
+    let last = Step { replicas: None, share: Some(1.0), zone: None, bake_s: 0.0, deadline_s: 700.0 };
+    RollOut {
+        service: "routeplan".into(),
+        version: "v2".into(),
+        replicas: 10,
+        group: 2,
+        on_failure: OnFailure::Halt,
+        max_unavailable: 3,
+        max_surplus: 4,
+        job: job(),
+        check: check(),
+        steps: vec![first, last],
+    }
+}
+
+/// A service's record with every field set.
+fn service() -> Service {
+    let version = |name: &str, job, check| Version { name: name.into(), replicas: 10, group: 2, job, check };
+    let plain_job = Job { types: None, zone: None, ..job() };
+    let plain_check = Check { body: None, ..check() };
+    let member = |id: &str, version, zone: Option<&str>, retiring| Member {
+        job: JobId(id.into()),
+        version: VersionNo(version),
+        replicas: 2,
+        step: 1,
+        zone: zone.map(String::from),
+        retiring,
+    };
+    let step = |target, zone: Option<&str>| StepPlan {
+        target,
+        zone: zone.map(String::from),
+        bake: Millis(60_500),
+        deadline: Millis(600_500),
+    };
+    let outcome = |number, course, reason: Option<&str>| Outcome {
+        number,
+        version: "v1".into(),
+        course,
+        reason: reason.map(String::from),
+    };
+    let rolling = Rolling {
+        number: 5,
+        to: VersionNo(2),
+        steps: vec![step(2, Some("a")), step(10, None)],
+        on_failure: OnFailure::Halt,
+        floor: 7,
+        ceiling: 14,
+        from: 10,
+        step: 1,
+        way: Way::Baking,
+        course: Course::Going,
+        spent: Millis(1200),
+        baked: Millis(700),
+        reason: Some("step 1 failed".into()),
+    };
+    Service {
+        base: Some(VersionNo(1)),
+        versions: [
+            (VersionNo(1), version("v1", plain_job, plain_check)),
+            (VersionNo(2), version("v2", job(), check())),
+        ]
+        .into(),
+        members: vec![member("wk-9000001", 1, None, true), member("wk-9000002", 2, Some("a"), false)],
+        rolling: Some(rolling),
+        past: vec![outcome(4, Course::Old, Some("step 2 failed")), outcome(3, Course::New, None)],
+        last_version: VersionNo(2),
+        last_number: 5,
+    }
+}
+
+#[test]
+fn records_keep_their_keys_and_stored_form() {
+    let claim = Claim { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
+    let words = |words: &[String]| words.join(" ");
+    let courses = [Course::Going, Course::Paused, Course::Halted, Course::New, Course::Old];
+    let lines = [
+        words(&[ROOT.into(), DRIVER_KEY.into(), SERVICES.into()]),
+        stored(DRIVER_KEY, &claim),
+        stored(&service_key("routeplan"), &service()),
+        stored(&service_key("empty"), &Service::default()),
+        words(&courses.map(|course| stored("", &course))),
+        words(&[Way::Raising, Way::Baking, Way::Reverting].map(|way| stored("", &way))),
+        words(&[OnFailure::Revert, OnFailure::Halt].map(|way| stored("", &way))),
+        words(&[Priority::Low, Priority::Normal, Priority::High, Priority::Critical].map(|rank| stored("", &rank))),
+        words(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
+    ];
+    assert_golden("records.txt", &lines);
+}
+
+#[test]
+fn every_key_of_the_settings_is_read_and_an_unknown_one_refused() {
+    let every = Settings {
+        listen: "127.0.0.1:8090".parse().expect("an address"),
+        lease_s: 11.5,
+        checks: 9,
+        connections: 17,
+        first_digits: "98".into(),
+    };
+    assert_eq!(Settings::load(&path_of("settings.toml")).expect("settings"), every);
+    let text = std::fs::read_to_string(path_of("settings.toml")).expect("a file");
+    for key in text.lines().filter_map(|line| line.split(" = ").next()) {
+        let path = temporary("rollout-settings-unknown.toml", &format!("{text}{key}x = 1\n"));
+        let refusal = Settings::load(&path).expect_err("an unknown key").to_string();
+        assert!(refusal.contains(&format!("unknown field `{key}x`")), "{refusal}");
+    }
+    let least =
+        Settings::load(&temporary("rollout-settings-least.toml", "listen = \"127.0.0.1:8090\"\n")).expect("settings");
+    let defaults = Settings { lease_s: 10.0, checks: 8, connections: 16, first_digits: "9".into(), ..every };
+    assert_eq!(least, defaults);
+}
+
+#[test]
+fn every_key_of_a_roll_out_is_read_and_an_unknown_one_refused() {
+    let text = std::fs::read_to_string(path_of("rollout.toml")).expect("a file");
+    assert_eq!(RollOut::from_toml(&text).expect("a roll-out"), roll_out());
+    let json = serde_json::to_string(&roll_out()).expect("json");
+    assert_eq!(RollOut::from_json(json.as_bytes()).expect("a roll-out"), roll_out());
+    for (at, line) in text.lines().enumerate().filter(|(_, line)| line.contains(" = ")) {
+        let key = line.split(" = ").next().expect("a key");
+        let mut lines: Vec<String> = text.lines().map(String::from).collect();
+        lines.insert(at + 1, format!("{key}x = 1"));
+        let refusal = RollOut::from_toml(&lines.join("\n")).expect_err("an unknown key").to_string();
+        assert!(refusal.contains(&format!("unknown field `{key}x`")), "{refusal}");
+    }
+    let least = std::fs::read_to_string(path_of("rollout-least.toml")).expect("a file");
+    let least = RollOut::from_toml(&least).expect("a roll-out");
+    assert_golden("rollouts.txt", &[json, serde_json::to_string(&least).expect("json")]);
+}
+
+#[test]
+fn operators_are_answered_as_before() {
+    let file = serde_json::to_string(&roll_out()).expect("json");
+    let ask = |command| Routed::Ask(Ask::Command("routeplan".into(), command));
+    let commands = [
+        ("", file.as_str(), Command::Start(Box::new(roll_out()))),
+        ("/routeplan/pause", "", Command::Pause),
+        ("/routeplan/resume", "", Command::Resume),
+        ("/routeplan/abort", "", Command::Abort),
+        ("/routeplan/revert", "", Command::Revert),
+    ];
+    for (path, body, command) in commands {
+        assert_eq!(route("POST", &format!("/v1/rollouts{path}"), body.as_bytes()), ask(command), "{path}");
+    }
+    assert_eq!(route("GET", "/v1/rollouts", b""), Routed::Ask(Ask::List));
+    assert_eq!(route("GET", "/v1/rollouts/routeplan", b""), Routed::Ask(Ask::Status("routeplan".into())));
+    assert_eq!(route("GET", "/metrics", b""), Routed::Metrics);
+    let mut lines =
+        vec![summary("routeplan", &service()).to_string(), summary("empty", &Service::default()).to_string()];
+    for (method, path, body) in [
+        ("GET", "/", ""),
+        ("GET", "/v1/rollouts/a/pause", ""),
+        ("POST", "/v1/rollouts/a/explode", ""),
+        ("POST", "/v1/rollouts", "{}"),
+        ("POST", "/v1/rollouts", &file.replace("\"group\":2", "\"group\":0").replace("8080", "0")),
+    ] {
+        let Routed::Answer(reply) = route(method, path, body.as_bytes()) else { panic!("{path}: no answer") };
+        lines.push(format!("{method} {path}: {} {}", reply.status, reply.body));
+    }
+    assert_golden("operators.txt", &lines);
+}
+
+#[test]
+fn metrics_keep_their_names_and_labels() {
+    // Labels of one counter are written in no fixed order: each registry gets one of each.
+    let counted = |verdict: Verdict, step: Event, end: Course| {
+        let metrics = Metrics::default();
+        metrics.checked(&verdict, Duration::from_millis(3));
+        for event in [step, Event::Ended(end)] {
+            metrics.noted(&Note::Changed { service: "routeplan".into(), number: 5, step: 1, event });
+        }
+        metrics.text()
+    };
+    let failed = || Event::Failed { step: 1, reason: "late".into() };
+    let texts = [
+        counted(Verdict::Pass, Event::Passed(1), Course::New),
+        counted(Verdict::Fail("500".into()), failed(), Course::Old),
+        counted(Verdict::Unreachable("refused".into()), failed(), Course::Halted),
+    ];
+    let lines: Vec<String> = texts.iter().flat_map(|text| text.lines().map(String::from)).collect();
+    assert_golden("metrics.txt", &lines);
+}
+
+/// The schema is served to operators: what it says of types and fields is taken from the code's
+/// names and comments, so that changing those changes it.
+#[test]
+fn the_published_schema_stays() {
+    let Routed::Answer(reply) = route("GET", "/v1/schema", b"") else { panic!("no answer") };
+    assert_eq!((reply.status, &reply.body), (200, &schema()));
+    assert_golden("schema.json", &[serde_json::to_string_pretty(&reply.body).expect("json")]);
+}
--- /dev/null
+++ b/tests/wire/cloud.rs
@@ -0,0 +1,46 @@
+//! What the cloud is asked for, and what it answers.
+
+use super::{assert_golden, both_ways, text};
+use serde_json::from_str;
+use tillercleat::protocol::cloud::*;
+use tillercleat::units::MachineId;
+
+#[test]
+fn messages_of_the_cloud_keep_their_words() {
+    let machine = MachineId::new("i-000001");
+    let rent =
+        RentRequest { request: "r-27".into(), kind: "m8".into(), zone: "a".into(), spot: true, count: RENT_LIMIT };
+    let kind = MachineType {
+        name: "m8".into(),
+        cpus: 8.0,
+        gpus: 2.0,
+        mem_gb: 32.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.5,
+        price: 1.25,
+        spot_price: Some(0.4),
+        boot_s: 5.0,
+        zones: vec!["a".into(), "b".into()],
+    };
+    let least: MachineType = from_str(r#"{"sku":"m1","cores":1.0,"mem_gb":2.0,"hourly":0.5}"#).expect("a type");
+    let listed = |state| Listed {
+        machine: machine.clone(),
+        kind: "m8".into(),
+        zone: "a".into(),
+        spot: true,
+        state,
+        age_s: 12.5,
+    };
+    let machines = [ListedState::Booting, ListedState::Running, ListedState::Failed].map(listed).to_vec();
+    let page = r#"{"decks":[{"ref":"i-1","hull":"m8","berth":"a","trim":"failed"}]}"#;
+    let bare: MachinePage = from_str(page).expect("a page");
+    let lines = [
+        text(&rent),
+        both_ways(&MachineNames { machines: vec![machine.clone(), MachineId::new("i-000002")] }),
+        both_ways(&Catalog { types: vec![kind, least] }),
+        both_ways(&MachinePage { machines, more: true }),
+        both_ways(&bare),
+        format!("{RENT_LIMIT} {RETURN_LIMIT} {LIST_LIMIT}"),
+    ];
+    assert_golden("cloud.txt", &lines);
+}
--- /dev/null
+++ b/tests/wire/main.rs
@@ -0,0 +1,43 @@
+//! Golden tests of every stored record, message, state service call and settings file: what is
+//! written must equal the files under `tests/wire` byte for byte. Those hold wire words only, so
+//! that a change of names in the code touches this file and none of them.
+
+mod cloud;
+mod peers;
+mod records;
+mod settings;
+mod state;
+mod users;
+mod workers;
+
+use serde::{de::DeserializeOwned, Serialize};
+use std::path::PathBuf;
+
+fn path_of(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name)
+}
+
+/// Compares lines with a golden file. If they differ, the new text is left in the directory for
+/// temporary files of tests, to be looked at.
+fn assert_golden(name: &str, lines: &[String]) {
+    let new = lines.join("\n") + "\n";
+    let golden = std::fs::read_to_string(path_of(name)).unwrap_or_default();
+    if new == golden {
+        return;
+    }
+    std::fs::write(PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name), &new).expect("a temporary file");
+    let differs = golden.lines().zip(new.lines()).position(|(golden, new)| golden != new);
+    let at = differs.unwrap_or(golden.lines().count().min(new.lines().count()));
+    panic!("{name}:{}: {:?} became {:?}", at + 1, golden.lines().nth(at), new.lines().nth(at));
+}
+
+fn text<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("json")
+}
+
+/// A message as it is written, after reading it back.
+fn both_ways<T: Serialize + DeserializeOwned>(message: &T) -> String {
+    let written = text(message);
+    assert_eq!(text(&serde_json::from_str::<T>(&written).expect("a message")), written);
+    written
+}
--- /dev/null
+++ b/tests/wire/peers.rs
@@ -0,0 +1,106 @@
+//! What controllers tell one another: encoded messages and paths.
+
+use super::assert_golden;
+use prost::Message;
+use std::fmt::Debug;
+use std::future::{ready, Ready};
+use std::sync::{Arc, Mutex};
+use tillercleat::protocol::peer::replica::State;
+use tillercleat::protocol::peer::{peer_client::PeerClient, peer_server::SERVICE_NAME, *};
+use tonic::body::Body;
+use tonic::codegen::{http, Context, Poll, Service};
+
+/// A message's bytes, after reading them back.
+fn encoded<M: Message + Default + PartialEq + Debug>(name: &str, message: &M) -> String {
+    let bytes = message.encode_to_vec();
+    assert_eq!(M::decode(bytes.as_slice()).expect("a message"), *message);
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    format!("{name} {hex}")
+}
+
+fn replica(state: State) -> Replica {
+    Replica {
+        job: "wk-000412".into(),
+        index: 3,
+        attempt: 4,
+        state: state.into(),
+        addr: "10.1.0.2:9000".into(),
+        zone: "a".into(),
+        error: 5,
+        token: 6,
+        age_ms: 700,
+    }
+}
+
+#[test]
+fn messages_of_peers_keep_their_bytes() {
+    let team = TeamUse { team: "red".into(), wanted_cpus: 3.5, wanted_gpus: 2.0 };
+    let load = PartLoad {
+        part: 1,
+        token: 41,
+        teams: vec![team.clone()],
+        leaving: vec!["i-000001".into()],
+        up: vec!["i-000002".into(), "i-000003".into()],
+        deaf: vec!["i-000004".into()],
+    };
+    let age = MachineAge { machine: "i-000009".into(), age_s: 12.5 };
+    let note = Note {
+        from: "n1".into(),
+        revision: 300,
+        state_reachable: true,
+        parts: vec![load.clone(), PartLoad::default()],
+        ages: vec![age.clone()],
+        faulty: vec!["i-000005".into()],
+        failing: vec!["wk-000004".into()],
+    };
+    let states = [State::Waiting, State::Placed, State::Running, State::Leaving, State::Ended];
+    let replicas = states.map(replica).to_vec();
+    let lines = [
+        encoded("note", &note),
+        encoded("empty-note", &Note::default()),
+        encoded("part-load", &load),
+        encoded("team-use", &team),
+        encoded("machine-age", &age),
+        encoded("heard", &Heard { revision: 300 }),
+        encoded("replicas-ask", &ReplicasAsk { jobs: vec!["wk-000412".into(), "wk-000413".into()] }),
+        encoded("replica", &replicas[4]),
+        encoded("replicas-told", &ReplicasTold { replicas }),
+        encoded("reach-ask", &ReachAsk { addr: "10.1.0.2:9000".into() }),
+        encoded("reach-told", &ReachTold { reached: true }),
+    ];
+    assert_golden("peers.txt", &lines);
+}
+
+/// Answers nothing, and notes the paths that it is asked at.
+#[derive(Clone, Default)]
+struct Recorder(Arc<Mutex<Vec<String>>>);
+
+impl Service<http::Request<Body>> for Recorder {
+    type Response = http::Response<Body>;
+    type Error = std::convert::Infallible;
+    type Future = Ready<Result<Self::Response, Self::Error>>;
+
+    fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn call(&mut self, request: http::Request<Body>) -> Self::Future {
+        self.0.lock().expect("a lock").push(format!("{} {}", request.method(), request.uri().path()));
+        ready(Ok(http::Response::default()))
+    }
+}
+
+#[test]
+fn calls_of_peers_keep_their_paths() {
+    let recorder = Recorder::default();
+    let mut client = PeerClient::new(recorder.clone());
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    runtime.block_on(async {
+        assert!(client.tell(Note::default()).await.is_err());
+        assert!(client.replicas(ReplicasAsk::default()).await.is_err());
+        assert!(client.reach(ReachAsk::default()).await.is_err());
+    });
+    let mut lines = recorder.0.lock().expect("a lock").clone();
+    lines.push(SERVICE_NAME.to_string());
+    assert_golden("peer-paths.txt", &lines);
+}
--- /dev/null
+++ b/tests/wire/state.rs
@@ -0,0 +1,117 @@
+//! Calls on the state service, and how its answers are read.
+
+use super::assert_golden;
+use serde_json::json;
+use tillercleat::protocol::state::{Change, Condition, Event, Item, StateAnswer, StateCall, Txn};
+use tillercleat::units::{LeaseId, Revision};
+
+/// One call of each kind, with its name in the golden files.
+fn calls() -> [(&'static str, StateCall); 8] {
+    let condition = |key: &str, version| Condition { key: key.into(), version: Revision(version) };
+    let changes = vec![
+        Change::put("t/j/wk-1".into(), json!({"spec": {"b": 1.0, "a": null}, "at": 4000})),
+        Change::put_leased("t/n/n1".into(), json!({"lease": 7}), LeaseId(7)),
+        Change::delete("t/w/0/n1".into()),
+    ];
+    let txn = Txn { conditions: vec![condition("t/l", 41), condition("t/j/wk-1", 0)], changes };
+    let (prefix, after) = ("t/".to_string(), Some("t/j/wk-000412".to_string()));
+    [
+        ("get", StateCall::Get { key: "t/s/wk-000412/3".into() }),
+        ("list", StateCall::List { prefix: prefix.clone(), after: None }),
+        ("list on", StateCall::List { prefix: prefix.clone(), after }),
+        ("empty txn", StateCall::Txn(Txn::default())),
+        ("txn", StateCall::Txn(txn)),
+        ("lease", StateCall::Grant { ttl_ms: 5000 }),
+        ("renew", StateCall::Renew { lease: LeaseId(7) }),
+        ("watch", StateCall::Watch { prefix, after: Revision(41), wait_ms: 1000 }),
+    ]
+}
+
+fn row(item: &Item) -> String {
+    format!("{}={}@{}", item.key, item.value, item.version)
+}
+
+fn event(event: &Event) -> String {
+    match event {
+        Event::Put { put, value, version } => format!("put {put}={value}@{version}"),
+        Event::Delete { delete, version } => format!("drop {delete}@{version}"),
+    }
+}
+
+/// What was read from an answer, in words that no change of names touches.
+fn outcome(answer: &StateAnswer) -> String {
+    match answer {
+        StateAnswer::Found(item) => format!("a row {}", row(item)),
+        StateAnswer::Missing(revision) => format!("no row as of {revision}"),
+        StateAnswer::Page(page) => {
+            let rows: Vec<String> = page.items.iter().map(row).collect();
+            format!("rows {rows:?}, truncated {}, as of {}", page.more, page.revision)
+        }
+        StateAnswer::Committed(revision) => format!("applied at {revision}"),
+        StateAnswer::Conflict(keys) => format!("not applied because of {keys:?}"),
+        StateAnswer::Granted(lease) => format!("lease {lease}"),
+        StateAnswer::Renewed => "the lease goes on".into(),
+        StateAnswer::LeaseGone => "the lease is gone".into(),
+        StateAnswer::Events(events) => {
+            let news: Vec<String> = events.events.iter().map(event).collect();
+            format!("news {news:?} as of {}", events.revision)
+        }
+        StateAnswer::TooOld => "the watch begins too early".into(),
+        StateAnswer::Refused => "not carried out".into(),
+        StateAnswer::Rejected(why) => format!("malformed: {why}"),
+        StateAnswer::Unknown => "not known".into(),
+    }
+}
+
+#[test]
+fn calls_of_the_state_service_keep_their_bytes() {
+    let line = |(name, call): (&str, StateCall)| {
+        let (method, path, body) = call.request();
+        format!("{name}: {method} {path} {}", String::from_utf8(body).expect("text"))
+    };
+    assert_golden("state-calls.txt", &calls().map(line));
+}
+
+#[test]
+fn answers_of_the_state_service_are_read_as_before() {
+    let row = json!({"key": "t/l", "data": {"lease": 7}, "stamp": 3});
+    let full = json!({"key": "t/l", "data": {"lease": 7}, "stamp": 3, "logline": 9, "failed": ["t/a/0"], "mooring": 7,
+        "rows": [row], "truncated": true, "news": [{"put": "t/l", "data": 1, "stamp": 4}], "later": 1});
+    let bodies = [
+        ("full", full.to_string()),
+        ("bare", r#"{"logline":9,"rows":[]}"#.into()),
+        ("no lease", r#"{"error":"no such lease"}"#.into()),
+        ("long", "é".repeat(300)),
+    ];
+    let mut lines = vec![];
+    for (name, call) in calls() {
+        for status in [200, 201, 400, 404, 409, 410, 421, 429, 500, 503] {
+            for (kind, body) in &bodies {
+                let outcome = outcome(&call.answer(status, body.as_bytes()));
+                lines.push(format!("{name}, {status}, {kind}: {outcome}"));
+            }
+        }
+    }
+    assert_golden("state-answers.txt", &lines);
+}
+
+#[test]
+fn events_of_watches_are_read_as_before() {
+    let events = [
+        r#"{"put":"t/l","data":{"lease":7},"stamp":4}"#,
+        r#"{"put":"t/l","stamp":4}"#,
+        r#"{"put":"t/l","drop":null,"data":[1],"stamp":4}"#,
+        r#"{"drop":"t/l","stamp":5}"#,
+        r#"{"drop":"t/l","data":{"lease":7},"stamp":5}"#,
+        r#"{"put":"t/l","drop":"t/l","data":1,"stamp":6}"#,
+        r#"{"data":1,"stamp":6}"#,
+        r#"{"put":"t/l","data":1}"#,
+        r#"{"put":"t/l","data":1,"stamp":4},{"drop":"t/f","stamp":5}"#,
+    ];
+    let (_, watch) = calls().into_iter().last().expect("a watch");
+    let line = |events: &str| {
+        let body = format!(r#"{{"logline":9,"news":[{events}]}}"#);
+        format!("{events}: {}", outcome(&watch.answer(200, body.as_bytes())))
+    };
+    assert_golden("state-events.txt", &events.map(line));
+}
