--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -7,13 +7,13 @@
 use std::fmt::Debug;
 use std::path::PathBuf;
 use std::time::Duration;
-use tillercleat_rollout::decide::Event;
-use tillercleat_rollout::desk::{summary, Ask};
+use tillercleat_rollout::commands::{summary, OperatorRequest};
 use tillercleat_rollout::driver::{service_key, Claim, Note, DRIVER_KEY, ROOT, SERVICES};
 use tillercleat_rollout::file::*;
 use tillercleat_rollout::listen::{route, Routed};
 use tillercleat_rollout::metrics::Metrics;
 use tillercleat_rollout::ports::Verdict;
+use tillercleat_rollout::reconcile::Event;
 use tillercleat_rollout::record::*;
 use tillercleat_rollout::settings::Settings;
 use tillercleat_rollout::units::{JobId, Millis, VersionNo};
@@ -133,7 +133,7 @@
         from: 10,
         step: 1,
         way: Way::Baking,
-        course: Course::Going,
+        course: RolloutProgress::Going,
         spent: Millis(1200),
         baked: Millis(700),
         reason: Some("step 1 failed".into()),
@@ -147,7 +147,7 @@
         .into(),
         members: vec![member("wk-9000001", 1, None, true), member("wk-9000002", 2, Some("a"), false)],
         rolling: Some(rolling),
-        past: vec![outcome(4, Course::Old, Some("step 2 failed")), outcome(3, Course::New, None)],
+        past: vec![outcome(4, RolloutProgress::Old, Some("step 2 failed")), outcome(3, RolloutProgress::New, None)],
         last_version: VersionNo(2),
         last_number: 5,
     }
@@ -157,7 +157,13 @@
 fn records_keep_their_keys_and_stored_form() {
     let claim = Claim { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
     let words = |words: &[String]| words.join(" ");
-    let courses = [Course::Going, Course::Paused, Course::Halted, Course::New, Course::Old];
+    let courses = [
+        RolloutProgress::Going,
+        RolloutProgress::Paused,
+        RolloutProgress::Halted,
+        RolloutProgress::New,
+        RolloutProgress::Old,
+    ];
     let lines = [
         words(&[ROOT.into(), DRIVER_KEY.into(), SERVICES.into()]),
         stored(DRIVER_KEY, &claim),
@@ -215,7 +221,7 @@
 #[test]
 fn operators_are_answered_as_before() {
     let file = serde_json::to_string(&roll_out()).expect("json");
-    let ask = |command| Routed::Ask(Ask::Command("routeplan".into(), command));
+    let ask = |command| Routed::OperatorRequest(OperatorRequest::Command("routeplan".into(), command));
     let commands = [
         ("", file.as_str(), Command::Start(Box::new(roll_out()))),
         ("/routeplan/pause", "", Command::Pause),
@@ -226,8 +232,11 @@
     for (path, body, command) in commands {
         assert_eq!(route("POST", &format!("/v1/rollouts{path}"), body.as_bytes()), ask(command), "{path}");
     }
-    assert_eq!(route("GET", "/v1/rollouts", b""), Routed::Ask(Ask::List));
-    assert_eq!(route("GET", "/v1/rollouts/routeplan", b""), Routed::Ask(Ask::Status("routeplan".into())));
+    assert_eq!(route("GET", "/v1/rollouts", b""), Routed::OperatorRequest(OperatorRequest::List));
+    assert_eq!(
+        route("GET", "/v1/rollouts/routeplan", b""),
+        Routed::OperatorRequest(OperatorRequest::Status("routeplan".into()))
+    );
     assert_eq!(route("GET", "/metrics", b""), Routed::Metrics);
     let mut lines =
         vec![summary("routeplan", &service()).to_string(), summary("empty", &Service::default()).to_string()];
@@ -247,7 +256,7 @@
 #[test]
 fn metrics_keep_their_names_and_labels() {
     // Labels of one counter are written in no fixed order: each registry gets one of each.
-    let counted = |verdict: Verdict, step: Event, end: Course| {
+    let counted = |verdict: Verdict, step: Event, end: RolloutProgress| {
         let metrics = Metrics::default();
         metrics.checked(&verdict, Duration::from_millis(3));
         for event in [step, Event::Ended(end)] {
@@ -257,9 +266,9 @@
     };
     let failed = || Event::Failed { step: 1, reason: "late".into() };
     let texts = [
-        counted(Verdict::Pass, Event::Passed(1), Course::New),
-        counted(Verdict::Fail("500".into()), failed(), Course::Old),
-        counted(Verdict::Unreachable("refused".into()), failed(), Course::Halted),
+        counted(Verdict::Pass, Event::Passed(1), RolloutProgress::New),
+        counted(Verdict::Fail("500".into()), failed(), RolloutProgress::Old),
+        counted(Verdict::Unreachable("refused".into()), failed(), RolloutProgress::Halted),
     ];
     let lines: Vec<String> = texts.iter().flat_map(|text| text.lines().map(String::from)).collect();
     assert_golden("metrics.txt", &lines);
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -2,12 +2,9 @@
 //! that start while the cloud cannot be reached.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::CloudCall;
-use crate::coordination::Core;
+use crate::coordination::{CloudCall, Core};
 use crate::protocol::cloud::Catalog;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::records;
 use crate::units::Millis;
 
@@ -24,7 +21,7 @@
         }
     }
 
-    /// A catalog from the cloud; the leader keeps its lasting parts in the
+    /// A catalog from the cloud; the leader keeps its lasting shards in the
     /// state service, so that a node that starts in a cloud outage knows them.
     pub(crate) fn take_catalog(&mut self, catalog: Catalog) {
         self.catalog = catalog.types.iter().map(|t| (t.name.clone(), t.clone())).collect();
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -36,7 +36,7 @@
     pub(crate) types: Option<Vec<String>>,
     pub(crate) zone: Option<String>,
     pub(crate) spot: bool,
-    /// Only machines of this part will do, and only with room for a whole task.
+    /// Only machines of this shard will do, and only with room for a whole task.
     pub(crate) shard: Option<ShardId>,
 }
 
@@ -126,7 +126,7 @@
             group.cpus += (usual - now).max(0.0);
             group.urgent += (usual_urgent - now_urgent).max(0.0);
         }
-        // Headroom for what must start at once, in every part.
+        // Headroom for what must start at once, in every shard.
         if let Some(group) = groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus)) {
             let each = group.cpus / f64::from(self.shard_count);
             group.cpus += self.reserve(each) * f64::from(self.shard_count);
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -8,12 +8,9 @@
 use crate::coordination::Core;
 use crate::storage::cache::Job;
 use crate::storage::names::InternedName;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::ShardId;
+use crate::units::{Millis, MonotonicTime, ShardId};
 use foldhash::fast::FixedState;
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 
 /// Kind, spot and zone: machines that share a history.
 type Family = (String, bool, String);
@@ -83,7 +80,7 @@
     pub(crate) fn learn_run_time(&mut self, shard: ShardId, key: &TaskKey) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let Some(started) = owned_shard.running_since.get(key) else { return };
-        // A task that ran before we owned the part began at a time unknown, and
+        // A task that ran before we owned the shard began at a time unknown, and
         // one that ran while we stood still ended at a time unknown. Learned
         // from, a standstill of 20 s once made all later work seem half as long
         // again, and machines were rented for it.
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -7,15 +7,9 @@
 //! its tasks was ever done is suspect: it is tried with one task at a time,
 //! less and less often, claims no guarantee and makes nobody rent.
 
-use crate::coordination::Core;
-use crate::coordination::Peer;
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::ShardId;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::coordination::{Core, Peer};
+use crate::units::{JobId, MachineId, Millis, MonotonicTime, ShardId};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that a job must fail on, with nothing done, to be suspect.
 const SUSPECT_AFTER: usize = 3;
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -4,22 +4,14 @@
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::provisioning_times::ProvisioningTimes;
 use crate::coordination::scheduling::unplaceable_services::UnplaceableServices;
-use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::store_client::pending_requests::SentRequest;
+use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
 use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::coordination::CloudAnswer;
-use crate::coordination::CloudCall;
-use crate::coordination::Core;
+use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{ListedMachine, ListedMachineState};
 use crate::storage::records::TaskRecord;
-use crate::units::CallId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
+use crate::units::{CallId, MachineId, Millis, MonotonicTime};
 use foldhash::fast::FixedState;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
-use std::collections::HashSet;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// A machine that is ours, as far as the leader knows.
 #[derive(Debug, Clone)]
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -4,12 +4,10 @@
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::FleetMachine;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::CloudCall;
-use crate::coordination::Core;
+use crate::coordination::{CloudCall, Core};
 use crate::protocol::cloud::RETURN_LIMIT;
 use crate::storage::records::{FleetRecord, FLEET_KEY};
-use crate::units::MachineId;
-use crate::units::Millis;
+use crate::units::{MachineId, Millis};
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -4,21 +4,12 @@
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::FleetMachine;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::CloudAnswer;
-use crate::coordination::CloudCall;
-use crate::coordination::Core;
-use crate::protocol::cloud::RentRequest;
-use crate::protocol::cloud::RENT_LIMIT;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
+use crate::coordination::{CloudAnswer, CloudCall, Core};
+use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
-use crate::units::MachineId;
-use crate::units::Millis;
-use std::collections::BTreeMap;
-use std::collections::HashMap;
+use crate::units::{MachineId, Millis};
+use std::collections::{BTreeMap, HashMap};
 
 /// For how long a machine is paid for, usually.
 const PAID_FOR_S: f64 = 300.0;
@@ -78,7 +69,7 @@
         let taken = if by_shard { self.taken() } else { HashMap::default() };
         let mut lacks = vec![];
         for group in demand {
-            // Whoever needs room in one part needs it whole, and no more of it.
+            // Whoever needs room in one shard needs it whole, and no more of it.
             let mut lack = wanted(group) * if group.shard.is_some() { 1.0 } else { 1.05 };
             for (name, cpus) in &mut left {
                 let m = &self.fleet.machines[name];
--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -14,18 +14,10 @@
 //!   as long as it is kept waiting; one without tasks has nothing to tell.
 
 use crate::coordination::shards::owned_shard::Machine;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::workers::Command;
-use crate::protocol::workers::Heartbeat;
-use crate::protocol::workers::TaskState;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::RequestId;
-use crate::units::ShardId;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::coordination::{Core, Response};
+use crate::protocol::workers::{Command, Heartbeat, TaskState};
+use crate::units::{MachineId, Millis, MonotonicTime, RequestId, ShardId};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Workers tell of changes no more often than this.
 const WORKER_PAUSE: Millis = Millis(450);
@@ -156,7 +148,7 @@
         }
     }
 
-    /// All answers for a part that is no longer ours are due.
+    /// All answers for a shard that is no longer ours are due.
     pub(crate) fn drop_deferred_responses(&mut self, shard: ShardId) {
         let of_shard: Vec<MachineId> =
             self.deferred_responses.held.keys().filter(|name| self.shard_of(name) == shard).cloned().collect();
@@ -177,7 +169,7 @@
         if !self.may_answer_workers() || held.heartbeat.token > token {
             return self.response(held.request, Response::Redirect(None));
         }
-        // The part may have been lost and won again meanwhile: then this owner
+        // The shard may have been lost and won again meanwhile: then this owner
         // has not heard of the machine, and knows nothing of what is on it.
         let newest = self.owned_shards.get(&shard).and_then(|m| m.machines.get(machine));
         let newest = newest.is_some_and(|m| {
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -1,10 +1,7 @@
 use super::*;
 use crate::coordination::Output;
 use crate::protocol::workers::{TaskName, TaskStatus};
-use crate::units::FencingToken;
-use crate::units::JobId;
-use crate::units::Revision;
-use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
+use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, Revision};
 
 /// A new owner whose watch brought nothing any more went on renewing leases of
 /// machines on which a job ran that it knew to be cancelled.
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -3,19 +3,10 @@
 use crate::coordination::heartbeats::reachability::Reachability;
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::shards::owned_shard::{Machine, TaskKey};
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::workers::Command;
-use crate::protocol::workers::Heartbeat;
-use crate::protocol::workers::{ExitReason, TaskName, TaskState, TaskStatus};
+use crate::coordination::{Core, Response};
+use crate::protocol::workers::{Command, ExitReason, Heartbeat, TaskName, TaskState, TaskStatus};
 use crate::storage::records::TaskRecord;
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::RequestId;
-use crate::units::ShardId;
-use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
+use crate::units::{AgentEpoch, Attempt, HeartbeatNumber, JobId, MachineId, Millis, MonotonicTime, RequestId, ShardId};
 use std::collections::BTreeMap;
 
 /// Machines remembered that were given up, by part.
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -2,8 +2,7 @@
 
 use super::*;
 use crate::coordination::shards::owned_shard::OwnedShard;
-use crate::units::FencingToken;
-use crate::units::Revision;
+use crate::units::{FencingToken, Revision};
 
 /// An owner of part 0 whose records name a task on a machine that is on its way out.
 struct Case {
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -12,10 +12,7 @@
 //! All of this decides where work goes, never what is proof: see `keeping`.
 
 use crate::coordination::Core;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::{AgentEpoch, HeartbeatNumber};
+use crate::units::{AgentEpoch, HeartbeatNumber, MachineId, Millis, MonotonicTime};
 
 /// What tells whether a machine hears this owner.
 #[derive(Debug, Clone, Copy)]
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -2,16 +2,10 @@
 //! and looked up one by one when somebody asks.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
+use crate::coordination::{Core, Response};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
-use crate::units::JobId;
-use crate::units::RequestId;
+use crate::units::{JobId, RequestId};
 
 /// Age from which an ended job is put away: until then its user still asks,
 /// and the usual load is learned from it.
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -11,26 +11,14 @@
 use crate::coordination::jobs::dependency_graph::Known;
 use crate::coordination::jobs::validation::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
-use crate::protocol::users::JobKind;
-use crate::protocol::users::JobSpec;
+use crate::coordination::{Core, Response};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
 use crate::storage::effective_priority::EffectivePriority;
 use crate::storage::records::{archived_job_key, job_key, Dependencies, JobOutcome, JobRecord, SlicePlan};
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::NodeName;
-use crate::units::RequestId;
-use crate::units::ShardId;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::units::{JobId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a job that may start waits for whoever should let it: then any node
 /// that knows of chains does.
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -6,11 +6,7 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::TaskState;
 use crate::storage::records::TaskRecord;
-use crate::units::Attempt;
-use crate::units::FencingToken;
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::ShardId;
+use crate::units::{Attempt, FencingToken, JobId, Millis, ShardId};
 
 /// Replicas whose errors are remembered at the most.
 const MOST_ERRORS: usize = 4096;
@@ -29,7 +25,7 @@
     Ended,
 }
 
-/// One replica of a service, as the owner of its part sees it.
+/// One replica of a service, as the owner of its shard sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Replica {
     pub job: JobId,
@@ -48,7 +44,7 @@
 }
 
 impl Core {
-    /// The replicas of these jobs that are in parts of this node's own.
+    /// The replicas of these jobs that are in shards of this node's own.
     pub fn replicas(&self, jobs: &[JobId]) -> Vec<Replica> {
         let mut found = vec![];
         for (id, job) in jobs.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?))) {
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -1,22 +1,16 @@
-//! Users' questions, answered from the view.
+//! Users' questions, answered from the cache.
 //!
-//! No node may give an older answer than another gave before, so the view must
+//! No node may give an older answer than another gave before, so the cache must
 //! be as new as the moment of the question. One small read tells how far the
-//! records have come; once the watch has brought the view there, all questions
+//! records have come; once the watch has brought the cache there, all questions
 //! that came before that read are answered from memory. Asked many times as
 //! often, users cost the state service no more reads than before, and take
 //! none from submissions, workers and fencing.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::RequestId;
-use crate::units::Revision;
+use crate::coordination::{Core, Response};
+use crate::protocol::state::{StateAnswer, StateCall};
+use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
 /// Questions that wait at the same time; more are told to come back.
@@ -48,7 +42,7 @@
 pub(crate) struct StatusQueries {
     /// Not covered by a probe yet.
     waiting: VecDeque<Question>,
-    /// Answered once the view has reached the revision.
+    /// Answered once the cache has reached the revision.
     held: Vec<(Revision, Question)>,
     probing: bool,
     next: MonotonicTime,
@@ -116,7 +110,7 @@
         self.answer_ready_queries();
     }
 
-    /// Answers what the view has caught up with.
+    /// Answers what the cache has caught up with.
     pub(crate) fn answer_ready_queries(&mut self) {
         if self.status_queries.held.is_empty() {
             return;
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -1,7 +1,5 @@
 use super::*;
-use crate::coordination::ClientRequest;
-use crate::coordination::Input;
-use crate::coordination::Output;
+use crate::coordination::{ClientRequest, Input, Output};
 
 /// Users of a controller that is cut off waited 1.5 s each time to be told to come back.
 #[test]
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -3,28 +3,16 @@
 use crate::coordination::jobs::validation::Refusal;
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::ClientRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
-use crate::protocol::users::JobSpec;
-use crate::protocol::users::JobState;
+use crate::coordination::{ClientRequest, Core, Response};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::users::{JobSpec, JobState};
 use crate::storage::records::{archived_job_key, job_key, JobOutcome, JobRecord, SlicePlan};
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::RequestId;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision, ShardId};
 
 /// Tries of a cancellation that meets other changes of its job.
 const CANCEL_TRIES: u32 = 4;
 
-/// Slices that a large job has for each part: enough to deal them by room.
+/// Slices that a large job has for each shard: enough to deal them by room.
 const SLICES_A_PART: u32 = 16;
 
 /// What is written into a job's record when it becomes ready and ends.
@@ -146,7 +134,7 @@
         );
     }
 
-    /// A job of one slice, or one that must stay whole, goes to the part its
+    /// A job of one slice, or one that must stay whole, goes to the shard its
     /// name hashes to; larger arrays are left to the leader.
     pub(crate) fn first_plan(&self, spec: &JobSpec) -> Option<SlicePlan> {
         let size = self.slice_size(spec.task_count);
@@ -225,7 +213,7 @@
         }
     }
 
-    /// Takes a job that was read into the view.
+    /// Takes a job that was read into the cache.
     pub(crate) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobId, JobRecord)> {
         let StateAnswer::Found(item) = answer else { return None };
         let record: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
@@ -241,7 +229,7 @@
         self.query_status(request, job);
     }
 
-    /// Answers from the view once it is provably as new as the question.
+    /// Answers from the cache once it is provably as new as the question.
     pub(crate) fn answer_from_cache(&mut self, request: RequestId, job: &JobId) {
         if self.cache.jobs.contains_key(job) {
             self.answer_job(request, 200, job, None);
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -5,15 +5,11 @@
 //! records lag. So a refusal is given only after reads that show that the job isn't there.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::users::JobKind;
-use crate::protocol::users::JobSpec;
+use crate::coordination::{Core, Response};
+use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::records::{archived_job_key, job_key};
-use crate::units::JobId;
-use crate::units::RequestId;
+use crate::units::{JobId, RequestId};
 use std::collections::BTreeSet;
 
 /// Why a submission is refused: malformed, or of a job that can never run.
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -1,20 +1,13 @@
-//! What the leader does for all parts: cut large arrays into slices, deal
+//! What the leader does for all shards: cut large arrays into slices, deal
 //! them by room, and move slices that no task of has started.
 
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::Job;
 use crate::storage::records::{job_key, slice_key, JobRecord, SlicePlan, TaskRecord, LEADER_KEY};
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{JobId, MachineId, Revision, ShardId};
 use foldhash::fast::FixedState;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Slices looked at in one turn.
 const MOST_SLICES: usize = 400;
@@ -40,7 +33,7 @@
             && (spec.spot_allowed || !at.spot)
     }
 
-    /// Tasks of the job, up to `most`, that the part could start now; with
+    /// Tasks of the job, up to `most`, that the shard could start now; with
     /// `take`, their room is booked.
     fn tasks(&mut self, shard: ShardId, record: &JobRecord, most: usize, take: bool) -> usize {
         let spec = &record.spec;
@@ -90,7 +83,7 @@
         count
     }
 
-    /// Cores of the part that may ever run the job.
+    /// Cores of the shard that may ever run the job.
     fn cpus(&self, shard: ShardId, record: &JobRecord) -> f64 {
         let machines = self.shards.get(shard.0 as usize).into_iter().flatten();
         machines.filter(|m| Room::suits(m, record)).map(|m| m.cpus).sum()
@@ -114,7 +107,7 @@
     }
 
     pub(crate) fn room(&self) -> Room<'_> {
-        // Our own parts' wishes are newer than what is durable.
+        // Our own shards' wishes are newer than what is durable.
         let used = self.taken();
         let mut shards: Vec<Vec<RoomAt>> = (0..self.shard_count).map(|_| vec![]).collect();
         for (name, m) in &self.fleet.machines {
@@ -153,8 +146,8 @@
         taken
     }
 
-    /// Deals new large arrays, and moves idle slices from parts without
-    /// room for them to parts with.
+    /// Deals new large arrays, and moves idle slices from shards without
+    /// room for them to shards with.
     fn deal(&mut self, move_too: bool) {
         let mut jobs: Vec<(i64, JobId)> = vec![];
         for id in &self.cache.active {
@@ -221,7 +214,7 @@
         (plan, Some(vec![]))
     }
 
-    /// The part that could start most of a slice now; failing that, the one
+    /// The shard that could start most of a slice now; failing that, the one
     /// whose queue is shortest for its size.
     fn best_shard(
         &self,
@@ -292,7 +285,7 @@
     }
 
     /// A job that must stay whole moves only while nothing of it has started,
-    /// to a part that could start more of it.
+    /// to a shard that could start more of it.
     fn move_whole(&self, job: &Job, mut plan: SlicePlan, room: &mut Room) -> (SlicePlan, Option<Vec<usize>>) {
         let tasks = job.record.spec.task_count as usize;
         let all: Vec<usize> = (0..plan.shards.len()).collect();
--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -8,15 +8,10 @@
 //! than any restart takes does not hold the others up.
 
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::Versioned;
 use crate::storage::records::{node_key, FeatureLevel, FeatureLevelRecord, NodeRecord, FEATURE_LEVEL_KEY, LEADER_KEY};
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::NodeName;
-use crate::units::Revision;
+use crate::units::{Millis, MonotonicTime, NodeName, Revision};
 use std::collections::BTreeMap;
 
 /// What this version can do.
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -1,33 +1,17 @@
-//! Who is alive, who owns which part, who leads, and keeping the view current.
+//! Who is alive, who owns which shard, who leads, and keeping the cache current.
 
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Output;
-use crate::protocol::peer::PeerStatus;
-use crate::protocol::peer::{MachineAge, ShardStatus};
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
-use crate::protocol::state::WatchEvent;
+use crate::coordination::{Core, Output};
+use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
 use crate::storage::records;
 use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY, ROOT};
-use crate::units::stable_hash;
-use crate::units::FencingToken;
-use crate::units::LeaseId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::NodeName;
-use crate::units::Revision;
-use crate::units::ShardId;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Deals parts to live nodes: a part whose own node (by order of names) is
+/// Deals shards to live nodes: a shard whose own node (by order of names) is
 /// alive goes there; the others by rendezvous, evenly.
 pub fn assign_shards(shards: u32, all: &[String], live: &BTreeSet<&str>) -> BTreeMap<ShardId, String> {
     let mut dealt = BTreeMap::new();
@@ -207,7 +191,7 @@
     }
 
     /// A put named a lease that is gone: ours, or that of a node we meant to
-    /// hand a part to.
+    /// hand a shard to.
     pub(crate) fn lease_gone_elsewhere(&mut self, transaction: &Transaction) {
         let ours = |c: &Change| matches!(c, Change::Put { lease, .. } if lease.is_some() && *lease == self.lease);
         if transaction.changes.iter().any(ours) {
@@ -273,7 +257,7 @@
         self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
     }
 
-    /// Gives a part back to its node in one transaction, once nothing of it
+    /// Gives a shard back to its node in one transaction, once nothing of it
     /// is on its way; the new owner's token is that transaction's revision.
     fn hand_over(&mut self, shard: ShardId, to: NodeName) {
         let now = self.now;
@@ -302,7 +286,7 @@
         self.hold(records::owner_key(shard), Revision(token.0), to, lease);
     }
 
-    /// Takes up or drops a part according to its ownership key.
+    /// Takes up or drops a shard according to its ownership key.
     pub(crate) fn owner_changed(&mut self, shard: ShardId) {
         let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
         let ours = held.record.as_ref().is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease);
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -1,21 +1,17 @@
-//! Stepping back from parts whose workers cannot reach this node.
+//! Stepping back from shards whose workers cannot reach this node.
 //!
 //! A controller may lose the workers alone: it renews its lease, the others
 //! hear it and send its workers back to it, and their leases run out. So an
 //! owner that all of its workers have fallen silent to, while the records and
-//! its peers answer, takes itself off the list of nodes and hands its parts to
+//! its peers answer, takes itself off the list of nodes and hands its shards to
 //! others before that. It comes back after a pause, longer each time, or as
 //! soon as a worker reaches it. The same if workers reach it but none of them
 //! hears it any more; then only a pause can tell whether that is over.
 
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::records;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
+use crate::units::{MachineId, Millis, MonotonicTime};
 use std::collections::BTreeSet;
 
 /// Fewer machines may fall silent together by chance.
@@ -67,14 +63,14 @@
         self.shard_release.away.is_some()
     }
 
-    /// If all workers of our parts fell silent or deaf, though nothing else did:
+    /// If all workers of our shards fell silent or deaf, though nothing else did:
     /// whether they do reach us.
     fn out_of_reach(&self) -> Option<bool> {
         // Soon enough for a successor to answer within the workers' leases:
         // they wait 4 s for us, and a second before they ask the next node.
         let quiet =
             Millis((self.timing.worker_lease.0 / 4).max((self.settings.cluster.workers.report_s * 2500.0) as u64));
-        // A part taken over counts from then, with the machines that its records name.
+        // A shard taken over counts from then, with the machines that its records name.
         let fleet_machine = self.owned_shards.values().map(|m| m.since).max();
         let heard = self.shard_release.heard.max(fleet_machine).unwrap_or(self.now).max(self.resumed_at);
         let silent = self.now.since(heard) > quiet;
--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -5,24 +5,23 @@
 //! time since this life began, so that a slow start can be told from its log.
 
 use crate::coordination::Core;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
+use crate::units::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// Share of the machines named in the records of our parts that must have
+/// Share of the machines named in the records of our shards that must have
 /// reported for our workers to count as held: some are gone for good.
 const HELD: f64 = 0.9;
 
 /// What a start reaches, in the usual order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Milestone {
-    /// All durable records are in the view.
+    /// All durable records are in the cache.
     RecordsRead,
     /// Users' submissions can be judged and written.
     CanTake,
-    /// A part is ours and ready to work.
+    /// A shard is ours and ready to work.
     ShardReady,
-    /// Most machines that our parts' records name have reported.
+    /// Most machines that our shards' records name have reported.
     WorkersHeld,
     /// A submission was accepted.
     Accepted,
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -11,13 +11,9 @@
 use crate::protocol::workers::TaskState;
 use crate::storage::cache::Job;
 use crate::storage::records::JobRecord;
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::ShardId;
+use crate::units::{JobId, MachineId, Millis, ShardId};
 use std::cmp::Ordering;
-use std::collections::BTreeMap;
-use std::collections::BinaryHeap;
+use std::collections::{BTreeMap, BinaryHeap};
 
 /// Expected completions that differ by less than this share of the run time
 /// count as equal.
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -9,7 +9,7 @@
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 
-/// Where a job stands in the view, until one is dropped from it: found without
+/// Where a job stands in the cache, until one is dropped from it: found without
 /// comparing names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Place(pub usize);
@@ -54,7 +54,7 @@
         order.into_iter().filter(|(.., ours)| *ours).map(|(_, place, _)| place).collect()
     }
 
-    /// Cores of all parts, judged by ours: machines hash to parts evenly.
+    /// Cores of all shards, judged by ours: machines hash to shards evenly.
     fn cluster_cpus(&self) -> f64 {
         let machines = self.owned_shards.values().flat_map(|m| m.machines.values());
         let ours: f64 = machines.filter_map(|m| self.catalog.get(&m.kind)).map(|t| t.cpus).sum();
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -9,8 +9,7 @@
 use crate::coordination::Core;
 use crate::protocol::users::Priority;
 use crate::storage::cache::Job;
-use crate::units::MachineId;
-use crate::units::ShardId;
+use crate::units::{MachineId, ShardId};
 
 /// Tasks stopped in one round at the most.
 const MOST_STOPS: usize = 24;
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -10,11 +10,7 @@
 use crate::storage::cache::Job;
 use crate::storage::names::InternedName;
 use crate::storage::records::TaskRecord;
-use crate::units::Attempt;
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::ShardId;
+use crate::units::{Attempt, JobId, MachineId, Millis, ShardId};
 use std::collections::BTreeMap;
 
 /// Tasks of one job that a round looks at to find that they wait.
@@ -38,11 +34,11 @@
 /// Machines that fetch images at least this share as fast as the fastest hold the reserve.
 const PRIME: f64 = 0.75;
 
-/// The largest share of a part that is kept free.
+/// The largest share of a shard that is kept free.
 const MOST_RESERVED: f64 = 0.02;
 
 /// Jobs that a round tells when they may start, at least, and the share of the
-/// part's cores that it promises to such jobs, before what remains may only
+/// shard's cores that it promises to such jobs, before what remains may only
 /// start at once: the openings that come soon belong to those before it.
 const MOST_WAITERS: usize = 32;
 const MOST_PROMISED: f64 = 0.25;
@@ -134,7 +130,7 @@
         let mut used = self.owned_shards.get(&shard).map(|m| m.used.clone()).unwrap_or_default();
         let mut seats = self.seats(shard);
         let reserve = self.reserve(seats.iter().map(|s| s.type_.cpus).sum());
-        // The reserve is kept where images come fastest, if the part has such.
+        // The reserve is kept where images come fastest, if the shard has such.
         let fastest = seats.iter().map(|s| s.type_.fetch_gb_per_s).fold(0.0, f64::max);
         let prime = |seat: &Seat| holds_reserve(seat.type_.fetch_gb_per_s, fastest);
         let mut spare: f64 = seats.iter().filter(|s| prime(s)).map(|s| s.openings.free[0].max(0.0)).sum();
@@ -180,7 +176,7 @@
                 over(limits.0, used.0, need[0]) || over(limits.1, used.1, need[1])
             };
             if over_limit(used.get(&job.record.spec.team).copied().unwrap_or_default()) {
-                // No task of it may start, wherever there is room. Only a part
+                // No task of it may start, wherever there is room. Only a shard
                 // with room for a task has use for more of its team's limit.
                 if at_once {
                     let tasks = idle_in(job, shard).min(if gang { 1 } else { MOST_WAITS }) as f64;
@@ -332,7 +328,7 @@
         self.catalog.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
-    /// Seats that a round of one part scores before it looks only at jobs with
+    /// Seats that a round of one shard scores before it looks only at jobs with
     /// room now: what this node's share of a core can do between two rounds.
     fn most_scores(&self) -> usize {
         let scores = self.settings.cluster.process_limits.cpu_share.map(|share| {
@@ -342,14 +338,14 @@
         scores.unwrap_or(USUAL_SCORES).max(LEAST_SCORES)
     }
 
-    /// Cores that a part keeps free for work that must start at once: those
+    /// Cores that a shard keeps free for work that must start at once: those
     /// of a usual job of each such class, of what has been seen.
     pub(crate) fn reserve(&self, cpus: f64) -> f64 {
         self.estimates.quick_cpus().min(cpus * MOST_RESERVED)
     }
 }
 
-/// True if tasks of the job wait in the part.
+/// True if tasks of the job wait in the shard.
 fn waits_in(job: &Job, shard: ShardId) -> bool {
     job.slices()
         .iter()
@@ -357,7 +353,7 @@
         .any(|(index, slice)| slice.pending_tasks() > 0 && job.shard_of(index) == Some(shard))
 }
 
-/// Tasks of the job that wait in the part.
+/// Tasks of the job that wait in the shard.
 fn idle_in(job: &Job, shard: ShardId) -> usize {
     let slices = job.slices().iter().enumerate().filter(|(index, _)| job.shard_of(*index) == Some(shard));
     slices.map(|(_, slice)| slice.pending_tasks() as usize).sum()
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -1,10 +1,10 @@
 //! Services some of whose replicas run while their part has no room for the rest.
 //!
-//! All replicas of a service are placed by one owner, that of its part, and while one
-//! of them runs the service can't move. If machines of a zone are lost, the part may
-//! have none left where the others may go, though other parts have: those replicas
+//! All replicas of a service are placed by one owner, that of its shard, and while one
+//! of them runs the service can't move. If machines of a zone are lost, the shard may
+//! have none left where the others may go, though other shards have: those replicas
 //! would wait for ever beside room. So the leader rents for them until a machine of
-//! that part has come. Names, and so parts, are the cloud's choice; a machine of another part
+//! that shard has come. Names, and so shards, are the cloud's choice; a machine of another shard
 //! is used there or given back.
 
 use crate::coordination::fleet::demand::Demand;
@@ -12,11 +12,8 @@
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
 use crate::storage::records::TaskRecord;
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
+use crate::units::{JobId, Millis, MonotonicTime};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Room that comes free by itself within this time needs no machine.
 const PATIENCE: Millis = Millis(10_000);
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -9,7 +9,7 @@
 //! - A keeper answers only while a note `t/w/PART/NODE` on its own lease is
 //!   durable, its view has reached that note, and its records are fresh.
 //! - An owner gives up a silent machine only after a comparison, made once
-//!   the machine's lease must have run out, has found no note on the part,
+//!   the machine's lease must have run out, has found no note on the shard,
 //!   and its view has reached that comparison. A note that comes later finds
 //!   nothing left on the machine to keep.
 //! - After a note has gone, the owner counts the time that a keeper may have
@@ -17,22 +17,11 @@
 
 use crate::coordination::shards::owned_shard::Verdict;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
-use crate::coordination::Response;
-use crate::coordination::STATUS_INTERVAL;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
+use crate::coordination::{Core, Response, STATUS_INTERVAL};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::workers::{Command, Heartbeat, TaskState};
 use crate::storage::records::{lease_proxy_key, owner_key, NodeRecord};
-use crate::units::FencingToken;
-use crate::units::MachineId;
-use crate::units::Millis;
-use crate::units::NodeName;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{FencingToken, MachineId, Millis, NodeName, Revision, ShardId};
 use std::collections::BTreeSet;
 
 impl Core {
@@ -47,7 +36,7 @@
         self.now.since(heard) <= span
     }
 
-    /// Writes and takes back our notes on parts whose owners we do not hear.
+    /// Writes and takes back our notes on shards whose owners we do not hear.
     pub(crate) fn renew_lease_proxies(&mut self) {
         let Some(lease) = self.lease else { return };
         if !self.records_fresh() || self.now < self.retry_state_at {
@@ -115,7 +104,7 @@
     }
 
     /// Stops of what runs though its job has ended: it must end whoever answers, and
-    /// whatever else is known of the part.
+    /// whatever else is known of the shard.
     pub(crate) fn stops_of_ended(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let over = |task: &&crate::protocol::workers::TaskStatus| {
             let job = self.cache.jobs.get(&task.task.job);
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -1,22 +1,16 @@
-//! What an owner knows of its part beyond the view: its machines, its tasks on
+//! What an owner knows of its shard beyond the cache: its machines, its tasks on
 //! them, and the changes that are not durable yet.
 
 use crate::protocol::workers::TaskState;
 use crate::storage::names::InternedName;
 use crate::storage::records::{JobRecord, QuotaRecord};
-use crate::units::CallId;
-use crate::units::FencingToken;
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::MonotonicTime;
-use crate::units::Revision;
-use crate::units::{AgentEpoch, Attempt, HeartbeatNumber};
+use crate::units::{
+    AgentEpoch, Attempt, CallId, FencingToken, HeartbeatNumber, JobId, MachineId, MonotonicTime, Revision,
+};
 use foldhash::fast::FixedState;
-use std::collections::BTreeMap;
-use std::collections::BTreeSet;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task within the view: its job and number.
+/// A task within the cache: its job and number.
 pub type TaskKey = (JobId, u32);
 
 /// A machine that has reported to this owner.
@@ -51,13 +45,13 @@
     pub rests_until: MonotonicTime,
 }
 
-/// What an owner knows of its part beyond the view.
+/// What an owner knows of its shard beyond the cache.
 #[derive(Debug)]
 pub struct OwnedShard {
     pub token: FencingToken,
     /// When ownership was learned of.
     pub since: MonotonicTime,
-    /// The view has caught up with the token: all earlier owners' records are in it.
+    /// The cache has caught up with the token: all earlier owners' records are in it.
     pub ready: bool,
     /// About to be handed over: nothing new is started.
     pub releasing: bool,
@@ -74,7 +68,7 @@
     pub inflight: Option<CallId>,
     pub rereads: usize,
     pub retry_at: MonotonicTime,
-    /// When somebody may last have kept machines of the part for us.
+    /// When somebody may last have kept machines of the shard for us.
     pub unkept: MonotonicTime,
     pub verdict: Verdict,
     /// Tasks to be stopped, with the time they may take to save.
@@ -86,7 +80,7 @@
     pub wanted: BTreeMap<String, QuotaShortage>,
     /// Before then no job goes before others for having waited long.
     pub next_starving_job: MonotonicTime,
-    /// An allowance on its way to another part: what is left until that is known.
+    /// An allowance on its way to another shard: what is left until that is known.
     pub transferring: Option<QuotaRecord>,
 }
 
@@ -123,7 +117,7 @@
     }
 }
 
-/// What a part lacks of a team's limit: cores and GPUs of tasks that have room.
+/// What a shard lacks of a team's limit: cores and GPUs of tasks that have room.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QuotaShortage {
     pub all: (f64, f64),
@@ -152,6 +146,6 @@
     #[default]
     None,
     Asked(Vec<MachineId>),
-    /// Found at this revision; the view must reach it first.
+    /// Found at this revision; the cache must reach it first.
     Found(Revision, Vec<MachineId>),
 }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -1,22 +1,17 @@
-//! Shares of teams' limits: what each part may use, and moving what one does
+//! Shares of teams' limits: what each shard may use, and moving what one does
 //! not need to another that lacks it. The shares never sum above the limit.
 
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::change_key;
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::StateCache;
 use crate::storage::records;
 use crate::storage::records::{owner_key, quota_key, QuotaRecord};
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{JobId, Millis, Revision, ShardId};
 use std::collections::BTreeMap;
 
-/// True if a transaction moves allowance between parts.
+/// True if a transaction moves allowance between shards.
 pub(crate) fn is_quota_transfer(transaction: &Transaction) -> bool {
     transaction
         .changes
@@ -29,7 +24,7 @@
     (amount.max(0.0) * 1000.0 + 1e-6).floor() / 1000.0
 }
 
-/// A part's share of a limit as long as nothing was given: the first has what is
+/// A shard's share of a limit as long as nothing was given: the first has what is
 /// left when all have the same.
 fn first_share(max: f64, shard: ShardId, shards: u32) -> f64 {
     let each = thousandths(max / f64::from(shards));
@@ -41,7 +36,7 @@
 }
 
 impl Core {
-    /// A part's share of a team's limit; none: no limit.
+    /// A shard's share of a team's limit; none: no limit.
     pub(crate) fn quota(&self, shard: ShardId, team: &str) -> (Option<f64>, Option<f64>) {
         let Some(limits) = self.settings.cluster.teams.iter().find(|t| t.name == team) else { return (None, None) };
         let stored = self.cache.quotas.get(&shard).and_then(|h| h.record.as_ref()).and_then(|r| r.teams.get(team));
@@ -56,7 +51,7 @@
         ((limits.cpus_max > 0.0).then_some(cpus), (limits.gpus_max > 0.0).then_some(gpus))
     }
 
-    /// True if a part's records hold more of the job's team than the part may use. The
+    /// True if a shard's records hold more of the job's team than the shard may use. The
     /// owner before may have taken a task back and given its allowance away, and
     /// ended before the record said so: what was not started then must not be now.
     pub(crate) fn over_quota(&self, shard: ShardId, owned_shard: &OwnedShard, job: &JobId) -> bool {
@@ -67,7 +62,7 @@
         over(used.0, cpus) || over(used.1, gpus)
     }
 
-    /// All teams' allowances of a part, as a record.
+    /// All teams' allowances of a shard, as a record.
     pub(crate) fn quotas(&self, shard: ShardId) -> QuotaRecord {
         let teams = &self.settings.cluster.teams;
         let entry = |name: &str| {
@@ -77,7 +72,7 @@
         QuotaRecord { teams: teams.iter().map(|t| entry(&t.name)).collect() }
     }
 
-    /// Gives allowance that a part of ours does not need to a part that lacks
+    /// Gives allowance that a shard of ours does not need to a shard that lacks
     /// it, in one transaction conditional on both records and on ownership.
     pub(crate) fn rebalance_quotas(&mut self) {
         let mut wants: BTreeMap<ShardId, BTreeMap<String, (f64, f64)>> = BTreeMap::new();
@@ -152,7 +147,7 @@
         true
     }
 
-    /// The outcome of gifts from or to these parts is in the view.
+    /// The outcome of gifts from or to these shards is in the cache.
     pub(crate) fn end_quota_transfers(&mut self, shards: &[ShardId]) {
         for shard in shards {
             if let Some(owned_shard) = self.owned_shards.get_mut(shard) {
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -1,8 +1,6 @@
 use super::*;
 use crate::protocol::state::StateAnswer;
-use crate::units::CallId;
-use crate::units::FencingToken;
-use crate::units::MonotonicTime;
+use crate::units::{CallId, FencingToken, MonotonicTime};
 
 /// A gift without an answer was sent again; that this was refused passed for
 /// the gift not being carried out, which it might be all the same, later.
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -1,20 +1,15 @@
-//! The slices of parts that this node owns: taking them up, letting go of
+//! The slices of shards that this node owns: taking them up, letting go of
 //! them, and changing what is wanted of their tasks.
 
 use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::{Job, JobChange, Slice};
 use crate::storage::records::{job_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::JobId;
-use crate::units::MachineId;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{JobId, MachineId, Revision, ShardId};
 
 impl Core {
-    /// Parts whose ownership the view has caught up with are taken to work.
+    /// Parts whose ownership the cache has caught up with are taken to work.
     pub(crate) fn activate_ready_shards(&mut self) {
         let caught_up =
             |owned_shard: &OwnedShard, revision: Revision| !owned_shard.ready && revision.0 >= owned_shard.token.0;
@@ -38,7 +33,7 @@
         }
     }
 
-    /// Begins to work on a job's slices that belong to our parts, from their
+    /// Begins to work on a job's slices that belong to our shards, from their
     /// durable state, and lets go of those that moved away.
     pub(crate) fn adopt_slices(&mut self, id: &JobId, only: Option<ShardId>) {
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
@@ -74,7 +69,7 @@
         }
     }
 
-    /// Takes back wishes for tasks whose slice was dealt to another part
+    /// Takes back wishes for tasks whose slice was dealt to another shard
     /// before any of them was durable.
     pub(crate) fn let_go_of_moved(&mut self, id: &JobId) {
         let shards = self.shard_count;
@@ -187,7 +182,7 @@
         job.slices()[index].record()?.tasks.get(at)
     }
 
-    /// Changes what is wanted of a task, keeping the part's indexes; the next
+    /// Changes what is wanted of a task, keeping the shard's indexes; the next
     /// transaction makes it durable.
     pub(crate) fn set_task(&mut self, key: &TaskKey, to: TaskRecord) {
         let Some((_, shard, index, at)) = self.task(key) else { return };
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -2,24 +2,12 @@
 
 use crate::coordination::jobs::status_query::Question;
 use crate::coordination::shards::shard_quota::is_quota_transfer;
-use crate::coordination::CloudCall;
-use crate::coordination::Core;
-use crate::coordination::Output;
-use crate::protocol::state::Change;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
+use crate::coordination::{CloudCall, Core, Output};
+use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::cache::CacheChange;
 use crate::storage::records;
-use crate::units::CallId;
-use crate::units::JobId;
-use crate::units::LeaseId;
-use crate::units::MachineId;
-use crate::units::MonotonicTime;
-use crate::units::RequestId;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
 use std::collections::BTreeSet;
 
 /// What a call's answer will be used for.
@@ -32,7 +20,7 @@
         since: MonotonicTime,
     },
     Watch,
-    /// Whether anybody keeps machines of the part.
+    /// Whether anybody keeps machines of the shard.
     Compare(ShardId),
     Grant,
     Renew(LeaseId),
@@ -245,7 +233,7 @@
         }
     }
 
-    /// Takes a committed transaction's changes into the view.
+    /// Takes a committed transaction's changes into the cache.
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             let changed = match change {
@@ -284,7 +272,7 @@
         }
     }
 
-    /// Acts on news in the view.
+    /// Acts on news in the cache.
     pub(crate) fn changed(&mut self, what: CacheChange) {
         match what {
             CacheChange::Owner(shard) => self.owner_changed(shard),
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -1,25 +1,15 @@
-//! Making a part's changes durable: one transaction at a time, what presses
+//! Making a shard's changes durable: one transaction at a time, what presses
 //! first, and nothing that somebody else has changed meanwhile.
 
 use crate::coordination::shards::owned_shard::Machine;
-use crate::coordination::store_client::pending_requests::change_key;
-use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
-use crate::protocol::state::Change;
-use crate::protocol::state::Condition;
-use crate::protocol::state::StateAnswer;
-use crate::protocol::state::StateCall;
-use crate::protocol::state::Transaction;
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::Priority;
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records;
 use crate::storage::records::{job_key, owner_key, slice_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::CallId;
-use crate::units::JobId;
-use crate::units::Millis;
-use crate::units::MonotonicTime;
-use crate::units::Revision;
-use crate::units::ShardId;
+use crate::units::{CallId, JobId, Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
 
 /// How soon a slice's changes should be durable; less is sooner.
@@ -102,8 +92,8 @@
         }
     }
 
-    /// Sends one transaction with the part's oldest changes, each slice's
-    /// coalesced; all of it holds only if we still own the part, no slice was
+    /// Sends one transaction with the shard's oldest changes, each slice's
+    /// coalesced; all of it holds only if we still own the shard, no slice was
     /// changed behind our back, and no job was cancelled or dealt anew.
     pub(crate) fn write_shard_changes(&mut self, shard: ShardId) {
         let level = self.writes.level(self.now).floor();
--- a/src/coordination/store_client/transactions/tests.rs
+++ b/src/coordination/store_client/transactions/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
-use crate::units::Attempt;
-use crate::units::MachineId;
+use crate::units::{Attempt, MachineId};
 
 fn slice(held: &[TaskRecord], want: &[TaskRecord]) -> Slice {
     let record = |tasks: &[TaskRecord]| Some(SliceRecord { tasks: tasks.to_vec() });
@@ -9,7 +8,7 @@
     slice
 }
 
-/// Starts waited seconds behind exits for the part's share of writes.
+/// Starts waited seconds behind exits for the shard's share of writes.
 #[test]
 fn starts_are_written_before_exits_but_nothing_starves() {
     let on = |n: u64| TaskRecord::Placed(Attempt(n), MachineId::new("i-000001"));
--- a/src/storage/cache.rs
+++ b/src/storage/cache.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Slice {
     held: Versioned<SliceRecord>,
-    /// What the part's owner wants to be durable; none: untouched.
+    /// What the shard's owner wants to be durable; none: untouched.
     desired: Option<SliceRecord>,
     counts: TaskCounts,
 }
@@ -327,7 +327,7 @@
     pub fleet: Versioned<FleetRecord>,
     pub level: Versioned<FeatureLevelRecord>,
     pub quotas: BTreeMap<ShardId, Versioned<QuotaRecord>>,
-    /// Who answers workers of a part in its owner's name.
+    /// Who answers workers of a shard in its owner's name.
     pub lease_proxies: BTreeMap<(ShardId, NodeName), Versioned<NodeRecord>>,
     /// In no order that means anything.
     pub jobs: IndexMap<JobId, Job, FixedState>,
--- a/src/storage/compact.rs
+++ b/src/storage/compact.rs
@@ -9,7 +9,7 @@
 use super::records::StartedTask;
 use crate::units::{Attempt, MachineId};
 
-/// Characters that part words, or what a word is made of.
+/// Characters that shard words, or what a word is made of.
 const MARKS: [char; 3] = [' ', ':', '*'];
 
 /// What stands for no machine.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What is known: durable records, the view of them, and machine lifetimes.
+//! What is known: durable records, the cache of them, and machine lifetimes.
 
 pub mod cache;
 mod compact;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -30,7 +30,7 @@
 pub fn archived_job_key(job: &JobId) -> String {
     format!("f/{job}")
 }
-/// A node's note that it answers workers of a part in its owner's name.
+/// A node's note that it answers workers of a shard in its owner's name.
 pub fn lease_proxy_key(shard: ShardId, node: &NodeName) -> String {
     format!("t/w/{shard}/{node}")
 }
@@ -102,7 +102,7 @@
     pub level: FeatureLevel,
 }
 
-/// Who owns a part, or leads.
+/// Who owns a shard, or leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseHolderRecord {
     pub node: NodeName,
@@ -110,7 +110,7 @@
     pub lease: LeaseId,
 }
 
-/// How a job is cut: slices of `size` tasks, each dealt to a part.
+/// How a job is cut: slices of `size` tasks, each dealt to a shard.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlicePlan {
     pub size: u32,
@@ -162,7 +162,7 @@
 }
 
 impl JobRecord {
-    /// A job accepted at this time of day, not dealt to any part.
+    /// A job accepted at this time of day, not dealt to any shard.
     pub fn new(spec: JobSpec, at: u64) -> JobRecord {
         JobRecord { spec, at, plan: None, end: None, dependencies: Dependencies::default(), ready: None }
     }
@@ -306,7 +306,7 @@
     }
 }
 
-/// What a part may use of each team's limit.
+/// What a shard may use of each team's limit.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
     pub teams: BTreeMap<String, (f64, f64)>,
--- a/src/units.rs
+++ b/src/units.rs
@@ -125,7 +125,7 @@
 }
 
 number!(
-    /// One of as many parts as controllers are configured.
+    /// One of as many shards as controllers are configured.
     ShardId, u32);
 number!(
     /// Shows a worker who may command it: the revision of the ownership transaction.
@@ -216,7 +216,7 @@
 }
 
 impl ShardId {
-    /// The part that a name belongs to for life.
+    /// The shard that a name belongs to for life.
     pub fn of(name: &str, shards: u32) -> ShardId {
         ShardId((stable_hash(&["part", name]) % u64::from(shards.max(1))) as u32)
     }
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -23,7 +23,7 @@
         zones: vec!["a".into(), "b".into()],
     };
     let least: MachineType = from_str(r#"{"sku":"m1","cores":1.0,"mem_gb":2.0,"hourly":0.5}"#).expect("a type");
-    let listed = |state| Listed {
+    let listed = |state| ListedMachine {
         machine: machine.clone(),
         kind: "m8".into(),
         zone: "a".into(),
@@ -31,7 +31,8 @@
         state,
         age_s: 12.5,
     };
-    let machines = [ListedState::Booting, ListedState::Running, ListedState::Failed].map(listed).to_vec();
+    let machines =
+        [ListedMachineState::Booting, ListedMachineState::Running, ListedMachineState::Failed].map(listed).to_vec();
     let page = r#"{"decks":[{"ref":"i-1","hull":"m8","berth":"a","trim":"failed"}]}"#;
     let bare: MachinePage = from_str(page).expect("a page");
     let lines = [
--- a/tests/wire/peers.rs
+++ b/tests/wire/peers.rs
@@ -34,21 +34,21 @@
 
 #[test]
 fn messages_of_peers_keep_their_bytes() {
-    let team = TeamUse { team: "red".into(), wanted_cpus: 3.5, wanted_gpus: 2.0 };
-    let load = PartLoad {
-        part: 1,
+    let team = TeamDemand { team: "red".into(), wanted_cpus: 3.5, wanted_gpus: 2.0 };
+    let load = ShardStatus {
+        shard: 1,
         token: 41,
         teams: vec![team.clone()],
         leaving: vec!["i-000001".into()],
         up: vec!["i-000002".into(), "i-000003".into()],
-        deaf: vec!["i-000004".into()],
+        downlink_lost: vec!["i-000004".into()],
     };
     let age = MachineAge { machine: "i-000009".into(), age_s: 12.5 };
-    let note = Note {
+    let status = PeerStatus {
         from: "n1".into(),
         revision: 300,
         state_reachable: true,
-        parts: vec![load.clone(), PartLoad::default()],
+        shards: vec![load.clone(), ShardStatus::default()],
         ages: vec![age.clone()],
         faulty: vec!["i-000005".into()],
         failing: vec!["wk-000004".into()],
@@ -56,17 +56,17 @@
     let states = [State::Waiting, State::Placed, State::Running, State::Leaving, State::Ended];
     let replicas = states.map(replica).to_vec();
     let lines = [
-        encoded("note", &note),
-        encoded("empty-note", &Note::default()),
+        encoded("note", &status),
+        encoded("empty-note", &PeerStatus::default()),
         encoded("part-load", &load),
         encoded("team-use", &team),
         encoded("machine-age", &age),
-        encoded("heard", &Heard { revision: 300 }),
-        encoded("replicas-ask", &ReplicasAsk { jobs: vec!["wk-000412".into(), "wk-000413".into()] }),
+        encoded("heard", &PeerStatusAck { revision: 300 }),
+        encoded("replicas-ask", &ReplicasRequest { jobs: vec!["wk-000412".into(), "wk-000413".into()] }),
         encoded("replica", &replicas[4]),
-        encoded("replicas-told", &ReplicasTold { replicas }),
-        encoded("reach-ask", &ReachAsk { addr: "10.1.0.2:9000".into() }),
-        encoded("reach-told", &ReachTold { reached: true }),
+        encoded("replicas-told", &ReplicasResponse { replicas }),
+        encoded("reach-ask", &ReachRequest { addr: "10.1.0.2:9000".into() }),
+        encoded("reach-told", &ReachResponse { reached: true }),
     ];
     assert_golden("peers.txt", &lines);
 }
@@ -96,9 +96,9 @@
     let mut client = PeerClient::new(recorder.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     runtime.block_on(async {
-        assert!(client.tell(Note::default()).await.is_err());
-        assert!(client.replicas(ReplicasAsk::default()).await.is_err());
-        assert!(client.reach(ReachAsk::default()).await.is_err());
+        assert!(client.tell(PeerStatus::default()).await.is_err());
+        assert!(client.replicas(ReplicasRequest::default()).await.is_err());
+        assert!(client.reach(ReachRequest::default()).await.is_err());
     });
     let mut lines = recorder.0.lock().expect("a lock").clone();
     lines.push(SERVICE_NAME.to_string());
--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -36,8 +36,8 @@
             "state": {"rps": state.rps, "write_rps": state.write_rps, "value_kb": state.value_kb,
                 "txn_ops": state.txn_ops, "next": next},
             "cloud": {"rps": cluster.cloud.rps, "list_lag_s": cluster.cloud.list_lag_s},
-            "quota": {"cpu_share": cluster.quota.cpu_share, "ram_mb": cluster.quota.ram_mb,
-                "fd_limit": cluster.quota.fd_limit},
+            "quota": {"cpu_share": cluster.process_limits.cpu_share, "ram_mb": cluster.process_limits.ram_mb,
+                "fd_limit": cluster.process_limits.fd_limit},
         },
     })
 }
--- a/tests/wire/state.rs
+++ b/tests/wire/state.rs
@@ -2,7 +2,7 @@
 
 use super::assert_golden;
 use serde_json::json;
-use tillercleat::protocol::state::{Change, Condition, Event, Item, StateAnswer, StateCall, Txn};
+use tillercleat::protocol::state::{Change, Condition, Item, StateAnswer, StateCall, Transaction, WatchEvent};
 use tillercleat::units::{LeaseId, Revision};
 
 /// One call of each kind, with its name in the golden files.
@@ -13,14 +13,14 @@
         Change::put_leased("t/n/n1".into(), json!({"lease": 7}), LeaseId(7)),
         Change::delete("t/w/0/n1".into()),
     ];
-    let txn = Txn { conditions: vec![condition("t/l", 41), condition("t/j/wk-1", 0)], changes };
+    let transaction = Transaction { conditions: vec![condition("t/l", 41), condition("t/j/wk-1", 0)], changes };
     let (prefix, after) = ("t/".to_string(), Some("t/j/wk-000412".to_string()));
     [
         ("get", StateCall::Get { key: "t/s/wk-000412/3".into() }),
         ("list", StateCall::List { prefix: prefix.clone(), after: None }),
         ("list on", StateCall::List { prefix: prefix.clone(), after }),
-        ("empty txn", StateCall::Txn(Txn::default())),
-        ("txn", StateCall::Txn(txn)),
+        ("empty txn", StateCall::Transaction(Transaction::default())),
+        ("txn", StateCall::Transaction(transaction)),
         ("lease", StateCall::Grant { ttl_ms: 5000 }),
         ("renew", StateCall::Renew { lease: LeaseId(7) }),
         ("watch", StateCall::Watch { prefix, after: Revision(41), wait_ms: 1000 }),
@@ -31,10 +31,10 @@
     format!("{}={}@{}", item.key, item.value, item.version)
 }
 
-fn event(event: &Event) -> String {
+fn event(event: &WatchEvent) -> String {
     match event {
-        Event::Put { put, value, version } => format!("put {put}={value}@{version}"),
-        Event::Delete { delete, version } => format!("drop {delete}@{version}"),
+        WatchEvent::Put { put, value, version } => format!("put {put}={value}@{version}"),
+        WatchEvent::Delete { delete, version } => format!("drop {delete}@{version}"),
     }
 }
 
@@ -52,7 +52,7 @@
         StateAnswer::Granted(lease) => format!("lease {lease}"),
         StateAnswer::Renewed => "the lease goes on".into(),
         StateAnswer::LeaseGone => "the lease is gone".into(),
-        StateAnswer::Events(events) => {
+        StateAnswer::WatchEvents(events) => {
             let news: Vec<String> = events.events.iter().map(event).collect();
             format!("news {news:?} as of {}", events.revision)
         }
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -2,18 +2,18 @@
 
 use super::{assert_golden, both_ways, path_of, text};
 use serde_json::{json, Value};
-use tillercleat::protocol::users::{JobAnswer, JobKind, JobSpec, JobState, Priority};
-use tillercleat::units::JobRef;
+use tillercleat::protocol::users::{JobKind, JobSpec, JobState, JobStatus, Priority};
+use tillercleat::units::JobId;
 
 /// A job with every field set.
 pub fn job_spec() -> JobSpec {
     JobSpec {
-        id: JobRef::new("wk-000412"),
+        id: JobId::new("wk-000412"),
         class: "plans".into(),
         team: "blue".into(),
         kind: JobKind::Gang,
         priority: Priority::High,
-        tasks: 40,
+        task_count: 40,
         cpus: 1.5,
         gpus: 2.0,
         mem_gb: 3.25,
@@ -23,12 +23,12 @@
         zone: Some("a".into()),
         one_zone: true,
         apart: true,
-        spot: true,
-        estimate_s: 60.0,
+        spot_allowed: true,
+        estimated_run_s: 60.0,
         checkpoint_s: 5.0,
         save_s: 1.0,
         deadline_s: Some(600.0),
-        awaits: vec![],
+        dependencies: vec![],
     }
 }
 
@@ -40,15 +40,15 @@
 #[test]
 fn messages_of_users_keep_their_words() {
     let parsed = JobSpec::parse(submission().to_string().as_bytes()).expect("a submission");
-    let awaits = vec![JobRef::new("wk-000001"), JobRef::new("wk-000002")];
-    assert_eq!(parsed, JobSpec { awaits, ..job_spec() });
+    let dependencies = vec![JobId::new("wk-000001"), JobId::new("wk-000002")];
+    assert_eq!(parsed, JobSpec { dependencies, ..job_spec() });
     let kinds = [JobKind::Array, JobKind::Standing, JobKind::Gang];
     let priorities = [Priority::Low, Priority::Normal, Priority::High, Priority::Critical];
     let states = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
     let id = &job_spec().id;
-    let counted = JobAnswer { id, state: JobState::Running, done: Some(3), running: Some(4) };
+    let counted = JobStatus { id, state: JobState::Running, done: Some(3), running: Some(4) };
     let mut lines = vec![both_ways(&parsed), both_ways(&kinds), both_ways(&priorities), text(&counted)];
-    lines.extend(states.map(|state| text(&JobAnswer { id, state, done: None, running: None })));
+    lines.extend(states.map(|state| text(&JobStatus { id, state, done: None, running: None })));
     assert_golden("users.txt", &lines);
 }
 
