--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -1,14 +1,13 @@
-//! Who is alive, who owns which shard, who leads, and keeping the cache current.
+//! Who is alive, who owns which shard, and who leads.
 
-use crate::coordination::membership::startup::Milestone;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Output};
 use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
+use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::storage::records;
-use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY, ROOT};
-use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
+use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY};
+use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, NodeName, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Deals shards to live nodes: a shard whose own node (by order of names) is
@@ -54,21 +53,7 @@
         if self.now < self.retry_state_at {
             return;
         }
-        if !self.loaded {
-            if !self.loading {
-                self.loading = true;
-                self.reads.force(self.now, 1.0);
-                let what = PendingRequest::Load { seen: BTreeSet::new(), first: None, since: self.now };
-                self.call_state(StateCall::List { prefix: ROOT.into(), after: None }, what);
-            }
-        } else if !self.watching && self.now >= self.next_watch {
-            self.watching = true;
-            self.reads.force(self.now, 1.0);
-            // A watch without news must end well before the last read is stale.
-            let wait_ms = (self.timing.fresh.0 * 2 / 5).min(1000);
-            let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
-            self.call_state(call, PendingRequest::Watch);
-        }
+        self.keep_cache_current();
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
@@ -90,76 +75,6 @@
         }
     }
 
-    /// Holds state calls back for a moment after a refusal.
-    fn pause_state(&mut self) {
-        self.retry_state_at = self.now + Millis(250);
-    }
-
-    pub(crate) fn load_answer(
-        &mut self,
-        mut seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-        answer: StateAnswer,
-    ) {
-        let StateAnswer::Page(page) = answer else {
-            self.loading = false;
-            return self.pause_state();
-        };
-        // Changes made while the pages were read come again by the watch,
-        // which begins at the first page's revision.
-        let first = first.unwrap_or(page.revision);
-        let last = page.items.last().map(|i| i.key.clone());
-        for item in page.items {
-            let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-            seen.insert(item.key);
-            self.changed(changed);
-        }
-        if let (true, Some(after)) = (page.more, last) {
-            self.reads.force(self.now, 1.0);
-            let what = PendingRequest::Load { seen, first: Some(first), since };
-            return self.call_state(StateCall::List { prefix: ROOT.into(), after: Some(after) }, what);
-        }
-        self.cache.forget_missing(&seen, first);
-        self.cache.revision = first;
-        self.loading = false;
-        self.loaded = true;
-        // The first page is as old as when it was asked for, however long the others took.
-        self.last_read = Some(since);
-        for shard in 0..self.shard_count {
-            self.owner_changed(ShardId(shard));
-        }
-        self.activate_ready_shards();
-        tracing::info!("read {} records up to revision {first}", seen.len());
-        self.reached(Milestone::RecordsRead);
-    }
-
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
-        self.watching = false;
-        match answer {
-            StateAnswer::WatchEvents(news) => {
-                // A pause after news bounds the rate of watches under load;
-                // it grows when many changes come.
-                let pause = if news.events.is_empty() { 0 } else { 80 };
-                self.next_watch = self.now + Millis(pause);
-                self.cache.revision = self.cache.revision.max(news.revision);
-                for event in news.events {
-                    let changed = match event {
-                        WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
-                        WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
-                    };
-                    self.changed(changed);
-                }
-                // The answer shows the records as of when it was asked for, or later.
-                self.last_read = Some(self.last_read.map_or(sent, |at| at.max(sent)));
-                self.activate_ready_shards();
-                self.answer_ready_queries();
-            }
-            StateAnswer::TooOld => self.loaded = false,
-            _ => self.pause_state(),
-        }
-    }
-
     pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
         self.granting = false;
         match answer {
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -3,3 +3,4 @@
 pub(crate) mod pending_requests;
 pub(crate) mod rate_limiter;
 pub(crate) mod transactions;
+pub(crate) mod watch;
