--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -61,7 +61,7 @@
             let mut groups = demand.iter().zip(&lacks);
             groups.any(|(group, lack)| *lack > 0.5 && self.serves(group, name, m))
         };
-        let idle_for = Millis::secs(self.tuning.idle_s);
+        let idle_for = Millis::secs(self.tuning.min_idle_s);
         let mut surplus: f64 = spare.values().sum();
         let mut drain = vec![];
         let mut order: Vec<(&MachineId, &FleetMachine)> = self.fleet.machines.iter().collect();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -348,11 +348,11 @@
         }
         if self.assign_soon && self.now >= self.next_assignment {
             self.assign_soon = false;
-            self.next_assignment = self.now + Millis(self.tuning.round_ms);
+            self.next_assignment = self.now + Millis(self.tuning.cycle_interval_ms);
             self.assign_new_slices();
         }
         if self.now >= self.next_cycle {
-            self.next_cycle = self.now + Millis(self.tuning.round_ms);
+            self.next_cycle = self.now + Millis(self.tuning.cycle_interval_ms);
             self.run_scheduling_cycles();
         }
         if self.now >= self.next_status {
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -157,7 +157,7 @@
             shape: shapes.number(&need),
             run_s: self.estimates.run_time(job),
             quick,
-            waits: waits && self.tuning.may_wait && job.record.spec.kind != JobKind::Standing,
+            waits: waits && self.tuning.wait_for_busy_machines && job.record.spec.kind != JobKind::Standing,
         }
     }
 
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -145,7 +145,7 @@
         let mut closed = Closed::default();
         let most_on = self.most_on();
         for (id, job) in order {
-            if places.len() >= self.tuning.round_limit || scored >= 3 * most_scores {
+            if places.len() >= self.tuning.max_placements_per_cycle || scored >= 3 * most_scores {
                 break;
             }
             let need = needs(&job.record);
@@ -219,7 +219,7 @@
                     if attempt.0 == 0 && may_start == 0 {
                         continue;
                     }
-                    if full || (!gang && places.len() >= self.tuning.round_limit) {
+                    if full || (!gang && places.len() >= self.tuning.max_placements_per_cycle) {
                         break;
                     }
                     // Spare room only shrinks: what is closed to the job stays so.
@@ -332,7 +332,7 @@
     /// room now: what this node's share of a core can do between two rounds.
     fn most_scores(&self) -> usize {
         let scores = self.settings.cluster.process_limits.cpu_share.map(|share| {
-            let time_s = share * SCORE_SHARE * self.tuning.round_ms as f64 / 1000.0;
+            let time_s = share * SCORE_SHARE * self.tuning.cycle_interval_ms as f64 / 1000.0;
             (time_s / SCORE_S / self.owned_shards.len().max(1) as f64) as usize
         });
         scores.unwrap_or(USUAL_SCORES).max(LEAST_SCORES)
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -2,7 +2,7 @@
 //!
 //! The order of service is strict, so on a full fleet the jobs at its end would not
 //! begin for as long as higher work comes. A job of which nothing has begun for
-//! `begin_s` therefore gets its first task before others: one task, at the next room that
+//! `starvation_limit_s` therefore gets its first task before others: one task, at the next room that
 //! opens (nothing is stopped for it), the longest wait first, and within a share of the
 //! shard's cores, so that no flood of such jobs turns the order round. What has begun
 //! waits in its place again.
@@ -24,8 +24,9 @@
         }
         let unbegun = |job: &Job| job.counts() == (0, 0) && job.slices().iter().all(|s| Slice::tried(s) == 0);
         // Most are too young: that is known at once.
-        let old =
-            |job: &Job| self.age_s(job) > self.tuning.begin_s && job.record.spec.kind != JobKind::Gang && unbegun(job);
+        let old = |job: &Job| {
+            self.age_s(job) > self.tuning.starvation_limit_s && job.record.spec.kind != JobKind::Gang && unbegun(job)
+        };
         let starving_job = order.iter().enumerate().filter(|(_, (_, job))| old(job));
         starving_job.min_by_key(|(_, (id, job))| (job.record.since(), *id)).map(|(at, _)| at)
     }
@@ -33,7 +34,7 @@
     /// The first task of an aged job, of so many cores, got room in the shard: others wait
     /// until it has used up its share.
     pub(crate) fn starving_job_started(&mut self, shard: ShardId, cpus: f64, run_s: f64, cores: f64) {
-        let pause = Millis::secs((cpus * run_s / (SHARE * cores).max(1e-3)).min(self.tuning.begin_s));
+        let pause = Millis::secs((cpus * run_s / (SHARE * cores).max(1e-3)).min(self.tuning.starvation_limit_s));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.next_starving_job = self.now + pause;
         }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -22,7 +22,7 @@
 fn a_cancellation_must_leave_time_to_answer_workers() {
     let checked = |cancel_s: f64| {
         let settings = example(cancel_s);
-        (settings.check("f").is_ok(), settings.cluster.workers.store_isolation_limit_s())
+        (settings.validate().is_ok(), settings.cluster.workers.store_isolation_limit_s())
     };
     for cancel_s in [9.0, 10.5, 12.0, 13.5] {
         assert!(!checked(cancel_s).0, "{cancel_s}");
--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -76,14 +76,14 @@
 fn every_key_of_operators_is_read_and_an_unknown_one_refused() {
     let read = Tuning::load(&path_of("tuning.toml")).expect("settings");
     let every = Tuning {
-        round_ms: 200,
+        cycle_interval_ms: 200,
         slice_tasks: 17,
-        idle_s: 21.5,
-        begin_s: 151.5,
-        round_limit: 97,
+        min_idle_s: 21.5,
+        starvation_limit_s: 151.5,
+        max_placements_per_cycle: 97,
         threads: 1801,
         use_lifetimes: false,
-        may_wait: false,
+        wait_for_busy_machines: false,
     };
     assert_eq!(read, every);
     let text = std::fs::read_to_string(path_of("tuning.toml")).expect("a file");
@@ -96,7 +96,7 @@
     std::fs::write(&path, "").expect("a file");
     let defaults = Tuning::load(&path).expect("settings");
     assert_eq!(defaults, Tuning::default());
-    assert_eq!((defaults.round_ms, defaults.slice_tasks, defaults.idle_s), (150, 16, 20.0));
-    assert_eq!((defaults.begin_s, defaults.round_limit, defaults.threads), (150.0, 96, 1800));
-    assert!(defaults.use_lifetimes && defaults.may_wait);
+    assert_eq!((defaults.cycle_interval_ms, defaults.slice_tasks, defaults.min_idle_s), (150, 16, 20.0));
+    assert_eq!((defaults.starvation_limit_s, defaults.max_placements_per_cycle, defaults.threads), (150.0, 96, 1800));
+    assert!(defaults.use_lifetimes && defaults.wait_for_busy_machines);
 }
