--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -8,11 +8,11 @@
 //! machine, so they are printed and judged by nobody. What matters is how they
 //! grow: cost per report and per change must not follow the number of machines.
 
-#[path = "../tests/standin/mod.rs"]
+#[path = "../tests/simulator/mod.rs"]
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
-use standin::{Cost, Fault, Shape, World};
+use simulator::{Cost, Fault, Shape, World};
 use std::collections::BTreeMap;
 use tillercleat::protocol::users::JobSpec;
 
@@ -37,7 +37,7 @@
         "hulls": null, "berth": null, "one_zone": false, "apart": false, "driftwood": true,
         "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": run_s * 3.0 + 10.0
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 /// Costs by kind of input, jobs accepted and tasks started.
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -2,11 +2,11 @@
 //! repeats of a job that is known.
 
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use standin::{settings, Shape, StateService, World};
+use simulator::{settings, Shape, StateService, World};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StateAnswer, StateCall};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The rules and the service at the size of a large fleet.
 
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
-use standin::{Fault, Shape, World};
+use simulator::{Fault, Shape, World};
 use tillercleat::protocol::users::JobSpec;
 
 fn job(number: u64, tasks: u32, cpus: f64, run_s: f64) -> JobSpec {
@@ -14,7 +14,7 @@
         "one_zone": false, "apart": number % 7 == 0, "driftwood": true, "reckon_s": run_s, "mark_s": 0.0,
         "stow_s": 0.0, "tide_s": null
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 /// One job a second for a minute and a half.
--- a/tests/forgotten.rs
+++ b/tests/forgotten.rs
@@ -3,10 +3,10 @@
 //! its workers.
 
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
 use proptest::prelude::*;
-use standin::{Fault, Shape, World};
+use simulator::{Fault, Shape, World};
 use tillercleat::protocol::users::JobSpec;
 
 fn job(number: u64, tasks: u32) -> JobSpec {
@@ -21,7 +21,7 @@
         "image_gb": 0.5, "apart": number % 11 == 0, "one_zone": number % 13 == 1, "driftwood": true, "reckon_s": run_s,
         "awaits": if number % 9 == 8 { vec![format!("wk-{:06}", number - 2)] } else { vec![] }
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 fn work(world: &mut World, every: u64, until: u64, tasks: u32) {
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -3,11 +3,11 @@
 #![allow(dead_code)]
 
 pub mod services;
-#[path = "../standin/mod.rs"]
-mod standin;
+#[path = "../simulator/mod.rs"]
+mod simulator;
 
 use serde_json::{json, Value};
-use standin::StateService;
+use simulator::StateService;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -2,12 +2,12 @@
 //! the rules. `MEETING_CASES` asks for more cases than are played by default.
 
 #[allow(dead_code)]
-#[path = "../standin/mod.rs"]
-mod standin;
+#[path = "../simulator/mod.rs"]
+mod simulator;
 mod troubles;
 
 use proptest::prelude::*;
-use standin::{Fault, Shape, World};
+use simulator::{Fault, Shape, World};
 use tillercleat::protocol::users::{JobKind, JobSpec};
 use troubles::*;
 
@@ -30,7 +30,7 @@
         "reckon_s": run_s, "mark_s": 5.0, "stow_s": 4.0,
         "awaits": dependencies.map(|n| vec![format!("wk-{n:06}")]).unwrap_or_default()
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 /// Workers' lease, their reports and the time a cancellation has, as operators set them.
--- a/tests/meetings/troubles.rs
+++ b/tests/meetings/troubles.rs
@@ -1,6 +1,6 @@
 //! The meetings of the operators' pages: for each, troubles at times that are drawn.
 
-use super::standin::{Fault, Moment};
+use super::simulator::{Fault, Moment};
 use proptest::prelude::*;
 
 /// One meeting of the operators' page: what happens, and when.
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -3,10 +3,10 @@
 //! workers, and in the middle of everything that they do.
 
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
 use proptest::prelude::*;
-use standin::{Fault, Moment, Shape, World};
+use simulator::{Fault, Moment, Shape, World};
 use tillercleat::protocol::users::JobSpec;
 
 /// Classes whose tasks differ in size, run time and priority.
@@ -23,7 +23,7 @@
         "kit": format!("img-{}", number % 5), "image_gb": 0.5, "hulls": null, "berth": null, "one_zone": false,
         "apart": number % 19 == 0, "driftwood": true, "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": 4.0 * run_s + 30.0
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 /// `jobs` a second until `until`; some are cancelled.
--- a/tests/standin/mod.rs
+++ b/tests/simulator/mod.rs
@@ -2,16 +2,16 @@
 //! protocol. It drives controllers' cores in virtual time with crashes, cuts
 //! and delayed messages, and checks the rules by itself.
 
-mod judging;
-mod state;
+mod invariants;
+mod store;
 mod trace;
 pub mod users;
 
-use judging::Waiting;
-use state::Bucket;
-pub use state::StateService;
+use invariants::Waiting;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use store::Bucket;
+pub use store::StateService;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{
     Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, MachineType,
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -2,10 +2,10 @@
 //! and lost though carried out.
 
 #[allow(dead_code)]
-mod standin;
+mod simulator;
 
 use proptest::prelude::*;
-use standin::{Shape, StateService};
+use simulator::{Shape, StateService};
 use std::collections::VecDeque;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
@@ -73,13 +73,13 @@
         "one_zone": false, "apart": false, "driftwood": true, "reckon_s": 300.0, "mark_s": 0.0, "stow_s": 0.0,
         "tide_s": null
     });
-    standin::users::job_spec(text)
+    simulator::users::job_spec(text)
 }
 
 impl Site {
     fn reporting_every(report_ms: u64) -> Site {
         let shape = Shape { report_ms, lease_ms: 20_000, ..Shape::small() };
-        let core = Core::new(standin::settings(&shape, 0, 20.0), Tuning::default());
+        let core = Core::new(simulator::settings(&shape, 0, 20.0), Tuning::default());
         let (service, replies) = (StateService::default(), vec![]);
         let on_way = VecDeque::new();
         Site {
@@ -107,7 +107,7 @@
                 self.service.run(self.now, call);
             }
         }
-        self.core = Core::new(standin::settings(&self.shape, 0, 20.0), Tuning::default());
+        self.core = Core::new(simulator::settings(&self.shape, 0, 20.0), Tuning::default());
         self.began = self.now;
     }
 
