--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -31,7 +31,7 @@
             };
             lasting(old) == lasting(&catalog)
         });
-        if same || !self.leading() || self.busy_keys.contains(records::CATALOG_KEY) {
+        if same || !self.leading() || self.store.is_key_busy(records::CATALOG_KEY) {
             return;
         }
         let Ok(value) = serde_json::to_value(&catalog) else { return };
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -250,7 +250,7 @@
     }
 
     pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
-        let Some(SentRequest { what, .. }) = self.pending_requests.remove(&id) else { return };
+        let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
         match (what, answer) {
             (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.take_catalog(catalog),
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -9,7 +9,7 @@
     core.handle(MonotonicTime(1000), 0, Input::Tick);
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
     for some in names.chunks(50) {
-        let call = core.register_request(PendingRequest::Return(some.to_vec()));
+        let call = core.store.register(PendingRequest::Return(some.to_vec()), core.now);
         core.cloud_answer(call, CloudAnswer::Returned);
         core.write_fleet();
         while core.fleet.gone.len() > 10 {
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -51,7 +51,7 @@
 
     /// Marks for return what is idle beyond need, failed or never came up.
     pub(crate) fn drain_idle(&mut self, demand: &[Demand]) {
-        if self.busy_keys.contains(FLEET_KEY) {
+        if self.store.is_key_busy(FLEET_KEY) {
             return;
         }
         let (lacks, spare) = self.missing(demand, |d| d.cpus);
@@ -132,7 +132,7 @@
 
     /// Writes which machines are on their way out, and which are gone.
     pub(crate) fn write_fleet(&mut self) {
-        if self.busy_keys.contains(FLEET_KEY) || !self.leading() {
+        if self.store.is_key_busy(FLEET_KEY) || !self.leading() {
             return;
         }
         let before = self.cache.fleet.record.clone().unwrap_or_default();
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -158,16 +158,15 @@
     /// Makes the rental's name durable before it is used; the count behind
     /// names only rises, so that none is ever used again.
     pub(crate) fn name_rental(&mut self, mut request: RentRequest) {
-        if self.busy_keys.contains(FLEET_KEY) {
+        if self.store.is_key_busy(FLEET_KEY) {
             return;
         }
         let mut record = self.fitted_fleet(self.cache.fleet.record.clone().unwrap_or_default());
         record.rentals += 1;
         request.request = format!("r-{}", record.rentals);
         let Some(transaction) = self.fleet_transaction(&record) else { return };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
-        self.busy_keys.insert(FLEET_KEY.into());
+        self.store.charge_transaction(self.now, 1);
+        self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
         let rent = Rent { request, tries: 3 };
         self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
@@ -183,7 +182,7 @@
     }
 
     pub(crate) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StateAnswer) {
-        self.busy_keys.remove(FLEET_KEY);
+        self.store.release_key(FLEET_KEY);
         match answer {
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -12,7 +12,7 @@
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
     core.changed(changed);
-    core.last_read = Some(MonotonicTime(0));
+    core.store.set_last_read(MonotonicTime(0));
     for shard in 0..2 {
         core.owned_shards.insert(
             ShardId(shard),
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -33,7 +33,7 @@
     /// False if cut off from the records for too long: workers' leases must be
     /// allowed to run out.
     pub(crate) fn may_answer_workers(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
     }
 
     /// Takes in what a report says of its machine; false if it came late.
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -21,7 +21,7 @@
         let slice = serde_json::json!({"n": 1, "t": [[0, 1, machine]]});
         core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
         core.cache.apply("t/s/wk-000002/0", Some(slice), Revision(6));
-        core.last_read = Some(MonotonicTime(0));
+        core.store.set_last_read(MonotonicTime(0));
         core.owned_shards
             .insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
         let key = (JobId::new("wk-000002"), 0);
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -18,12 +18,12 @@
     /// The leader moves old ended jobs out of the watched records, with writes
     /// that nobody else has use for.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.writes.level(self.now) > 0.8 * self.writes.per_s();
-        if !self.leading() || !idle || !self.records_fresh() || self.now < self.retry_state_at {
+        let idle = self.store.writes_above(self.now, 0.8);
+        if !self.leading() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         // Two changes a job, and no more than is idle.
-        let spare = (0.5 * self.writes.per_s()) as usize;
+        let spare = (0.5 * self.store.writes_per_s()) as usize;
         let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops / 2).min(spare / 2);
         let mut transaction = Transaction {
             conditions: vec![Condition { key: LEADER_KEY.into(), version: self.cache.leader.version }],
@@ -32,7 +32,7 @@
         for (id, job) in &self.cache.jobs {
             let Some(end) = job.record.end.filter(|_| !self.cache.active.contains(id)) else { continue };
             if self.age_s(job) < PUT_AWAY_AFTER_S
-                || self.busy_keys.contains(&job_key(id))
+                || self.store.is_key_busy(&job_key(id))
                 || self.dependency_graph.is_needed(id)
             {
                 continue;
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -122,8 +122,8 @@
     pub(crate) fn release_ready_jobs(&mut self) {
         self.release_soon = false;
         // As acceptance does, on credit as far as the share bears it.
-        let bears = self.writes.level(self.now) > -0.5 * self.writes.per_s();
-        if !bears || !self.records_fresh() || self.now < self.retry_state_at {
+        let bears = self.store.writes_above(self.now, -0.5);
+        if !bears || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let time_of_day_ms = self.time_of_day_ms;
@@ -153,8 +153,8 @@
     /// Writes the ends of jobs that follow cancelled ones, with writes that
     /// nobody else has use for: users are answered without.
     pub(crate) fn write_dependency_outcomes(&mut self) {
-        let idle = self.writes.level(self.now) > 0.5 * self.writes.per_s();
-        if !idle || !self.records_fresh() || self.now < self.retry_state_at {
+        let idle = self.store.writes_above(self.now, 0.5);
+        if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let end = |_: &Core, record: &JobRecord| JobRecord {
@@ -170,7 +170,7 @@
     fn ours_of<'a>(&self, jobs: impl Iterator<Item = (&'a JobId, bool)>) -> Vec<JobId> {
         let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops);
         let owned_shard =
-            jobs.filter(|(id, any)| !self.busy_keys.contains(&job_key(id)) && (*any || self.keeps_chain(id)));
+            jobs.filter(|(id, any)| !self.store.is_key_busy(&job_key(id)) && (*any || self.keeps_chain(id)));
         owned_shard.take(most).map(|(id, _)| id.clone()).collect()
     }
 
@@ -189,10 +189,10 @@
 
     /// Looks up jobs that waiting ones name and that were put away.
     pub(crate) fn look_up_unknown_dependencies(&mut self) {
-        if !self.loaded
+        if !self.store.is_loaded()
             || self.dependency_release.asking
             || self.now < self.dependency_release.next
-            || self.now < self.retry_state_at
+            || !self.store.may_send(self.now)
         {
             return;
         }
@@ -201,7 +201,7 @@
         };
         self.dependency_release.asking = true;
         self.dependency_release.last = Some(id.clone());
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -51,12 +51,12 @@
 impl Core {
     pub(crate) fn query_status(&mut self, request: RequestId, job: JobId) {
         // A standstill of this node is nobody's silence.
-        let heard = self.last_state_answer.map(|at| at.max(self.resumed_at));
-        if self.loaded && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
+        let heard = self.store.last_answer().map(|at| at.max(self.resumed_at));
+        if self.store.is_loaded() && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
             return self.response(request, Response::later("the state service does not answer"));
         }
         let status_queries = &mut self.status_queries;
-        if !self.loaded || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
+        if !self.store.is_loaded() || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
             return self.response(request, Response::later("busy"));
         }
         status_queries.waiting.push_back(Question { request, job, at: self.now });
@@ -80,11 +80,11 @@
         if status_queries.waiting.is_empty()
             || status_queries.probing
             || now < status_queries.next
-            || now < self.retry_state_at
+            || !self.store.may_send(now)
         {
             return;
         }
-        if self.reads.take(now, 1.0) {
+        if self.store.try_charge_reads(now, 1.0) {
             self.status_queries.probing = true;
             self.status_queries.next = now + PROBE_EVERY;
             let questions = self.status_queries.waiting.drain(..).collect();
@@ -104,7 +104,7 @@
         self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
         if self.cache.revision < revision {
             // The watch need not pause before it brings what is awaited.
-            self.next_watch = self.now;
+            self.store.watch_at_once(self.now);
             self.tick_membership();
         }
         self.answer_ready_queries();
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -5,7 +5,8 @@
 #[test]
 fn without_the_state_service_questions_are_answered_at_once() {
     let mut core = crate::coordination::tests::core();
-    (core.loaded, core.last_state_answer) = (true, Some(MonotonicTime(1000)));
+    core.store.set_loaded();
+    core.store.set_last_answer(MonotonicTime(1000));
     let mut told = |at: u64| {
         let outputs = core.handle(
             MonotonicTime(at),
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -42,7 +42,7 @@
         let lately = |at: Option<MonotonicTime>| at.is_some_and(|at| self.now.since(at) < Millis(3000));
         let mut heard = self.peers.values().filter(|p| lately(p.heard)).peekable();
         let not_ours = self.peers.is_empty() || heard.peek().is_some() && heard.all(|p| !p.state_reachable);
-        self.loaded && !self.catalog.is_empty() && (lately(self.last_state_answer) || not_ours)
+        self.store.is_loaded() && !self.catalog.is_empty() && (lately(self.store.last_answer()) || not_ours)
     }
 
     fn known_final(&self, job: &JobId) -> Option<JobState> {
@@ -74,7 +74,7 @@
 
     /// Takes from the share of reads what a user's request needs.
     pub(crate) fn afford(&mut self, request: RequestId, cost: f64) -> bool {
-        if self.now >= self.retry_state_at && self.reads.take(self.now, cost) {
+        if self.store.may_send(self.now) && self.store.try_charge_reads(self.now, cost) {
             return true;
         }
         self.response(request, Response::Error { status: 503, reason: "busy".into(), retry_after_s: Some(1) });
@@ -89,14 +89,14 @@
         if self.cache.jobs.contains_key(&spec.id) {
             return self.query_status(request, spec.id);
         }
-        if !self.loaded || self.catalog.is_empty() {
+        if !self.store.is_loaded() || self.catalog.is_empty() {
             return self.response(request, Response::later("starting"));
         }
         if let Some(reason) = self.impossible(&spec) {
             return self.refuse(request, spec.id, Refusal::impossible(reason));
         }
         // Acceptance goes first: on credit, as far as the share bears it.
-        if self.now < self.retry_state_at || self.reads.level(self.now) < -0.5 * self.reads.per_s() {
+        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -0.5) {
             return self.response(request, Response::later("busy"));
         }
         if !spec.dependencies.is_empty() {
@@ -117,8 +117,7 @@
             let reason = "the job and the names it awaits are too large to be kept";
             return self.refuse(request, spec.id, Refusal::impossible(reason));
         }
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         let key = job_key(&spec.id);
         let transaction = Transaction {
             // A retry may come when the job is long over and put away.
@@ -185,14 +184,14 @@
             }
             // Known already, or our own transaction after all.
             StateAnswer::Conflict(_) => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: false },
                 );
             }
             StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
@@ -275,8 +274,7 @@
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
         };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         self.call_state(
             StateCall::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
@@ -298,7 +296,7 @@
                 self.answer_job(request, 200, &job, None);
             }
             StateAnswer::Conflict(_) | StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -92,7 +92,7 @@
 
 impl Core {
     pub(crate) fn lead(&mut self) {
-        if !self.leading() || !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.leading() || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         self.deal(true);
@@ -101,7 +101,7 @@
 
     /// Deals jobs as they come, between two housekeepings.
     pub(crate) fn assign_new_slices(&mut self) {
-        if self.leading() && self.records_fresh() && self.now >= self.retry_state_at {
+        if self.leading() && self.records_fresh() && self.store.may_send(self.now) {
             self.deal(false);
         }
     }
@@ -176,7 +176,7 @@
             };
             looked += plan.shards.len();
             let (Some(moved), key) = (moved, job_key(&id)) else { continue };
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let mut conditions = vec![
--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -58,11 +58,11 @@
 
     /// The leader turns on what all controllers know of.
     pub(crate) fn raise_level(&mut self) {
-        if self.level() >= SUPPORTED_LEVEL || !self.leading() || !self.records_fresh() || self.now < self.retry_state_at
+        if self.level() >= SUPPORTED_LEVEL || !self.leading() || !self.records_fresh() || !self.store.may_send(self.now)
         {
             return;
         }
-        if self.busy_keys.contains(FEATURE_LEVEL_KEY) {
+        if self.store.is_key_busy(FEATURE_LEVEL_KEY) {
             return;
         }
         let nodes: Vec<NodeName> = self.settings.node_names().iter().map(|name| NodeName::new(name)).collect();
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -50,24 +50,24 @@
 
 impl Core {
     pub(crate) fn tick_membership(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
         self.keep_cache_current();
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             Some(lease) if !self.renewing && self.now >= self.renew_at => {
                 self.renewing = true;
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
             }
             _ => {}
         }
-        if let (true, Some(lease)) = (self.loaded, self.lease) {
+        if let (true, Some(lease)) = (self.store.is_loaded(), self.lease) {
             self.update_shard_release();
             self.announce(lease);
             self.claim_shards(lease);
@@ -82,7 +82,7 @@
                 self.lease = Some(lease);
                 self.renew_at = self.now + self.timing.renew_every;
             }
-            _ => self.pause_state(),
+            _ => self.store.pause(self.now),
         }
     }
 
@@ -118,7 +118,7 @@
         let key = records::node_key(&self.node_name);
         let held = self.cache.nodes.get(&self.node_name);
         let current = held.and_then(|h| h.record.as_ref()).is_some_and(|r| r.lease == lease);
-        if current || self.has_released_shards() || self.busy_keys.contains(&key) {
+        if current || self.has_released_shards() || self.store.is_key_busy(&key) {
             return;
         }
         if let Ok(value) = serde_json::to_value(NodeRecord {
@@ -144,7 +144,7 @@
         }
         for (shard, target) in self.live_targets() {
             let key = records::owner_key(shard);
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
@@ -244,7 +244,7 @@
     fn claim_lead(&mut self, lease: LeaseId) {
         let held = &self.cache.leader;
         let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
-        if !free || self.busy_keys.contains(LEADER_KEY) {
+        if !free || self.store.is_key_busy(LEADER_KEY) {
             return;
         }
         // The first live node by name tries at once, so that not all do.
@@ -334,8 +334,8 @@
         peer.heard = Some(self.now);
         peer.state_reachable = status.state_reachable;
         if status.revision > self.cache.revision.0 {
-            self.next_watch = self.now;
-            if self.now >= self.retry_state_at {
+            self.store.watch_at_once(self.now);
+            if self.store.may_send(self.now) {
                 self.tick_membership();
             }
         }
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -123,7 +123,7 @@
         }
         let key = records::node_key(&self.node_name);
         let listed = self.cache.nodes.get(&self.node_name).filter(|h| h.record.is_some()).map(|h| h.version);
-        if let (Some(version), false) = (listed, self.busy_keys.contains(&key)) {
+        if let (Some(version), false) = (listed, self.store.is_key_busy(&key)) {
             let conditions = vec![Condition { key: key.clone(), version }];
             self.submit_transaction(Transaction { conditions, changes: vec![Change::delete(key)] });
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -12,8 +12,7 @@
 
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
-use crate::coordination::store_client::pending_requests::SentRequest;
-use crate::coordination::store_client::rate_limiter::RateLimiter;
+use crate::coordination::store_client::StoreClient;
 use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
 use crate::protocol::peer::PeerStatus;
 use crate::protocol::state::{StateAnswer, StateCall};
@@ -171,28 +170,12 @@
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
     out: Vec<Output>,
-    last_call: u64,
-    pending_requests: BTreeMap<CallId, SentRequest>,
     cache: StateCache,
-    loaded: bool,
-    loading: bool,
-    watching: bool,
-    next_watch: MonotonicTime,
-    retry_state_at: MonotonicTime,
-    /// When the newest successful read of all records was sent.
-    last_read: Option<MonotonicTime>,
-    last_state_answer: Option<MonotonicTime>,
-    reads: RateLimiter,
-    writes: RateLimiter,
+    store: StoreClient,
     lease: Option<LeaseId>,
     granting: bool,
     renewing: bool,
     renew_at: MonotonicTime,
-    /// Keys whose values did not fit, each told once.
-    too_large: BTreeSet<String>,
-    /// Keys with a simple transaction on its way.
-    busy_keys: BTreeSet<String>,
-    unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
     target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
     finish: BTreeSet<JobId>,
@@ -241,8 +224,7 @@
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
             timing: Timing::of(&settings),
-            reads: RateLimiter::new(state.rps * 0.9 / share),
-            writes: RateLimiter::new((state.write_rps * 0.9 / share).max(1.0)),
+            store: StoreClient::new(state.rps * 0.9 / share, (state.write_rps * 0.9 / share).max(1.0)),
             peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
             settings,
             tuning,
@@ -251,25 +233,13 @@
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
             out: vec![],
-            last_call: 0,
-            pending_requests: BTreeMap::new(),
             cache,
             objectives,
             guarantees,
-            loaded: false,
-            loading: false,
-            watching: false,
-            next_watch: MonotonicTime(0),
-            retry_state_at: MonotonicTime(0),
-            last_read: None,
-            last_state_answer: None,
             lease: None,
             granting: false,
             renewing: false,
             renew_at: MonotonicTime(0),
-            too_large: BTreeSet::new(),
-            busy_keys: BTreeSet::new(),
-            unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions::default(),
             owned_shards: BTreeMap::new(),
             target_since: BTreeMap::new(),
             finish: BTreeSet::new(),
@@ -384,7 +354,7 @@
 
     /// True if the records were read lately enough to start new work on them.
     fn records_fresh(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.fresh)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.fresh)
     }
 }
 
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -39,7 +39,7 @@
     /// Writes and takes back our notes on shards whose owners we do not hear.
     pub(crate) fn renew_lease_proxies(&mut self) {
         let Some(lease) = self.lease else { return };
-        if !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let others: Vec<(ShardId, NodeName, Revision)> = self
@@ -50,7 +50,7 @@
             .collect();
         for (shard, owner, version) in others {
             let key = lease_proxy_key(shard, &self.node_name);
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let held = self.cache.lease_proxies.get(&(shard, self.node_name.clone())).cloned().unwrap_or_default();
@@ -185,7 +185,7 @@
 
     fn ask_about(&mut self, shard: ShardId) {
         let names: Vec<MachineId> = self.silent_machines(shard).into_iter().collect();
-        if names.is_empty() || self.now < self.retry_state_at {
+        if names.is_empty() || !self.store.may_send(self.now) {
             return;
         }
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
@@ -193,7 +193,7 @@
         let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
         conditions
             .extend(self.peers.keys().map(|n| Condition { key: lease_proxy_key(shard, n), version: Revision(0) }));
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         self.call_state(
             StateCall::Transaction(Transaction { conditions, changes: vec![] }),
             PendingRequest::Compare(shard),
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -99,7 +99,7 @@
 
     pub(crate) fn transfer_quota(&mut self, shard: ShardId, to: ShardId, team: &str, want: (f64, f64)) -> bool {
         let keys = [quota_key(shard), quota_key(to)];
-        if keys.iter().any(|k| self.busy_keys.contains(k)) || !self.records_fresh() {
+        if keys.iter().any(|k| self.store.is_key_busy(k)) || !self.records_fresh() {
             return false;
         }
         let limit = self.quota(shard, team);
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::protocol::state::StateAnswer;
-use crate::units::{CallId, FencingToken, MonotonicTime};
+use crate::units::{FencingToken, MonotonicTime};
 
 /// A gift without an answer was sent again; that this was refused passed for
 /// the gift not being carried out, which it might be all the same, later.
@@ -11,15 +11,15 @@
         serde_json::from_value(serde_json::json!([{"name": "red", "cpus_max": 24.0}])).expect("teams");
     let shard = ShardId(0);
     core.owned_shards.insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
-    core.last_read = Some(MonotonicTime(0));
+    core.store.set_last_read(MonotonicTime(0));
     assert!(core.transfer_quota(shard, ShardId(1), "red", (4.0, 0.0)));
     for answer in [StateAnswer::Unknown, StateAnswer::Refused, StateAnswer::Unknown] {
-        core.state_answer(CallId(core.last_call), answer);
+        core.state_answer(core.store.last_call(), answer);
         assert_eq!(core.quota(shard, "red").0, Some(8.0));
-        core.retry_state_at = MonotonicTime(0);
+        core.store.end_pause();
         core.resolve_quota_transfers();
     }
-    core.state_answer(CallId(core.last_call), StateAnswer::Committed(Revision(12)));
-    assert!(core.owned_shards[&shard].transferring.is_none() && core.busy_keys.is_empty());
+    core.state_answer(core.store.last_call(), StateAnswer::Committed(Revision(12)));
+    assert!(core.owned_shards[&shard].transferring.is_none() && core.store.has_no_busy_keys());
     assert_eq!((core.quota(shard, "red").0, core.quota(ShardId(1), "red").0), (Some(8.0), Some(16.0)));
 }
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -148,7 +148,7 @@
             if job.record.end.is_some() {
                 continue;
             }
-            if self.busy_keys.contains(&key) || self.now < self.retry_state_at {
+            if self.store.is_key_busy(&key) || !self.store.may_send(self.now) {
                 self.finish.insert(id);
                 continue;
             }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -104,46 +104,39 @@
 }
 
 impl Core {
-    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) {
-        let id = self.register_request(what);
+    /// Sends a request to the store; `what` says what its answer is for.
+    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) -> CallId {
+        let id = self.store.register(what, self.now);
         self.out.push(Output::State(id, call));
+        id
     }
 
     pub(crate) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
-        let id = self.register_request(what);
+        let id = self.store.register(what, self.now);
         self.out.push(Output::Cloud(id, call));
     }
 
-    pub(crate) fn register_request(&mut self, what: PendingRequest) -> CallId {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
-        self.pending_requests.insert(id, SentRequest { what, sent: self.now });
-        id
-    }
-
     /// A transaction on keys that nobody else in this node is changing.
     /// What would never be taken is not sent.
     pub(crate) fn submit_transaction(&mut self, transaction: Transaction) {
         let too_large = |c: &&Change| matches!(c, Change::Put { value, .. } if !self.fits_value(value));
         if let Some(key) = transaction.changes.iter().find(too_large).map(change_key) {
-            if self.too_large.insert(key.to_string()) {
+            if self.store.too_large.insert(key.to_string()) {
                 tracing::error!("record {key} does not fit into one value and is not written");
             }
             return;
         }
-        let cost = transaction.changes.len() as f64;
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, cost);
+        self.store.charge_transaction(self.now, transaction.changes.len());
         for change in &transaction.changes {
-            self.busy_keys.insert(change_key(change).to_string());
+            self.store.reserve_key(change_key(change));
         }
         self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
     }
 
     pub(crate) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
-        let Some(SentRequest { what, sent }) = self.pending_requests.remove(&id) else { return };
+        let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
         if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
-            self.last_state_answer = Some(self.now);
+            self.store.last_answer = Some(self.now);
         }
         if let StateAnswer::Rejected(why) = &answer {
             tracing::error!("the state service rejects {what:?}: {why}");
@@ -157,13 +150,13 @@
             PendingRequest::Simple(transaction)
                 if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) =>
             {
-                self.unresolved.transfers.push(transaction);
+                self.store.unresolved.transfers.push(transaction);
             }
             PendingRequest::Simple(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::QuotaTransferRetry(transaction)
                 if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) =>
             {
-                self.unresolved.transfers.push(transaction);
+                self.store.unresolved.transfers.push(transaction);
             }
             PendingRequest::QuotaTransferRetry(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::ShardTransaction { shard, transaction } => {
@@ -193,7 +186,7 @@
 
     fn simple_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
         for change in &transaction.changes {
-            self.busy_keys.remove(change_key(change));
+            self.store.release_key(change_key(change));
         }
         match answer {
             StateAnswer::Committed(revision) => self.committed(&transaction, revision),
@@ -216,19 +209,18 @@
     /// out: it counts as given until its repetition says what became of it, and that
     /// the repetition was refused says nothing about the first.
     pub(crate) fn resolve_quota_transfers(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
-        for transaction in std::mem::take(&mut self.unresolved.transfers) {
-            self.reads.force(self.now, 1.0);
-            self.writes.force(self.now, transaction.changes.len() as f64);
+        for transaction in std::mem::take(&mut self.store.unresolved.transfers) {
+            self.store.charge_transaction(self.now, transaction.changes.len());
             self.call_state(
                 StateCall::Transaction(transaction.clone()),
                 PendingRequest::QuotaTransferRetry(transaction),
             );
         }
-        for (key, shard) in std::mem::take(&mut self.unresolved.reads) {
-            self.reads.force(self.now, 1.0);
+        for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
+            self.store.charge_read(self.now);
             self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
@@ -246,7 +238,7 @@
 
     pub(crate) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
-            self.reads.force(self.now, 1.0);
+            self.store.charge_read(self.now);
             self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
@@ -256,7 +248,7 @@
             (records::RecordKey::read(&key), matches!(answer, StateAnswer::Unknown | StateAnswer::Refused))
         {
             // What became of a gift must be known before allowance is used again.
-            return self.unresolved.reads.push((key, shard));
+            return self.store.unresolved.reads.push((key, shard));
         }
         let changed = match answer {
             StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -9,7 +9,7 @@
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records;
 use crate::storage::records::{job_key, owner_key, slice_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::{CallId, JobId, Millis, MonotonicTime, Revision, ShardId};
+use crate::units::{JobId, Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
 
 /// How soon a slice's changes should be durable; less is sooner.
@@ -84,7 +84,7 @@
 
 impl Core {
     pub(crate) fn write_pending_changes(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
@@ -96,7 +96,7 @@
     /// coalesced; all of it holds only if we still own the shard, no slice was
     /// changed behind our back, and no job was cancelled or dealt anew.
     pub(crate) fn write_shard_changes(&mut self, shard: ShardId) {
-        let level = self.writes.level(self.now).floor();
+        let level = self.store.write_budget(self.now).floor();
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         if !owned_shard.ready
             || owned_shard.inflight.is_some()
@@ -122,7 +122,7 @@
         order.sort();
         // Writes are scarce: what can wait for more to come to the same slice
         // leaves half of them to starts.
-        let thrifty = level < self.writes.per_s() / 2.0;
+        let thrifty = level < self.store.writes_per_s() / 2.0;
         let mut transaction = Transaction {
             conditions: vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }],
             changes: vec![],
@@ -163,7 +163,7 @@
                         s.is_done()
                     }
                 });
-            if last && !self.busy_keys.contains(&job_key(&id)) {
+            if last && !self.store.is_key_busy(&job_key(&id)) {
                 // Done with its last slice: the slice need not be kept.
                 let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
                 if let Ok(value) = serde_json::to_value(record) {
@@ -188,13 +188,11 @@
             owned_shard.retry_at = self.now + Millis(20);
             return;
         }
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, transaction.changes.len() as f64);
-        self.call_state(
+        self.store.charge_transaction(self.now, transaction.changes.len());
+        let id = self.call_state(
             StateCall::Transaction(transaction.clone()),
             PendingRequest::ShardTransaction { shard, transaction },
         );
-        let id = CallId(self.last_call);
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = Some(id);
         }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -6,6 +6,7 @@
 
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::store_client::CacheSync;
 use crate::coordination::Core;
 use crate::protocol::state::{StateAnswer, StateCall, WatchEvent, WatchEvents};
 use crate::storage::records::ROOT;
@@ -19,20 +20,19 @@
 /// under load: the next one brings what came in the pause all at once.
 const PAUSE_AFTER_EVENTS: Millis = Millis(80);
 
-/// How long no request is sent after the store refused one or did not answer.
-const RETRY_PAUSE: Millis = Millis(250);
-
 impl Core {
     /// Begins to read all records, or sends the next watch, if neither is under way.
     pub(crate) fn keep_cache_current(&mut self) {
-        if !self.loaded {
-            if !self.loading {
-                self.loading = true;
+        match self.store.sync {
+            CacheSync::Unread => {
+                self.store.sync = CacheSync::Loading;
                 self.load_page(None, BTreeSet::new(), None, self.now);
             }
-        } else if !self.watching && self.now >= self.next_watch {
-            self.watching = true;
-            self.send_watch();
+            CacheSync::Loaded if self.now >= self.store.next_watch => {
+                self.store.sync = CacheSync::Watching;
+                self.send_watch();
+            }
+            CacheSync::Loading | CacheSync::Loaded | CacheSync::Watching => {}
         }
     }
 
@@ -44,24 +44,19 @@
         first: Option<Revision>,
         since: MonotonicTime,
     ) {
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         let what = PendingRequest::Load { seen, first, since };
         self.call_state(StateCall::List { prefix: ROOT.into(), after }, what);
     }
 
     fn send_watch(&mut self) {
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         // A watch without events must end well before the last read is stale.
         let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
         self.call_state(call, PendingRequest::Watch);
     }
 
-    /// Holds requests to the store back for a moment after a refusal.
-    pub(crate) fn pause_state(&mut self) {
-        self.retry_state_at = self.now + RETRY_PAUSE;
-    }
-
     /// Takes a page of records; the last one completes the load.
     pub(crate) fn load_answer(
         &mut self,
@@ -71,8 +66,8 @@
         answer: StateAnswer,
     ) {
         let StateAnswer::Page(page) = answer else {
-            self.loading = false;
-            return self.pause_state();
+            self.store.sync = CacheSync::Unread;
+            return self.store.pause(self.now);
         };
         // Changes made while the pages were read come again by the watch,
         // which begins at the first page's revision.
@@ -93,10 +88,9 @@
     fn finish_load(&mut self, seen: &BTreeSet<String>, first: Revision, since: MonotonicTime) {
         self.cache.forget_missing(seen, first);
         self.cache.revision = first;
-        self.loading = false;
-        self.loaded = true;
+        self.store.sync = CacheSync::Loaded;
         // The first page is as old as when it was asked for, however long the others took.
-        self.last_read = Some(since);
+        self.store.last_read = Some(since);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
         }
@@ -107,17 +101,17 @@
 
     /// Takes what a watch that was sent at `sent` brought.
     pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
-        self.watching = false;
+        self.store.sync = CacheSync::Loaded;
         match answer {
             StateAnswer::WatchEvents(news) => self.take_watch_events(sent, news),
-            StateAnswer::TooOld => self.loaded = false,
-            _ => self.pause_state(),
+            StateAnswer::TooOld => self.store.sync = CacheSync::Unread,
+            _ => self.store.pause(self.now),
         }
     }
 
     fn take_watch_events(&mut self, sent: MonotonicTime, news: WatchEvents) {
         let pause = if news.events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
-        self.next_watch = self.now + pause;
+        self.store.next_watch = self.now + pause;
         self.cache.revision = self.cache.revision.max(news.revision);
         for event in news.events {
             let changed = match event {
@@ -127,7 +121,7 @@
             self.changed(changed);
         }
         // The answer shows the records as of when it was asked for, or later.
-        self.last_read = Some(self.last_read.map_or(sent, |at| at.max(sent)));
+        self.store.last_read = Some(self.store.last_read.map_or(sent, |at| at.max(sent)));
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
--- a/src/coordination/store_client/watch/tests.rs
+++ b/src/coordination/store_client/watch/tests.rs
@@ -22,5 +22,5 @@
         let next = |o: Output| if let Output::State(id, StateCall::List { .. }) = o { Some(id) } else { None };
         id = outputs.into_iter().find_map(next).unwrap_or(id);
     }
-    assert_eq!((core.loaded, core.last_read), (true, Some(MonotonicTime(1000))));
+    assert_eq!((core.store.is_loaded(), core.store.last_read()), (true, Some(MonotonicTime(1000))));
 }
