--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,6 +1,7 @@
 //! Cores that work wants: of the jobs there are, and of those that will come
 //! as they have come of late.
 
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobKind;
@@ -29,7 +30,7 @@
     pub(crate) cpus: f64,
     /// Of these, what cannot wait for cheap room: worth ordinary prices.
     pub(crate) urgent: f64,
-    pub(crate) shape: [f64; 3],
+    pub(crate) shape: Resources,
     /// Image size and run time, weighted by cores.
     pub(crate) fetch_gb: f64,
     pub(crate) run_s: f64,
@@ -95,7 +96,7 @@
             let group = groups.entry(key).or_insert(Demand {
                 cpus: 0.0,
                 urgent: 0.0,
-                shape: [0.0; 3],
+                shape: Resources::default(),
                 fetch_gb: 0.0,
                 run_s: 0.0,
                 types: spec.types.clone(),
@@ -109,9 +110,7 @@
             }
             group.fetch_gb += cpus * spec.image_gb;
             group.run_s += cpus * run;
-            for (most, need) in group.shape.iter_mut().zip([spec.cpus, spec.gpus, spec.mem_gb]) {
-                *most = most.max(need);
-            }
+            group.shape = group.shape.max(Resources::of_task(spec));
         }
         // What the work of late has kept busy on average is likely to be
         // wanted again: buying for it ahead saves late starts and churn.
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -72,7 +72,7 @@
         };
         let used = self.taken();
         let wanted: f64 = demand.iter().map(|d| d.cpus).sum();
-        let load = |n: &MachineId| used.get(n).map_or(0.0, |taken| taken[0]);
+        let load = |n: &MachineId| used.get(n).map_or(0.0, |taken| taken.cpus);
         order.sort_by(|a, b| price(b.1).total_cmp(&price(a.1)).then(load(a.0).total_cmp(&load(b.0))));
         for (name, fleet_machine) in order {
             if self.draining(name) {
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -3,6 +3,7 @@
 
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::FleetMachine;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
@@ -31,9 +32,7 @@
     }
 
     pub(crate) fn suits(&self, demand: &Demand, kind: &str, zone: &str, spot: bool) -> bool {
-        let big_enough = self.catalog.get(kind).is_some_and(|t| {
-            t.cpus + 1e-6 >= demand.shape[0] && t.gpus + 1e-6 >= demand.shape[1] && t.mem_gb + 1e-6 >= demand.shape[2]
-        });
+        let big_enough = self.catalog.get(kind).is_some_and(|t| demand.shape.fits_into(&Resources::of_machine(t)));
         big_enough
             && demand.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
             && demand.zone.as_ref().is_none_or(|z| z == zone)
@@ -46,10 +45,11 @@
     }
 
     /// True if a task that takes so much fits beside what is used of the machine.
-    fn has_room(&self, m: &FleetMachine, used: [f64; 3], need: &[f64; 3]) -> bool {
+    fn has_room(&self, m: &FleetMachine, used: Resources, need: &Resources) -> bool {
         let Some(t) = self.catalog.get(&m.kind) else { return false };
-        let all = [t.cpus, t.gpus, t.mem_gb];
-        all.iter().zip(used).zip(need).all(|((all, used), need)| used + need <= all + 1e-6)
+        let mut taken = used;
+        taken += *need;
+        taken.fits_into(&Resources::of_machine(t))
     }
 
     /// Cores missing per group, after each took what suits it, and cores spare.
@@ -122,8 +122,8 @@
                         }
                         let price = if spot { t.spot_price.unwrap_or(t.price) } else { t.price };
                         // Cores that memory lets the tasks use.
-                        let each = (t.cpus / group.shape[0].max(1e-3)).min(t.mem_gb / group.shape[2].max(1e-3));
-                        let useful = (each.floor() * group.shape[0]).clamp(t.cpus * 0.3, t.cpus);
+                        let each = (t.cpus / group.shape.cpus.max(1e-3)).min(t.mem_gb / group.shape.mem_gb.max(1e-3));
+                        let useful = (each.floor() * group.shape.cpus).clamp(t.cpus * 0.3, t.cpus);
                         let count = (lack / useful).ceil().clamp(1.0, f64::from(RENT_LIMIT));
                         // Time lost to fetching images, some of which are shared.
                         let fetch = if t.fetch_gb_per_s > 0.0 { group.fetch_gb / t.fetch_gb_per_s } else { 0.0 };
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -1,6 +1,7 @@
 //! What the leader does for all shards: cut large arrays into slices, deal
 //! them by room, and move slices that no task of has started.
 
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::Job;
@@ -21,7 +22,7 @@
     kind: &'a str,
     zone: &'a str,
     spot: bool,
-    free: [f64; 3],
+    free: Resources,
     cpus: f64,
 }
 
@@ -63,7 +64,7 @@
         take: bool,
     ) -> usize {
         let spec = &record.spec;
-        let need = [spec.cpus, spec.gpus, spec.mem_gb];
+        let need = Resources::of_task(spec);
         let mut count = 0;
         let Some(machines) = self.shards.get_mut(shard.0 as usize) else { return 0 };
         let there = |at: &&mut RoomAt| Room::suits(at, record) && zone.is_none_or(|zone| zone == at.zone);
@@ -72,8 +73,8 @@
                 break;
             }
             let mut free = at.free;
-            while count < most && free.iter().zip(&need).all(|(f, n)| *f + 1e-6 >= *n) {
-                free.iter_mut().zip(&need).for_each(|(f, n)| *f -= n);
+            while count < most && need.fits_into(&free) {
+                free -= need;
                 count += 1;
             }
             if take {
@@ -115,12 +116,13 @@
             if !m.up || m.leaving || m.downlink_lost || self.draining(name) {
                 continue;
             }
-            let u = used.get(name).copied().unwrap_or_default();
+            let mut free = Resources::of_machine(t);
+            free -= used.get(name).copied().unwrap_or_default();
             shards[self.shard_of(name).0 as usize].push(RoomAt {
                 kind: &m.kind,
                 zone: &m.zone,
                 spot: m.spot,
-                free: [t.cpus - u[0], t.gpus - u[1], t.mem_gb - u[2]],
+                free,
                 cpus: t.cpus,
             });
         }
@@ -129,17 +131,14 @@
 
     /// What tasks take of each machine: cores, GPUs and memory, as wanted or
     /// else as is durable.
-    pub(crate) fn taken(&self) -> HashMap<&MachineId, [f64; 3], FixedState> {
-        let mut taken: HashMap<&MachineId, [f64; 3], FixedState> = HashMap::default();
+    pub(crate) fn taken(&self) -> HashMap<&MachineId, Resources, FixedState> {
+        let mut taken: HashMap<&MachineId, Resources, FixedState> = HashMap::default();
         for job in self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id)).filter(|j| j.holds_machines()) {
             let spec = &job.record.spec;
             let on = job.slices().iter().filter(|s| s.has_placed_task()).filter_map(|s| s.newest());
             for task in on.flat_map(|r| &r.tasks) {
                 if let TaskRecord::Placed(_, machine) = task {
-                    let sum = taken.entry(machine).or_default();
-                    sum[0] += spec.cpus;
-                    sum[1] += spec.gpus;
-                    sum[2] += spec.mem_gb;
+                    *taken.entry(machine).or_default() += Resources::of_task(spec);
                 }
             }
         }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,8 +1,9 @@
 //! Machines as one placement round sees them, and which of them is the best
 //! for a task: the one of least expected completion.
 
-use crate::coordination::scheduling::capacity_timeline::{fits, Amounts, Openings};
+use crate::coordination::scheduling::capacity_timeline::Openings;
 use crate::coordination::scheduling::lifetimes::LifetimeHistory;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::scoring::{expected_completion, Prospect};
 use crate::coordination::shards::owned_shard::Machine;
 use crate::coordination::Core;
@@ -10,7 +11,6 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::TaskState;
 use crate::storage::cache::Job;
-use crate::storage::records::JobRecord;
 use crate::units::{JobId, MachineId, Millis, ShardId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -42,7 +42,7 @@
 type Wait = Option<f64>;
 
 impl Seat<'_> {
-    pub fn book(&mut self, need: &Amounts, wait_s: f64, until_s: f64) {
+    pub fn book(&mut self, need: &Resources, wait_s: f64, until_s: f64) {
         self.openings.book(need, wait_s, until_s);
         self.waits.clear();
     }
@@ -60,13 +60,13 @@
 /// What jobs of one round take, numbered: most classes take the same for all
 /// their jobs, and what a seat has for one it has for the next.
 #[derive(Default)]
-pub(crate) struct Shapes(Vec<Amounts>);
+pub(crate) struct Shapes(Vec<Resources>);
 
 /// Shapes that are told apart; jobs beyond them are worked out one by one.
 const MOST_SHAPES: usize = 64;
 
 impl Shapes {
-    fn number(&mut self, need: &Amounts) -> Option<usize> {
+    fn number(&mut self, need: &Resources) -> Option<usize> {
         let known = self.0.iter().position(|n| n == need);
         if known.is_none() && self.0.len() < MOST_SHAPES {
             self.0.push(*need);
@@ -76,11 +76,6 @@
     }
 }
 
-/// Cores, GPUs and memory that a task of the job takes.
-pub(crate) fn needs(record: &JobRecord) -> [f64; 3] {
-    [record.spec.cpus, record.spec.gpus, record.spec.mem_gb]
-}
-
 /// Where a job's tasks are, for those that must stay together or apart.
 #[derive(Default)]
 pub(crate) struct Spread {
@@ -125,7 +120,7 @@
 /// What all tasks of a job have in common for one round.
 pub(crate) struct Claim<'a> {
     pub job: &'a Job,
-    pub need: Amounts,
+    pub need: Resources,
     /// The round's number of what it takes.
     shape: Option<usize>,
     run_s: f64,
@@ -150,7 +145,7 @@
 
 impl Core {
     pub(crate) fn claim<'a>(&self, job: &'a Job, quick: bool, waits: bool, shapes: &mut Shapes) -> Claim<'a> {
-        let need = needs(&job.record);
+        let need = Resources::of_task(&job.record.spec);
         Claim {
             job,
             need,
@@ -181,7 +176,7 @@
             if !usable {
                 continue;
             }
-            let mut openings = Openings::new([type_.cpus, type_.gpus, type_.mem_gb]);
+            let mut openings = Openings::new(Resources::of_machine(type_));
             let known = owned_shard.on.get(name);
             // Tasks of one job follow one another: it is looked up once.
             let mut last: Option<(&JobId, Option<(&Job, f64)>)> = None;
@@ -196,7 +191,10 @@
                 };
                 let Some((job, run_s)) = found else { continue };
                 let ends = job.record.spec.kind != JobKind::Standing;
-                openings.hold(&needs(&job.record), ends.then(|| self.rest_after(owned_shard, run_s, key)));
+                openings.hold(
+                    &Resources::of_task(&job.record.spec),
+                    ends.then(|| self.rest_after(owned_shard, run_s, key)),
+                );
             }
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
@@ -205,7 +203,7 @@
                 while wanted.next_if(|k| *k < key).is_some() {}
                 if *state != TaskState::Exited && wanted.peek() != Some(&key) {
                     if let Some(job) = self.cache.jobs.get(&key.0) {
-                        openings.hold(&needs(&job.record), None);
+                        openings.hold(&Resources::of_task(&job.record.spec), None);
                     }
                 }
             }
@@ -258,7 +256,7 @@
     /// How good a seat is for the job's next task; none if it never has room.
     pub(crate) fn candidate(&self, index: usize, seat: &mut Seat, claim: &Claim) -> Option<Candidate> {
         let spec = &claim.job.record.spec;
-        if !claim.waits && !fits(&seat.openings.free, &claim.need) {
+        if !claim.waits && !claim.need.fits_into(&seat.openings.free) {
             return None;
         }
         let wait_s = seat.wait(claim)?;
@@ -283,7 +281,7 @@
         // Among near equals the cheapest, then the fullest, so that others
         // can be given back.
         let near = if claim.quick { 0.3 } else { 0.5 + run_s * NEAR };
-        let rank = ((score / near).round(), (seat.price * 1000.0).round(), seat.openings.free[0]);
+        let rank = ((score / near).round(), (seat.price * 1000.0).round(), seat.openings.free.cpus);
         Some(Candidate { rank, seat: index, wait_s, hold_s: run_s + fetch_s })
     }
 
--- a/src/coordination/scheduling/capacity_timeline/tests.rs
+++ b/src/coordination/scheduling/capacity_timeline/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 
-const ONE: Amounts = [1.0, 0.0, 2.0];
+const ONE: Resources = Resources { cpus: 1.0, gpus: 0.0, mem_gb: 2.0 };
+const ALL: Resources = Resources { cpus: 2.0, gpus: 0.0, mem_gb: 8.0 };
 
 fn busy() -> Openings {
-    let mut openings = Openings::new([2.0, 0.0, 8.0]);
+    let mut openings = Openings::new(ALL);
     openings.hold(&ONE, Some(3.0));
     openings.hold(&ONE, Some(5.0));
     openings.settle();
@@ -25,7 +26,7 @@
 #[test]
 fn room_now_is_no_wait_and_services_never_leave() {
     let _openings = busy();
-    assert_eq!(Openings::new([2.0, 0.0, 8.0]).wait(&ONE), Some(0.0));
+    assert_eq!(Openings::new(ALL).wait(&ONE), Some(0.0));
     let mut full = Openings::new(ONE);
     full.hold(&ONE, None);
     assert_eq!(full.wait(&ONE), None);
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -7,6 +7,7 @@
 pub(crate) mod pending_queue;
 pub(crate) mod preemption;
 pub(crate) mod queue_order;
+pub(crate) mod resources;
 pub(crate) mod scheduling_cycle;
 pub(crate) mod scoring;
 pub(crate) mod starvation;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,9 +1,8 @@
 //! Stopping tasks to make room for others: for a higher priority, or so that
 //! a team gets its guarantee.
 
-use crate::coordination::scheduling::candidates::needs;
-use crate::coordination::scheduling::capacity_timeline::{fits, shift};
 use crate::coordination::scheduling::pending_queue::JobSet;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::scheduling_cycle::Short;
 use crate::coordination::shards::owned_shard::TaskKey;
 use crate::coordination::Core;
@@ -30,7 +29,7 @@
     /// Within its own team's guarantee.
     guaranteed: bool,
     grace_s: f64,
-    need: [f64; 3],
+    need: Resources,
     /// Chosen for another job already.
     taken: bool,
 }
@@ -59,14 +58,14 @@
         }
         let mut stops: Vec<(TaskKey, f64)> = vec![];
         let seats = self.seats(shard);
-        let mut coming: Vec<[f64; 3]> =
+        let mut coming: Vec<Resources> =
             seats.iter().map(|seat| self.room_coming(shard, seat.name, seat.openings.free)).collect();
         // Looked up once for all that claim room, not for each of them.
         let mut victims: Vec<Vec<Victim>> = seats.iter().map(|s| self.victims(shard, s.name, guaranteed)).collect();
         for lack in short {
             let Some(job) = self.cache.jobs.get(&lack.job) else { continue };
             let within = guaranteed.contains(&lack.job);
-            let need = needs(&job.record);
+            let need = Resources::of_task(&job.record.spec);
             let spread = self.spread(shard, &lack.job, job);
             for _ in 0..lack.tasks {
                 if stops.len() >= MOST_STOPS {
@@ -74,8 +73,8 @@
                 }
                 let allowed = |at: &usize| self.allowed(job, &seats[*at], &spread);
                 // Room that is free or on its way already serves first.
-                if let Some(at) = (0..seats.len()).filter(|at| fits(&coming[*at], &need)).find(allowed) {
-                    shift(&mut coming[at], &need, -1.0);
+                if let Some(at) = (0..seats.len()).filter(|at| need.fits_into(&coming[*at])).find(allowed) {
+                    coming[at] -= need;
                     continue;
                 }
                 let best = (0..seats.len())
@@ -89,10 +88,10 @@
                 for index in chosen {
                     let victim = &mut victims[at][index];
                     victim.taken = true;
-                    shift(&mut coming[at], &victim.need, 1.0);
+                    coming[at] += victim.need;
                     stops.push((victim.key.clone(), victim.grace_s));
                 }
-                shift(&mut coming[at], &need, -1.0);
+                coming[at] -= need;
             }
         }
         drop((victims, seats));
@@ -120,11 +119,11 @@
     }
 
     /// Room on a machine once the tasks being stopped are gone.
-    fn room_coming(&self, shard: ShardId, machine: &MachineId, mut free: [f64; 3]) -> [f64; 3] {
+    fn room_coming(&self, shard: ShardId, machine: &MachineId, mut free: Resources) -> Resources {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return free };
         for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| owned_shard.stopping.contains_key(*k)) {
             if let Some(job) = self.cache.jobs.get(&key.0) {
-                shift(&mut free, &needs(&job.record), 1.0);
+                free += Resources::of_task(&job.record.spec);
             }
         }
         free
@@ -151,7 +150,7 @@
                 team: &spec.team,
                 guaranteed: guaranteed.contains(&key.0),
                 grace_s: if saves { spec.save_s.max(1.0) * 1.5 } else { 0.0 },
-                need: needs(&job.record),
+                need: Resources::of_task(&job.record.spec),
                 taken: false,
             });
         }
@@ -164,19 +163,19 @@
 /// none if all of them together do not.
 fn cheapest(
     victims: &[Victim],
-    mut room: [f64; 3],
-    need: &[f64; 3],
+    mut room: Resources,
+    need: &Resources,
     yields: impl Fn(&Victim) -> bool,
 ) -> Option<(f64, Vec<usize>)> {
     let mut chosen = vec![];
     let mut loss = 0.0;
     for (index, victim) in victims.iter().enumerate().filter(|(_, v)| yields(v)) {
-        if fits(&room, need) {
+        if need.fits_into(&room) {
             break;
         }
-        shift(&mut room, &victim.need, 1.0);
+        room += victim.need;
         loss += victim.loss;
         chosen.push(index);
     }
-    fits(&room, need).then_some((loss, chosen))
+    need.fits_into(&room).then_some((loss, chosen))
 }
--- /dev/null
+++ b/src/coordination/scheduling/resources.rs
@@ -0,0 +1,81 @@
+//! Amounts of the resources that a machine has and a task takes.
+//!
+//! Used wherever free room is compared with what a task takes: by the scheduling cycle, by
+//! preemption, by the leader's assignment of slices and by scale-out. It knows no machine
+//! and no task: who holds what is counted by its callers.
+
+use crate::protocol::cloud::MachineType;
+use crate::protocol::users::JobSpec;
+use std::ops::{AddAssign, Neg, SubAssign};
+
+/// By how much a request may exceed what is free and still fit, for sums of amounts that
+/// were rounded.
+const TOLERANCE: f64 = 1e-6;
+
+/// Amounts of all resources. A difference may be negative.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub(crate) struct Resources {
+    /// Processor cores.
+    pub cpus: f64,
+    /// Graphics processors.
+    pub gpus: f64,
+    /// Memory in gigabytes.
+    pub mem_gb: f64,
+}
+
+impl Resources {
+    /// What one task of the job takes for as long as it is on a machine.
+    pub fn of_task(spec: &JobSpec) -> Resources {
+        Resources { cpus: spec.cpus, gpus: spec.gpus, mem_gb: spec.mem_gb }
+    }
+
+    /// What an empty machine of the type has.
+    pub fn of_machine(machine_type: &MachineType) -> Resources {
+        Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, mem_gb: machine_type.mem_gb }
+    }
+
+    /// True if so much can be taken of what is free.
+    pub fn fits_into(&self, free: &Resources) -> bool {
+        free.cpus + TOLERANCE >= self.cpus
+            && free.gpus + TOLERANCE >= self.gpus
+            && free.mem_gb + TOLERANCE >= self.mem_gb
+    }
+
+    /// The greater amount of each resource.
+    pub fn max(self, other: Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.max(other.cpus),
+            gpus: self.gpus.max(other.gpus),
+            mem_gb: self.mem_gb.max(other.mem_gb),
+        }
+    }
+
+    /// True if any amount is below zero.
+    pub fn any_negative(&self) -> bool {
+        self.cpus < 0.0 || self.gpus < 0.0 || self.mem_gb < 0.0
+    }
+}
+
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.mem_gb += other.mem_gb;
+    }
+}
+
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.mem_gb -= other.mem_gb;
+    }
+}
+
+impl Neg for Resources {
+    type Output = Resources;
+
+    fn neg(self) -> Resources {
+        Resources { cpus: -self.cpus, gpus: -self.gpus, mem_gb: -self.mem_gb }
+    }
+}
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -1,9 +1,9 @@
 //! Placement rounds: each waiting task goes where its expected completion is
 //! least, which may mean waiting for a busy machine.
 
-use crate::coordination::scheduling::candidates::{needs, Seat, Shapes, Spread};
-use crate::coordination::scheduling::capacity_timeline::{fits, Amounts};
+use crate::coordination::scheduling::candidates::{Seat, Shapes, Spread};
 use crate::coordination::scheduling::pending_queue::{JobSet, Place};
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::shards::owned_shard::{QuotaShortage, TaskKey};
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
@@ -133,7 +133,7 @@
         // The reserve is kept where images come fastest, if the shard has such.
         let fastest = seats.iter().map(|s| s.type_.fetch_gb_per_s).fold(0.0, f64::max);
         let prime = |seat: &Seat| holds_reserve(seat.type_.fetch_gb_per_s, fastest);
-        let mut spare: f64 = seats.iter().filter(|s| prime(s)).map(|s| s.openings.free[0].max(0.0)).sum();
+        let mut spare: f64 = seats.iter().filter(|s| prime(s)).map(|s| s.openings.free.cpus.max(0.0)).sum();
         let mut short: Vec<Short> = vec![];
         let mut scored = 0;
         let most_scores = self.most_scores();
@@ -148,13 +148,13 @@
             if places.len() >= self.tuning.round_limit || scored >= 3 * most_scores {
                 break;
             }
-            let need = needs(&job.record);
+            let need = Resources::of_task(&job.record.spec);
             let quick = self.objectives.start_before(&job.class, boot_s);
             // What is left there is for work that must start at once.
-            let kept = |spare: f64| !quick && reserve > 0.0 && spare - need[0] < reserve;
+            let kept = |spare: f64| !quick && reserve > 0.0 && spare - need.cpus < reserve;
             let at_once = !closed.to(&need, quick) && {
                 let kept = kept(spare);
-                let open = seats.iter().any(|s| fits(&s.openings.free, &need) && !(kept && prime(s)));
+                let open = seats.iter().any(|s| need.fits_into(&s.openings.free) && !(kept && prime(s)));
                 closed.learn(&need, quick, open);
                 open
             };
@@ -173,14 +173,14 @@
             }
             let over_limit = |used: (f64, f64)| {
                 let over = |limit: Option<f64>, used: f64, need: f64| limit.is_some_and(|l| used + need > l + 1e-9);
-                over(limits.0, used.0, need[0]) || over(limits.1, used.1, need[1])
+                over(limits.0, used.0, need.cpus) || over(limits.1, used.1, need.gpus)
             };
             if over_limit(used.get(&job.record.spec.team).copied().unwrap_or_default()) {
                 // No task of it may start, wherever there is room. Only a shard
                 // with room for a task has use for more of its team's limit.
                 if at_once {
                     let tasks = idle_in(job, shard).min(if gang { 1 } else { MOST_WAITS }) as f64;
-                    wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), tasks);
+                    wanted.entry(job.record.spec.team.clone()).or_default().add((need.cpus, need.gpus), tasks);
                 }
                 continue;
             }
@@ -235,7 +235,7 @@
                     let wait = best.wait_s;
                     if over_limit(*team) {
                         if wait <= 0.0 {
-                            wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), 1.0);
+                            wanted.entry(job.record.spec.team.clone()).or_default().add((need.cpus, need.gpus), 1.0);
                         }
                         waits += 1;
                         full = gang || waits >= MOST_WAITS;
@@ -248,16 +248,16 @@
                     scored += 1;
                     if wait > 0.0 {
                         waits += 1;
-                        promised += need[0];
+                        promised += need.cpus;
                         lacking.tasks += 1;
                         lacking.wait_s = lacking.wait_s.min(wait);
                         full = gang || waits >= MOST_WAITS;
                         continue;
                     }
-                    team.0 += need[0];
-                    team.1 += need[1];
+                    team.0 += need.cpus;
+                    team.1 += need.gpus;
                     if prime(seat) {
-                        spare -= need[0];
+                        spare -= need.cpus;
                     }
                     if job.record.spec.whole() {
                         *spread.by_zone.entry(seat.machine.zone.clone()).or_default() += 1;
@@ -267,7 +267,7 @@
                     // One task at a time shows whether it still fails.
                     full |= suspect && !gang;
                     if starving_job == Some(id) {
-                        began = Some((need[0], best.hold_s));
+                        began = Some((need.cpus, best.hold_s));
                         full = true;
                     }
                     may_start = may_start.saturating_sub(usize::from(attempt.0 == 0));
@@ -308,7 +308,7 @@
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let idle: f64 = seats.iter().map(|s| s.openings.free[0].max(0.0)).sum();
+        let idle: f64 = seats.iter().map(|s| s.openings.free.cpus.max(0.0)).sum();
         let cores: f64 = seats.iter().map(|s| s.type_.cpus).sum();
         let cpus = |s: &Short| self.cache.jobs.get(&s.job).map_or(0.0, |j| j.record.spec.cpus * s.tasks as f64);
         let lacking: f64 = short.iter().map(cpus).sum();
@@ -362,15 +362,15 @@
 /// What is known to find no room in a round. Room only shrinks in it, but for
 /// a gang that gives back what it took itself.
 #[derive(Default)]
-struct Closed(Vec<(Amounts, bool)>);
+struct Closed(Vec<(Resources, bool)>);
 
 impl Closed {
     /// True if nothing that takes as much, quick or not, can start any more.
-    fn to(&self, need: &Amounts, quick: bool) -> bool {
+    fn to(&self, need: &Resources, quick: bool) -> bool {
         self.0.iter().any(|(n, q)| n == need && *q == quick)
     }
 
-    fn learn(&mut self, need: &Amounts, quick: bool, open: bool) {
+    fn learn(&mut self, need: &Resources, quick: bool, open: bool) {
         if !open && self.0.len() < MOST_CLOSED {
             self.0.push((*need, quick));
         }
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -8,6 +8,7 @@
 //! is used there or given back.
 
 use crate::coordination::fleet::demand::Demand;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
@@ -85,7 +86,7 @@
             Some(Demand {
                 cpus: spec.cpus,
                 urgent: spec.cpus,
-                shape: [spec.cpus, spec.gpus, spec.mem_gb],
+                shape: Resources::of_task(spec),
                 fetch_gb: spec.cpus * spec.image_gb,
                 run_s: spec.cpus,
                 types: spec.types.clone(),
