--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -58,7 +58,7 @@
             t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max)
         };
         // Quick spells are not relied on, and slow ones not planned for without bound.
-        let boot = self.catalog.values().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
+        let boot = self.catalog.types().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
         let ahead = boot + 10.0;
         let mut groups: BTreeMap<Constraints, Demand> = BTreeMap::new();
         for id in &self.cache.active {
@@ -66,7 +66,7 @@
             let spec = &job.record.spec;
             let (done, on) = job.counts();
             // Work that fails wherever it runs has no use for more machines.
-            if on == 0 && self.suspect(id) {
+            if on == 0 && self.fails_everywhere(id) {
                 continue;
             }
             let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + on) };
@@ -104,7 +104,7 @@
                 shard: None,
             });
             group.cpus += cpus;
-            if !spec.spot_allowed || self.pressing(job, left, ahead) {
+            if !spec.spot_allowed || self.cannot_wait_for_room(job, left, ahead) {
                 group.urgent += cpus;
             }
             group.fetch_gb += cpus * spec.image_gb;
@@ -140,7 +140,7 @@
 
     /// True if a job with so much time left could not wait for a machine to
     /// come free and still be in time.
-    pub(crate) fn pressing(&self, job: &Job, left: f64, ahead: f64) -> bool {
+    pub(crate) fn cannot_wait_for_room(&self, job: &Job, left: f64, ahead: f64) -> bool {
         let spec = &job.record.spec;
         let run = self.estimates.run_time(job);
         spec.kind != JobKind::Array || left < run * 2.2 + ahead
@@ -155,13 +155,13 @@
         for (id, job) in &self.cache.jobs {
             let (spec, age) = (&job.record.spec, self.age_s(job));
             // What failed wherever it ran, or was cancelled, keeps nothing busy.
-            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.suspect(id) {
+            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.fails_everywhere(id) {
                 continue;
             }
             if age < USUAL_S && spec.kind == JobKind::Array {
                 let (cpus, run) = (spec.cpus * f64::from(spec.task_count), self.estimates.run_time(job));
                 all += cpus * run;
-                if self.pressing(job, self.allowed_s(job), ahead) {
+                if self.cannot_wait_for_room(job, self.allowed_s(job), ahead) {
                     pressing.push((cpus, run));
                 }
                 oldest = oldest.max(age);
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -1,14 +1,14 @@
 //! What experience teaches: machines' lifetimes, run times against estimates,
 //! the size of jobs that must start at once, and what fails.
 
-use crate::coordination::fleet::fault_attribution::Failures;
+use crate::coordination::fleet::fault_attribution::FailureHistory;
 use crate::coordination::scheduling::lifetimes::{Lifetime, LifetimeHistory};
 use crate::coordination::scheduling::scoring::remaining;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard, TaskKey};
 use crate::coordination::Core;
 use crate::storage::cache::Job;
 use crate::storage::names::InternedName;
-use crate::units::{Millis, MonotonicTime, ShardId};
+use crate::units::{Attempt, JobId, MachineId, Millis, MonotonicTime, ShardId};
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, HashMap};
 
@@ -32,9 +32,9 @@
     ratios: HashMap<InternedName, Ratio, FixedState>,
     /// Per class that must start at once: mean cores of a job, and weight.
     job_cpus: BTreeMap<String, (f64, f64)>,
-    pub(crate) failures: Failures,
+    pub(in crate::coordination::fleet) failures: FailureHistory,
     /// The last failed attempt of each replica of a service.
-    pub(crate) errors: BTreeMap<TaskKey, crate::units::Attempt>,
+    failed_attempts: BTreeMap<TaskKey, Attempt>,
 }
 
 impl Estimates {
@@ -52,17 +52,42 @@
         entry.factor = entry.mean_ln.exp();
     }
 
-    pub fn saw_job(&mut self, class: &str, cpus: f64) {
+    pub fn record_quick_start_job(&mut self, class: &str, cpus: f64) {
         let mean = self.job_cpus.entry(class.to_string()).or_insert((0.0, 0.0));
         mean.1 = (mean.1 + 1.0).min(30.0);
         mean.0 += (cpus - mean.0) / mean.1;
     }
 
     /// Cores of a usual job of each class that must start at once, in all.
-    pub fn quick_cpus(&self) -> f64 {
+    pub fn quick_start_cpus(&self) -> f64 {
         self.job_cpus.values().map(|mean| mean.0).sum()
     }
 
+    /// Notes that a task of the job failed on the machine.
+    pub(crate) fn record_failure(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
+        self.failures.record(job, machine, now);
+    }
+
+    /// The last attempt of a service's replica that failed.
+    pub(crate) fn failed_attempt(&self, replica: &TaskKey) -> Option<Attempt> {
+        self.failed_attempts.get(replica).copied()
+    }
+
+    /// How many replicas have a failed attempt.
+    pub(crate) fn failed_attempt_count(&self) -> usize {
+        self.failed_attempts.len()
+    }
+
+    /// Notes that an attempt of a service's replica failed.
+    pub(crate) fn record_failed_attempt(&mut self, replica: TaskKey, attempt: Attempt) {
+        self.failed_attempts.insert(replica, attempt);
+    }
+
+    /// Keeps the failed attempts of those replicas only.
+    pub(crate) fn retain_failed_attempts(&mut self, keep: impl Fn(&TaskKey) -> bool) {
+        self.failed_attempts.retain(|replica, _| keep(replica));
+    }
+
     /// The owner's estimate, corrected by what its class has shown.
     pub fn run_time(&self, job: &Job) -> f64 {
         job.record.spec.estimated_run_s * self.ratios.get(&job.class).map_or(1.0, |r| r.factor)
@@ -110,12 +135,12 @@
     }
 
     /// Time a placed task still needs, its image included.
-    pub(crate) fn rest_of(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
-        self.rest_after(owned_shard, self.estimates.run_time(job), key)
+    pub(crate) fn remaining_s(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
+        self.remaining_s_of_run(owned_shard, self.estimates.run_time(job), key)
     }
 
     /// The same for a task whose run time is known already.
-    pub(crate) fn rest_after(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
+    pub(crate) fn remaining_s_of_run(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
         match owned_shard.running_since.get(key) {
             Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
             None => run_s + 2.0,
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -28,49 +28,49 @@
 const FORGET_AFTER: Millis = Millis(600_000);
 
 #[derive(Debug)]
-struct Failing {
+struct JobFailures {
     machines: BTreeSet<MachineId>,
     pause_s: f64,
-    again_at: MonotonicTime,
+    retry_at: MonotonicTime,
     last: MonotonicTime,
 }
 
 /// Jobs that failed lately, as seen by this node.
 #[derive(Debug, Default)]
-pub struct Failures {
-    jobs: BTreeMap<JobId, Failing>,
+pub struct FailureHistory {
+    jobs: BTreeMap<JobId, JobFailures>,
 }
 
-impl Failures {
-    pub fn failed(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
-        let entry = self.jobs.entry(job.clone()).or_insert_with(|| Failing {
+impl FailureHistory {
+    pub fn record(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
+        let entry = self.jobs.entry(job.clone()).or_insert_with(|| JobFailures {
             machines: BTreeSet::new(),
             pause_s: FIRST_PAUSE_S,
-            again_at: now,
+            retry_at: now,
             last: now,
         });
         entry.last = now;
         entry.machines.insert(machine.clone());
         // Tasks that ran side by side and failed together count as one try.
-        if entry.machines.len() >= SUSPECT_AFTER && now >= entry.again_at {
-            entry.again_at = now + Millis::secs(entry.pause_s);
+        if entry.machines.len() >= SUSPECT_AFTER && now >= entry.retry_at {
+            entry.retry_at = now + Millis::secs(entry.pause_s);
             entry.pause_s = (entry.pause_s * 2.0).min(LAST_PAUSE_S);
         }
     }
 
     /// Failures on a machine that proved faulty say nothing about jobs.
-    pub fn acquit(&mut self, machine: &MachineId) {
+    pub fn forget_machine(&mut self, machine: &MachineId) {
         for failing in self.jobs.values_mut() {
             failing.machines.remove(machine);
         }
     }
 
-    fn several(&self, job: &JobId) -> bool {
+    fn failed_on_several(&self, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|f| f.machines.len() >= SUSPECT_AFTER)
     }
 
-    fn paused(&self, job: &JobId, now: MonotonicTime) -> bool {
-        self.jobs.get(job).is_some_and(|f| now < f.again_at)
+    fn in_backoff(&self, job: &JobId, now: MonotonicTime) -> bool {
+        self.jobs.get(job).is_some_and(|f| now < f.retry_at)
     }
 
     fn forget(&mut self, now: MonotonicTime, over: impl Fn(&JobId) -> bool) {
@@ -80,25 +80,27 @@
 
 impl Core {
     /// True if a task of the job was ever done: then failures are not its fault.
-    fn sound(&self, job: &JobId) -> bool {
+    fn has_succeeded(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_some_and(|j| !j.holds_machines() || j.counts().0 > 0)
     }
 
     /// True if the job failed wherever it ran, as far as this node or another knows.
-    pub(crate) fn suspect(&self, job: &JobId) -> bool {
+    pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
         let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
-        (self.estimates.failures.several(job) || self.peers.values().any(told)) && !self.sound(job)
+        (self.estimates.failures.failed_on_several(job) || self.peers.values().any(told)) && !self.has_succeeded(job)
     }
 
     /// A suspect job waits between tries, and for the end of the one it has.
-    pub(crate) fn held_back(&self, id: &JobId, job: &crate::storage::cache::Job) -> bool {
-        self.suspect(id) && (self.estimates.failures.paused(id, self.now) || job.has_placed_tasks())
+    pub(crate) fn in_retry_backoff(&self, id: &JobId, job: &crate::storage::cache::Job) -> bool {
+        self.fails_everywhere(id) && (self.estimates.failures.in_backoff(id, self.now) || job.has_placed_tasks())
     }
 
     /// Suspect jobs, to be told to the others: the leader rents for all.
     pub(crate) fn failing_jobs(&self) -> Vec<String> {
         let jobs = self.estimates.failures.jobs.keys();
-        jobs.filter(|j| self.estimates.failures.several(j) && !self.sound(j)).map(|j| j.to_string()).collect()
+        jobs.filter(|j| self.estimates.failures.failed_on_several(j) && !self.has_succeeded(j))
+            .map(|j| j.to_string())
+            .collect()
     }
 
     /// Decides whether failures on a machine are its own fault.
@@ -107,8 +109,9 @@
         else {
             return;
         };
-        let sound = machine.failed_jobs.keys().filter(|j| self.sound(j)).count();
-        let unknown = machine.failed_jobs.keys().filter(|j| !self.sound(j) && !self.suspect(j)).count();
+        let sound = machine.failed_jobs.keys().filter(|j| self.has_succeeded(j)).count();
+        let unknown =
+            machine.failed_jobs.keys().filter(|j| !self.has_succeeded(j) && !self.fails_everywhere(j)).count();
         let faulty = sound >= FAULTY_AFTER;
         let rests = sound + unknown >= FAULTY_AFTER;
         let until = self.now + REST;
@@ -120,7 +123,7 @@
         }
         if faulty {
             tracing::info!("{name} fails sound jobs: it is faulty");
-            self.estimates.failures.acquit(name);
+            self.estimates.failures.forget_machine(name);
         }
     }
 
@@ -131,7 +134,7 @@
             .iter()
             .flat_map(|(shard, owned_shard)| owned_shard.machines.iter().map(move |(name, m)| (*shard, name, m)))
             .filter(|(_, _, m)| !m.faulty && m.failed_jobs.len() >= FAULTY_AFTER)
-            .filter(|(_, _, m)| m.failed_jobs.keys().filter(|j| self.sound(j)).count() >= FAULTY_AFTER)
+            .filter(|(_, _, m)| m.failed_jobs.keys().filter(|j| self.has_succeeded(j)).count() >= FAULTY_AFTER)
             .map(|(shard, name, _)| (shard, name.clone()))
             .collect();
         for (shard, name) in doubtful {
--- a/src/coordination/fleet/fault_attribution/tests.rs
+++ b/src/coordination/fleet/fault_attribution/tests.rs
@@ -3,16 +3,16 @@
 #[test]
 fn tries_of_a_job_that_always_fails_become_rare() {
     let job = JobId::new("wk-1");
-    let mut failures = Failures::default();
+    let mut failures = FailureHistory::default();
     let (mut now, mut tries) = (MonotonicTime(0), 0);
     while now.0 < 600_000 {
-        if !failures.paused(&job, now) {
+        if !failures.in_backoff(&job, now) {
             tries += 1;
-            failures.failed(&job, &MachineId::new(&format!("i-{}", tries % 7)), now);
+            failures.record(&job, &MachineId::new(&format!("i-{}", tries % 7)), now);
         }
         now = now + Millis(100);
     }
     assert!((10..20).contains(&tries), "{tries} tries");
     failures.forget(now + FORGET_AFTER, |_| false);
-    assert!(!failures.several(&job));
+    assert!(!failures.failed_on_several(&job));
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -2,10 +2,7 @@
 //! from what owners say, and from its own dealings.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::fleet::provisioning_times::ProvisioningTimes;
-use crate::coordination::scheduling::unplaceable_services::UnplaceableServices;
 use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
-use crate::coordination::store_client::rate_limiter::RateLimiter;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{ListedMachine, ListedMachineState};
 use crate::storage::records::TaskRecord;
@@ -15,11 +12,11 @@
 
 /// A machine that is ours, as far as the leader knows.
 #[derive(Debug, Clone)]
-pub struct FleetMachine {
+pub struct RentedMachine {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
-    pub born: MonotonicTime,
+    pub created_at: MonotonicTime,
     pub up: bool,
     pub failed: bool,
     /// The cloud has announced that it takes it.
@@ -33,14 +30,14 @@
     pub(crate) drain_since: Option<MonotonicTime>,
 }
 
-impl FleetMachine {
+impl RentedMachine {
     /// A machine that is not known to be up.
-    pub(crate) fn new(kind: &str, zone: &str, spot: bool, born: MonotonicTime) -> FleetMachine {
-        FleetMachine {
+    pub(crate) fn new(kind: &str, zone: &str, spot: bool, created_at: MonotonicTime) -> RentedMachine {
+        RentedMachine {
             kind: kind.into(),
             zone: zone.into(),
             spot,
-            born,
+            created_at,
             up: false,
             failed: false,
             leaving: false,
@@ -53,42 +50,6 @@
     }
 }
 
-#[derive(Debug, Default)]
-pub struct Fleet {
-    pub machines: BTreeMap<MachineId, FleetMachine>,
-    pub(crate) rate_limiter: Option<RateLimiter>,
-    pub(crate) listing: bool,
-    /// A full list was read since this node leads.
-    pub(crate) known: bool,
-    pub(crate) list_at: MonotonicTime,
-    pub(crate) renting: bool,
-    pub(crate) returning: bool,
-    /// No capacity of a kind, zone and sort until then.
-    pub(crate) refused: BTreeMap<(String, String, bool), (MonotonicTime, u32)>,
-    pub(crate) provisioning_times: ProvisioningTimes,
-    /// What the record names, for looking up: asked for every machine in
-    /// every round and report.
-    pub(crate) drained: HashSet<MachineId, FixedState>,
-    pub(crate) returned: HashSet<MachineId, FixedState>,
-    /// Returned for certain, but perhaps not in the record yet.
-    pub(crate) gone: BTreeSet<MachineId>,
-    /// All that were returned of late, and when: lists that lag still name them,
-    /// and the record has no room for as many as a shrinking fleet returns.
-    left: BTreeMap<MachineId, MonotonicTime>,
-    pub(crate) unplaceable_services: UnplaceableServices,
-}
-
-impl Fleet {
-    /// A standstill of this node is no idleness or absence of machines.
-    pub(crate) fn clock_jumped(&mut self, gap: Millis) {
-        for machine in self.machines.values_mut() {
-            for time in [&mut machine.last_listed, &mut machine.idle_since].into_iter().flatten() {
-                *time = *time + gap;
-            }
-        }
-    }
-}
-
 impl Core {
     pub(crate) fn draining(&self, name: &MachineId) -> bool {
         self.fleet.drained.contains(name) || self.fleet.returned.contains(name)
@@ -106,19 +67,13 @@
 
     pub(crate) fn fleet_changed(&mut self) {
         if let Some(record) = &self.cache.fleet.record {
-            for name in &record.gone {
-                self.fleet.machines.remove(name);
-            }
-            self.fleet.drained = record.drain.iter().cloned().collect();
-            self.fleet.returned = record.gone.iter().cloned().collect();
+            self.fleet.apply_record(record);
         }
     }
 
     /// Takes from the cloud's rate; the rest is for the next turn.
     pub(crate) fn afford_cloud(&mut self) -> bool {
-        let rate = self.settings.cluster.cloud.rps * 0.8;
-        let now = self.now;
-        self.fleet.rate_limiter.get_or_insert_with(|| RateLimiter::new(rate.max(1.0))).take(now, 1.0)
+        self.fleet.cloud_calls.take(self.now, 1.0)
     }
 
     pub(crate) fn manage_fleet(&mut self) {
@@ -148,7 +103,7 @@
         let mut under_way: BTreeMap<(String, String), Vec<f64>> = BTreeMap::new();
         for m in self.fleet.machines.values().filter(|m| !m.up && !m.failed && m.rented_here) {
             let ages = under_way.entry((m.kind.clone(), m.zone.clone())).or_default();
-            ages.push(self.now.since(m.born).as_secs());
+            ages.push(self.now.since(m.created_at).as_secs());
         }
         self.fleet.provisioning_times.learn(&under_way);
     }
@@ -196,8 +151,8 @@
             }
             for (name, machine) in &owned_shard.machines {
                 if !self.fleet.machines.contains_key(name) && !self.has_left(name) {
-                    let found = FleetMachine::new(&machine.kind, &machine.zone, machine.spot, machine.born);
-                    let fleet_machine = FleetMachine { up: true, ..found };
+                    let found = RentedMachine::new(&machine.kind, &machine.zone, machine.spot, machine.born);
+                    let fleet_machine = RentedMachine { up: true, ..found };
                     self.fleet.machines.insert(name.clone(), fleet_machine);
                 }
             }
@@ -212,10 +167,10 @@
         }
         for (name, fleet_machine) in &mut self.fleet.machines {
             if !fleet_machine.up && fleet_machine.rented_here && up.contains(name) {
-                self.fleet.provisioning_times.came_up(
+                self.fleet.provisioning_times.record_ready(
                     &fleet_machine.kind,
                     &fleet_machine.zone,
-                    self.now.since(fleet_machine.born).as_secs(),
+                    self.now.since(fleet_machine.created_at).as_secs(),
                 );
             }
             fleet_machine.up |= up.contains(name);
@@ -254,7 +209,7 @@
         match (what, answer) {
             (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.take_catalog(catalog),
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
-            (PendingRequest::Rent(rent), answer) => self.rent_answer(rent, answer),
+            (PendingRequest::Rent(rental), answer) => self.rent_answer(rental, answer),
             (PendingRequest::Return(names), answer) => {
                 self.fleet.returning = false;
                 if matches!(answer, CloudAnswer::Returned) {
@@ -287,7 +242,7 @@
                 continue;
             }
             let fleet_machine =
-                FleetMachine::new(&listed.kind, &listed.zone, listed.spot, self.now - Millis::secs(listed.age_s));
+                RentedMachine::new(&listed.kind, &listed.zone, listed.spot, self.now - Millis::secs(listed.age_s));
             let fleet_machine = self.fleet.machines.entry(listed.machine).or_insert(fleet_machine);
             fleet_machine.up |= listed.state == ListedMachineState::Running;
             fleet_machine.failed |= listed.state == ListedMachineState::Failed;
@@ -297,7 +252,7 @@
         // is missing for long is gone.
         let patience = Millis::secs(self.settings.cluster.cloud.list_lag_s * 2.5 + 5.0);
         let now = self.now;
-        self.fleet.machines.retain(|_, m| now.since(m.last_listed.unwrap_or(m.born)) < patience);
+        self.fleet.machines.retain(|_, m| now.since(m.last_listed.unwrap_or(m.created_at)) < patience);
         self.fleet.left.retain(|_, at| now.since(*at) < patience);
     }
 }
--- a/src/coordination/fleet/provisioning_times.rs
+++ b/src/coordination/fleet/provisioning_times.rs
@@ -42,11 +42,11 @@
         }
     }
 
-    pub fn came_up(&mut self, kind: &str, zone: &str, after_s: f64) {
+    pub fn record_ready(&mut self, kind: &str, zone: &str, after_s: f64) {
         self.add(kind, zone, Lifetime { age_s: after_s, lost: true });
     }
 
-    pub fn given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
+    pub fn record_given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
         self.add(kind, zone, Lifetime { age_s: after_s, lost: false });
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// What of a machine that has been booting for so long may be counted on.
-    pub fn coming(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
+    pub fn countable_share(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
         if age_s > LATE * self.patience_s(kind, zone, catalog_s) + GRACE_S {
             LATE_SHARE
         } else {
@@ -83,7 +83,7 @@
 
     /// True if a boot should be given up; `overtaken` if a machine of its kind
     /// that was asked for later is up already.
-    pub fn hopeless(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64, overtaken: bool) -> bool {
+    pub fn should_give_up(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64, overtaken: bool) -> bool {
         let times = if overtaken { OVERTAKEN } else { HOPELESS };
         age_s > times * self.patience_s(kind, zone, catalog_s) + GRACE_S
     }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -2,7 +2,7 @@
 //! when nothing is on them.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::fleet::inventory::FleetMachine;
+use crate::coordination::fleet::inventory::RentedMachine;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudCall, Core};
 use crate::protocol::cloud::RETURN_LIMIT;
@@ -38,15 +38,14 @@
 
 impl Core {
     /// True if a machine should have been up long ago.
-    pub(crate) fn stuck(&self, m: &FleetMachine) -> bool {
+    pub(crate) fn is_stuck(&self, m: &RentedMachine) -> bool {
         let Some(t) = self.catalog.get(&m.kind).filter(|_| !m.up) else { return false };
-        let overtaken = self
-            .fleet
-            .machines
-            .values()
-            .any(|other| other.up && other.born > m.born && other.kind == m.kind && other.zone == m.zone);
-        let age_s = self.now.since(m.born).as_secs();
-        self.fleet.provisioning_times.hopeless(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
+        let overtaken =
+            self.fleet.machines.values().any(|other| {
+                other.up && other.created_at > m.created_at && other.kind == m.kind && other.zone == m.zone
+            });
+        let age_s = self.now.since(m.created_at).as_secs();
+        self.fleet.provisioning_times.should_give_up(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
     }
 
     /// Marks for return what is idle beyond need, failed or never came up.
@@ -57,15 +56,15 @@
         let (lacks, spare) = self.missing(demand, |d| d.cpus);
         // Machines that suit work without room are kept; others are not: they
         // may be what keeps the cloud from having any that would do.
-        let lacking = |name: &MachineId, m: &FleetMachine| {
+        let lacking = |name: &MachineId, m: &RentedMachine| {
             let mut groups = demand.iter().zip(&lacks);
             groups.any(|(group, lack)| *lack > 0.5 && self.serves(group, name, m))
         };
         let idle_for = Millis::secs(self.tuning.idle_s);
         let mut surplus: f64 = spare.values().sum();
         let mut drain = vec![];
-        let mut order: Vec<(&MachineId, &FleetMachine)> = self.fleet.machines.iter().collect();
-        let price = |m: &FleetMachine| {
+        let mut order: Vec<(&MachineId, &RentedMachine)> = self.fleet.machines.iter().collect();
+        let price = |m: &RentedMachine| {
             self.catalog
                 .get(&m.kind)
                 .map_or(0.0, |t| if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus)
@@ -79,13 +78,13 @@
                 continue;
             }
             let Some(t) = self.catalog.get(&fleet_machine.kind) else { continue };
-            let stuck = self.stuck(fleet_machine);
+            let stuck = self.is_stuck(fleet_machine);
             // Ordinary machines cost several times as much to keep.
             let idle_for = if fleet_machine.spot { idle_for } else { Millis(idle_for.0 / 4) };
             let idle = fleet_machine.idle_since.is_some_and(|at| self.now.since(at) >= idle_for);
             // Surplus ordinary machines are left to run out, rather than
             // refilled for as long as there is any work.
-            let settled = fleet_machine.up && self.now.since(fleet_machine.born) > Millis::secs(t.boot_s + 45.0);
+            let settled = fleet_machine.up && self.now.since(fleet_machine.created_at) > Millis::secs(t.boot_s + 45.0);
             let in_use = load(name) / t.cpus;
             let margin = if fleet_machine.spot { wanted * 0.1 } else { t.cpus * 0.25 };
             let dear = settled && !fleet_machine.spot && in_use < 0.6 && surplus >= t.cpus + margin;
@@ -103,8 +102,8 @@
         for name in drain {
             if let Some(fleet_machine) = self.fleet.machines.get_mut(&name) {
                 if !fleet_machine.up && fleet_machine.rented_here {
-                    let after_s = self.now.since(fleet_machine.born).as_secs();
-                    self.fleet.provisioning_times.given_up(&fleet_machine.kind, &fleet_machine.zone, after_s);
+                    let after_s = self.now.since(fleet_machine.created_at).as_secs();
+                    self.fleet.provisioning_times.record_given_up(&fleet_machine.kind, &fleet_machine.zone, after_s);
                 }
                 fleet_machine.drain_since = Some(self.now);
             }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -2,7 +2,7 @@
 //! durable before it is asked for.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::fleet::inventory::FleetMachine;
+use crate::coordination::fleet::inventory::RentedMachine;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
@@ -14,19 +14,20 @@
 /// For how long a machine is paid for, usually.
 const PAID_FOR_S: f64 = 300.0;
 
-/// A rental on its way.
+/// A rental that is requested and not confirmed yet.
 #[derive(Debug, Clone)]
-pub struct Rent {
+pub struct PendingRental {
     pub request: RentRequest,
     pub(crate) tries: u32,
 }
 
 impl Core {
     /// Cores that a machine may be counted on for: a late boot may never end.
-    pub(crate) fn counted_cpus(&self, m: &FleetMachine) -> Option<f64> {
+    pub(crate) fn counted_cpus(&self, m: &RentedMachine) -> Option<f64> {
         let t = self.catalog.get(&m.kind)?;
-        let age_s = self.now.since(m.born).as_secs();
-        let share = if m.up { 1.0 } else { self.fleet.provisioning_times.coming(&m.kind, &m.zone, t.boot_s, age_s) };
+        let age_s = self.now.since(m.created_at).as_secs();
+        let share =
+            if m.up { 1.0 } else { self.fleet.provisioning_times.countable_share(&m.kind, &m.zone, t.boot_s, age_s) };
         Some(t.cpus * share)
     }
 
@@ -41,12 +42,12 @@
     }
 
     /// True if the machine may do work of the group.
-    pub(crate) fn serves(&self, demand: &Demand, name: &MachineId, m: &FleetMachine) -> bool {
+    pub(crate) fn serves(&self, demand: &Demand, name: &MachineId, m: &RentedMachine) -> bool {
         demand.shard.is_none_or(|shard| self.shard_of(name) == shard) && self.suits(demand, &m.kind, &m.zone, m.spot)
     }
 
     /// True if a task that takes so much fits beside what is used of the machine.
-    fn has_room(&self, m: &FleetMachine, used: [f64; 3], need: &[f64; 3]) -> bool {
+    fn has_room(&self, m: &RentedMachine, used: [f64; 3], need: &[f64; 3]) -> bool {
         let Some(t) = self.catalog.get(&m.kind) else { return false };
         let all = [t.cpus, t.gpus, t.mem_gb];
         all.iter().zip(used).zip(need).all(|((all, used), need)| used + need <= all + 1e-6)
@@ -102,11 +103,11 @@
             }
             // Without any spot machines to be had, or any machine at all, work
             // that could wait for cheap room would wait for nothing.
-            let cheap = group.spot && self.catalog.values().any(|t| t.spot_price.is_some());
+            let cheap = group.spot && self.catalog.types().any(|t| t.spot_price.is_some());
             let nothing =
                 any >= group.cpus && self.fleet.refused.iter().any(|(slot, until)| slot.2 && self.now < until.0);
             let mut best: Option<(f64, RentRequest)> = None;
-            for t in self.catalog.values() {
+            for t in self.catalog.types() {
                 for zone in &t.zones {
                     for spot in [true, false] {
                         let lack = if spot || !cheap || nothing { any } else { urgent };
@@ -169,8 +170,8 @@
         self.writes.force(self.now, 1.0);
         self.busy_keys.insert(FLEET_KEY.into());
         self.fleet.renting = true;
-        let rent = Rent { request, tries: 3 };
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
+        let rental = PendingRental { request, tries: 3 };
+        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rental, transaction });
     }
 
     pub(crate) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
@@ -182,12 +183,12 @@
         Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
-    pub(crate) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StateAnswer) {
+    pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StateAnswer) {
         self.busy_keys.remove(FLEET_KEY);
         match answer {
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
-                self.call_cloud(CloudCall::Rent(rent.request.clone()), PendingRequest::Rent(rent));
+                self.call_cloud(CloudCall::Rent(rental.request.clone()), PendingRequest::Rent(rental));
             }
             StateAnswer::Conflict(failed) => {
                 self.fleet.renting = false;
@@ -197,9 +198,9 @@
         }
     }
 
-    pub(crate) fn rent_answer(&mut self, rent: Rent, answer: CloudAnswer) {
+    pub(crate) fn rent_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
         self.fleet.renting = false;
-        let RentRequest { kind, zone, spot, count, .. } = rent.request.clone();
+        let RentRequest { kind, zone, spot, count, .. } = rental.request.clone();
         let slot = (kind.clone(), zone.clone(), spot);
         match answer {
             CloudAnswer::Rented(names) => {
@@ -211,7 +212,7 @@
                 }
                 for name in names.machines {
                     let fleet_machine =
-                        FleetMachine { rented_here: true, ..FleetMachine::new(&kind, &zone, spot, self.now) };
+                        RentedMachine { rented_here: true, ..RentedMachine::new(&kind, &zone, spot, self.now) };
                     self.fleet.machines.entry(name).or_insert(fleet_machine);
                 }
             }
@@ -221,9 +222,9 @@
                 self.fleet.refused.insert(slot, (self.now + pause, times));
             }
             // Perhaps carried out: the same name asks for the same machines.
-            _ if rent.tries > 0 && self.leading() => {
+            _ if rental.tries > 0 && self.leading() => {
                 self.fleet.renting = true;
-                let again = Rent { tries: rent.tries - 1, ..rent };
+                let again = PendingRental { tries: rental.tries - 1, ..rental };
                 self.call_cloud(CloudCall::Rent(again.request.clone()), PendingRequest::Rent(again));
             }
             _ => {
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -230,7 +230,7 @@
                 m.failed_jobs.insert(key.0.clone(), self.now);
                 tracing::info!("task {}/{} failed on {machine}", key.0, key.1);
                 self.note_error(&key, task.attempt);
-                self.estimates.failures.failed(&key.0, machine, self.now);
+                self.estimates.record_failure(&key.0, machine, self.now);
                 self.update_faulty_machine(shard, machine);
             }
             _ => {}
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::storage::records::FleetRecord;
 use crate::units::{FencingToken, Revision};
 
 /// An owner of part 0 whose records name a task on a machine that is on its way out.
@@ -26,7 +27,7 @@
             .insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
         let key = (JobId::new("wk-000002"), 0);
         core.adopt_slices(&key.0, Some(shard));
-        core.fleet.drained.insert(machine.clone());
+        core.fleet.apply_record(&FleetRecord { drain: vec![machine.clone()], ..FleetRecord::default() });
         Case { core, machine, key }
     }
 
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -89,7 +89,7 @@
             addr: machine.map(|m| m.addr.clone()).unwrap_or_default(),
             zone: machine.map(|m| m.zone.clone()).unwrap_or_default(),
             age: machine.map_or(Millis(u64::MAX), |m| self.now.since(m.last_heartbeat)),
-            error: self.estimates.errors.get(&key).copied(),
+            error: self.estimates.failed_attempt(&key),
             token: owned_shard.token,
             job: key.0,
         })
@@ -98,13 +98,13 @@
     /// Remembers that an attempt of a service's replica failed.
     pub(crate) fn note_error(&mut self, key: &TaskKey, attempt: Attempt) {
         let standing = self.cache.jobs.get(&key.0).is_some_and(|j| j.record.spec.kind == JobKind::Standing);
-        if standing && self.estimates.errors.len() < MOST_ERRORS {
-            self.estimates.errors.insert(key.clone(), attempt);
+        if standing && self.estimates.failed_attempt_count() < MOST_ERRORS {
+            self.estimates.record_failed_attempt(key.clone(), attempt);
         }
     }
 
     pub(crate) fn forget_errors(&mut self) {
         let cache = &self.cache;
-        self.estimates.errors.retain(|key, _| cache.jobs.get(&key.0).is_some_and(|j| j.record.end.is_none()));
+        self.estimates.retain_failed_attempts(|key| cache.jobs.get(&key.0).is_some_and(|j| j.record.end.is_none()));
     }
 }
--- a/src/coordination/jobs/submission/tests.rs
+++ b/src/coordination/jobs/submission/tests.rs
@@ -9,7 +9,7 @@
     let mut core = crate::coordination::tests::core();
     let kind = serde_json::json!({"sku": "m", "cores": 8.0, "gpus": 0.0, "mem_gb": 32.0, "local_gb": 50.0,
         "fetch_gb_per_s": 1.0, "hourly": 1.0, "market_price": null, "ready_s": 20.0, "berths": ["a"]});
-    core.catalog.insert("m".into(), serde_json::from_value(kind).expect("a machine type"));
+    core.catalog.set_types(&[serde_json::from_value(kind).expect("a machine type")]);
     (core.loaded, core.now) = (true, MonotonicTime(60_000));
     let mut up = |state: u64, peer: Option<(u64, bool)>| {
         core.last_state_answer = Some(MonotonicTime(state));
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -88,7 +88,7 @@
         let Some(team) = self.settings.cluster.teams.iter().find(|t| t.name == spec.team) else {
             return Some("unknown team");
         };
-        let fitting = self.catalog.values().filter(|t| {
+        let fitting = self.catalog.types().filter(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
                 && t.cpus >= spec.cpus
                 && t.gpus >= spec.gpus
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -110,7 +110,7 @@
         // Our own shards' wishes are newer than what is durable.
         let used = self.taken();
         let mut shards: Vec<Vec<RoomAt>> = (0..self.shard_count).map(|_| vec![]).collect();
-        for (name, m) in &self.fleet.machines {
+        for (name, m) in self.fleet.machines() {
             let Some(t) = self.catalog.get(&m.kind) else { continue };
             if !m.up || m.leaving || m.downlink_lost || self.draining(name) {
                 continue;
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -385,9 +385,12 @@
             // All of them now and then, for owners that are new; in between
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
-            let ages = self.fleet.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
+            let ages = self.fleet.machines().filter(|(_, m)| all || self.now.since(m.created_at) < YOUNG);
             status.ages = ages
-                .map(|(name, m)| MachineAge { machine: name.to_string(), age_s: self.now.since(m.born).as_secs() })
+                .map(|(name, m)| MachineAge {
+                    machine: name.to_string(),
+                    age_s: self.now.since(m.created_at).as_secs(),
+                })
                 .collect();
         }
         status.faulty = self
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -14,7 +14,7 @@
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::SentRequest;
 use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
+use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, RentRequest};
 use crate::protocol::peer::PeerStatus;
 use crate::protocol::state::{StateAnswer, StateCall};
 use crate::protocol::users::JobSpec;
@@ -203,9 +203,9 @@
     /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
     assign_soon: bool,
     next_assignment: MonotonicTime,
-    catalog: BTreeMap<String, MachineType>,
-    catalog_at: Option<MonotonicTime>,
-    fleet: crate::coordination::fleet::inventory::Fleet,
+    catalog: crate::coordination::fleet::catalog::MachineCatalog,
+    fleet: crate::coordination::fleet::Fleet,
+    unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
     /// Teams with a guarantee: cores and GPUs.
@@ -235,6 +235,7 @@
             &settings.cluster.objectives,
             &mut cache.names,
         );
+        let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
         let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
         let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
         Core {
@@ -278,9 +279,9 @@
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
             next_assignment: MonotonicTime(0),
-            catalog: BTreeMap::new(),
-            catalog_at: None,
-            fleet: crate::coordination::fleet::inventory::Fleet::default(),
+            catalog: crate::coordination::fleet::catalog::MachineCatalog::default(),
+            fleet,
+            unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
             estimates: crate::coordination::fleet::estimates::Estimates::default(),
             status_queries: StatusQueries::default(),
             dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -196,7 +196,7 @@
                 };
                 let Some((job, run_s)) = found else { continue };
                 let ends = job.record.spec.kind != JobKind::Standing;
-                openings.hold(&needs(&job.record), ends.then(|| self.rest_after(owned_shard, run_s, key)));
+                openings.hold(&needs(&job.record), ends.then(|| self.remaining_s_of_run(owned_shard, run_s, key)));
             }
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -29,7 +29,7 @@
         let mut queue: Vec<QueuedJob<Precedence, (&JobId, Place, bool)>> = vec![];
         let mut any_ours = false;
         for (place, (id, job)) in self.cache.jobs.iter().enumerate() {
-            if job.record.end.is_some() || job.record.waits() || self.held_back(id, job) {
+            if job.record.end.is_some() || job.record.waits() || self.in_retry_backoff(id, job) {
                 continue;
             }
             let ours = job.pending_tasks() > 0;
@@ -100,7 +100,7 @@
                 j.record.end.is_none()
                     && !j.record.waits()
                     && left.iter().any(|(team, _)| **team == j.team)
-                    && !self.suspect(id)
+                    && !self.fails_everywhere(id)
             })
             .collect();
         jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -139,7 +139,7 @@
         {
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             let spec = &job.record.spec;
-            if self.rest_of(owned_shard, job, key) < NEARLY_DONE_S {
+            if self.remaining_s(owned_shard, job, key) < NEARLY_DONE_S {
                 continue;
             }
             let ran = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -89,7 +89,7 @@
                 for key in owned_shard.on.get(name).into_iter().flatten() {
                     let Some(job) = self.cache.jobs.get(&key.0) else { continue };
                     let spec = &job.record.spec;
-                    let rest = self.rest_of(owned_shard, job, key);
+                    let rest = self.remaining_s(owned_shard, job, key);
                     if !faulty && spec.kind != JobKind::Standing && rest + 0.5 < left {
                         continue;
                     }
@@ -186,7 +186,7 @@
             }
             let before = (places.len(), gang.then(|| (seats.clone(), used.clone(), promised)));
             let mut spread = self.spread(shard, id, job);
-            let suspect = self.suspect(id);
+            let suspect = self.fails_everywhere(id);
             let failed = |seat: &Seat, within: Millis| {
                 let at = seat.machine.failed_jobs.get(id);
                 !suspect && at.is_some_and(|at| self.now.since(*at) < within)
@@ -325,7 +325,7 @@
     }
 
     fn quickest_boot_s(&self) -> f64 {
-        self.catalog.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.catalog.types().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Seats that a round of one shard scores before it looks only at jobs with
@@ -341,7 +341,7 @@
     /// Cores that a shard keeps free for work that must start at once: those
     /// of a usual job of each such class, of what has been seen.
     pub(crate) fn reserve(&self, cpus: f64) -> f64 {
-        self.estimates.quick_cpus().min(cpus * MOST_RESERVED)
+        self.estimates.quick_start_cpus().min(cpus * MOST_RESERVED)
     }
 }
 
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -45,11 +45,11 @@
                 if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, record, 1, false) > 0) {
                     continue;
                 }
-                let since = self.fleet.unplaceable_services.0.get(id).map_or(self.now, |(since, _)| *since);
+                let since = self.unplaceable_services.0.get(id).map_or(self.now, |(since, _)| *since);
                 unplaceable_services.insert(id.clone(), (since, zones.into_iter().next()));
             }
         }
-        self.fleet.unplaceable_services.0 = unplaceable_services;
+        self.unplaceable_services.0 = unplaceable_services;
     }
 
     /// Zones in which one more replica may be beside those that run, the emptiest first.
@@ -58,13 +58,13 @@
         let mut on: BTreeMap<&str, usize> = BTreeMap::new();
         for task in job.slices().iter().filter_map(|s| s.newest()).flat_map(|r| &r.tasks) {
             let TaskRecord::Placed(_, machine) = task else { continue };
-            if let Some(fleet_machine) = self.fleet.machines.get(machine) {
+            if let Some(fleet_machine) = self.fleet.machine(machine) {
                 *on.entry(&fleet_machine.zone).or_default() += 1;
             }
         }
         let half = spec.task_count.div_ceil(2) as usize;
         let at = |zone: &str| on.get(zone).copied().unwrap_or(0);
-        let sold: BTreeSet<&String> = self.catalog.values().flat_map(|t| &t.zones).collect();
+        let sold: BTreeSet<&String> = self.catalog.types().flat_map(|t| &t.zones).collect();
         let mut open: Vec<String> = sold
             .into_iter()
             .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone))
@@ -78,7 +78,7 @@
 
     /// What they want: room for one replica each, in their part.
     pub(crate) fn unplaceable_demand(&self) -> Vec<Demand> {
-        let long = self.fleet.unplaceable_services.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
+        let long = self.unplaceable_services.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
         let demand = long.filter_map(|(id, (_, zone))| {
             let job = self.cache.jobs.get(id)?;
             let spec = &job.record.spec;
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -112,7 +112,7 @@
             // Once a job: its record changes with each deal.
             if news == JobChange::First && self.wants_quick_start(&job.class) {
                 let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
-                self.estimates.saw_job(&class, cpus);
+                self.estimates.record_quick_start_job(&class, cpus);
             }
         }
         if let Some(job) = self.cache.jobs.get(id).filter(|_| news == JobChange::Ended) {
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -72,10 +72,10 @@
         tries: u32,
     },
     RentName {
-        rent: crate::coordination::fleet::scale_out::Rent,
+        rental: crate::coordination::fleet::scale_out::PendingRental,
         transaction: Transaction,
     },
-    Rent(crate::coordination::fleet::scale_out::Rent),
+    Rent(crate::coordination::fleet::scale_out::PendingRental),
     Return(Vec<MachineId>),
     List {
         seen: Vec<crate::protocol::cloud::ListedMachine>,
@@ -183,7 +183,7 @@
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.cancel_written(request, job, transaction, tries, answer)
             }
-            PendingRequest::RentName { rent, transaction } => self.rent_named(rent, transaction, answer),
+            PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
