--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -193,7 +193,7 @@
                 let ends = job.record.spec.kind != JobKind::Standing;
                 openings.hold(
                     &Resources::of_task(&job.record.spec),
-                    ends.then(|| self.rest_after(owned_shard, run_s, key)),
+                    ends.then(|| self.remaining_s_of_run(owned_shard, run_s, key)),
                 );
             }
             // Tasks on the machine that nobody wants there still take room. Both
