--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -11,7 +11,7 @@
 impl Core {
     pub(crate) fn refresh_catalog(&mut self) {
         let known = !self.catalog.is_empty();
-        if known && !self.leading() {
+        if known && !self.is_leader() {
             return;
         }
         let pause = if known { 15.0 } else { 1.0 };
@@ -31,7 +31,7 @@
             };
             lasting(old) == lasting(&catalog)
         });
-        if same || !self.leading() || self.busy_keys.contains(records::CATALOG_KEY) {
+        if same || !self.is_leader() || self.busy_keys.contains(records::CATALOG_KEY) {
             return;
         }
         let Ok(value) = serde_json::to_value(&catalog) else { return };
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -84,7 +84,7 @@
         // one that ran while we stood still ended at a time unknown. Learned
         // from, a standstill of 20 s once made all later work seem half as long
         // again, and machines were rented for it.
-        if started.since(owned_shard.since) < Millis(3000) || *started < self.resumed_at {
+        if started.since(owned_shard.owned_since) < Millis(3000) || *started < self.resumed_at {
             return;
         }
         let ran = self.now.since(*started).as_secs();
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -115,7 +115,7 @@
         if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(name)) {
             machine.faulty = faulty;
             if rests {
-                machine.rests_until = until;
+                machine.cordoned_until = until;
             }
         }
         if faulty {
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -132,7 +132,7 @@
 
     /// Writes which machines are on their way out, and which are gone.
     pub(crate) fn write_fleet(&mut self) {
-        if self.busy_keys.contains(FLEET_KEY) || !self.leading() {
+        if self.busy_keys.contains(FLEET_KEY) || !self.is_leader() {
             return;
         }
         let before = self.cache.fleet.record.clone().unwrap_or_default();
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -221,7 +221,7 @@
                 self.fleet.refused.insert(slot, (self.now + pause, times));
             }
             // Perhaps carried out: the same name asks for the same machines.
-            _ if rent.tries > 0 && self.leading() => {
+            _ if rent.tries > 0 && self.is_leader() => {
                 self.fleet.renting = true;
                 let again = Rent { tries: rent.tries - 1, ..rent };
                 self.call_cloud(CloudCall::Rent(again.request.clone()), PendingRequest::Rent(again));
--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -89,7 +89,7 @@
         let before_silence = self.quiet().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
         let within = |most: Millis| Millis(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
         let lives = heartbeat.tasks.iter().any(|t| t.state != TaskState::Exited);
-        let usable = machine.acked
+        let usable = machine.token_acknowledged
             && machine.notice.is_none()
             && !machine.faulty
             && !self.is_downlink_lost(machine)
@@ -98,8 +98,10 @@
             return None;
         }
         let exits = heartbeat.tasks.iter().any(|t| t.state == TaskState::Exited);
-        let unsent =
-            owned_shard.on.get(&heartbeat.machine).is_some_and(|on| on.iter().any(|k| !machine.listed.contains_key(k)));
+        let unsent = owned_shard
+            .placed_tasks
+            .get(&heartbeat.machine)
+            .is_some_and(|on| on.iter().any(|k| !machine.listed.contains_key(k)));
         if !lives && !exits {
             return Some(within(LONGEST));
         }
@@ -130,7 +132,7 @@
     fn orders(&mut self, shard: ShardId, heartbeat: &Heartbeat, newest: bool, ready: bool) -> Vec<Command> {
         match (newest, ready) {
             (true, true) => self.commands(shard, heartbeat),
-            (true, false) => self.stops_of_ended(heartbeat),
+            (true, false) => self.stop_commands_of_ended_jobs(heartbeat),
             (false, _) => vec![],
         }
     }
@@ -163,7 +165,7 @@
         let Some(held) = self.deferred_responses.take(machine) else { return };
         let shard = self.shard_of(machine);
         let Some((token, ready)) = self.owned_shards.get(&shard).map(|m| (m.token, m.ready)) else {
-            let response = self.answer_stranger(shard, &held.heartbeat);
+            let response = self.answer_foreign_heartbeat(shard, &held.heartbeat);
             return self.response(held.request, response);
         };
         if !self.may_answer_workers() || held.heartbeat.token > token {
@@ -172,9 +174,7 @@
         // The shard may have been lost and won again meanwhile: then this owner
         // has not heard of the machine, and knows nothing of what is on it.
         let newest = self.owned_shards.get(&shard).and_then(|m| m.machines.get(machine));
-        let newest = newest.is_some_and(|m| {
-            (m.agent_epoch, m.heartbeat_number) == (held.heartbeat.agent_epoch, held.heartbeat.heartbeat_number)
-        });
+        let newest = newest.is_some_and(|m| m.sequence() == held.heartbeat.sequence());
         let commands = self.orders(shard, &held.heartbeat, newest, ready);
         if commands.is_empty() && !due {
             return self.deferred_responses.hold(held);
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::heartbeats::reachability::Reachability;
 use crate::coordination::membership::startup::Milestone;
-use crate::coordination::shards::owned_shard::{Machine, TaskKey};
+use crate::coordination::shards::owned_shard::{CachedImage, ListedTask, Machine, TaskKey};
 use crate::coordination::{Core, Response};
 use crate::protocol::workers::{Command, ExitReason, Heartbeat, TaskName, TaskState, TaskStatus};
 use crate::storage::records::TaskRecord;
@@ -20,7 +20,7 @@
         let shard = self.shard_of(&heartbeat.machine);
         self.shard_release.heard(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
-            let response = self.answer_stranger(shard, &heartbeat);
+            let response = self.answer_foreign_heartbeat(shard, &heartbeat);
             return self.response(request, response);
         };
         if !self.may_answer_workers() || heartbeat.token > owned_shard.token {
@@ -41,8 +41,8 @@
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return false };
         let token = owned_shard.token;
-        let number = (heartbeat.agent_epoch, heartbeat.heartbeat_number);
-        let given_up = owned_shard.given_up.get(&heartbeat.machine).copied();
+        let number = heartbeat.sequence();
+        let given_up = owned_shard.removed_machines.get(&heartbeat.machine).copied();
         if given_up.is_some_and(|last| number <= last) {
             // A copy from before: the machine's lease was over since then.
             return false;
@@ -54,21 +54,21 @@
             spot: heartbeat.spot,
             agent_epoch: AgentEpoch(0),
             heartbeat_number: HeartbeatNumber(0),
-            acked: false,
+            token_acknowledged: false,
             last_heartbeat: now,
             born: now,
             notice: None,
             listed: BTreeMap::new(),
-            sent: BTreeMap::new(),
+            start_sent_at: BTreeMap::new(),
             images: vec![],
             failed_jobs: BTreeMap::new(),
             faulty: false,
             reachability: Reachability::new(now, given_up.is_some()),
-            rests_until: MonotonicTime(0),
+            cordoned_until: MonotonicTime(0),
         });
         // A copy renews nothing: the worker counts its lease from when it sent
         // the report, which was before the newer one came.
-        let last = (machine.agent_epoch, machine.heartbeat_number);
+        let last = machine.sequence();
         if number <= last {
             return false;
         }
@@ -79,11 +79,11 @@
         self.shard_release.reported(now, &heartbeat.machine, hears);
         if heartbeat.agent_epoch > machine.agent_epoch {
             machine.listed.clear();
-            machine.sent.clear();
+            machine.start_sent_at.clear();
         }
         machine.agent_epoch = heartbeat.agent_epoch;
         machine.heartbeat_number = heartbeat.heartbeat_number;
-        machine.acked = heartbeat.token == token;
+        machine.token_acknowledged = heartbeat.token == token;
         machine.notice = match (heartbeat.notice_s, machine.notice) {
             (Some(_), Some(at)) => Some(at),
             (Some(s), None) => Some(now + Millis::secs(s)),
@@ -93,15 +93,15 @@
         for task in &heartbeat.tasks {
             let key = (task.task.job.clone(), task.task.index);
             let since = match before.get(&key) {
-                Some((attempt, state, since)) if *attempt == task.attempt && *state == task.state => *since,
+                Some(listed) if listed.attempt == task.attempt && listed.state == task.state => listed.since,
                 _ => now,
             };
             if task.state == TaskState::Running
-                && owned_shard.on.get(&heartbeat.machine).is_some_and(|on| on.contains(&key))
+                && owned_shard.placed_tasks.get(&heartbeat.machine).is_some_and(|on| on.contains(&key))
             {
                 owned_shard.running_since.entry(key.clone()).or_insert(now);
             }
-            machine.listed.insert(key, (task.attempt, task.state, since));
+            machine.listed.insert(key, ListedTask { attempt: task.attempt, state: task.state, since });
         }
         true
     }
@@ -117,8 +117,8 @@
         for task in &heartbeat.tasks {
             let key = (task.task.job.clone(), task.task.index);
             let holds = |record: Option<&TaskRecord>| matches!(record, Some(TaskRecord::Placed(a, m)) if *a == task.attempt && *m == heartbeat.machine);
-            let wanted = holds(self.wanted(&key));
-            let durable = holds(self.durable(&key));
+            let wanted = holds(self.desired_task(&key));
+            let durable = holds(self.durable_task(&key));
             let name = task.task.clone();
             let attempt = task.attempt;
             if task.state == TaskState::Exited {
@@ -150,29 +150,29 @@
     fn start_or_close(&mut self, shard: ShardId, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let Some(machine) = owned_shard.machines.get(&heartbeat.machine) else { return };
-        let listed = |key: &TaskKey, attempt: Attempt| machine.listed.get(key).is_some_and(|l| l.0 == attempt);
+        let listed =
+            |key: &TaskKey, attempt: Attempt| machine.listed.get(key).is_some_and(|listed| listed.attempt == attempt);
         let usable = machine.notice.is_none()
             && !machine.faulty
             && !self.is_downlink_lost(machine)
             && !self.draining(&heartbeat.machine);
         let startable = usable && !owned_shard.releasing && self.records_fresh();
-        let (acked, sent) = (machine.acked, &machine.sent);
+        let (acked, sent) = (machine.token_acknowledged, &machine.start_sent_at);
         let mut starts = vec![];
         let mut gone = vec![];
-        for key in owned_shard.on.get(&heartbeat.machine).into_iter().flatten() {
-            let Some(TaskRecord::Placed(attempt, _)) = self.wanted(key) else { continue };
+        for key in owned_shard.placed_tasks.get(&heartbeat.machine).into_iter().flatten() {
+            let Some(TaskRecord::Placed(attempt, _)) = self.desired_task(key) else { continue };
             if listed(key, *attempt) {
                 continue;
             }
-            let durable = self.durable(key) == self.wanted(key);
+            let durable = self.durable_task(key) == self.desired_task(key);
             let ended = self.cache.jobs.get(&key.0).is_some_and(|j| j.record.end.is_some());
             let stopped = owned_shard.stopping.contains_key(key);
             if ended || stopped || !usable || self.over_quota(shard, owned_shard, &key.0) {
                 // Not on the machine, and nothing that could still put it
                 // there: earlier owners' answers are void once the worker
                 // has seen our token, and ours once a later report came.
-                let ours_void =
-                    sent.get(key).is_none_or(|at| *at < (heartbeat.agent_epoch, heartbeat.heartbeat_number));
+                let ours_void = sent.get(key).is_none_or(|at| *at < heartbeat.sequence());
                 if acked && ours_void {
                     gone.push((key.clone(), *attempt));
                 }
@@ -184,14 +184,14 @@
             self.set_task(&key, TaskRecord::Pending(attempt));
         }
         if !starts.is_empty() {
-            self.reached(Milestone::StartSent);
+            self.milestone_reached(Milestone::StartSent);
         }
         for (key, attempt) in starts {
             self.remember_image(shard, &heartbeat.machine, &key.0);
             if let Some(machine) =
                 self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&heartbeat.machine))
             {
-                machine.sent.insert(key.clone(), (heartbeat.agent_epoch, heartbeat.heartbeat_number));
+                machine.start_sent_at.insert(key.clone(), heartbeat.sequence());
             }
             commands.push(Command::Start { task: TaskName { job: key.0, index: key.1 }, attempt });
         }
@@ -200,10 +200,10 @@
     fn remember_image(&mut self, shard: ShardId, machine: &MachineId, job: &JobId) {
         let Some(job) = self.cache.jobs.get(job) else { return };
         let Some(m) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(machine)) else { return };
-        m.images.retain(|(name, _)| *name != job.image);
-        m.images.push((job.image.clone(), job.record.spec.image_gb));
+        m.images.retain(|image| image.name != job.image);
+        m.images.push(CachedImage { name: job.image.clone(), size_gb: job.record.spec.image_gb });
         let room = self.catalog.get(&m.kind).map_or(0.0, |t| t.cache_gb);
-        while m.images.len() > 1 && m.images.iter().map(|i| i.1).sum::<f64>() > room {
+        while m.images.len() > 1 && m.images.iter().map(|image| image.size_gb).sum::<f64>() > room {
             m.images.remove(0);
         }
     }
@@ -211,7 +211,8 @@
     /// Takes an exit into what is wanted, once.
     fn take_exit(&mut self, machine: &MachineId, task: &TaskStatus) {
         let key = (task.task.job.clone(), task.task.index);
-        let current = matches!(self.wanted(&key), Some(TaskRecord::Placed(a, m)) if *a == task.attempt && m == machine);
+        let current =
+            matches!(self.desired_task(&key), Some(TaskRecord::Placed(a, m)) if *a == task.attempt && m == machine);
         if !current {
             return;
         }
@@ -241,17 +242,17 @@
     pub(crate) fn clear_machine(&mut self, shard: ShardId, name: &MachineId) {
         let lost = !self.returned(name);
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        let keys: Vec<TaskKey> = owned_shard.on.get(name).into_iter().flatten().cloned().collect();
+        let keys: Vec<TaskKey> = owned_shard.placed_tasks.get(name).into_iter().flatten().cloned().collect();
         if let Some(machine) = owned_shard.machines.remove(name) {
-            owned_shard.given_up.insert(name.clone(), (machine.agent_epoch, machine.heartbeat_number));
-            if owned_shard.given_up.len() > MOST_GIVEN_UP {
+            owned_shard.removed_machines.insert(name.clone(), machine.sequence());
+            if owned_shard.removed_machines.len() > MOST_GIVEN_UP {
                 // Names rise: the first is the oldest, more or less.
-                owned_shard.given_up.pop_first();
+                owned_shard.removed_machines.pop_first();
             }
             self.estimates.machine_gone(&machine, self.now, lost);
         }
         for key in keys {
-            if let Some(TaskRecord::Placed(attempt, _)) = self.wanted(&key).cloned() {
+            if let Some(TaskRecord::Placed(attempt, _)) = self.desired_task(&key).cloned() {
                 self.set_task(&key, TaskRecord::Pending(attempt));
             }
         }
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -12,7 +12,7 @@
 //! All of this decides where work goes, never what is proof: see `keeping`.
 
 use crate::coordination::Core;
-use crate::units::{AgentEpoch, HeartbeatNumber, MachineId, Millis, MonotonicTime};
+use crate::units::{HeartbeatSequence, MachineId, Millis, MonotonicTime};
 
 /// What tells whether a machine hears this owner.
 #[derive(Debug, Clone, Copy)]
@@ -38,17 +38,17 @@
     pub fn reported(
         &mut self,
         now: MonotonicTime,
-        last: (AgentEpoch, HeartbeatNumber),
-        heartbeat: (AgentEpoch, HeartbeatNumber),
+        last: HeartbeatSequence,
+        heartbeat: HeartbeatSequence,
         others: bool,
         lease: Millis,
     ) -> bool {
         self.last = now;
-        if heartbeat.0 != last.0 {
+        if heartbeat.agent_epoch != last.agent_epoch {
             self.session_since = now;
             return false;
         }
-        let next = others && heartbeat.1 .0 == last.1 .0 + 1;
+        let next = others && heartbeat.number.0 == last.number.0 + 1;
         let shown = next || now.since(self.session_since) > lease;
         if shown {
             self.heard = Some(now);
--- a/src/coordination/heartbeats/reachability/tests.rs
+++ b/src/coordination/heartbeats/reachability/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::units::{AgentEpoch, HeartbeatNumber};
 
-fn at(agent_epoch: u64, heartbeat_number: u64) -> (AgentEpoch, HeartbeatNumber) {
-    (AgentEpoch(agent_epoch), HeartbeatNumber(heartbeat_number))
+fn at(agent_epoch: u64, heartbeat_number: u64) -> HeartbeatSequence {
+    HeartbeatSequence { agent_epoch: AgentEpoch(agent_epoch), number: HeartbeatNumber(heartbeat_number) }
 }
 
 #[test]
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -19,7 +19,7 @@
     /// that nobody else has use for.
     pub(crate) fn archive_ended_jobs(&mut self) {
         let idle = self.writes.level(self.now) > 0.8 * self.writes.per_s();
-        if !self.leading() || !idle || !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.is_leader() || !idle || !self.records_fresh() || self.now < self.retry_state_at {
             return;
         }
         // Two changes a job, and no more than is idle.
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -65,13 +65,14 @@
             TaskRecord::Placed(_, machine) => owned_shard.machines.get(machine),
             _ => None,
         };
-        let record = self.wanted(&key)?;
+        let record = self.desired_task(&key)?;
         let machine = machine_of(record);
         let (attempt, state) = match record {
             TaskRecord::Pending(attempt) => (*attempt, ReplicaState::Waiting),
             TaskRecord::Done => (Attempt(0), ReplicaState::Ended),
             TaskRecord::Placed(attempt, _) => {
-                let listed = machine.and_then(|m| m.listed.get(&key)).filter(|l| l.0 == *attempt).map(|l| l.1);
+                let listed =
+                    machine.and_then(|m| m.listed.get(&key)).filter(|l| l.attempt == *attempt).map(|l| l.state);
                 let leaving = owned_shard.stopping.contains_key(&key) || machine.is_some_and(|m| m.notice.is_some());
                 let state = match listed {
                     Some(TaskState::Running) if leaving => ReplicaState::Leaving,
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -180,7 +180,7 @@
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
-                self.reached(Milestone::Accepted);
+                self.milestone_reached(Milestone::SubmissionAccepted);
                 self.answer_job(request, 201, &spec.id, None);
             }
             // Known already, or our own transaction after all.
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -92,7 +92,7 @@
 
 impl Core {
     pub(crate) fn lead(&mut self) {
-        if !self.leading() || !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.is_leader() || !self.records_fresh() || self.now < self.retry_state_at {
             return;
         }
         self.deal(true);
@@ -101,7 +101,7 @@
 
     /// Deals jobs as they come, between two housekeepings.
     pub(crate) fn assign_new_slices(&mut self) {
-        if self.leading() && self.records_fresh() && self.now >= self.retry_state_at {
+        if self.is_leader() && self.records_fresh() && self.now >= self.retry_state_at {
             self.deal(false);
         }
     }
--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -57,8 +57,11 @@
     }
 
     /// The leader turns on what all controllers know of.
-    pub(crate) fn raise_level(&mut self) {
-        if self.level() >= SUPPORTED_LEVEL || !self.leading() || !self.records_fresh() || self.now < self.retry_state_at
+    pub(crate) fn raise_feature_level(&mut self) {
+        if self.level() >= SUPPORTED_LEVEL
+            || !self.is_leader()
+            || !self.records_fresh()
+            || self.now < self.retry_state_at
         {
             return;
         }
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -86,7 +86,7 @@
             self.update_shard_release();
             self.announce(lease);
             self.claim_shards(lease);
-            self.claim_lead(lease);
+            self.claim_leadership(lease);
         }
     }
 
@@ -131,7 +131,7 @@
         }
         self.activate_ready_shards();
         tracing::info!("read {} records up to revision {first}", seen.len());
-        self.reached(Milestone::RecordsRead);
+        self.milestone_reached(Milestone::RecordsRead);
     }
 
     pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
@@ -321,12 +321,12 @@
         }
     }
 
-    pub(crate) fn leading(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         let held = self.cache.leader.record.as_ref();
         held.is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease)
     }
 
-    fn claim_lead(&mut self, lease: LeaseId) {
+    fn claim_leadership(&mut self, lease: LeaseId) {
         let held = &self.cache.leader;
         let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
         if !free || self.busy_keys.contains(LEADER_KEY) {
@@ -360,12 +360,12 @@
             shard: shard.0,
             token: owned_shard.token.0,
             teams: owned_shard
-                .wanted
+                .quota_shortages
                 .iter()
                 .map(|(team, want)| crate::protocol::peer::TeamDemand {
                     team: team.clone(),
-                    wanted_cpus: want.all.0,
-                    wanted_gpus: want.all.1,
+                    wanted_cpus: want.total.cpus,
+                    wanted_gpus: want.total.gpus,
                 })
                 .collect(),
             up: vec![],
@@ -381,7 +381,7 @@
 
     pub(crate) fn broadcast_status(&mut self) {
         let mut status = self.own_status();
-        if self.leading() {
+        if self.is_leader() {
             // All of them now and then, for owners that are new; in between
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
@@ -414,7 +414,7 @@
         self.out.push(Output::RevisionHint(revision));
     }
 
-    pub(crate) fn status(&mut self, status: PeerStatus) {
+    pub(crate) fn receive_peer_status(&mut self, status: PeerStatus) {
         let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) else { return };
         peer.heard = Some(self.now);
         peer.state_reachable = status.state_reachable;
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -71,16 +71,19 @@
         let quiet =
             Millis((self.timing.worker_lease.0 / 4).max((self.settings.cluster.workers.report_s * 2500.0) as u64));
         // A shard taken over counts from then, with the machines that its records name.
-        let fleet_machine = self.owned_shards.values().map(|m| m.since).max();
+        let fleet_machine = self.owned_shards.values().map(|owned_shard| owned_shard.owned_since).max();
         let heard = self.shard_release.heard.max(fleet_machine).unwrap_or(self.now).max(self.resumed_at);
         let silent = self.now.since(heard) > quiet;
         if !silent && !self.unheard(quiet, fleet_machine) {
             return None;
         }
-        let names = self.owned_shards.values().flat_map(|m| m.on.keys().chain(m.machines.keys()));
+        let names = self.owned_shards.values().flat_map(|m| m.placed_tasks.keys().chain(m.machines.keys()));
         let machines = names.collect::<BTreeSet<_>>().len();
-        let others =
-            self.cache.live().filter(|(node, _)| **node != self.node_name && self.heard_for(node, quiet)).count();
+        let others = self
+            .cache
+            .live()
+            .filter(|(node, _)| **node != self.node_name && self.peer_heard_within(node, quiet))
+            .count();
         (machines >= LEAST_MACHINES && others > 0 && self.records_fresh()).then_some(!silent)
     }
 
--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -1,95 +1,110 @@
-//! How a start goes: when each thing that users wait for was reached.
-//!
-//! After all controllers end, what counts is how soon submissions are taken and
-//! tasks start again. Each milestone is logged once a life, at `info`, with the
-//! time since this life began, so that a slow start can be told from its log.
+//! Startup milestones: when this process reached what users wait for after a restart. Each milestone is logged once,
+//! at `info`, with the time since the first input, so that a slow start can be explained from its log. Looked for at
+//! each tick, and reported by submissions and heartbeats. Nothing depends on milestones.
 
 use crate::coordination::Core;
 use crate::units::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// Share of the machines named in the records of our shards that must have
-/// reported for our workers to count as held: some are gone for good.
-const HELD: f64 = 0.9;
+/// Share of the machines named in our shards' records that must have sent a heartbeat before the workers count as
+/// reporting: some machines are gone for good.
+const REPORTING_SHARE: f64 = 0.9;
 
 /// What a start reaches, in the usual order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Milestone {
     /// All durable records are in the cache.
     RecordsRead,
-    /// Users' submissions can be judged and written.
-    CanTake,
-    /// A shard is ours and ready to work.
+    /// Users' submissions can be validated and written.
+    AcceptingSubmissions,
+    /// This controller owns a shard and is ready to work on it.
     ShardReady,
-    /// Most machines that our shards' records name have reported.
-    WorkersHeld,
+    /// Most machines that the records of our shards name have sent a heartbeat.
+    WorkersReporting,
     /// A submission was accepted.
-    Accepted,
-    /// A task's start was sent.
+    SubmissionAccepted,
+    /// The command to start a task was sent.
     StartSent,
 }
 
 impl Milestone {
+    /// The milestone's name in log lines.
     fn name(self) -> &'static str {
         match self {
             Milestone::RecordsRead => "records read",
-            Milestone::CanTake => "can take submissions",
-            Milestone::ShardReady => "first part ready",
-            Milestone::WorkersHeld => "workers held",
-            Milestone::Accepted => "first submission accepted",
+            Milestone::AcceptingSubmissions => "accepting submissions",
+            Milestone::ShardReady => "first shard ready",
+            Milestone::WorkersReporting => "workers reporting",
+            Milestone::SubmissionAccepted => "first submission accepted",
             Milestone::StartSent => "first start sent",
         }
     }
 }
 
-/// Milestones reached by this life of the node, and when.
+/// The milestones that this process has reached, and when.
 #[derive(Debug, Default)]
-pub(crate) struct Start {
+pub(crate) struct StartupProgress {
     /// When the first input came.
     began: Option<MonotonicTime>,
+    /// The milestones reached, with the time that each took from `began`.
     reached: BTreeMap<Milestone, Millis>,
 }
 
-impl Start {
-    fn reach(&mut self, what: Milestone, now: MonotonicTime) {
-        let began = *self.began.get_or_insert(now);
-        if self.reached.contains_key(&what) {
+impl StartupProgress {
+    /// Starts the clock, unless it runs already.
+    fn begin(&mut self, now: MonotonicTime) -> MonotonicTime {
+        *self.began.get_or_insert(now)
+    }
+
+    fn has_reached(&self, milestone: Milestone) -> bool {
+        self.reached.contains_key(&milestone)
+    }
+
+    /// Records and logs a milestone, the first time only.
+    fn reach(&mut self, milestone: Milestone, now: MonotonicTime) {
+        let began = self.begin(now);
+        if self.has_reached(milestone) {
             return;
         }
-        let after = now.since(began);
-        self.reached.insert(what, after);
-        tracing::info!("start: {} after {:.2} s", what.name(), after.as_secs());
+        let elapsed = now.since(began);
+        self.reached.insert(milestone, elapsed);
+        tracing::info!(milestone = milestone.name(), elapsed_s = elapsed.as_secs(), "reached startup milestone");
     }
 }
 
 impl Core {
-    pub(crate) fn reached(&mut self, what: Milestone) {
-        self.start.reach(what, self.now);
+    /// Records that a milestone is reached; only its first time counts.
+    pub(crate) fn milestone_reached(&mut self, milestone: Milestone) {
+        self.start.reach(milestone, self.now);
     }
 
-    /// Looks for what is reached without anybody's doing; nothing once all is.
+    /// Looks for the milestones that no event reports.
     pub(crate) fn check_milestones(&mut self) {
-        let now = self.now;
-        self.start.began.get_or_insert(now);
-        if !self.start.reached.contains_key(&Milestone::CanTake) && self.can_take() {
-            self.reached(Milestone::CanTake);
+        self.start.begin(self.now);
+        if self.is_missing(Milestone::AcceptingSubmissions) && self.can_take() {
+            self.milestone_reached(Milestone::AcceptingSubmissions);
         }
-        if !self.start.reached.contains_key(&Milestone::ShardReady) && self.owned_shards.values().any(|m| m.ready) {
-            self.reached(Milestone::ShardReady);
+        if self.is_missing(Milestone::ShardReady) && self.owned_shards.values().any(|owned_shard| owned_shard.ready) {
+            self.milestone_reached(Milestone::ShardReady);
         }
-        if !self.start.reached.contains_key(&Milestone::WorkersHeld) && self.workers_held() {
-            self.reached(Milestone::WorkersHeld);
+        if self.is_missing(Milestone::WorkersReporting) && self.are_workers_reporting() {
+            self.milestone_reached(Milestone::WorkersReporting);
         }
     }
 
-    fn workers_held(&self) -> bool {
-        let ready = self.owned_shards.values().filter(|m| m.ready);
-        let (mut named, mut heard) = (0, 0);
-        for owned_shard in ready {
-            named += owned_shard.on.len();
-            heard += owned_shard.on.keys().filter(|name| owned_shard.machines.contains_key(*name)).count();
+    fn is_missing(&self, milestone: Milestone) -> bool {
+        !self.start.has_reached(milestone)
+    }
+
+    /// True if most machines with placed tasks in our ready shards have sent a heartbeat.
+    fn are_workers_reporting(&self) -> bool {
+        let (mut named, mut reporting) = (0, 0);
+        for owned_shard in self.owned_shards.values().filter(|owned_shard| owned_shard.ready) {
+            named += owned_shard.placed_tasks.len();
+            let reports = |name: &&_| owned_shard.machines.contains_key(*name);
+            reporting += owned_shard.placed_tasks.keys().filter(reports).count();
         }
-        heard > 0 && heard as f64 >= HELD * named as f64
+        reporting > 0 && reporting as f64 >= REPORTING_SHARE * named as f64
     }
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -12,6 +12,7 @@
 
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::pending_requests::SentRequest;
 use crate::coordination::store_client::rate_limiter::RateLimiter;
 use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
@@ -21,7 +22,6 @@
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::storage::names::InternedName;
 use crate::units::{
     CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
 };
@@ -208,8 +208,7 @@
     fleet: crate::coordination::fleet::inventory::Fleet,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
-    /// Teams with a guarantee: cores and GPUs.
-    guarantees: Vec<(InternedName, f64, f64)>,
+    guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
     dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
     /// A waiting job may start: that must not wait for the next housekeeping.
@@ -217,7 +216,7 @@
     dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
     announced: crate::coordination::membership::feature_level::Announced,
     shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::Start,
+    start: crate::coordination::membership::startup::StartupProgress,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
     /// Notes told so far.
     told: u64,
@@ -235,8 +234,7 @@
             &settings.cluster.objectives,
             &mut cache.names,
         );
-        let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
+        let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
@@ -288,7 +286,7 @@
             dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
             announced: crate::coordination::membership::feature_level::Announced::default(),
             shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::Start::default(),
+            start: crate::coordination::membership::startup::StartupProgress::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
             told: 0,
         }
@@ -309,7 +307,7 @@
             Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
-            Input::PeerStatus(status) => self.status(status),
+            Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
         self.send_due_responses();
@@ -372,7 +370,7 @@
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
-        self.raise_level();
+        self.raise_feature_level();
         self.release_ready_jobs();
         self.write_dependency_outcomes();
         self.archive_ended_jobs();
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -139,7 +139,7 @@
     /// Time to fetch the job's image, if the machine lacks it.
     fn fetch_s(&self, seat: &Seat) -> f64 {
         let spec = &self.job.record.spec;
-        let there = seat.machine.images.iter().any(|(name, _)| *name == self.job.image);
+        let there = seat.machine.images.iter().any(|image| image.name == self.job.image);
         if there || seat.type_.fetch_gb_per_s <= 0.0 {
             0.0
         } else {
@@ -175,14 +175,14 @@
             let usable = !machine.faulty
                 && !self.is_downlink_lost(machine)
                 && machine.notice.is_none()
-                && self.now >= machine.rests_until
+                && self.now >= machine.cordoned_until
                 && self.now.since(machine.last_heartbeat) < quiet
                 && !self.draining(name);
             if !usable {
                 continue;
             }
             let mut openings = Openings::new([type_.cpus, type_.gpus, type_.mem_gb]);
-            let known = owned_shard.on.get(name);
+            let known = owned_shard.placed_tasks.get(name);
             // Tasks of one job follow one another: it is looked up once.
             let mut last: Option<(&JobId, Option<(&Job, f64)>)> = None;
             for key in known.into_iter().flatten() {
@@ -201,9 +201,9 @@
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
             let mut wanted = known.into_iter().flatten().peekable();
-            for (key, (_, state, _)) in &machine.listed {
+            for (key, listed) in &machine.listed {
                 while wanted.next_if(|k| *k < key).is_some() {}
-                if *state != TaskState::Exited && wanted.peek() != Some(&key) {
+                if listed.state != TaskState::Exited && wanted.peek() != Some(&key) {
                     if let Some(job) = self.cache.jobs.get(&key.0) {
                         openings.hold(&needs(&job.record), None);
                     }
@@ -225,7 +225,7 @@
             return spread;
         }
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return spread };
-        for (machine, tasks) in &owned_shard.on {
+        for (machine, tasks) in &owned_shard.placed_tasks {
             let here = tasks.iter().filter(|t| t.0 == *id).count();
             match owned_shard.machines.get(machine) {
                 _ if here == 0 => {}
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -4,7 +4,6 @@
 use crate::coordination::Core;
 use crate::protocol::users::Priority;
 use crate::storage::cache::Job;
-use crate::storage::names::InternedName;
 use crate::units::JobId;
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
@@ -87,8 +86,7 @@
     /// Jobs that fit into their team's guarantee along with its earlier ones.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
         // A handful of teams: looked through faster than a map.
-        let mut left: Vec<(&InternedName, [f64; 2])> =
-            self.guarantees.iter().map(|(team, cpus, gpus)| (team, [*cpus, *gpus])).collect();
+        let mut left = self.guarantees.clone();
         if left.is_empty() {
             return JobSet::default();
         }
@@ -99,7 +97,7 @@
             .filter(|(id, j)| {
                 j.record.end.is_none()
                     && !j.record.waits()
-                    && left.iter().any(|(team, _)| **team == j.team)
+                    && left.iter().any(|guarantee| guarantee.team == j.team)
                     && !self.suspect(id)
             })
             .collect();
@@ -107,11 +105,12 @@
         let mut within = JobSet::default();
         for (id, job) in jobs {
             let spec = &job.record.spec;
-            let Some((_, room)) = left.iter_mut().find(|(team, _)| **team == job.team) else { continue };
+            let Some(guarantee) = left.iter_mut().find(|guarantee| guarantee.team == job.team) else { continue };
+            let room = &mut guarantee.amount;
             let tasks = f64::from(spec.task_count);
-            room[0] -= spec.cpus * tasks;
-            room[1] -= spec.gpus * tasks;
-            if room[0] >= -1e-6 && room[1] >= -1e-6 {
+            room.cpus -= spec.cpus * tasks;
+            room.gpus -= spec.gpus * tasks;
+            if room.cpus >= -1e-6 && room.gpus >= -1e-6 {
                 within.insert(id.clone());
             }
         }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -122,7 +122,13 @@
     /// Room on a machine once the tasks being stopped are gone.
     fn room_coming(&self, shard: ShardId, machine: &MachineId, mut free: [f64; 3]) -> [f64; 3] {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return free };
-        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| owned_shard.stopping.contains_key(*k)) {
+        for key in owned_shard
+            .placed_tasks
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .filter(|k| owned_shard.stopping.contains_key(*k))
+        {
             if let Some(job) = self.cache.jobs.get(&key.0) {
                 shift(&mut free, &needs(&job.record), 1.0);
             }
@@ -135,7 +141,12 @@
     fn victims(&self, shard: ShardId, machine: &MachineId, guaranteed: &JobSet) -> Vec<Victim<'_>> {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let mut victims = vec![];
-        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| !owned_shard.stopping.contains_key(*k))
+        for key in owned_shard
+            .placed_tasks
+            .get(machine)
+            .into_iter()
+            .flatten()
+            .filter(|k| !owned_shard.stopping.contains_key(*k))
         {
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             let spec = &job.record.spec;
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -10,7 +10,7 @@
 use crate::storage::cache::Job;
 use crate::storage::names::InternedName;
 use crate::storage::records::TaskRecord;
-use crate::units::{Attempt, JobId, MachineId, Millis, ShardId};
+use crate::units::{Attempt, ComputeAmount, JobId, MachineId, Millis, ShardId};
 use std::collections::BTreeMap;
 
 /// Tasks of one job that a round looks at to find that they wait.
@@ -86,7 +86,7 @@
                 let Some(left) = machine.notice.map(|at| at.since(now).as_secs()).or(faulty.then_some(0.0)) else {
                     continue;
                 };
-                for key in owned_shard.on.get(name).into_iter().flatten() {
+                for key in owned_shard.placed_tasks.get(name).into_iter().flatten() {
                     let Some(job) = self.cache.jobs.get(&key.0) else { continue };
                     let spec = &job.record.spec;
                     let rest = self.rest_of(owned_shard, job, key);
@@ -116,7 +116,7 @@
             waiting.filter(|(_, job)| job.pending_tasks() > 0 && (only || waits_in(job, shard))).collect();
         if order.is_empty() {
             if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                owned_shard.wanted.clear();
+                owned_shard.quota_shortages.clear();
             }
             return;
         }
@@ -127,7 +127,7 @@
         let mut began = None;
         let mut places: Vec<(TaskKey, Attempt, MachineId)> = vec![];
         let mut wanted: BTreeMap<String, QuotaShortage> = BTreeMap::new();
-        let mut used = self.owned_shards.get(&shard).map(|m| m.used.clone()).unwrap_or_default();
+        let mut used = self.owned_shards.get(&shard).map(|m| m.usage.clone()).unwrap_or_default();
         let mut seats = self.seats(shard);
         let reserve = self.reserve(seats.iter().map(|s| s.type_.cpus).sum());
         // The reserve is kept where images come fastest, if the shard has such.
@@ -165,22 +165,20 @@
                 continue;
             }
             let claim = self.claim(job, quick, may_wait, &mut shapes);
-            let limits = self.quota(shard, &job.record.spec.team);
+            let quota = self.quota(shard, &job.record.spec.team);
             let gang = job.record.spec.kind == JobKind::Gang;
             if gang && job.has_placed_tasks() {
                 // What is left of an earlier try must be gone first.
                 continue;
             }
-            let over_limit = |used: (f64, f64)| {
-                let over = |limit: Option<f64>, used: f64, need: f64| limit.is_some_and(|l| used + need > l + 1e-9);
-                over(limits.0, used.0, need[0]) || over(limits.1, used.1, need[1])
-            };
+            let task_amount = ComputeAmount { cpus: need[0], gpus: need[1] };
+            let over_limit = |used: ComputeAmount| !quota.has_room_for(used, task_amount);
             if over_limit(used.get(&job.record.spec.team).copied().unwrap_or_default()) {
                 // No task of it may start, wherever there is room. Only a shard
                 // with room for a task has use for more of its team's limit.
                 if at_once {
                     let tasks = idle_in(job, shard).min(if gang { 1 } else { MOST_WAITS }) as f64;
-                    wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), tasks);
+                    wanted.entry(job.record.spec.team.clone()).or_default().add_tasks(task_amount, tasks);
                 }
                 continue;
             }
@@ -235,7 +233,7 @@
                     let wait = best.wait_s;
                     if over_limit(*team) {
                         if wait <= 0.0 {
-                            wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), 1.0);
+                            wanted.entry(job.record.spec.team.clone()).or_default().add_tasks(task_amount, 1.0);
                         }
                         waits += 1;
                         full = gang || waits >= MOST_WAITS;
@@ -254,8 +252,8 @@
                         full = gang || waits >= MOST_WAITS;
                         continue;
                     }
-                    team.0 += need[0];
-                    team.1 += need[1];
+                    team.cpus += need[0];
+                    team.gpus += need[1];
                     if prime(seat) {
                         spare -= need[0];
                     }
@@ -299,7 +297,7 @@
             self.set_task(&key, TaskRecord::Placed(attempt, machine));
         }
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.wanted = wanted;
+            owned_shard.quota_shortages = wanted;
         }
         self.make_room(shard, &short, guaranteed);
     }
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -15,7 +15,7 @@
 //! - After a note has gone, the owner counts the time that a keeper may have
 //!   gone on without knowing, and a whole lease on top.
 
-use crate::coordination::shards::owned_shard::Verdict;
+use crate::coordination::shards::owned_shard::ExpiryCheck;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
@@ -31,7 +31,7 @@
         Millis((self.timing.worker_lease.0 / 4).max(2 * STATUS_INTERVAL.0 + 200))
     }
 
-    pub(crate) fn heard_for(&self, node: &NodeName, span: Millis) -> bool {
+    pub(crate) fn peer_heard_within(&self, node: &NodeName, span: Millis) -> bool {
         let heard = self.peers.get(node).and_then(|p| p.heard).unwrap_or(self.began);
         self.now.since(heard) <= span
     }
@@ -55,7 +55,7 @@
             }
             let held = self.cache.lease_proxies.get(&(shard, self.node_name.clone())).cloned().unwrap_or_default();
             let noted = held.record.as_ref().is_some_and(|r| r.lease == lease);
-            let silent = owner != self.node_name && !self.heard_for(&owner, self.silence());
+            let silent = owner != self.node_name && !self.peer_heard_within(&owner, self.silence());
             if silent && !noted {
                 let Ok(value) = serde_json::to_value(NodeRecord {
                     lease,
@@ -77,7 +77,7 @@
     }
 
     /// The answer to a worker of another node's part.
-    pub(crate) fn answer_stranger(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
+    pub(crate) fn answer_foreign_heartbeat(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
         let Some((owner, token)) = self.cache.owners.get(&shard).and_then(|held| {
             let holder = held.record.as_ref()?;
             Some((holder.node.clone(), FencingToken(held.version.0)))
@@ -87,25 +87,25 @@
         if owner == self.node_name {
             return Response::Redirect(None);
         }
-        if self.heard_for(&owner, Millis(self.silence().0 / 2)) {
+        if self.peer_heard_within(&owner, Millis(self.silence().0 / 2)) {
             return Response::Redirect(Some(owner));
         }
         let noted = self.cache.lease_proxies.get(&(shard, self.node_name.clone())).is_some_and(|held| {
             let ours = held.record.as_ref().is_some_and(|r| Some(r.lease) == self.lease);
             ours && self.cache.revision >= held.version
         });
-        let silent = !self.heard_for(&owner, self.silence());
+        let silent = !self.peer_heard_within(&owner, self.silence());
         if !noted || !silent || !self.records_fresh() || heartbeat.token > token {
             // Not to the owner, which we do not hear either: to the next one.
             return Response::Redirect(None);
         }
-        let commands = self.stops_of_ended(heartbeat);
+        let commands = self.stop_commands_of_ended_jobs(heartbeat);
         Response::Commands { token, commands }
     }
 
     /// Stops of what runs though its job has ended: it must end whoever answers, and
     /// whatever else is known of the shard.
-    pub(crate) fn stops_of_ended(&self, heartbeat: &Heartbeat) -> Vec<Command> {
+    pub(crate) fn stop_commands_of_ended_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let over = |task: &&crate::protocol::workers::TaskStatus| {
             let job = self.cache.jobs.get(&task.task.job);
             task.state != TaskState::Exited && job.is_some_and(|j| j.record.end.is_some())
@@ -124,7 +124,7 @@
     pub(crate) fn lease_proxy_changed(&mut self, shard: ShardId) {
         let kept = self.kept(shard);
         if let (Some(owned_shard), false) = (self.owned_shards.get_mut(&shard), kept) {
-            owned_shard.unkept = self.now;
+            owned_shard.last_proxied = self.now;
         }
     }
 
@@ -139,8 +139,8 @@
     pub(crate) fn expire_machines(&mut self) {
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
             let Some(owned_shard) = self.owned_shards.get_mut(&shard).filter(|m| m.ready) else { continue };
-            match std::mem::take(&mut owned_shard.verdict) {
-                Verdict::Found(at, names) if self.cache.revision >= at => {
+            match std::mem::take(&mut owned_shard.expiry_check) {
+                ExpiryCheck::Confirmed { revision, machines: names } if self.cache.revision >= revision => {
                     // A note that came and went meanwhile has put the time off.
                     let silent = self.silent_machines(shard);
                     for name in names.iter().filter(|n| silent.contains(*n)) {
@@ -148,11 +148,11 @@
                         self.clear_machine(shard, name);
                     }
                 }
-                waiting @ (Verdict::Found(..) | Verdict::Asked(_)) => owned_shard.verdict = waiting,
-                Verdict::None => self.ask_about(shard),
+                waiting @ (ExpiryCheck::Confirmed { .. } | ExpiryCheck::Sent(_)) => owned_shard.expiry_check = waiting,
+                ExpiryCheck::None => self.ask_about(shard),
             }
             let owned_shard = self.owned_shards.get(&shard);
-            let names = owned_shard.iter().flat_map(|m| m.on.keys().chain(m.machines.keys()));
+            let names = owned_shard.iter().flat_map(|m| m.placed_tasks.keys().chain(m.machines.keys()));
             let returned: BTreeSet<MachineId> = names.filter(|n| self.returned(n)).cloned().collect();
             for name in returned {
                 tracing::info!("{name} was returned");
@@ -168,19 +168,19 @@
         };
         let lease = self.timing.worker_lease;
         let unread = self.timing.store_isolation_limit + lease;
-        let unkept = owned_shard.unkept + self.after_note();
+        let unkept = owned_shard.last_proxied + self.after_note();
         let over = |name: &&MachineId| {
             // Until the worker has seen our token, an owner before us that
             // is cut off from the records may have kept its lease alive
             // for as long as its horizon lets it.
             let until = match owned_shard.machines.get(*name) {
-                Some(m) if m.acked => m.last_heartbeat + lease,
-                Some(m) => (m.last_heartbeat + lease).max(owned_shard.since + unread),
-                None => owned_shard.since + unread,
+                Some(m) if m.token_acknowledged => m.last_heartbeat + lease,
+                Some(m) => (m.last_heartbeat + lease).max(owned_shard.owned_since + unread),
+                None => owned_shard.owned_since + unread,
             };
             self.now > until.max(unkept)
         };
-        owned_shard.on.keys().chain(owned_shard.machines.keys()).filter(over).cloned().collect()
+        owned_shard.placed_tasks.keys().chain(owned_shard.machines.keys()).filter(over).cloned().collect()
     }
 
     fn ask_about(&mut self, shard: ShardId) {
@@ -189,22 +189,24 @@
             return;
         }
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        owned_shard.verdict = Verdict::Asked(names);
+        owned_shard.expiry_check = ExpiryCheck::Sent(names);
         let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
         conditions
             .extend(self.peers.keys().map(|n| Condition { key: lease_proxy_key(shard, n), version: Revision(0) }));
         self.reads.force(self.now, 1.0);
         self.call_state(
             StateCall::Transaction(Transaction { conditions, changes: vec![] }),
-            PendingRequest::Compare(shard),
+            PendingRequest::ExpiryCheck(shard),
         );
     }
 
-    pub(crate) fn compared(&mut self, shard: ShardId, answer: StateAnswer) {
+    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StateAnswer) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        let Verdict::Asked(names) = std::mem::take(&mut owned_shard.verdict) else { return };
+        let ExpiryCheck::Sent(names) = std::mem::take(&mut owned_shard.expiry_check) else { return };
         match answer {
-            StateAnswer::Committed(at) => owned_shard.verdict = Verdict::Found(at, names),
+            StateAnswer::Committed(at) => {
+                owned_shard.expiry_check = ExpiryCheck::Confirmed { revision: at, machines: names }
+            }
             StateAnswer::Conflict(failed) => self.reread(failed, None),
             _ => {}
         }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -1,95 +1,160 @@
-//! Shares of teams' limits: what each shard may use, and moving what one does
-//! not need to another that lacks it. The shares never sum above the limit.
+//! Quotas of teams by shard: each shard holds a share of a team's limit, and owners transfer what they don't need to
+//! shards that lack it, in one transaction. The shares of all shards never sum to more than the limit. Asked by the
+//! scheduling cycle and by heartbeats before a task starts; never reads or changes placements.
 
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::change_key;
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
-use crate::storage::cache::StateCache;
-use crate::storage::records;
-use crate::storage::records::{owner_key, quota_key, QuotaRecord};
-use crate::units::{JobId, Millis, Revision, ShardId};
+use crate::settings::Team;
+use crate::storage::names::{InternedName, NameInterner};
+use crate::storage::records::{owner_key, quota_key, QuotaRecord, RecordKey};
+use crate::units::{ComputeAmount, JobId, Millis, Revision, ShardId};
 use std::collections::BTreeMap;
 
-/// True if a transaction moves allowance between shards.
+/// What rounding of binary fractions may add when a few amounts are summed, in cores or GPUs.
+pub(crate) const ROUNDING: f64 = 1e-9;
+
+/// What rounding may add when usage is summed over a shard's whole life, in cores or GPUs.
+const USAGE_ROUNDING: f64 = 1e-6;
+
+/// A peer's statement of what its shards lack is used for so long.
+const PEER_DEMAND_VALID: Millis = Millis(3000);
+
+/// What a shard may use of a team's limit; none: the team has no limit.
+#[derive(Debug, Clone, Copy)]
+pub struct TeamQuota {
+    /// Processor cores.
+    pub cpus: Option<f64>,
+    /// GPUs.
+    pub gpus: Option<f64>,
+}
+
+impl TeamQuota {
+    /// True if the team may use `task` on top of `used`.
+    pub fn has_room_for(self, used: ComputeAmount, task: ComputeAmount) -> bool {
+        let over = |limit: Option<f64>, sum: f64| limit.is_some_and(|limit| sum > limit + ROUNDING);
+        !over(self.cpus, used.cpus + task.cpus) && !over(self.gpus, used.gpus + task.gpus)
+    }
+
+    /// True if `used` is more than the team may use.
+    fn is_exceeded_by(self, used: ComputeAmount) -> bool {
+        let over = |limit: Option<f64>, used: f64| limit.is_some_and(|limit| used > limit + USAGE_ROUNDING);
+        over(self.cpus, used.cpus) || over(self.gpus, used.gpus)
+    }
+
+    /// What is left of the quota beside `used`.
+    fn unused(self, used: ComputeAmount) -> TeamQuota {
+        let left = |limit: Option<f64>, used: f64| limit.map(|limit| (limit - used).max(0.0));
+        TeamQuota { cpus: left(self.cpus, used.cpus), gpus: left(self.gpus, used.gpus) }
+    }
+
+    /// The quota as it is stored: zero where there is no limit.
+    fn stored(self) -> ComputeAmount {
+        ComputeAmount { cpus: self.cpus.unwrap_or(0.0), gpus: self.gpus.unwrap_or(0.0) }
+    }
+}
+
+/// What a team may use before other teams' work that is not guaranteed.
+#[derive(Debug, Clone)]
+pub(crate) struct TeamGuarantee {
+    /// The team's name.
+    pub team: InternedName,
+    /// The guaranteed amount.
+    pub amount: ComputeAmount,
+}
+
+impl TeamGuarantee {
+    /// The guarantees of all teams that have one, in the order of the settings.
+    pub fn all(teams: &[Team], names: &mut NameInterner) -> Vec<TeamGuarantee> {
+        let guaranteed = teams.iter().filter(|team| team.cpus > 0.0 || team.gpus > 0.0);
+        guaranteed
+            .map(|team| TeamGuarantee {
+                team: names.intern(&team.name),
+                amount: ComputeAmount { cpus: team.cpus, gpus: team.gpus },
+            })
+            .collect()
+    }
+}
+
+/// True if a transaction moves quota between shards.
 pub(crate) fn is_quota_transfer(transaction: &Transaction) -> bool {
-    transaction
-        .changes
-        .iter()
-        .any(|c| matches!(records::RecordKey::read(change_key(c)), Some(records::RecordKey::Quota(_))))
+    let changes_quota = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Quota(_)));
+    transaction.changes.iter().any(changes_quota)
 }
 
-/// Shares are cut to these; what binary fractions lack of one counts as one.
+/// Rounds down to thousandths, in which quota is split and moved; what binary fractions lack of one counts as one.
 fn thousandths(amount: f64) -> f64 {
     (amount.max(0.0) * 1000.0 + 1e-6).floor() / 1000.0
 }
 
-/// A shard's share of a limit as long as nothing was given: the first has what is
-/// left when all have the same.
-fn first_share(max: f64, shard: ShardId, shards: u32) -> f64 {
-    let each = thousandths(max / f64::from(shards));
+/// A shard's share of a limit before any transfer: equal shares, and the first shard has the remainder as well.
+fn initial_share(limit: f64, shard: ShardId, shards: u32) -> f64 {
+    let each = thousandths(limit / f64::from(shards));
     if shard == ShardId(0) {
-        max - each * f64::from(shards.saturating_sub(1))
+        limit - each * f64::from(shards.saturating_sub(1))
     } else {
         each
     }
 }
 
+/// What of `unused` another shard that lacks `shortage` may have, after this one kept `reserved`.
+fn transferable(unused: TeamQuota, reserved: ComputeAmount, shortage: ComputeAmount) -> ComputeAmount {
+    let spare = |unused: Option<f64>, reserved: f64, shortage: f64| {
+        thousandths((unused.unwrap_or(0.0) - reserved).min(shortage))
+    };
+    ComputeAmount {
+        cpus: spare(unused.cpus, reserved.cpus, shortage.cpus),
+        gpus: spare(unused.gpus, reserved.gpus, shortage.gpus),
+    }
+}
+
 impl Core {
-    /// A shard's share of a team's limit; none: no limit.
-    pub(crate) fn quota(&self, shard: ShardId, team: &str) -> (Option<f64>, Option<f64>) {
-        let Some(limits) = self.settings.cluster.teams.iter().find(|t| t.name == team) else { return (None, None) };
-        let stored = self.cache.quotas.get(&shard).and_then(|h| h.record.as_ref()).and_then(|r| r.teams.get(team));
-        let share = |max: f64| first_share(max, shard, self.shard_count);
-        let (mut cpus, mut gpus) = stored.copied().unwrap_or((share(limits.cpus_max), share(limits.gpus_max)));
-        if let Some(left) =
-            self.owned_shards.get(&shard).and_then(|m| m.transferring.as_ref()).and_then(|g| g.teams.get(team))
-        {
-            cpus = cpus.min(left.0);
-            gpus = gpus.min(left.1);
+    /// A shard's share of a team's limit. While a transfer is under way the giving shard has the lesser of both.
+    pub(crate) fn quota(&self, shard: ShardId, team: &str) -> TeamQuota {
+        let Some(limits) = self.settings.cluster.teams.iter().find(|limits| limits.name == team) else {
+            return TeamQuota { cpus: None, gpus: None };
+        };
+        let record = self.cache.quotas.get(&shard).and_then(|held| held.record.as_ref());
+        let stored = record.and_then(|record| record.teams.get(team)).copied();
+        let mut share = stored.unwrap_or(ComputeAmount {
+            cpus: initial_share(limits.cpus_max, shard, self.shard_count),
+            gpus: initial_share(limits.gpus_max, shard, self.shard_count),
+        });
+        let transferring = self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.transferring.as_ref());
+        if let Some(after) = transferring.and_then(|record| record.teams.get(team)) {
+            share.cpus = share.cpus.min(after.cpus);
+            share.gpus = share.gpus.min(after.gpus);
+        }
+        TeamQuota {
+            cpus: (limits.cpus_max > 0.0).then_some(share.cpus),
+            gpus: (limits.gpus_max > 0.0).then_some(share.gpus),
         }
-        ((limits.cpus_max > 0.0).then_some(cpus), (limits.gpus_max > 0.0).then_some(gpus))
     }
 
-    /// True if a shard's records hold more of the job's team than the shard may use. The
-    /// owner before may have taken a task back and given its allowance away, and
-    /// ended before the record said so: what was not started then must not be now.
+    /// True if a shard's records place more of the job's team than its quota. An earlier owner may have unplaced a
+    /// task and transferred its quota, and ended before the record said so: a task that was not started before must
+    /// not start then.
     pub(crate) fn over_quota(&self, shard: ShardId, owned_shard: &OwnedShard, job: &JobId) -> bool {
-        let Some(team) = self.cache.jobs.get(job).map(|j| j.record.spec.team.as_str()) else { return false };
-        let (cpus, gpus) = self.quota(shard, team);
-        let used = owned_shard.used.get(team).copied().unwrap_or_default();
-        let over = |used: f64, limit: Option<f64>| limit.is_some_and(|limit| used > limit + 1e-6);
-        over(used.0, cpus) || over(used.1, gpus)
-    }
-
-    /// All teams' allowances of a shard, as a record.
-    pub(crate) fn quotas(&self, shard: ShardId) -> QuotaRecord {
-        let teams = &self.settings.cluster.teams;
-        let entry = |name: &str| {
-            let (cpus, gpus) = self.quota(shard, name);
-            (name.to_string(), (cpus.unwrap_or(0.0), gpus.unwrap_or(0.0)))
-        };
-        QuotaRecord { teams: teams.iter().map(|t| entry(&t.name)).collect() }
+        let Some(job) = self.cache.jobs.get(job) else { return false };
+        let team = job.record.spec.team.as_str();
+        self.quota(shard, team).is_exceeded_by(owned_shard.usage_of(team))
+    }
+
+    /// The shard's quotas of all teams, as they are stored.
+    fn quota_record(&self, shard: ShardId) -> QuotaRecord {
+        let names = self.settings.cluster.teams.iter().map(|team| &team.name);
+        QuotaRecord { teams: names.map(|name| (name.clone(), self.quota(shard, name).stored())).collect() }
     }
 
-    /// Gives allowance that a shard of ours does not need to a shard that lacks
-    /// it, in one transaction conditional on both records and on ownership.
+    /// Transfers quota that an owned shard doesn't need to a shard that lacks it: one transfer a call.
     pub(crate) fn rebalance_quotas(&mut self) {
-        let mut wants: BTreeMap<ShardId, BTreeMap<String, (f64, f64)>> = BTreeMap::new();
-        for (shard, owned_shard) in &self.owned_shards {
-            wants.insert(*shard, owned_shard.wanted.iter().map(|(team, lack)| (team.clone(), lack.all)).collect());
-        }
-        for peer in self.peers.values() {
-            let recent = peer.heard.is_some_and(|at| self.now.since(at) < Millis(3000));
-            for load in peer.status.iter().filter(|_| recent).flat_map(|n| &n.shards) {
-                let teams = load.teams.iter().map(|t| (t.team.clone(), (t.wanted_cpus, t.wanted_gpus)));
-                wants.entry(ShardId(load.shard)).or_insert_with(|| teams.collect());
-            }
-        }
+        let shortages = self.quota_shortages();
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
-            for (&to, teams) in wants.iter().filter(|(p, _)| **p != shard) {
-                for (team, &(cpus, gpus)) in teams {
-                    if (cpus > 0.0 || gpus > 0.0) && self.transfer_quota(shard, to, team, (cpus, gpus)) {
+            for (&to, teams) in shortages.iter().filter(|(other, _)| **other != shard) {
+                for (team, &shortage) in teams {
+                    let lacks = shortage.cpus > 0.0 || shortage.gpus > 0.0;
+                    if lacks && self.transfer_quota(shard, to, team, shortage) {
                         return;
                     }
                 }
@@ -97,57 +162,92 @@
         }
     }
 
-    pub(crate) fn transfer_quota(&mut self, shard: ShardId, to: ShardId, team: &str, want: (f64, f64)) -> bool {
-        let keys = [quota_key(shard), quota_key(to)];
-        if keys.iter().any(|k| self.busy_keys.contains(k)) || !self.records_fresh() {
-            return false;
-        }
-        let limit = self.quota(shard, team);
-        let idle = |m: &&OwnedShard| m.ready && !m.releasing && m.transferring.is_none();
-        let Some(owned_shard) = self.owned_shards.get(&shard).filter(idle) else { return false };
-        let used = owned_shard.used.get(team).copied().unwrap_or_default();
-        let own = owned_shard.wanted.get(team).copied().unwrap_or_default();
-        let token = owned_shard.token;
-        let left = |limit: Option<f64>, used: f64| limit.map(|limit| (limit - used).max(0.0));
-        let left = (left(limit.0, used.0), left(limit.1, used.1));
-        // What is too little for any task here may make up one elsewhere. It goes one
-        // way only, so that it comes to rest.
-        let useless = to < shard && own.is_beyond(left);
-        let keep = if useless { (0.0, 0.0) } else { own.all };
-        let spare = |left: Option<f64>, keep: f64, want: f64| thousandths((left.unwrap_or(0.0) - keep).min(want));
-        let transfer = (spare(left.0, keep.0, want.0), spare(left.1, keep.1, want.1));
-        if transfer.0 <= 0.0 && transfer.1 <= 0.0 {
-            return false;
+    /// What each shard lacks by team: from this controller's shards, and from what peers said lately of theirs.
+    fn quota_shortages(&self) -> BTreeMap<ShardId, BTreeMap<String, ComputeAmount>> {
+        let mut shortages: BTreeMap<ShardId, BTreeMap<String, ComputeAmount>> = BTreeMap::new();
+        for (shard, owned_shard) in &self.owned_shards {
+            let teams = owned_shard.quota_shortages.iter();
+            shortages.insert(*shard, teams.map(|(team, shortage)| (team.clone(), shortage.total)).collect());
         }
-        let (mut ours, mut theirs) = (self.quotas(shard), self.quotas(to));
-        for (record, sign) in [(&mut ours, -1.0), (&mut theirs, 1.0)] {
-            if let Some(share) = record.teams.get_mut(team) {
-                share.0 += sign * transfer.0;
-                share.1 += sign * transfer.1;
+        for peer in self.peers.values() {
+            let recent = peer.heard.is_some_and(|at| self.now.since(at) < PEER_DEMAND_VALID);
+            for status in peer.status.iter().filter(|_| recent).flat_map(|status| &status.shards) {
+                let teams = status.teams.iter().map(|demand| {
+                    let lacking = ComputeAmount { cpus: demand.wanted_cpus, gpus: demand.wanted_gpus };
+                    (demand.team.clone(), lacking)
+                });
+                shortages.entry(ShardId(status.shard)).or_insert_with(|| teams.collect());
             }
         }
-        let version = |cache: &StateCache, p: ShardId| cache.quotas.get(&p).map_or(Revision(0), |h| h.version);
-        let conditions = vec![
-            Condition { key: owner_key(shard), version: Revision(token.0) },
-            Condition { key: keys[0].clone(), version: version(&self.cache, shard) },
-            Condition { key: keys[1].clone(), version: version(&self.cache, to) },
-        ];
-        let (Ok(a), Ok(b)) = (serde_json::to_value(&ours), serde_json::to_value(&theirs)) else { return false };
-        if !self.fits_value(&a) || !self.fits_value(&b) {
+        shortages
+    }
+
+    /// Transfers quota of a team from an owned shard to another that lacks `shortage`, in one transaction conditional
+    /// on both quota records and on ownership. False if there is nothing to transfer or it can't be done now.
+    pub(crate) fn transfer_quota(&mut self, from: ShardId, to: ShardId, team: &str, shortage: ComputeAmount) -> bool {
+        let busy = [from, to].iter().any(|shard| self.busy_keys.contains(&quota_key(*shard)));
+        if busy || !self.records_fresh() {
             return false;
         }
-        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.transferring = Some(ours);
-        }
-        let [from_key, to_key] = keys;
-        self.submit_transaction(Transaction {
-            conditions,
-            changes: vec![Change::put(from_key, a), Change::put(to_key, b)],
-        });
+        let Some(amount) = self.transferable_quota(from, to, team, shortage) else { return false };
+        let Some(transaction) = self.quota_transfer(from, to, team, amount) else { return false };
+        self.submit_transaction(transaction);
         true
     }
 
-    /// The outcome of gifts from or to these shards is in the cache.
+    /// What an owned shard can transfer of a team's quota; none if it has nothing, or is busy with another transfer.
+    fn transferable_quota(
+        &self,
+        from: ShardId,
+        to: ShardId,
+        team: &str,
+        shortage: ComputeAmount,
+    ) -> Option<ComputeAmount> {
+        let can_transfer = |shard: &&OwnedShard| shard.ready && !shard.releasing && shard.transferring.is_none();
+        let owned_shard = self.owned_shards.get(&from).filter(can_transfer)?;
+        let unused = self.quota(from, team).unused(owned_shard.usage_of(team));
+        let own_shortage = owned_shard.quota_shortages.get(team).copied().unwrap_or_default();
+        // What is too little for any task here may be enough together with what another shard has. It goes to lower
+        // shards only, so that it isn't sent back and forth.
+        let useless_here = to < from && own_shortage.exceeds(unused);
+        let reserved = if useless_here { ComputeAmount::default() } else { own_shortage.total };
+        let amount = transferable(unused, reserved, shortage);
+        (amount.cpus > 0.0 || amount.gpus > 0.0).then_some(amount)
+    }
+
+    /// The transaction that transfers quota; the shard counts with the lesser quota from here on. None if a record
+    /// would not fit into one value.
+    fn quota_transfer(&mut self, from: ShardId, to: ShardId, team: &str, amount: ComputeAmount) -> Option<Transaction> {
+        let (mut giving, mut receiving) = (self.quota_record(from), self.quota_record(to));
+        if let Some(share) = giving.teams.get_mut(team) {
+            share.cpus -= amount.cpus;
+            share.gpus -= amount.gpus;
+        }
+        if let Some(share) = receiving.teams.get_mut(team) {
+            share.cpus += amount.cpus;
+            share.gpus += amount.gpus;
+        }
+        let (giving_value, receiving_value) =
+            (serde_json::to_value(&giving).ok()?, serde_json::to_value(&receiving).ok()?);
+        if !self.fits_value(&giving_value) || !self.fits_value(&receiving_value) {
+            return None;
+        }
+        let (from_key, to_key) = (quota_key(from), quota_key(to));
+        let version = |shard| self.cache.quotas.get(&shard).map_or(Revision(0), |held| held.version);
+        let (from_version, to_version) = (version(from), version(to));
+        let owned_shard = self.owned_shards.get_mut(&from)?;
+        owned_shard.transferring = Some(giving);
+        Some(Transaction {
+            conditions: vec![
+                Condition { key: owner_key(from), version: Revision(owned_shard.token.0) },
+                Condition { key: from_key.clone(), version: from_version },
+                Condition { key: to_key.clone(), version: to_version },
+            ],
+            changes: vec![Change::put(from_key, giving_value), Change::put(to_key, receiving_value)],
+        })
+    }
+
+    /// The outcome of transfers from or to these shards is in the cache.
     pub(crate) fn end_quota_transfers(&mut self, shards: &[ShardId]) {
         for shard in shards {
             if let Some(owned_shard) = self.owned_shards.get_mut(shard) {
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -12,14 +12,14 @@
     let shard = ShardId(0);
     core.owned_shards.insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
     core.last_read = Some(MonotonicTime(0));
-    assert!(core.transfer_quota(shard, ShardId(1), "red", (4.0, 0.0)));
+    assert!(core.transfer_quota(shard, ShardId(1), "red", ComputeAmount { cpus: 4.0, gpus: 0.0 }));
     for answer in [StateAnswer::Unknown, StateAnswer::Refused, StateAnswer::Unknown] {
         core.state_answer(CallId(core.last_call), answer);
-        assert_eq!(core.quota(shard, "red").0, Some(8.0));
+        assert_eq!(core.quota(shard, "red").cpus, Some(8.0));
         core.retry_state_at = MonotonicTime(0);
         core.resolve_quota_transfers();
     }
     core.state_answer(CallId(core.last_call), StateAnswer::Committed(Revision(12)));
     assert!(core.owned_shards[&shard].transferring.is_none() && core.busy_keys.is_empty());
-    assert_eq!((core.quota(shard, "red").0, core.quota(ShardId(1), "red").0), (Some(8.0), Some(16.0)));
+    assert_eq!((core.quota(shard, "red").cpus, core.quota(ShardId(1), "red").cpus), (Some(8.0), Some(16.0)));
 }
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -22,8 +22,8 @@
             if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                 owned_shard.ready = true;
                 // What earlier owners left may be cut off behind them: see `keeping`.
-                owned_shard.since = self.now;
-                owned_shard.unkept = self.now;
+                owned_shard.owned_since = self.now;
+                owned_shard.last_proxied = self.now;
             }
             // The last slices of a job may have been done while nobody owned
             // its first: no change would ever bring that up again.
@@ -47,12 +47,7 @@
                         if let Some(held) = job.slices()[index].record().cloned() {
                             for (at, task) in held.tasks.iter().enumerate() {
                                 if let TaskRecord::Placed(_, machine) = task {
-                                    owned_shard
-                                        .on
-                                        .entry(machine.clone())
-                                        .or_default()
-                                        .insert((id.clone(), first + at as u32));
-                                    owned_shard.count(&job.record, 1.0);
+                                    owned_shard.place((id.clone(), first + at as u32), machine, &job.record);
                                 }
                             }
                             job.set_desired(index, Some(held));
@@ -71,7 +66,7 @@
 
     /// Takes back wishes for tasks whose slice was dealt to another shard
     /// before any of them was durable.
-    pub(crate) fn let_go_of_moved(&mut self, id: &JobId) {
+    pub(crate) fn release_moved_slices(&mut self, id: &JobId) {
         let shards = self.shard_count;
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
         let Some(plan) = job.record.plan.clone() else { return };
@@ -90,8 +85,8 @@
             }
             for (from, machine, key) in moved {
                 let Some(owned_shard) = self.owned_shards.get_mut(&from) else { continue };
-                if owned_shard.on.get_mut(&machine).is_some_and(|tasks| tasks.remove(&key)) {
-                    owned_shard.count(&job.record, -1.0);
+                if owned_shard.placed_tasks.get_mut(&machine).is_some_and(|tasks| tasks.remove(&key)) {
+                    owned_shard.subtract_usage(&job.record);
                 }
             }
         }
@@ -119,7 +114,7 @@
             let (age, allowed) = (self.age_s(job), self.allowed_s(job));
             tracing::info!("job {id} of {} ended at {age:.0} s of {allowed:.0} s", job.record.spec.class);
         }
-        self.let_go_of_moved(id);
+        self.release_moved_slices(id);
         self.adopt_slices(id, None);
         self.check_finished(id);
     }
@@ -172,12 +167,12 @@
         Some((job, shard, index, at))
     }
 
-    pub(crate) fn wanted(&self, key: &TaskKey) -> Option<&TaskRecord> {
+    pub(crate) fn desired_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
         let (job, _, index, at) = self.task(key)?;
         job.slices()[index].desired()?.tasks.get(at)
     }
 
-    pub(crate) fn durable(&self, key: &TaskKey) -> Option<&TaskRecord> {
+    pub(crate) fn durable_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
         let (job, _, index, at) = self.task(key)?;
         job.slices()[index].record()?.tasks.get(at)
     }
@@ -190,22 +185,10 @@
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let Some(from) = job.set_task(index, at, to.clone()) else { return };
         if let TaskRecord::Placed(_, machine) = &from {
-            if let Some(set) = owned_shard.on.get_mut(machine) {
-                set.remove(key);
-                if set.is_empty() {
-                    owned_shard.on.remove(machine);
-                }
-            }
-            owned_shard.count(&job.record, -1.0);
-            owned_shard.stopping.remove(key);
-            owned_shard.running_since.remove(key);
-            if let Some(m) = owned_shard.machines.get_mut(machine) {
-                m.sent.remove(key);
-            }
+            owned_shard.unplace(key, machine, &job.record);
         }
         if let TaskRecord::Placed(_, machine) = &to {
-            owned_shard.on.entry(machine.clone()).or_default().insert(key.clone());
-            owned_shard.count(&job.record, 1.0);
+            owned_shard.place(key.clone(), machine, &job.record);
         }
         owned_shard.dirty.entry((key.0.clone(), index)).or_insert(self.now);
     }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -21,7 +21,7 @@
     },
     Watch,
     /// Whether anybody keeps machines of the shard.
-    Compare(ShardId),
+    ExpiryCheck(ShardId),
     Grant,
     Renew(LeaseId),
     /// A transaction whose outcome the watch or a conflict read shows.
@@ -151,7 +151,7 @@
         match what {
             PendingRequest::Load { seen, first, since } => self.load_answer(seen, first, since, answer),
             PendingRequest::Watch => self.watch_answer(sent, answer),
-            PendingRequest::Compare(shard) => self.compared(shard, answer),
+            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, answer),
             PendingRequest::Grant => self.grant_answer(answer),
             PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
             PendingRequest::Simple(transaction)
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -242,7 +242,7 @@
             for (at, task) in slice.into_iter().flat_map(|record| record.tasks.iter().enumerate()) {
                 let TaskRecord::Placed(attempt, machine) = task else { continue };
                 let key = (id.clone(), first + at as u32);
-                let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.0 == *attempt);
+                let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.attempt == *attempt);
                 if !owned_shard.machines.get(machine).is_some_and(listed) {
                     self.deferred_responses.touch(machine);
                 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,6 @@
 //! What workers report and which commands they take.
 
-use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, MachineId};
+use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, HeartbeatSequence, JobId, MachineId};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Deserialize, Serialize)]
@@ -27,6 +27,13 @@
     pub tasks: Vec<TaskStatus>,
 }
 
+impl Heartbeat {
+    /// Where the heartbeat stands in the order of its worker's messages.
+    pub fn sequence(&self) -> HeartbeatSequence {
+        HeartbeatSequence { agent_epoch: self.agent_epoch, number: self.heartbeat_number }
+    }
+}
+
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
     #[serde(rename = "load")]
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,7 +1,7 @@
 //! The durable records, as they stand in the state service.
 
 use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
-use crate::units::{Attempt, JobId, LeaseId, MachineId, NodeName, ShardId};
+use crate::units::{Attempt, ComputeAmount, JobId, LeaseId, MachineId, NodeName, ShardId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -309,7 +309,7 @@
 /// What a shard may use of each team's limit.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    pub teams: BTreeMap<String, (f64, f64)>,
+    pub teams: BTreeMap<String, ComputeAmount>,
 }
 
 /// What the leader has begun with machines: the last rental request named
--- a/src/units.rs
+++ b/src/units.rs
@@ -152,6 +152,15 @@
     /// A waiting request of a user or worker.
     RequestId, u64);
 
+/// Orders a worker's messages over all its agent epochs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatSequence {
+    /// The worker's incarnation, which counts first.
+    pub agent_epoch: AgentEpoch,
+    /// The number within that incarnation.
+    pub number: HeartbeatNumber,
+}
+
 name!(
     /// A job's unique id, chosen by its user.
     JobId);
@@ -200,6 +209,28 @@
     }
 }
 
+/// Processor cores and GPUs that tasks use, lack or may use. Stored as the pair of both.
+#[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct ComputeAmount {
+    /// Processor cores, also fractions of one.
+    pub cpus: f64,
+    /// GPUs, also fractions of one.
+    pub gpus: f64,
+}
+
+impl From<(f64, f64)> for ComputeAmount {
+    fn from((cpus, gpus): (f64, f64)) -> ComputeAmount {
+        ComputeAmount { cpus, gpus }
+    }
+}
+
+impl From<ComputeAmount> for (f64, f64) {
+    fn from(amount: ComputeAmount) -> (f64, f64) {
+        (amount.cpus, amount.gpus)
+    }
+}
+
 /// A hash that is the same in every process and version (FNV-1a, then mixed).
 pub fn stable_hash(pieces: &[&str]) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
--- a/tests/wire/records.rs
+++ b/tests/wire/records.rs
@@ -71,7 +71,7 @@
     let slice = SliceRecord { tasks };
     let compact = slice.compact().expect("a dense form");
     assert_eq!(serde_json::from_value::<SliceRecord>(compact.clone()).expect("a slice"), slice);
-    let teams = [("blue".to_string(), (0.0, 0.5)), ("red".to_string(), (16.0, 2.0))].into();
+    let teams = [("blue".to_string(), (0.0, 0.5).into()), ("red".to_string(), (16.0, 2.0).into())].into();
     let fleet = FleetRecord { rentals: 27, drain: vec![machine("i-000009")], gone: vec![machine("i-000005")] };
     let least = json!({"ref": "wk-1", "haul": "h", "crew": "c", "rig": "array", "rank": "idle", "loads": 1, "cores": 1.0,
         "mem_gb": 1.0, "kit": "k", "image_gb": 0.5, "reckon_s": 6.0});
