--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -131,7 +131,7 @@
 
     /// Writes which machines are on their way out, and which are gone.
     pub(crate) fn write_fleet(&mut self) {
-        if self.store.is_key_busy(FLEET_KEY) || !self.leading() {
+        if self.store.is_key_busy(FLEET_KEY) || !self.is_leader() {
             return;
         }
         let before = self.cache.fleet.record.clone().unwrap_or_default();
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -19,7 +19,7 @@
     /// that nobody else has use for.
     pub(crate) fn archive_ended_jobs(&mut self) {
         let idle = self.store.writes_above(self.now, 0.8);
-        if !self.leading() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
+        if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         // Two changes a job, and no more than is idle.
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -93,7 +93,7 @@
 
 impl Core {
     pub(crate) fn lead(&mut self) {
-        if !self.leading() || !self.records_fresh() || !self.store.may_send(self.now) {
+        if !self.is_leader() || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         self.deal(true);
@@ -102,7 +102,7 @@
 
     /// Deals jobs as they come, between two housekeepings.
     pub(crate) fn assign_new_slices(&mut self) {
-        if self.leading() && self.records_fresh() && self.store.may_send(self.now) {
+        if self.is_leader() && self.records_fresh() && self.store.may_send(self.now) {
             self.deal(false);
         }
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -12,6 +12,7 @@
 
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::StoreClient;
 use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, RentRequest};
 use crate::protocol::peer::PeerStatus;
@@ -20,7 +21,6 @@
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::storage::names::InternedName;
 use crate::units::{
     CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
 };
@@ -191,8 +191,7 @@
     unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
-    /// Teams with a guarantee: cores and GPUs.
-    guarantees: Vec<(InternedName, f64, f64)>,
+    guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
     dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
     /// A waiting job may start: that must not wait for the next housekeeping.
@@ -200,7 +199,7 @@
     dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
     announced: crate::coordination::membership::feature_level::Announced,
     shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::Start,
+    start: crate::coordination::membership::startup::StartupProgress,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
     /// Notes told so far.
     told: u64,
@@ -219,8 +218,7 @@
             &mut cache.names,
         );
         let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
-        let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
+        let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
@@ -259,7 +257,7 @@
             dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
             announced: crate::coordination::membership::feature_level::Announced::default(),
             shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::Start::default(),
+            start: crate::coordination::membership::startup::StartupProgress::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
             told: 0,
         }
@@ -280,7 +278,7 @@
             Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
-            Input::PeerStatus(status) => self.status(status),
+            Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
         self.send_due_responses();
@@ -343,7 +341,7 @@
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
-        self.raise_level();
+        self.raise_feature_level();
         self.release_ready_jobs();
         self.write_dependency_outcomes();
         self.archive_ended_jobs();
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -96,7 +96,7 @@
         }
         self.activate_ready_shards();
         tracing::info!("read {} records up to revision {first}", seen.len());
-        self.reached(Milestone::RecordsRead);
+        self.milestone_reached(Milestone::RecordsRead);
     }
 
     /// Takes what a watch that was sent at `sent` brought.
