--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod jobs;
 pub(crate) mod leader;
 pub(crate) mod membership;
+mod messages;
 pub(crate) mod scheduling;
 pub(crate) mod shards;
 pub(crate) mod store_client;
@@ -14,18 +15,14 @@
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::SentRequest;
 use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
+use crate::protocol::cloud::MachineType;
 use crate::protocol::peer::PeerStatus;
-use crate::protocol::state::{StateAnswer, StateCall};
-use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
 use crate::storage::names::InternedName;
-use crate::units::{
-    CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
-};
+use crate::units::{CallId, JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::replicas::{Replica, ReplicaState};
+pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, Output, Response};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often controllers tell one another how they are.
@@ -34,93 +31,6 @@
 /// A pause between inputs that cannot be chance: ticks come far more often.
 const CLOCK_JUMP: Millis = Millis(1000);
 
-/// What a user asks.
-#[derive(Debug, Clone)]
-pub enum ClientRequest {
-    Submit(Box<JobSpec>),
-    /// A submission that is not a valid one, of a job that may be known all the same.
-    Malformed {
-        id: JobId,
-        reason: String,
-    },
-    Query(JobId),
-    Cancel(JobId),
-    Health,
-}
-
-#[derive(Debug, Clone)]
-pub enum CloudCall {
-    Catalog,
-    List { after: Option<MachineId> },
-    Rent(RentRequest),
-    Return(Vec<MachineId>),
-}
-
-#[derive(Debug, Clone)]
-pub enum CloudAnswer {
-    Catalog(Catalog),
-    Page(MachinePage),
-    Rented(MachineNames),
-    NoCapacity,
-    Returned,
-    /// Refused, or no answer: it may be carried out late.
-    Failed,
-}
-
-#[derive(Debug)]
-pub enum Input {
-    Tick,
-    ClientRequest(RequestId, ClientRequest),
-    Heartbeat(RequestId, Heartbeat),
-    State(CallId, StateAnswer),
-    Cloud(CallId, CloudAnswer),
-    PeerStatus(PeerStatus),
-}
-
-/// The answer to a user.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Response {
-    Job {
-        status: u16,
-        id: JobId,
-        state: crate::protocol::users::JobState,
-        counts: Option<(u32, u32)>,
-    },
-    Error {
-        status: u16,
-        reason: String,
-        retry_after_s: Option<u32>,
-    },
-    Healthy,
-    /// Commands for a worker.
-    Commands {
-        token: FencingToken,
-        commands: Vec<Command>,
-    },
-    /// The worker should report to this node, or look on.
-    Redirect(Option<NodeName>),
-}
-
-impl Response {
-    fn problem(status: u16, reason: &str) -> Response {
-        Response::Error { status, reason: reason.into(), retry_after_s: None }
-    }
-    fn later(reason: &str) -> Response {
-        Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(1) }
-    }
-}
-
-#[derive(Debug)]
-pub enum Output {
-    Response(RequestId, Response),
-    State(CallId, StateCall),
-    Cloud(CallId, CloudCall),
-    /// To all other controllers.
-    BroadcastStatus(PeerStatus),
-    /// To all other controllers: the records have come as far as this.
-    RevisionHint(Revision),
-}
-
 /// Lengths of time that the rules rest on, derived from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::storage::records;
+use crate::units::MachineId;
 
 pub(crate) fn core() -> Core {
     Core::new(crate::settings::tests::example(40.0), Tuning::default())
