--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -1,8 +1,9 @@
 //! Jobs that ended long ago: put away where no node reads or watches them,
 //! and looked up one by one when somebody asks.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
+use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
 use crate::units::{JobId, RequestId};
@@ -55,7 +56,7 @@
     /// Looks up a job that has no record among those put away.
     pub(crate) fn look_up_archived(&mut self, request: RequestId, job: JobId, known: bool) {
         if self.cache.archived(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.afford(request, 1.0) {
             self.call_state(
@@ -68,12 +69,12 @@
     pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StateAnswer) {
         let response = match answer {
             // A submission whose outcome was unknown was not carried out.
-            StateAnswer::Missing(_) if !known => Response::problem(404, "no such job"),
+            StateAnswer::Missing(_) if !known => Refusal::JobNotFound.into(),
             StateAnswer::Found(_) => match self.take_archived(&job, answer) {
-                Some(_) => return self.answer_job(request, 200, &job, None),
-                None => Response::later("the job cannot be read"),
+                Some(_) => return self.answer_known_job(request, &job),
+                None => Refusal::JobUnreadable.into(),
             },
-            _ => Response::later("the state service does not answer"),
+            _ => Refusal::StoreUnavailable.into(),
         };
         self.response(request, response);
     }
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -9,9 +9,9 @@
 //! it and answered from that at once; its own end is written behind.
 
 use crate::coordination::jobs::dependency_graph::Known;
-use crate::coordination::jobs::validation::Refusal;
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
+use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
@@ -218,13 +218,11 @@
     /// A submission that names others: they are looked at one by one.
     pub(crate) fn submit_after(&mut self, request: RequestId, spec: Box<JobSpec>) {
         if !self.dependencies_enabled() {
-            let reason = "jobs that await others are taken once all controllers know of them";
-            return self
-                .response(request, Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(2) });
+            return self.refuse(request, Refusal::DependenciesNotEnabled);
         }
         let to_check = spec.dependencies.clone();
         if to_check.contains(&spec.id) {
-            return self.refuse(request, spec.id, Refusal::impossible("a job cannot await itself"));
+            return self.refuse_unless_known(request, spec.id, InfeasibleJob::DependsOnItself.into());
         }
         self.check_dependencies(DependencyCheck {
             request,
@@ -241,8 +239,11 @@
         while let Some(name) = check.to_check.pop() {
             if let Some(job) = self.cache.jobs.get(&name) {
                 if job.record.spec.kind == JobKind::Standing {
-                    let reason = format!("{name} is a service, which is never done");
-                    return self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+                    return self.refuse_unless_known(
+                        check.request,
+                        check.spec.id,
+                        InfeasibleJob::DependsOnService(name).into(),
+                    );
                 }
             }
             match Core::known(&self.cache, &name) {
@@ -284,8 +285,7 @@
                 self.look_up_dependency(check);
             }
             StateAnswer::Missing(_) => {
-                let reason = format!("{id} was never accepted");
-                self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+                self.refuse_unless_known(check.request, check.spec.id, InfeasibleJob::DependencyNotFound(id).into());
             }
             StateAnswer::Found(_) => {
                 let read = if check.archived {
@@ -295,10 +295,10 @@
                 };
                 match read {
                     true => self.check_dependencies(check),
-                    false => self.response(check.request, Response::later("a job it names cannot be read")),
+                    false => self.refuse(check.request, Refusal::DependencyUnreadable),
                 }
             }
-            _ => self.response(check.request, Response::later("the state service does not answer")),
+            _ => self.refuse(check.request, Refusal::StoreUnavailable),
         }
     }
 }
--- a/src/coordination/jobs/dependency_release/tests.rs
+++ b/src/coordination/jobs/dependency_release/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::Output;
+use crate::coordination::{Output, Response};
 use crate::protocol::state::Item;
 use crate::units::Revision;
 
@@ -15,7 +15,7 @@
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
     core.changed(changed);
     let told = |core: &mut Core| {
-        core.answer_job(RequestId(1), 200, &second, None);
+        core.answer_known_job(RequestId(1), &second);
         match core.out.pop() {
             Some(Output::Response(_, Response::Job { state, .. })) => Some(state),
             _ => None,
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -3,6 +3,7 @@
 pub(crate) mod archive;
 pub(crate) mod dependency_graph;
 pub(crate) mod dependency_release;
+pub(crate) mod refusal;
 pub(crate) mod replicas;
 pub(crate) mod status_query;
 pub(crate) mod submission;
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -7,8 +7,9 @@
 //! often, users cost the state service no more reads than before, and take
 //! none from submissions, workers and fencing.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
+use crate::coordination::Core;
 use crate::protocol::state::{StateAnswer, StateCall};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
@@ -53,11 +54,11 @@
         // A standstill of this node is nobody's silence.
         let heard = self.last_state_answer.map(|at| at.max(self.resumed_at));
         if self.loaded && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
-            return self.response(request, Response::later("the state service does not answer"));
+            return self.refuse(request, Refusal::StoreUnavailable);
         }
         let status_queries = &mut self.status_queries;
         if !self.loaded || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
-            return self.response(request, Response::later("busy"));
+            return self.refuse(request, Refusal::Busy);
         }
         status_queries.waiting.push_back(Question { request, job, at: self.now });
     }
@@ -93,7 +94,7 @@
     }
 
     fn give_up(&mut self, question: Question) {
-        self.response(question.request, Response::later("the state service does not answer"));
+        self.refuse(question.request, Refusal::StoreUnavailable);
     }
 
     pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::{ClientRequest, Input, Output};
+use crate::coordination::{ClientRequest, Input, Output, Response};
 
 /// Users of a controller that is cut off waited 1.5 s each time to be told to come back.
 #[test]
@@ -13,8 +13,8 @@
             Input::ClientRequest(RequestId(at), ClientRequest::Query(JobId::new("wk-000001"))),
         );
         outputs.iter().any(|o| {
-            matches!(o, Output::Response(RequestId(id), Response::Error { status: 503, retry_after_s: Some(_), .. })
-                if *id == at)
+            matches!(o, Output::Response(RequestId(id), Response::Error(refusal))
+                if *id == at && refusal.http_status() == 503 && refusal.retry_after_s().is_some())
         })
     };
     for at in (1100..6000).step_by(300) {
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -1,9 +1,9 @@
 //! Users: submissions, queries and cancellations.
 
-use crate::coordination::jobs::validation::Refusal;
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{ClientRequest, Core, Response};
+use crate::coordination::{ClientRequest, Core, JobProgress, JobResponseStatus, Response};
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::{JobSpec, JobState};
 use crate::storage::records::{archived_job_key, job_key, JobOutcome, JobRecord, SlicePlan};
@@ -25,11 +25,13 @@
     pub(crate) fn handle_client_request(&mut self, request: RequestId, ask: ClientRequest) {
         match ask {
             ClientRequest::Health => {
-                let response = if self.can_take() { Response::Healthy } else { Response::later("starting") };
+                let response = if self.can_take() { Response::Healthy } else { Refusal::Starting.into() };
                 self.response(request, response);
             }
             ClientRequest::Submit(spec) => self.submit(request, spec),
-            ClientRequest::Malformed { id, reason } => self.refuse(request, id, Refusal::malformed(reason)),
+            ClientRequest::Malformed { id, reason } => {
+                self.refuse_unless_known(request, id, Refusal::Malformed(reason))
+            }
             ClientRequest::Query(job) => self.query(request, job),
             ClientRequest::Cancel(job) => self.cancel(request, job),
         }
@@ -49,27 +51,38 @@
         self.final_state(job).map(state_of)
     }
 
-    pub(crate) fn answer_job(&mut self, request: RequestId, status: u16, id: &JobId, record: Option<&JobRecord>) {
+    /// Answers with the state of a job that was accepted before.
+    pub(crate) fn answer_known_job(&mut self, request: RequestId, id: &JobId) {
+        self.answer_job(request, JobResponseStatus::Known, id, None);
+    }
+
+    pub(crate) fn answer_job(
+        &mut self,
+        request: RequestId,
+        status: JobResponseStatus,
+        id: &JobId,
+        record: Option<&JobRecord>,
+    ) {
         // A wrong answer could not be taken back: not before those that it
         // follows are looked up.
         if self.dependency_graph.unsettled(id) {
-            return self.response(request, Response::later("a job before it is being looked up"));
+            return self.refuse(request, Refusal::DependencyUnresolved);
         }
         let ended = record.and_then(|r| r.end).map(state_of).or_else(|| self.known_final(id));
-        let counts = self.cache.jobs.get(id).map_or((0, 0), |j| j.counts());
-        let (state, counts) = match ended {
+        let (done, running) = self.cache.jobs.get(id).map_or((0, 0), |job| job.counts());
+        let (state, progress) = match ended {
             Some(JobState::Done) => {
                 let all = record
                     .map(|r| r.spec.task_count)
                     .or(self.cache.jobs.get(id).map(|j| j.record.spec.task_count))
                     .or(self.cache.archived(id).map(|p| p.tasks));
-                (JobState::Done, all.map(|tasks| (tasks, 0)))
+                (JobState::Done, all.map(|tasks| JobProgress { done: tasks, running: 0 }))
             }
-            Some(state) => (state, Some((counts.0, 0))),
-            None if counts.1 > 0 => (JobState::Running, Some(counts)),
-            None => (JobState::Queued, Some(counts)),
+            Some(state) => (state, Some(JobProgress { done, running: 0 })),
+            None if running > 0 => (JobState::Running, Some(JobProgress { done, running })),
+            None => (JobState::Queued, Some(JobProgress { done, running })),
         };
-        self.response(request, Response::Job { status, id: id.clone(), state, counts });
+        self.response(request, Response::Job { status, id: id.clone(), state, progress });
     }
 
     /// Takes from the share of reads what a user's request needs.
@@ -77,27 +90,27 @@
         if self.now >= self.retry_state_at && self.reads.take(self.now, cost) {
             return true;
         }
-        self.response(request, Response::Error { status: 503, reason: "busy".into(), retry_after_s: Some(1) });
+        self.refuse(request, Refusal::Busy);
         false
     }
 
     fn submit(&mut self, request: RequestId, spec: Box<JobSpec>) {
         if self.known_final(&spec.id).is_some() {
             let id = spec.id.clone();
-            return self.answer_job(request, 200, &id, None);
+            return self.answer_known_job(request, &id);
         }
         if self.cache.jobs.contains_key(&spec.id) {
             return self.query_status(request, spec.id);
         }
         if !self.loaded || self.catalog.is_empty() {
-            return self.response(request, Response::later("starting"));
+            return self.refuse(request, Refusal::Starting);
         }
         if let Some(reason) = self.impossible(&spec) {
-            return self.refuse(request, spec.id, Refusal::impossible(reason));
+            return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Acceptance goes first: on credit, as far as the share bears it.
         if self.now < self.retry_state_at || self.reads.level(self.now) < -0.5 * self.reads.per_s() {
-            return self.response(request, Response::later("busy"));
+            return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
             return self.submit_after(request, spec);
@@ -109,13 +122,12 @@
     /// Accepts a job with its record.
     pub(crate) fn write_submission(&mut self, request: RequestId, spec: Box<JobSpec>, record: JobRecord) {
         let Ok(value) = serde_json::to_value(&record) else {
-            return self.response(request, Response::problem(400, "not a job"));
+            return self.refuse(request, Refusal::NotSerializable);
         };
         // With room for its plan, if that comes later, and for its end.
         let plan = if record.plan.is_none() { self.plan_bytes(spec.task_count) } else { 0 };
         if !self.fits(value.to_string().len() + plan + END_BYTES) {
-            let reason = "the job and the names it awaits are too large to be kept";
-            return self.refuse(request, spec.id, Refusal::impossible(reason));
+            return self.refuse_unless_known(request, spec.id, InfeasibleJob::RecordTooLarge.into());
         }
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
@@ -181,7 +193,7 @@
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.reached(Milestone::Accepted);
-                self.answer_job(request, 201, &spec.id, None);
+                self.answer_job(request, JobResponseStatus::Accepted, &spec.id, None);
             }
             // Known already, or our own transaction after all.
             StateAnswer::Conflict(_) => {
@@ -198,8 +210,8 @@
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
                 );
             }
-            StateAnswer::Rejected(_) => self.response(request, Response::problem(400, "too large to keep")),
-            _ => self.response(request, Response::later("the state service does not answer")),
+            StateAnswer::Rejected(_) => self.refuse(request, Refusal::RejectedByStore),
+            _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
@@ -208,8 +220,11 @@
             return self.look_up_archived(request, job, true);
         }
         match self.take_job(answer) {
-            Some((id, record)) => self.answer_job(request, if fresh { 201 } else { 200 }, &id, Some(&record)),
-            None => self.response(request, Response::later("the state service does not answer")),
+            Some((id, record)) => {
+                let status = if fresh { JobResponseStatus::Accepted } else { JobResponseStatus::Known };
+                self.answer_job(request, status, &id, Some(&record))
+            }
+            None => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
@@ -224,7 +239,7 @@
 
     fn query(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         self.query_status(request, job);
     }
@@ -232,7 +247,7 @@
     /// Answers from the cache once it is provably as new as the question.
     pub(crate) fn answer_from_cache(&mut self, request: RequestId, job: &JobId) {
         if self.cache.jobs.contains_key(job) {
-            self.answer_job(request, 200, job, None);
+            self.answer_known_job(request, job);
         } else {
             self.look_up_archived(request, job.clone(), false);
         }
@@ -240,7 +255,7 @@
 
     fn cancel(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.afford(request, 1.0) {
             let call = StateCall::Get { key: job_key(&job) };
@@ -257,16 +272,16 @@
             _ => Revision(0),
         };
         let Some((id, record)) = self.take_job(answer) else {
-            return self.response(request, Response::later("the state service does not answer"));
+            return self.refuse(request, Refusal::StoreUnavailable);
         };
         if self.final_state(&id).is_some() {
-            return self.answer_job(request, 200, &id, None);
+            return self.answer_known_job(request, &id);
         }
         if record.end.is_some() || tries == 0 {
             if record.end.is_none() {
-                return self.response(request, Response::later("the job is changing"));
+                return self.refuse(request, Refusal::JobChanging);
             }
-            return self.answer_job(request, 200, &id, Some(&record));
+            return self.answer_job(request, JobResponseStatus::Known, &id, Some(&record));
         }
         let record = JobRecord { end: Some(JobOutcome::Cancelled), ..record };
         let key = job_key(&id);
@@ -295,7 +310,7 @@
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
-                self.answer_job(request, 200, &job, None);
+                self.answer_known_job(request, &job);
             }
             StateAnswer::Conflict(_) | StateAnswer::Unknown => {
                 self.reads.force(self.now, 1.0);
@@ -304,7 +319,7 @@
                     PendingRequest::CancelRead { request, job, tries },
                 );
             }
-            _ => self.response(request, Response::later("the state service does not answer")),
+            _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 }
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -4,31 +4,15 @@
 //! gets its state, also when its body would be refused now, and also at a node whose
 //! records lag. So a refusal is given only after reads that show that the job isn't there.
 
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
+use crate::coordination::Core;
 use crate::protocol::state::{StateAnswer, StateCall};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::records::{archived_job_key, job_key};
 use crate::units::{JobId, RequestId};
 use std::collections::BTreeSet;
 
-/// Why a submission is refused: malformed, or of a job that can never run.
-#[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Refusal {
-    pub status: u16,
-    pub reason: String,
-}
-
-impl Refusal {
-    pub fn malformed(reason: impl Into<String>) -> Refusal {
-        Refusal { status: 400, reason: reason.into() }
-    }
-
-    pub fn impossible(reason: impl Into<String>) -> Refusal {
-        Refusal { status: 422, reason: reason.into() }
-    }
-}
-
 /// A refusal on its way, until the reads for it are made.
 #[derive(Debug)]
 pub(crate) struct Refusing {
@@ -41,9 +25,9 @@
 
 impl Core {
     /// Refuses a submission, unless its job is known after all.
-    pub(crate) fn refuse(&mut self, request: RequestId, job: JobId, refusal: Refusal) {
+    pub(crate) fn refuse_unless_known(&mut self, request: RequestId, job: JobId, refusal: Refusal) {
         if self.final_state(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.cache.jobs.contains_key(&job) {
             return self.query_status(request, job);
@@ -67,26 +51,26 @@
                 self.look_before_refusing(Refusing { request, job, refusal, archived: true });
             }
             StateAnswer::Missing(_) => {
-                tracing::info!("submission of {job} is refused with {}: {}", refusal.status, refusal.reason);
-                self.response(request, Response::problem(refusal.status, &refusal.reason));
+                tracing::info!("submission of {job} is refused with {}: {}", refusal.http_status(), refusal);
+                self.refuse(request, refusal);
             }
             StateAnswer::Found(_) => {
                 let known =
                     if archived { self.take_archived(&job, answer).is_some() } else { self.take_job(answer).is_some() };
                 match known {
-                    true => self.answer_job(request, 200, &job, None),
-                    false => self.response(request, Response::later("the job cannot be read")),
+                    true => self.answer_known_job(request, &job),
+                    false => self.refuse(request, Refusal::JobUnreadable),
                 }
             }
-            _ => self.response(request, Response::later("the state service does not answer")),
+            _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
     /// Why a job can never run, if so. Everything that a task needs must come together
     /// in one machine type, in a zone that sells it; all replicas of a service at once.
-    pub(crate) fn impossible(&self, spec: &JobSpec) -> Option<&'static str> {
+    pub(crate) fn impossible(&self, spec: &JobSpec) -> Option<InfeasibleJob> {
         let Some(team) = self.settings.cluster.teams.iter().find(|t| t.name == spec.team) else {
-            return Some("unknown team");
+            return Some(InfeasibleJob::UnknownTeam);
         };
         let fitting = self.catalog.values().filter(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.name))
@@ -97,16 +81,16 @@
         let allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|only| only == *zone);
         let zones: BTreeSet<&String> = fitting.flat_map(|t| &t.zones).filter(allowed).collect();
         if zones.is_empty() {
-            return Some("a task fits no allowed machine type");
+            return Some(InfeasibleJob::NoMachineType);
         }
         // Tasks of an array may run one after the other.
         let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
         let over = |max: f64, each: f64| max > 0.0 && each * f64::from(at_once) > max + 1e-9;
         if over(team.cpus_max, spec.cpus) || over(team.gpus_max, spec.gpus) {
-            return Some("more than the team's limit");
+            return Some(InfeasibleJob::OverTeamLimit);
         }
         if spec.apart && at_once > 1 && (spec.one_zone || zones.len() < 2) {
-            return Some("the tasks must be spread, and may only be in one zone");
+            return Some(InfeasibleJob::OneZoneOnly);
         }
         None
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -4,6 +4,7 @@
 //! Nothing here decides anything, and none of these types is the form of a message on a wire: those
 //! are in `protocol`.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, RentRequest};
 use crate::protocol::peer::PeerStatus;
 use crate::protocol::state::{StateAnswer, StateCall};
@@ -81,29 +82,50 @@
     PeerStatus(PeerStatus),
 }
 
+/// Whether the request that is answered made the job known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum JobResponseStatus {
+    /// This request's submission was accepted.
+    Accepted,
+    /// The job was accepted before.
+    Known,
+}
+
+impl JobResponseStatus {
+    /// The HTTP status of the response.
+    pub fn http_status(self) -> u16 {
+        match self {
+            JobResponseStatus::Accepted => 201,
+            JobResponseStatus::Known => 200,
+        }
+    }
+}
+
+/// How many tasks of a job are how far.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct JobProgress {
+    /// Tasks that are done.
+    pub done: u32,
+    /// Tasks that are on machines.
+    pub running: u32,
+}
+
 /// The answer to a request of a user or to a heartbeat of a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
     /// The state of a job.
     Job {
-        /// HTTP status: 201 for a job accepted by this request, 200 for one known before.
-        status: u16,
+        /// Whether this request made the job known.
+        status: JobResponseStatus,
         /// The job.
         id: JobId,
         /// How far the job has come.
         state: JobState,
-        /// Tasks done and tasks on machines, if known.
-        counts: Option<(u32, u32)>,
+        /// Counts of its tasks, if known.
+        progress: Option<JobProgress>,
     },
     /// The request was not carried out.
-    Error {
-        /// HTTP status.
-        status: u16,
-        /// Why, for the user.
-        reason: String,
-        /// Seconds after which the request may be repeated, if repeating it can help.
-        retry_after_s: Option<u32>,
-    },
+    Error(Refusal),
     /// This controller can take submissions.
     Healthy,
     /// Commands for a worker.
@@ -117,12 +139,9 @@
     Redirect(Option<NodeName>),
 }
 
-impl Response {
-    pub(crate) fn problem(status: u16, reason: &str) -> Response {
-        Response::Error { status, reason: reason.into(), retry_after_s: None }
-    }
-    pub(crate) fn later(reason: &str) -> Response {
-        Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(1) }
+impl From<Refusal> for Response {
+    fn from(refusal: Refusal) -> Response {
+        Response::Error(refusal)
     }
 }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -21,8 +21,9 @@
 use crate::storage::cache::StateCache;
 use crate::storage::names::InternedName;
 use crate::units::{CallId, JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
-pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, Output, Response};
+pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often controllers tell one another how they are.
@@ -292,6 +293,11 @@
         self.out.push(Output::Response(request, response));
     }
 
+    /// Tells a user why a request is not carried out.
+    fn refuse(&mut self, request: RequestId, refusal: Refusal) {
+        self.response(request, Response::Error(refusal));
+    }
+
     /// True if the records were read lately enough to start new work on them.
     fn records_fresh(&self) -> bool {
         self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.fresh)
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -4,7 +4,7 @@
 use super::events::{Asked, Event};
 use super::http::Client;
 use super::peers::{replica_told, Asker};
-use crate::coordination::{ClientRequest, Response};
+use crate::coordination::{ClientRequest, RefusalKind, Response};
 use crate::protocol::peer;
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
 use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
@@ -194,8 +194,11 @@
 fn submit_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => fate(state),
-        Some(Response::Error { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
-        Some(Response::Error { status: 429 | 503, .. }) => Answer::Refused,
+        Some(Response::Error(refusal)) => match refusal.kind() {
+            RefusalKind::BadRequest | RefusalKind::Unprocessable => Answer::Unacceptable(refusal.to_string()),
+            RefusalKind::Unavailable => Answer::Refused,
+            RefusalKind::NotFound => Answer::Unknown,
+        },
         _ => Answer::Unknown,
     }
 }
@@ -203,8 +206,8 @@
 fn withdraw_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => fate(state),
-        Some(Response::Error { status: 404, .. }) => Answer::Job(JobFate::Unknown),
-        Some(Response::Error { .. }) => Answer::Refused,
+        Some(Response::Error(refusal)) if refusal.kind() == RefusalKind::NotFound => Answer::Job(JobFate::Unknown),
+        Some(Response::Error(_)) => Answer::Refused,
         _ => Answer::Unknown,
     }
 }
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -77,12 +77,13 @@
 pub fn render(response: &Response) -> (u16, String, Option<u32>) {
     match response {
         Response::Healthy => (200, "{}".into(), None),
-        Response::Job { status, id, state, counts } => {
-            let (done, running) = counts.unzip();
-            (*status, json(&JobStatus { id, state: *state, done, running }), None)
+        Response::Job { status, id, state, progress } => {
+            let (done, running) = progress.map(|tasks| (tasks.done, tasks.running)).unzip();
+            (status.http_status(), json(&JobStatus { id, state: *state, done, running }), None)
         }
-        Response::Error { status, reason, retry_after_s } => {
-            (*status, serde_json::json!({ "error": reason }).to_string(), *retry_after_s)
+        Response::Error(refusal) => {
+            let body = serde_json::json!({ "error": refusal.to_string() }).to_string();
+            (refusal.http_status(), body, refusal.retry_after_s())
         }
         Response::Commands { token, commands } => (200, json(&HeartbeatResponse { token: *token, commands }), None),
         Response::Redirect(node) => (421, json(&Redirect { report_to: node.as_ref().map(|n| n.as_str()) }), None),
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -135,7 +135,8 @@
         (0..8).for_each(|_| told.extend(self.step(Input::Tick, shape)));
         let response = told.into_iter().find(|(id, _)| *id == request).expect("an answer").1;
         match response {
-            Response::Job { status, .. } | Response::Error { status, .. } => status,
+            Response::Job { status, .. } => status.http_status(),
+            Response::Error(refusal) => refusal.http_status(),
             other => panic!("{other:?}"),
         }
     }
--- a/tests/simulator/mod.rs
+++ b/tests/simulator/mod.rs
@@ -1446,7 +1446,7 @@
         };
         match response {
             Response::Job { status, state, .. } => {
-                if accepted && status == 201 {
+                if accepted && status.http_status() == 201 {
                     self.broken.push(format!("accepted twice: {id} at {now}"));
                 }
                 if state == JobState::Done && job.finished.len() < job.spec.task_count as usize {
@@ -1479,7 +1479,8 @@
                     self.at(now + 3000, Due::Poll(id));
                 }
             }
-            Response::Error { status, .. } => {
+            Response::Error(refusal) => {
+                let status = refusal.http_status();
                 if accepted && matches!(status, 400 | 404 | 422) {
                     self.broken.push(format!("forgotten: {id} gets {status} at {now}"));
                 }
--- a/tests/simulator/trace.rs
+++ b/tests/simulator/trace.rs
@@ -82,11 +82,13 @@
 fn reply_form(response: &Response) -> String {
     match response {
         Response::Healthy => "up".into(),
-        Response::Job { status, id, state, counts } => {
-            let (done, running) = counts.unzip();
-            format!("job {status} {}", json(&JobStatus { id, state: *state, done, running }))
+        Response::Job { status, id, state, progress } => {
+            let (done, running) = progress.map(|tasks| (tasks.done, tasks.running)).unzip();
+            format!("job {} {}", status.http_status(), json(&JobStatus { id, state: *state, done, running }))
+        }
+        Response::Error(refusal) => {
+            format!("problem {} {}", refusal.http_status(), json(&refusal.retry_after_s()))
         }
-        Response::Error { status, retry_after_s, .. } => format!("problem {status} {}", json(retry_after_s)),
         Response::Commands { token, commands } => {
             format!("commands {}", json(&HeartbeatResponse { token: *token, commands }))
         }
--- a/tests/simulator/users.rs
+++ b/tests/simulator/users.rs
@@ -171,8 +171,9 @@
 
     pub(super) fn odd_answered(&mut self, odd: Odd, response: Response) {
         match response {
-            Response::Error { status: 503, .. } => self.odd_again(odd),
-            Response::Error { status, .. } | Response::Job { status, .. } => self.odd_status(odd, status),
+            Response::Error(refusal) if refusal.http_status() == 503 => self.odd_again(odd),
+            Response::Error(refusal) => self.odd_status(odd, refusal.http_status()),
+            Response::Job { status, .. } => self.odd_status(odd, status.http_status()),
             _ => {}
         }
     }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -204,9 +204,9 @@
             match response {
                 Response::Job { status, id, .. } => {
                     assert!(self.record(&job_key(&id)).is_some(), "{id} was told to be accepted and is not durable");
-                    statuses.push((request, status));
+                    statuses.push((request, status.http_status()));
                 }
-                Response::Error { status, .. } => statuses.push((request, status)),
+                Response::Error(refusal) => statuses.push((request, refusal.http_status())),
                 Response::Healthy => statuses.push((request, 200)),
                 Response::Redirect(_) => statuses.push((request, 421)),
                 Response::Commands { token, commands } => {
