--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -55,10 +55,14 @@
     pub(crate) fn demand(&self) -> Vec<Demand> {
         let provisioning_times = &self.fleet.provisioning_times;
         let usual_s = |t: &MachineType| {
-            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max)
+            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.provisioning_s)).fold(0.0, f64::max)
         };
         // Quick spells are not relied on, and slow ones not planned for without bound.
-        let boot = self.catalog.values().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
+        let boot = self
+            .catalog
+            .values()
+            .map(|t| usual_s(t).clamp(t.provisioning_s, 4.0 * t.provisioning_s))
+            .fold(0.0, f64::max);
         let ahead = boot + 10.0;
         let mut groups: BTreeMap<Constraints, Demand> = BTreeMap::new();
         for id in &self.cache.active {
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -86,7 +86,7 @@
 
     /// True if the job failed wherever it ran, as far as this node or another knows.
     pub(crate) fn suspect(&self, job: &JobId) -> bool {
-        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
+        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing_jobs.iter().any(|f| f == job.as_str()));
         (self.estimates.failures.several(job) || self.peers.values().any(told)) && !self.sound(job)
     }
 
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -203,11 +203,11 @@
             }
         }
         for status in self.peers.values().filter_map(|p| p.status.as_ref()) {
-            faulty.extend(status.faulty.iter().map(|n| MachineId::new(n)));
+            faulty.extend(status.faulty_machines.iter().map(|n| MachineId::new(n)));
             for load in &status.shards {
-                up.extend(load.up.iter().map(|n| MachineId::new(n)));
-                downlink_lost.extend(load.downlink_lost.iter().map(|n| MachineId::new(n)));
-                leaving.extend(load.leaving.iter().map(|n| MachineId::new(n)));
+                up.extend(load.reporting_machines.iter().map(|n| MachineId::new(n)));
+                downlink_lost.extend(load.downlink_lost_machines.iter().map(|n| MachineId::new(n)));
+                leaving.extend(load.terminating_machines.iter().map(|n| MachineId::new(n)));
             }
         }
         for (name, fleet_machine) in &mut self.fleet.machines {
@@ -276,7 +276,7 @@
             return;
         };
         seen.extend(page.machines);
-        if let (true, Some(last)) = (page.more, seen.last()) {
+        if let (true, Some(last)) = (page.truncated, seen.last()) {
             let call = CloudCall::List { after: Some(last.machine.clone()) };
             return self.call_cloud(call, PendingRequest::List { seen });
         }
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -25,7 +25,7 @@
         age_s: 90.0,
     };
     let machines = names.iter().map(listed).collect();
-    let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, more: false });
+    let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, truncated: false });
     core.list_answer(vec![], page);
     assert_eq!(core.fleet.machines.len(), 0);
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -46,7 +46,7 @@
             .values()
             .any(|other| other.up && other.born > m.born && other.kind == m.kind && other.zone == m.zone);
         let age_s = self.now.since(m.born).as_secs();
-        self.fleet.provisioning_times.hopeless(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
+        self.fleet.provisioning_times.hopeless(&m.kind, &m.zone, t.provisioning_s, age_s, overtaken)
     }
 
     /// Marks for return what is idle beyond need, failed or never came up.
@@ -70,7 +70,7 @@
                 .get(&m.kind)
                 .map_or(0.0, |t| if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus)
         };
-        let used = self.taken();
+        let used = self.resources_in_use();
         let wanted: f64 = demand.iter().map(|d| d.cpus).sum();
         let load = |n: &MachineId| used.get(n).map_or(0.0, |taken| taken[0]);
         order.sort_by(|a, b| price(b.1).total_cmp(&price(a.1)).then(load(a.0).total_cmp(&load(b.0))));
@@ -85,7 +85,8 @@
             let idle = fleet_machine.idle_since.is_some_and(|at| self.now.since(at) >= idle_for);
             // Surplus ordinary machines are left to run out, rather than
             // refilled for as long as there is any work.
-            let settled = fleet_machine.up && self.now.since(fleet_machine.born) > Millis::secs(t.boot_s + 45.0);
+            let settled =
+                fleet_machine.up && self.now.since(fleet_machine.born) > Millis::secs(t.provisioning_s + 45.0);
             let in_use = load(name) / t.cpus;
             let margin = if fleet_machine.spot { wanted * 0.1 } else { t.cpus * 0.25 };
             let dear = settled && !fleet_machine.spot && in_use < 0.6 && surplus >= t.cpus + margin;
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -6,7 +6,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
 use crate::units::{MachineId, Millis};
 use std::collections::{BTreeMap, HashMap};
@@ -26,7 +26,8 @@
     pub(crate) fn counted_cpus(&self, m: &FleetMachine) -> Option<f64> {
         let t = self.catalog.get(&m.kind)?;
         let age_s = self.now.since(m.born).as_secs();
-        let share = if m.up { 1.0 } else { self.fleet.provisioning_times.coming(&m.kind, &m.zone, t.boot_s, age_s) };
+        let share =
+            if m.up { 1.0 } else { self.fleet.provisioning_times.coming(&m.kind, &m.zone, t.provisioning_s, age_s) };
         Some(t.cpus * share)
     }
 
@@ -66,7 +67,7 @@
             .filter_map(|(name, m)| Some((name.clone(), self.counted_cpus(m)?)))
             .collect();
         let by_shard = demand.iter().any(|group| group.shard.is_some());
-        let taken = if by_shard { self.taken() } else { HashMap::default() };
+        let taken = if by_shard { self.resources_in_use() } else { HashMap::default() };
         let mut lacks = vec![];
         for group in demand {
             // Whoever needs room in one shard needs it whole, and no more of it.
@@ -128,7 +129,8 @@
                         // Time lost to fetching images, some of which are shared.
                         let fetch = if t.fetch_gb_per_s > 0.0 { group.fetch_gb / t.fetch_gb_per_s } else { 0.0 };
                         // Boots that are slower than they should be are paid for.
-                        let late = self.fleet.provisioning_times.usual_s(&t.name, zone, t.boot_s) - t.boot_s;
+                        let late =
+                            self.fleet.provisioning_times.usual_s(&t.name, zone, t.provisioning_s) - t.provisioning_s;
                         let boot = late.max(0.0) / PAID_FOR_S;
                         let slow = 1.0 + 0.5 * fetch / group.run_s.max(1e-6) + boot;
                         let cost = count * price * slow / (count * useful).min(lack);
@@ -138,7 +140,7 @@
                         let cost = cost * (1.0 + 0.05 * here / total.max(1.0));
                         if best.as_ref().is_none_or(|b| cost < b.0) {
                             let request = RentRequest {
-                                request: String::new(),
+                                request_id: String::new(),
                                 kind: t.name.clone(),
                                 zone: zone.clone(),
                                 spot,
@@ -163,14 +165,14 @@
         }
         let mut record = self.fitted_fleet(self.cache.fleet.record.clone().unwrap_or_default());
         record.rentals += 1;
-        request.request = format!("r-{}", record.rentals);
+        request.request_id = format!("r-{}", record.rentals);
         let Some(transaction) = self.fleet_transaction(&record) else { return };
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
         self.busy_keys.insert(FLEET_KEY.into());
         self.fleet.renting = true;
         let rent = Rent { request, tries: 3 };
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
+        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
     }
 
     pub(crate) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
@@ -182,14 +184,14 @@
         Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
-    pub(crate) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StateAnswer) {
+    pub(crate) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StoreResponse) {
         self.busy_keys.remove(FLEET_KEY);
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.call_cloud(CloudCall::Rent(rent.request.clone()), PendingRequest::Rent(rent));
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 self.fleet.renting = false;
                 self.reread(failed, None);
             }
--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -51,7 +51,7 @@
     /// By when each is to be given.
     due: BTreeSet<(MonotonicTime, MachineId)>,
     /// Machines for which there may be something to say now.
-    touched: BTreeSet<MachineId>,
+    ready: BTreeSet<MachineId>,
 }
 
 impl DeferredResponses {
@@ -68,9 +68,9 @@
     }
 
     /// Something about the machine's tasks has become durable.
-    pub fn touch(&mut self, machine: &MachineId) {
+    pub fn mark_ready(&mut self, machine: &MachineId) {
         if self.held.contains_key(machine) {
-            self.touched.insert(machine.clone());
+            self.ready.insert(machine.clone());
         }
     }
 }
@@ -89,7 +89,7 @@
         let before_silence = self.quiet().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
         let within = |most: Millis| Millis(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
         let lives = heartbeat.tasks.iter().any(|t| t.state != TaskState::Exited);
-        let usable = machine.acked
+        let usable = machine.token_acknowledged
             && machine.notice.is_none()
             && !machine.faulty
             && !self.is_downlink_lost(machine)
@@ -98,8 +98,10 @@
             return None;
         }
         let exits = heartbeat.tasks.iter().any(|t| t.state == TaskState::Exited);
-        let unsent =
-            owned_shard.on.get(&heartbeat.machine).is_some_and(|on| on.iter().any(|k| !machine.listed.contains_key(k)));
+        let unsent = owned_shard
+            .on
+            .get(&heartbeat.machine)
+            .is_some_and(|on| on.iter().any(|k| !machine.reported_tasks.contains_key(k)));
         if !lives && !exits {
             return Some(within(LONGEST));
         }
@@ -137,7 +139,7 @@
 
     /// Gives the answers that are due, and those that have something to say.
     pub(crate) fn send_due_responses(&mut self) {
-        for machine in std::mem::take(&mut self.deferred_responses.touched) {
+        for machine in std::mem::take(&mut self.deferred_responses.ready) {
             self.give_answer(&machine, false);
         }
         while let Some((until, machine)) = self.deferred_responses.due.first().cloned() {
@@ -149,7 +151,7 @@
     }
 
     /// All answers for a shard that is no longer ours are due.
-    pub(crate) fn drop_deferred_responses(&mut self, shard: ShardId) {
+    pub(crate) fn expire_deferred_responses(&mut self, shard: ShardId) {
         let of_shard: Vec<MachineId> =
             self.deferred_responses.held.keys().filter(|name| self.shard_of(name) == shard).cloned().collect();
         for machine in of_shard {
@@ -172,9 +174,7 @@
         // The shard may have been lost and won again meanwhile: then this owner
         // has not heard of the machine, and knows nothing of what is on it.
         let newest = self.owned_shards.get(&shard).and_then(|m| m.machines.get(machine));
-        let newest = newest.is_some_and(|m| {
-            (m.agent_epoch, m.heartbeat_number) == (held.heartbeat.agent_epoch, held.heartbeat.heartbeat_number)
-        });
+        let newest = newest.is_some_and(|m| m.heartbeat_id() == held.heartbeat.id());
         let commands = self.orders(shard, &held.heartbeat, newest, ready);
         if commands.is_empty() && !due {
             return self.deferred_responses.hold(held);
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -23,8 +23,8 @@
         task: TaskName { job: JobId::new("wk-000002"), index: 0 },
         attempt: Attempt(1),
         state: TaskState::Running,
-        why: None,
-        saved: None,
+        exit_reason: None,
+        checkpoint_saved: None,
     };
     let heartbeat = Heartbeat {
         machine: MachineId::new("i-000001"),
@@ -35,10 +35,10 @@
         agent_epoch: AgentEpoch(1),
         heartbeat_number: HeartbeatNumber(4),
         token: FencingToken(7),
-        notice_s: None,
+        termination_notice_s: None,
         tasks: vec![task],
     };
-    core.heartbeat(RequestId(1), heartbeat);
+    core.handle_heartbeat(RequestId(1), heartbeat);
     let told = |o: &Output| {
         matches!(o, Output::Response(_, Response::Commands { commands, .. })
         if matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]))
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::heartbeats::reachability::Reachability;
 use crate::coordination::membership::startup::Milestone;
-use crate::coordination::shards::owned_shard::{Machine, TaskKey};
+use crate::coordination::shards::owned_shard::{Machine, ReportedTask, TaskKey};
 use crate::coordination::{Core, Response};
 use crate::protocol::workers::{Command, ExitReason, Heartbeat, TaskName, TaskState, TaskStatus};
 use crate::storage::records::TaskRecord;
@@ -13,10 +13,10 @@
 const MOST_GIVEN_UP: usize = 1000;
 
 /// The most commands of one answer; the next report fetches the rest.
-pub(crate) const MOST_COMMANDS: usize = 200;
+pub(crate) const MAX_COMMANDS: usize = 200;
 
 impl Core {
-    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn handle_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let shard = self.shard_of(&heartbeat.machine);
         self.shard_release.heard(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
@@ -41,7 +41,7 @@
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return false };
         let token = owned_shard.token;
-        let number = (heartbeat.agent_epoch, heartbeat.heartbeat_number);
+        let number = heartbeat.id();
         let given_up = owned_shard.given_up.get(&heartbeat.machine).copied();
         if given_up.is_some_and(|last| number <= last) {
             // A copy from before: the machine's lease was over since then.
@@ -54,12 +54,12 @@
             spot: heartbeat.spot,
             agent_epoch: AgentEpoch(0),
             heartbeat_number: HeartbeatNumber(0),
-            acked: false,
+            token_acknowledged: false,
             last_heartbeat: now,
             born: now,
             notice: None,
-            listed: BTreeMap::new(),
-            sent: BTreeMap::new(),
+            reported_tasks: BTreeMap::new(),
+            starts_sent: BTreeMap::new(),
             images: vec![],
             failed_jobs: BTreeMap::new(),
             faulty: false,
@@ -68,32 +68,32 @@
         });
         // A copy renews nothing: the worker counts its lease from when it sent
         // the report, which was before the newer one came.
-        let last = (machine.agent_epoch, machine.heartbeat_number);
+        let last = machine.heartbeat_id();
         if number <= last {
             return false;
         }
         // The answer we are about to give renews the worker's lease.
         machine.last_heartbeat = now;
         let others = !self.peers.is_empty();
-        let hears = machine.reachability.reported(now, last, number, others, self.timing.worker_lease);
+        let hears = machine.reachability.record_heartbeat(now, last, number, others, self.timing.worker_lease);
         self.shard_release.reported(now, &heartbeat.machine, hears);
         if heartbeat.agent_epoch > machine.agent_epoch {
-            machine.listed.clear();
-            machine.sent.clear();
+            machine.reported_tasks.clear();
+            machine.starts_sent.clear();
         }
         machine.agent_epoch = heartbeat.agent_epoch;
         machine.heartbeat_number = heartbeat.heartbeat_number;
-        machine.acked = heartbeat.token == token;
-        machine.notice = match (heartbeat.notice_s, machine.notice) {
+        machine.token_acknowledged = heartbeat.token == token;
+        machine.notice = match (heartbeat.termination_notice_s, machine.notice) {
             (Some(_), Some(at)) => Some(at),
             (Some(s), None) => Some(now + Millis::secs(s)),
             (None, _) => None,
         };
-        let before = std::mem::take(&mut machine.listed);
+        let before = std::mem::take(&mut machine.reported_tasks);
         for task in &heartbeat.tasks {
             let key = (task.task.job.clone(), task.task.index);
             let since = match before.get(&key) {
-                Some((attempt, state, since)) if *attempt == task.attempt && *state == task.state => *since,
+                Some(before) if before.attempt == task.attempt && before.state == task.state => before.since,
                 _ => now,
             };
             if task.state == TaskState::Running
@@ -101,7 +101,7 @@
             {
                 owned_shard.running_since.entry(key.clone()).or_insert(now);
             }
-            machine.listed.insert(key, (task.attempt, task.state, since));
+            machine.reported_tasks.insert(key, ReportedTask { attempt: task.attempt, state: task.state, since });
         }
         true
     }
@@ -142,7 +142,7 @@
             }
         }
         self.start_or_close(shard, heartbeat, &mut commands);
-        commands.truncate(MOST_COMMANDS);
+        commands.truncate(MAX_COMMANDS);
         commands
     }
 
@@ -150,13 +150,14 @@
     fn start_or_close(&mut self, shard: ShardId, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let Some(machine) = owned_shard.machines.get(&heartbeat.machine) else { return };
-        let listed = |key: &TaskKey, attempt: Attempt| machine.listed.get(key).is_some_and(|l| l.0 == attempt);
+        let listed =
+            |key: &TaskKey, attempt: Attempt| machine.reported_tasks.get(key).is_some_and(|l| l.attempt == attempt);
         let usable = machine.notice.is_none()
             && !machine.faulty
             && !self.is_downlink_lost(machine)
             && !self.draining(&heartbeat.machine);
         let startable = usable && !owned_shard.releasing && self.records_fresh();
-        let (acked, sent) = (machine.acked, &machine.sent);
+        let (acked, sent) = (machine.token_acknowledged, &machine.starts_sent);
         let mut starts = vec![];
         let mut gone = vec![];
         for key in owned_shard.on.get(&heartbeat.machine).into_iter().flatten() {
@@ -171,12 +172,11 @@
                 // Not on the machine, and nothing that could still put it
                 // there: earlier owners' answers are void once the worker
                 // has seen our token, and ours once a later report came.
-                let ours_void =
-                    sent.get(key).is_none_or(|at| *at < (heartbeat.agent_epoch, heartbeat.heartbeat_number));
+                let ours_void = sent.get(key).is_none_or(|at| *at < heartbeat.id());
                 if acked && ours_void {
                     gone.push((key.clone(), *attempt));
                 }
-            } else if durable && startable && commands.len() + starts.len() < MOST_COMMANDS {
+            } else if durable && startable && commands.len() + starts.len() < MAX_COMMANDS {
                 starts.push((key.clone(), *attempt));
             }
         }
@@ -191,7 +191,7 @@
             if let Some(machine) =
                 self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&heartbeat.machine))
             {
-                machine.sent.insert(key.clone(), (heartbeat.agent_epoch, heartbeat.heartbeat_number));
+                machine.starts_sent.insert(key.clone(), heartbeat.id());
             }
             commands.push(Command::Start { task: TaskName { job: key.0, index: key.1 }, attempt });
         }
@@ -216,7 +216,7 @@
             return;
         }
         let shard = self.shard_of(machine);
-        let why = task.why.unwrap_or(ExitReason::Other);
+        let why = task.exit_reason.unwrap_or(ExitReason::Other);
         if why == ExitReason::Done {
             self.learn_run_time(shard, &key);
             self.set_task(&key, TaskRecord::Done);
@@ -238,12 +238,12 @@
     }
 
     /// Everything that was on the machine is gone for certain.
-    pub(crate) fn clear_machine(&mut self, shard: ShardId, name: &MachineId) {
+    pub(crate) fn remove_lost_machine(&mut self, shard: ShardId, name: &MachineId) {
         let lost = !self.returned(name);
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let keys: Vec<TaskKey> = owned_shard.on.get(name).into_iter().flatten().cloned().collect();
         if let Some(machine) = owned_shard.machines.remove(name) {
-            owned_shard.given_up.insert(name.clone(), (machine.agent_epoch, machine.heartbeat_number));
+            owned_shard.given_up.insert(name.clone(), machine.heartbeat_id());
             if owned_shard.given_up.len() > MOST_GIVEN_UP {
                 // Names rise: the first is the oldest, more or less.
                 owned_shard.given_up.pop_first();
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::protocol::workers::HeartbeatId;
 use crate::units::{FencingToken, Revision};
 
 /// An owner of part 0 whose records name a task on a machine that is on its way out.
@@ -41,10 +42,10 @@
             agent_epoch: AgentEpoch(1),
             heartbeat_number: HeartbeatNumber(heartbeat_number),
             token: FencingToken(token),
-            notice_s: None,
+            termination_notice_s: None,
             tasks: vec![],
         };
-        self.core.heartbeat(RequestId(heartbeat_number), heartbeat);
+        self.core.handle_heartbeat(RequestId(heartbeat_number), heartbeat);
         matches!(self.core.wanted(&self.key), Some(TaskRecord::Placed(..)))
     }
 }
@@ -68,7 +69,8 @@
     let shard = ShardId(0);
     let machine =
         case.core.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&case.machine)).expect("a machine");
-    machine.sent.insert(case.key.clone(), (AgentEpoch(1), HeartbeatNumber(5)));
+    let sent_with = HeartbeatId { agent_epoch: AgentEpoch(1), heartbeat_number: HeartbeatNumber(5) };
+    machine.starts_sent.insert(case.key.clone(), sent_with);
     assert!(case.is_there_after(5, 9), "the answer to this one had the start");
     assert!(case.is_there_after(3, 9), "a copy from before");
     assert!(!case.is_there_after(6, 9));
@@ -84,7 +86,7 @@
     assert!(case.is_there_after(7, 9) && case.is_there_after(2, 9));
     let machine = &case.core.owned_shards[&ShardId(0)].machines[&case.machine];
     assert_eq!(
-        (machine.heartbeat_number, machine.last_heartbeat, machine.acked),
+        (machine.heartbeat_number, machine.last_heartbeat, machine.token_acknowledged),
         (HeartbeatNumber(7), MonotonicTime(1000), false)
     );
 }
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -12,7 +12,8 @@
 //! All of this decides where work goes, never what is proof: see `keeping`.
 
 use crate::coordination::Core;
-use crate::units::{AgentEpoch, HeartbeatNumber, MachineId, Millis, MonotonicTime};
+use crate::protocol::workers::HeartbeatId;
+use crate::units::{MachineId, Millis, MonotonicTime};
 
 /// What tells whether a machine hears this owner.
 #[derive(Debug, Clone, Copy)]
@@ -35,20 +36,20 @@
 
     /// Takes in a report that is newer than the last one; true if it shows
     /// that an answer came.
-    pub fn reported(
+    pub fn record_heartbeat(
         &mut self,
         now: MonotonicTime,
-        last: (AgentEpoch, HeartbeatNumber),
-        heartbeat: (AgentEpoch, HeartbeatNumber),
+        last: HeartbeatId,
+        heartbeat: HeartbeatId,
         others: bool,
         lease: Millis,
     ) -> bool {
         self.last = now;
-        if heartbeat.0 != last.0 {
+        if heartbeat.agent_epoch != last.agent_epoch {
             self.session_since = now;
             return false;
         }
-        let next = others && heartbeat.1 .0 == last.1 .0 + 1;
+        let next = others && heartbeat.heartbeat_number.0 == last.heartbeat_number.0 + 1;
         let shown = next || now.since(self.session_since) > lease;
         if shown {
             self.heard = Some(now);
--- a/src/coordination/heartbeats/reachability/tests.rs
+++ b/src/coordination/heartbeats/reachability/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::units::{AgentEpoch, HeartbeatNumber};
 
-fn at(agent_epoch: u64, heartbeat_number: u64) -> (AgentEpoch, HeartbeatNumber) {
-    (AgentEpoch(agent_epoch), HeartbeatNumber(heartbeat_number))
+fn at(agent_epoch: u64, heartbeat_number: u64) -> HeartbeatId {
+    HeartbeatId { agent_epoch: AgentEpoch(agent_epoch), heartbeat_number: HeartbeatNumber(heartbeat_number) }
 }
 
 #[test]
@@ -10,16 +11,16 @@
     let mut reachability = Reachability::new(MonotonicTime(0), true);
     assert!(reachability.is_downlink_lost(MonotonicTime(0), lease));
     // It tried another node in between, and its lease ran out.
-    assert!(!reachability.reported(MonotonicTime(5000), at(1, 4), at(1, 6), true, lease));
-    assert!(!reachability.reported(MonotonicTime(10_000), at(1, 6), at(2, 7), true, lease));
+    assert!(!reachability.record_heartbeat(MonotonicTime(5000), at(1, 4), at(1, 6), true, lease));
+    assert!(!reachability.record_heartbeat(MonotonicTime(10_000), at(1, 6), at(2, 7), true, lease));
     assert!(reachability.is_downlink_lost(MonotonicTime(10_000), lease));
-    assert!(reachability.reported(MonotonicTime(11_000), at(2, 7), at(2, 8), true, lease));
+    assert!(reachability.record_heartbeat(MonotonicTime(11_000), at(2, 7), at(2, 8), true, lease));
     // Silent since; then it reports after its lease.
     assert!(!reachability.is_downlink_lost(MonotonicTime(22_000), lease));
-    assert!(!reachability.reported(MonotonicTime(22_000), at(2, 8), at(3, 11), true, lease));
+    assert!(!reachability.record_heartbeat(MonotonicTime(22_000), at(2, 8), at(3, 11), true, lease));
     assert!(reachability.is_downlink_lost(MonotonicTime(22_000), lease));
     // Alone there is no other node to try.
     let mut alone = Reachability::new(MonotonicTime(0), true);
-    assert!(!alone.reported(MonotonicTime(1000), at(1, 1), at(1, 2), false, lease));
-    assert!(alone.reported(MonotonicTime(11_000), at(1, 2), at(1, 3), false, lease));
+    assert!(!alone.record_heartbeat(MonotonicTime(1000), at(1, 1), at(1, 2), false, lease));
+    assert!(alone.record_heartbeat(MonotonicTime(11_000), at(1, 2), at(1, 3), false, lease));
 }
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
 use crate::units::{JobId, RequestId};
 
@@ -59,17 +59,17 @@
         }
         if self.afford(request, 1.0) {
             self.call_state(
-                StateCall::Get { key: archived_job_key(&job) },
+                StoreRequest::Get { key: archived_job_key(&job) },
                 PendingRequest::Archived { request, job, known },
             );
         }
     }
 
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StateAnswer) {
+    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StoreResponse) {
         let response = match answer {
             // A submission whose outcome was unknown was not carried out.
-            StateAnswer::Missing(_) if !known => Response::problem(404, "no such job"),
-            StateAnswer::Found(_) => match self.take_archived(&job, answer) {
+            StoreResponse::Missing(_) if !known => Response::problem(404, "no such job"),
+            StoreResponse::Found(_) => match self.take_archived(&job, answer) {
                 Some(_) => return self.answer_job(request, 200, &job, None),
                 None => Response::later("the job cannot be read"),
             },
@@ -79,8 +79,8 @@
     }
 
     /// Takes the record of a job that was put away, if that is what came.
-    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StateAnswer) -> Option<ArchivedJob> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
+        let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
                 self.cache.remember_archived(id, record);
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -12,7 +12,7 @@
 use crate::coordination::jobs::validation::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
 use crate::storage::effective_priority::EffectivePriority;
@@ -202,10 +202,10 @@
         self.dependency_release.asking = true;
         self.dependency_release.last = Some(id.clone());
         self.reads.force(self.now, 1.0);
-        self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StateAnswer) {
+    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StoreResponse) {
         self.dependency_release.asking = false;
         let Some(record) = self.take_archived(&id, answer) else {
             self.dependency_release.next = self.now + LOOK_AGAIN;
@@ -273,21 +273,21 @@
     fn look_up_dependency(&mut self, check: DependencyCheck) {
         let Some(id) = check.to_check.last().filter(|_| self.afford(check.request, 1.0)) else { return };
         let key = if check.archived { archived_job_key(id) } else { job_key(id) };
-        self.call_state(StateCall::Get { key }, PendingRequest::DependencyCheck(check));
+        self.call_state(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
     }
 
-    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StateAnswer) {
+    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
         let Some(id) = check.to_check.last().cloned() else { return };
         match answer {
-            StateAnswer::Missing(_) if !check.archived => {
+            StoreResponse::Missing(_) if !check.archived => {
                 check.archived = true;
                 self.look_up_dependency(check);
             }
-            StateAnswer::Missing(_) => {
+            StoreResponse::Missing(_) => {
                 let reason = format!("{id} was never accepted");
                 self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 let read = if check.archived {
                     self.take_archived(&id, answer).is_some()
                 } else {
--- a/src/coordination/jobs/dependency_release/tests.rs
+++ b/src/coordination/jobs/dependency_release/tests.rs
@@ -24,6 +24,6 @@
     assert_eq!(told(&mut core), None);
     let value = serde_json::json!({"end": "cancelled", "tasks": 1});
     let item = Item { key: "f/wk-000001".into(), value, version: Revision(3) };
-    core.dependency_looked_up(first, StateAnswer::Found(item));
+    core.dependency_looked_up(first, StoreResponse::Found(item));
     assert_eq!(told(&mut core), Some(crate::protocol::users::JobState::Cancelled));
 }
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -71,9 +71,10 @@
             TaskRecord::Pending(attempt) => (*attempt, ReplicaState::Waiting),
             TaskRecord::Done => (Attempt(0), ReplicaState::Ended),
             TaskRecord::Placed(attempt, _) => {
-                let listed = machine.and_then(|m| m.listed.get(&key)).filter(|l| l.0 == *attempt).map(|l| l.1);
+                let reported =
+                    machine.and_then(|m| m.reported_tasks.get(&key)).filter(|t| t.attempt == *attempt).map(|t| t.state);
                 let leaving = owned_shard.stopping.contains_key(&key) || machine.is_some_and(|m| m.notice.is_some());
-                let state = match listed {
+                let state = match reported {
                     Some(TaskState::Running) if leaving => ReplicaState::Leaving,
                     Some(TaskState::Saving) => ReplicaState::Leaving,
                     Some(TaskState::Running) => ReplicaState::Running,
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -9,7 +9,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
@@ -88,7 +88,7 @@
             self.status_queries.probing = true;
             self.status_queries.next = now + PROBE_EVERY;
             let questions = self.status_queries.waiting.drain(..).collect();
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
+            self.call_state(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
         }
     }
 
@@ -96,9 +96,9 @@
         self.response(question.request, Response::later("the state service does not answer"));
     }
 
-    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
+    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StoreResponse) {
         self.status_queries.probing = false;
-        let StateAnswer::Missing(revision) = answer else {
+        let StoreResponse::Missing(revision) = answer else {
             return questions.into_iter().for_each(|q| self.give_up(q));
         };
         self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -4,7 +4,7 @@
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{ClientRequest, Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::{JobSpec, JobState};
 use crate::storage::records::{archived_job_key, job_key, JobOutcome, JobRecord, SlicePlan};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision, ShardId};
@@ -129,7 +129,7 @@
             changes: vec![Change::put(key, value)],
         };
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::SubmitWrite { request, transaction, spec },
         );
     }
@@ -173,38 +173,38 @@
         request: RequestId,
         transaction: Transaction,
         spec: Box<JobSpec>,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         let key = job_key(&spec.id);
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.reached(Milestone::Accepted);
                 self.answer_job(request, 201, &spec.id, None);
             }
             // Known already, or our own transaction after all.
-            StateAnswer::Conflict(_) => {
+            StoreResponse::Conflict(_) => {
                 self.reads.force(self.now, 1.0);
                 self.call_state(
-                    StateCall::Get { key },
+                    StoreRequest::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: false },
                 );
             }
-            StateAnswer::Unknown => {
+            StoreResponse::Unknown => {
                 self.reads.force(self.now, 1.0);
                 self.call_state(
-                    StateCall::Get { key },
+                    StoreRequest::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
                 );
             }
-            StateAnswer::Rejected(_) => self.response(request, Response::problem(400, "too large to keep")),
+            StoreResponse::Invalid(_) => self.response(request, Response::problem(400, "too large to keep")),
             _ => self.response(request, Response::later("the state service does not answer")),
         }
     }
 
-    pub(crate) fn submit_read(&mut self, request: RequestId, job: JobId, fresh: bool, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) {
+    pub(crate) fn submit_read(&mut self, request: RequestId, job: JobId, fresh: bool, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Missing(_)) {
             return self.look_up_archived(request, job, true);
         }
         match self.take_job(answer) {
@@ -214,8 +214,8 @@
     }
 
     /// Takes a job that was read into the cache.
-    pub(crate) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobId, JobRecord)> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_job(&mut self, answer: StoreResponse) -> Option<(JobId, JobRecord)> {
+        let StoreResponse::Found(item) = answer else { return None };
         let record: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
         let changed = self.cache.apply(&item.key, Some(item.value), item.version);
         self.changed(changed);
@@ -243,17 +243,17 @@
             return self.answer_job(request, 200, &job, None);
         }
         if self.afford(request, 1.0) {
-            let call = StateCall::Get { key: job_key(&job) };
+            let call = StoreRequest::Get { key: job_key(&job) };
             self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
         }
     }
 
-    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) && !self.cache.jobs.contains_key(&job) {
+    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Missing(_)) && !self.cache.jobs.contains_key(&job) {
             return self.look_up_archived(request, job, false);
         }
         let version = match &answer {
-            StateAnswer::Found(item) => item.version,
+            StoreResponse::Found(item) => item.version,
             _ => Revision(0),
         };
         let Some((id, record)) = self.take_job(answer) else {
@@ -278,7 +278,7 @@
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, 1.0);
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
         );
     }
@@ -289,18 +289,18 @@
         job: JobId,
         transaction: Transaction,
         tries: u32,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.answer_job(request, 200, &job, None);
             }
-            StateAnswer::Conflict(_) | StateAnswer::Unknown => {
+            StoreResponse::Conflict(_) | StoreResponse::Unknown => {
                 self.reads.force(self.now, 1.0);
                 self.call_state(
-                    StateCall::Get { key: job_key(&job) },
+                    StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
                 );
             }
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::records::{archived_job_key, job_key};
 use crate::units::{JobId, RequestId};
@@ -56,21 +56,21 @@
     fn look_before_refusing(&mut self, refusing: Refusing) {
         if self.afford(refusing.request, 1.0) {
             let key = if refusing.archived { archived_job_key(&refusing.job) } else { job_key(&refusing.job) };
-            self.call_state(StateCall::Get { key }, PendingRequest::Refusing(refusing));
+            self.call_state(StoreRequest::Get { key }, PendingRequest::Refusing(refusing));
         }
     }
 
-    pub(crate) fn looked_before_refusing(&mut self, refusing: Refusing, answer: StateAnswer) {
+    pub(crate) fn looked_before_refusing(&mut self, refusing: Refusing, answer: StoreResponse) {
         let Refusing { request, job, refusal, archived } = refusing;
         match answer {
-            StateAnswer::Missing(_) if !archived => {
+            StoreResponse::Missing(_) if !archived => {
                 self.look_before_refusing(Refusing { request, job, refusal, archived: true });
             }
-            StateAnswer::Missing(_) => {
+            StoreResponse::Missing(_) => {
                 tracing::info!("submission of {job} is refused with {}: {}", refusal.status, refusal.reason);
                 self.response(request, Response::problem(refusal.status, &refusal.reason));
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 let known =
                     if archived { self.take_archived(&job, answer).is_some() } else { self.take_job(answer).is_some() };
                 match known {
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -13,11 +13,11 @@
 const MOST_SLICES: usize = 400;
 
 /// What is free on each machine, by part.
-pub(crate) struct Room<'a> {
-    shards: Vec<Vec<RoomAt<'a>>>,
+pub(crate) struct ShardCapacity<'a> {
+    shards: Vec<Vec<MachineCapacity<'a>>>,
 }
 
-struct RoomAt<'a> {
+struct MachineCapacity<'a> {
     kind: &'a str,
     zone: &'a str,
     spot: bool,
@@ -25,8 +25,8 @@
     cpus: f64,
 }
 
-impl Room<'_> {
-    fn suits(at: &RoomAt, record: &JobRecord) -> bool {
+impl ShardCapacity<'_> {
+    fn suits(at: &MachineCapacity, record: &JobRecord) -> bool {
         let spec = &record.spec;
         spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == at.kind))
             && spec.zone.as_ref().is_none_or(|z| z == at.zone)
@@ -53,20 +53,19 @@
             .fold(0, |sum, zone| sum + self.tasks_in(Some(zone), shard, record, each.min(most - sum), take))
     }
 
+    /// Tasks of the job, up to `most`, that the shard could start now in this zone.
+    pub(crate) fn startable_in_zone(&mut self, zone: &str, shard: ShardId, record: &JobRecord, most: usize) -> usize {
+        self.tasks_in(Some(zone), shard, record, most, false)
+    }
+
     /// The same, in this zone if one is named.
-    pub(crate) fn tasks_in(
-        &mut self,
-        zone: Option<&str>,
-        shard: ShardId,
-        record: &JobRecord,
-        most: usize,
-        take: bool,
-    ) -> usize {
+    fn tasks_in(&mut self, zone: Option<&str>, shard: ShardId, record: &JobRecord, most: usize, take: bool) -> usize {
         let spec = &record.spec;
         let need = [spec.cpus, spec.gpus, spec.mem_gb];
         let mut count = 0;
         let Some(machines) = self.shards.get_mut(shard.0 as usize) else { return 0 };
-        let there = |at: &&mut RoomAt| Room::suits(at, record) && zone.is_none_or(|zone| zone == at.zone);
+        let there =
+            |at: &&mut MachineCapacity| ShardCapacity::suits(at, record) && zone.is_none_or(|zone| zone == at.zone);
         for at in machines.iter_mut().filter(there) {
             if count >= most {
                 break;
@@ -86,12 +85,12 @@
     /// Cores of the shard that may ever run the job.
     fn cpus(&self, shard: ShardId, record: &JobRecord) -> f64 {
         let machines = self.shards.get(shard.0 as usize).into_iter().flatten();
-        machines.filter(|m| Room::suits(m, record)).map(|m| m.cpus).sum()
+        machines.filter(|m| ShardCapacity::suits(m, record)).map(|m| m.cpus).sum()
     }
 }
 
 impl Core {
-    pub(crate) fn lead(&mut self) {
+    pub(crate) fn run_leader_cycle(&mut self) {
         if !self.leading() || !self.records_fresh() || self.now < self.retry_state_at {
             return;
         }
@@ -106,17 +105,17 @@
         }
     }
 
-    pub(crate) fn room(&self) -> Room<'_> {
+    pub(crate) fn available_capacity(&self) -> ShardCapacity<'_> {
         // Our own shards' wishes are newer than what is durable.
-        let used = self.taken();
-        let mut shards: Vec<Vec<RoomAt>> = (0..self.shard_count).map(|_| vec![]).collect();
+        let used = self.resources_in_use();
+        let mut shards: Vec<Vec<MachineCapacity>> = (0..self.shard_count).map(|_| vec![]).collect();
         for (name, m) in &self.fleet.machines {
             let Some(t) = self.catalog.get(&m.kind) else { continue };
             if !m.up || m.leaving || m.downlink_lost || self.draining(name) {
                 continue;
             }
             let u = used.get(name).copied().unwrap_or_default();
-            shards[self.shard_of(name).0 as usize].push(RoomAt {
+            shards[self.shard_of(name).0 as usize].push(MachineCapacity {
                 kind: &m.kind,
                 zone: &m.zone,
                 spot: m.spot,
@@ -124,12 +123,12 @@
                 cpus: t.cpus,
             });
         }
-        Room { shards }
+        ShardCapacity { shards }
     }
 
     /// What tasks take of each machine: cores, GPUs and memory, as wanted or
     /// else as is durable.
-    pub(crate) fn taken(&self) -> HashMap<&MachineId, [f64; 3], FixedState> {
+    pub(crate) fn resources_in_use(&self) -> HashMap<&MachineId, [f64; 3], FixedState> {
         let mut taken: HashMap<&MachineId, [f64; 3], FixedState> = HashMap::default();
         for job in self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id)).filter(|j| j.holds_machines()) {
             let spec = &job.record.spec;
@@ -161,7 +160,7 @@
             return;
         }
         jobs.sort();
-        let mut room = self.room();
+        let mut room = self.available_capacity();
         let mut queued: BTreeMap<ShardId, f64> = BTreeMap::new();
         let mut looked = 0;
         let mut writes: Vec<Transaction> = vec![];
@@ -200,7 +199,7 @@
     fn new_plan(
         &self,
         job: &Job,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> (SlicePlan, Option<Vec<usize>>) {
         let size = self.slice_size(job.record.spec.task_count);
@@ -220,7 +219,7 @@
         &self,
         record: &JobRecord,
         tasks: usize,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> ShardId {
         let shards = (0..self.shard_count).map(ShardId);
@@ -243,7 +242,7 @@
         &self,
         job: &Job,
         plan: &SlicePlan,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> (SlicePlan, Option<Vec<usize>>) {
         let mut better = plan.clone();
@@ -286,7 +285,7 @@
 
     /// A job that must stay whole moves only while nothing of it has started,
     /// to a shard that could start more of it.
-    fn move_whole(&self, job: &Job, mut plan: SlicePlan, room: &mut Room) -> (SlicePlan, Option<Vec<usize>>) {
+    fn move_whole(&self, job: &Job, mut plan: SlicePlan, room: &mut ShardCapacity) -> (SlicePlan, Option<Vec<usize>>) {
         let tasks = job.record.spec.task_count as usize;
         let all: Vec<usize> = (0..plan.shards.len()).collect();
         let is_reassignable = job.slices().iter().all(|s| s.is_reassignable())
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -5,7 +5,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Output};
 use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use crate::storage::records;
 use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY, ROOT};
 use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
@@ -59,26 +59,26 @@
                 self.loading = true;
                 self.reads.force(self.now, 1.0);
                 let what = PendingRequest::Load { seen: BTreeSet::new(), first: None, since: self.now };
-                self.call_state(StateCall::List { prefix: ROOT.into(), after: None }, what);
+                self.call_state(StoreRequest::List { prefix: ROOT.into(), after: None }, what);
             }
         } else if !self.watching && self.now >= self.next_watch {
             self.watching = true;
             self.reads.force(self.now, 1.0);
             // A watch without news must end well before the last read is stale.
             let wait_ms = (self.timing.fresh.0 * 2 / 5).min(1000);
-            let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
+            let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
             self.call_state(call, PendingRequest::Watch);
         }
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             Some(lease) if !self.renewing && self.now >= self.renew_at => {
                 self.renewing = true;
                 self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
+                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
             }
             _ => {}
         }
@@ -100,9 +100,9 @@
         mut seen: BTreeSet<String>,
         first: Option<Revision>,
         since: MonotonicTime,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
-        let StateAnswer::Page(page) = answer else {
+        let StoreResponse::Page(page) = answer else {
             self.loading = false;
             return self.pause_state();
         };
@@ -115,10 +115,10 @@
             seen.insert(item.key);
             self.changed(changed);
         }
-        if let (true, Some(after)) = (page.more, last) {
+        if let (true, Some(after)) = (page.truncated, last) {
             self.reads.force(self.now, 1.0);
             let what = PendingRequest::Load { seen, first: Some(first), since };
-            return self.call_state(StateCall::List { prefix: ROOT.into(), after: Some(after) }, what);
+            return self.call_state(StoreRequest::List { prefix: ROOT.into(), after: Some(after) }, what);
         }
         self.cache.forget_missing(&seen, first);
         self.cache.revision = first;
@@ -134,10 +134,10 @@
         self.reached(Milestone::RecordsRead);
     }
 
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
+    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
         self.watching = false;
         match answer {
-            StateAnswer::WatchEvents(news) => {
+            StoreResponse::WatchEvents(news) => {
                 // A pause after news bounds the rate of watches under load;
                 // it grows when many changes come.
                 let pause = if news.events.is_empty() { 0 } else { 80 };
@@ -145,8 +145,8 @@
                 self.cache.revision = self.cache.revision.max(news.revision);
                 for event in news.events {
                     let changed = match event {
-                        WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
-                        WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
+                        WatchEvent::Put { key, value, version } => self.cache.apply(&key, Some(value), version),
+                        WatchEvent::Delete { key, version } => self.cache.apply(&key, None, version),
                     };
                     self.changed(changed);
                 }
@@ -155,15 +155,15 @@
                 self.activate_ready_shards();
                 self.answer_ready_queries();
             }
-            StateAnswer::TooOld => self.loaded = false,
+            StoreResponse::TooOld => self.loaded = false,
             _ => self.pause_state(),
         }
     }
 
-    pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
+    pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
         self.granting = false;
         match answer {
-            StateAnswer::Granted(lease) => {
+            StoreResponse::LeaseGranted(lease) => {
                 self.lease = Some(lease);
                 self.renew_at = self.now + self.timing.renew_every;
             }
@@ -171,12 +171,12 @@
         }
     }
 
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StateAnswer) {
+    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.renewing = false;
         self.renew_at = self.now + self.timing.renew_every;
         match answer {
-            StateAnswer::Renewed => {}
-            StateAnswer::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
+            StoreResponse::LeaseRenewed => {}
+            StoreResponse::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
             _ => self.renew_at = self.now + Millis(300),
         }
     }
@@ -309,7 +309,7 @@
 
     fn drop_shard(&mut self, shard: ShardId) {
         if self.owned_shards.remove(&shard).is_some() {
-            self.drop_deferred_responses(shard);
+            self.expire_deferred_responses(shard);
             for id in self.cache.active.clone() {
                 let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
                 for index in 0..job.slices().len() {
@@ -349,9 +349,9 @@
                 .iter()
                 .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
                 .collect(),
-            ages: vec![],
-            faulty: vec![],
-            failing: vec![],
+            machine_ages: vec![],
+            faulty_machines: vec![],
+            failing_jobs: vec![],
         }
     }
 
@@ -364,13 +364,13 @@
                 .iter()
                 .map(|(team, want)| crate::protocol::peer::TeamDemand {
                     team: team.clone(),
-                    wanted_cpus: want.all.0,
-                    wanted_gpus: want.all.1,
+                    unmet_cpus: want.all.0,
+                    unmet_gpus: want.all.1,
                 })
                 .collect(),
-            up: vec![],
-            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
-            leaving: owned_shard
+            reporting_machines: vec![],
+            downlink_lost_machines: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
+            terminating_machines: owned_shard
                 .machines
                 .iter()
                 .filter(|(_, m)| m.notice.is_some())
@@ -386,23 +386,23 @@
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
             let ages = self.fleet.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
-            status.ages = ages
+            status.machine_ages = ages
                 .map(|(name, m)| MachineAge { machine: name.to_string(), age_s: self.now.since(m.born).as_secs() })
                 .collect();
         }
-        status.faulty = self
+        status.faulty_machines = self
             .owned_shards
             .values()
             .flat_map(|m| &m.machines)
             .filter(|(_, m)| m.faulty)
             .map(|(n, _)| n.to_string())
             .collect();
-        status.failing = self.failing_jobs();
+        status.failing_jobs = self.failing_jobs();
         let quiet = self.timing.worker_lease;
         for load in &mut status.shards {
             let machines = self.owned_shards.get(&ShardId(load.shard)).into_iter().flat_map(|m| &m.machines);
             let heard = machines.filter(|(_, m)| self.now.since(m.last_heartbeat) < quiet && !self.is_downlink_lost(m));
-            load.up = heard.map(|(name, _)| name.to_string()).collect();
+            load.reporting_machines = heard.map(|(name, _)| name.to_string()).collect();
         }
         self.told += 1;
         self.out.push(Output::BroadcastStatus(status));
@@ -436,7 +436,7 @@
                 }
             }
         }
-        for age in &status.ages {
+        for age in &status.machine_ages {
             let name = MachineId::new(&age.machine);
             let shard = self.shard_of(&name);
             if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&name)) {
@@ -444,7 +444,7 @@
             }
         }
         if let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) {
-            if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
+            if !status.machine_ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
                 peer.status = Some(status);
             }
         }
--- a/src/coordination/membership/ownership/tests.rs
+++ b/src/coordination/membership/ownership/tests.rs
@@ -10,16 +10,16 @@
     let read = |core: &mut Core, at: u64| {
         let outputs = core.handle(MonotonicTime(at), 0, Input::Tick);
         outputs.into_iter().find_map(|o| match o {
-            Output::State(id, StateCall::List { .. }) => Some(id),
+            Output::State(id, StoreRequest::List { .. }) => Some(id),
             _ => None,
         })
     };
     let mut id = read(&mut core, 1000).expect("the first page is asked for");
     for (at, more) in [(2400, true), (3800, false)] {
         let item = Item { key: format!("t/x/{at}"), value: serde_json::Value::Null, version: Revision(3) };
-        let page = Page { items: vec![item], more, revision: Revision(at) };
-        let outputs = core.handle(MonotonicTime(at), 0, Input::State(id, StateAnswer::Page(page)));
-        let next = |o: Output| if let Output::State(id, StateCall::List { .. }) = o { Some(id) } else { None };
+        let page = Page { items: vec![item], truncated: more, revision: Revision(at) };
+        let outputs = core.handle(MonotonicTime(at), 0, Input::State(id, StoreResponse::Page(page)));
+        let next = |o: Output| if let Output::State(id, StoreRequest::List { .. }) = o { Some(id) } else { None };
         id = outputs.into_iter().find_map(next).unwrap_or(id);
     }
     assert_eq!((core.loaded, core.last_read), (true, Some(MonotonicTime(1000))));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -14,9 +14,9 @@
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::SentRequest;
 use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, MachineType, RentRequest};
+use crate::protocol::cloud::{Catalog, MachineIds, MachinePage, MachineType, RentRequest};
 use crate::protocol::peer::PeerStatus;
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
@@ -60,7 +60,7 @@
 pub enum CloudAnswer {
     Catalog(Catalog),
     Page(MachinePage),
-    Rented(MachineNames),
+    Rented(MachineIds),
     NoCapacity,
     Returned,
     /// Refused, or no answer: it may be carried out late.
@@ -72,7 +72,7 @@
     Tick,
     ClientRequest(RequestId, ClientRequest),
     Heartbeat(RequestId, Heartbeat),
-    State(CallId, StateAnswer),
+    State(CallId, StoreResponse),
     Cloud(CallId, CloudAnswer),
     PeerStatus(PeerStatus),
 }
@@ -113,7 +113,7 @@
 #[derive(Debug)]
 pub enum Output {
     Response(RequestId, Response),
-    State(CallId, StateCall),
+    State(CallId, StoreRequest),
     Cloud(CallId, CloudCall),
     /// To all other controllers.
     BroadcastStatus(PeerStatus),
@@ -306,7 +306,7 @@
         match input {
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
             Input::PeerStatus(status) => self.status(status),
@@ -368,7 +368,7 @@
         self.forget_errors();
         self.renew_lease_proxies();
         self.expire_machines();
-        self.lead();
+        self.run_leader_cycle();
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -201,9 +201,9 @@
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
             let mut wanted = known.into_iter().flatten().peekable();
-            for (key, (_, state, _)) in &machine.listed {
+            for (key, reported) in &machine.reported_tasks {
                 while wanted.next_if(|k| *k < key).is_some() {}
-                if *state != TaskState::Exited && wanted.peek() != Some(&key) {
+                if reported.state != TaskState::Exited && wanted.peek() != Some(&key) {
                     if let Some(job) = self.cache.jobs.get(&key.0) {
                         openings.hold(&needs(&job.record), None);
                     }
@@ -272,7 +272,8 @@
         }
         let fetch_s = claim.fetch_s(seat);
         let run_s = claim.run_s;
-        let prospect = Prospect { age_s: seat.age_s, wait_s: wait_s + fetch_s, run_s, checkpoint_s: spec.checkpoint_s };
+        let prospect =
+            Prospect { age_s: seat.age_s, wait_s: wait_s + fetch_s, run_s, checkpoint_s: spec.checkpoint_interval_s };
         let score = match seat.history {
             Some(history) => expected_completion(history, prospect),
             None => prospect.wait_s + run_s,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -143,14 +143,14 @@
                 continue;
             }
             let ran = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
-            let saves = spec.checkpoint_s > 0.0 && ran > 1.0;
+            let saves = spec.checkpoint_interval_s > 0.0 && ran > 1.0;
             victims.push(Victim {
                 key,
-                loss: if saves { spec.save_s } else { ran } * spec.cpus + 1.0,
+                loss: if saves { spec.checkpoint_save_s } else { ran } * spec.cpus + 1.0,
                 priority: job.priority(),
                 team: &spec.team,
                 guaranteed: guaranteed.contains(&key.0),
-                grace_s: if saves { spec.save_s.max(1.0) * 1.5 } else { 0.0 },
+                grace_s: if saves { spec.checkpoint_save_s.max(1.0) * 1.5 } else { 0.0 },
                 need: needs(&job.record),
                 taken: false,
             });
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -93,9 +93,9 @@
                     if !faulty && spec.kind != JobKind::Standing && rest + 0.5 < left {
                         continue;
                     }
-                    let saves = spec.checkpoint_s > 0.0;
-                    if !saves || faulty || left < spec.save_s * 1.5 + 3.0 {
-                        let grace = if saves { spec.save_s.max(1.0) } else { 0.0 };
+                    let saves = spec.checkpoint_interval_s > 0.0;
+                    if !saves || faulty || left < spec.checkpoint_save_s * 1.5 + 3.0 {
+                        let grace = if saves { spec.checkpoint_save_s.max(1.0) } else { 0.0 };
                         stops.push((*shard, key.clone(), grace));
                     }
                 }
@@ -325,7 +325,7 @@
     }
 
     fn quickest_boot_s(&self) -> f64 {
-        self.catalog.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.catalog.values().map(|t| t.provisioning_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Seats that a round of one shard scores before it looks only at jobs with
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -37,12 +37,12 @@
         let waiting: Vec<(&JobId, &Job)> = jobs().filter(|(_, job)| waits(job)).collect();
         let mut unplaceable_services = BTreeMap::new();
         if !waiting.is_empty() {
-            let mut room = self.room();
+            let mut capacity = self.available_capacity();
             for (id, job) in waiting {
                 let Some(shard) = job.shard_of(0) else { continue };
                 let zones = self.open_zones(job);
                 let record = &job.record;
-                if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, record, 1, false) > 0) {
+                if zones.iter().any(|zone| capacity.startable_in_zone(zone, shard, record, 1) > 0) {
                     continue;
                 }
                 let since = self.fleet.unplaceable_services.0.get(id).map_or(self.now, |(since, _)| *since);
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -18,7 +18,7 @@
 use crate::coordination::shards::owned_shard::Verdict;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::workers::{Command, Heartbeat, TaskState};
 use crate::storage::records::{lease_proxy_key, owner_key, NodeRecord};
 use crate::units::{FencingToken, MachineId, Millis, NodeName, Revision, ShardId};
@@ -113,7 +113,7 @@
         let stops = heartbeat.tasks.iter().filter(over);
         stops
             .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
-            .take(crate::coordination::heartbeats::handling::MOST_COMMANDS)
+            .take(crate::coordination::heartbeats::handling::MAX_COMMANDS)
             .collect()
     }
 
@@ -145,7 +145,7 @@
                     let silent = self.silent_machines(shard);
                     for name in names.iter().filter(|n| silent.contains(*n)) {
                         tracing::info!("nothing is left on {name}");
-                        self.clear_machine(shard, name);
+                        self.remove_lost_machine(shard, name);
                     }
                 }
                 waiting @ (Verdict::Found(..) | Verdict::Asked(_)) => owned_shard.verdict = waiting,
@@ -156,7 +156,7 @@
             let returned: BTreeSet<MachineId> = names.filter(|n| self.returned(n)).cloned().collect();
             for name in returned {
                 tracing::info!("{name} was returned");
-                self.clear_machine(shard, &name);
+                self.remove_lost_machine(shard, &name);
             }
         }
     }
@@ -174,7 +174,7 @@
             // is cut off from the records may have kept its lease alive
             // for as long as its horizon lets it.
             let until = match owned_shard.machines.get(*name) {
-                Some(m) if m.acked => m.last_heartbeat + lease,
+                Some(m) if m.token_acknowledged => m.last_heartbeat + lease,
                 Some(m) => (m.last_heartbeat + lease).max(owned_shard.since + unread),
                 None => owned_shard.since + unread,
             };
@@ -195,17 +195,17 @@
             .extend(self.peers.keys().map(|n| Condition { key: lease_proxy_key(shard, n), version: Revision(0) }));
         self.reads.force(self.now, 1.0);
         self.call_state(
-            StateCall::Transaction(Transaction { conditions, changes: vec![] }),
+            StoreRequest::Transaction(Transaction { conditions, changes: vec![] }),
             PendingRequest::Compare(shard),
         );
     }
 
-    pub(crate) fn compared(&mut self, shard: ShardId, answer: StateAnswer) {
+    pub(crate) fn compared(&mut self, shard: ShardId, answer: StoreResponse) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let Verdict::Asked(names) = std::mem::take(&mut owned_shard.verdict) else { return };
         match answer {
-            StateAnswer::Committed(at) => owned_shard.verdict = Verdict::Found(at, names),
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Committed(at) => owned_shard.verdict = Verdict::Found(at, names),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
             _ => {}
         }
     }
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -1,7 +1,7 @@
 //! What an owner knows of its shard beyond the cache: its machines, its tasks on
 //! them, and the changes that are not durable yet.
 
-use crate::protocol::workers::TaskState;
+use crate::protocol::workers::{HeartbeatId, TaskState};
 use crate::storage::names::InternedName;
 use crate::storage::records::{JobRecord, QuotaRecord};
 use crate::units::{
@@ -13,6 +13,15 @@
 /// A task within the cache: its job and number.
 pub type TaskKey = (JobId, u32);
 
+/// A task as the newest heartbeat of its machine listed it.
+#[derive(Debug, Clone, Copy)]
+pub struct ReportedTask {
+    pub attempt: Attempt,
+    pub state: TaskState,
+    /// When this attempt was first listed in this state.
+    pub since: MonotonicTime,
+}
+
 /// A machine that has reported to this owner.
 #[derive(Debug)]
 pub struct Machine {
@@ -25,15 +34,15 @@
     pub heartbeat_number: HeartbeatNumber,
     /// The worker has seen this owner's token: nothing an earlier owner sent
     /// in answer to a report can take effect any more.
-    pub acked: bool,
+    pub token_acknowledged: bool,
     pub last_heartbeat: MonotonicTime,
     pub born: MonotonicTime,
     /// Until when the cloud lets the machine live, if a notice came.
     pub notice: Option<MonotonicTime>,
-    /// What the newest report listed.
-    pub listed: BTreeMap<TaskKey, (Attempt, TaskState, MonotonicTime)>,
-    /// The report that each start was last sent in answer to.
-    pub sent: BTreeMap<TaskKey, (AgentEpoch, HeartbeatNumber)>,
+    /// The tasks that the newest heartbeat listed.
+    pub reported_tasks: BTreeMap<TaskKey, ReportedTask>,
+    /// The heartbeat that each start command was last sent in response to.
+    pub starts_sent: BTreeMap<TaskKey, HeartbeatId>,
     /// Images the machine has or fetches, newest last, with their sizes.
     pub images: Vec<(InternedName, f64)>,
     /// Jobs whose tasks failed here since one last succeeded, and when last.
@@ -45,6 +54,13 @@
     pub rests_until: MonotonicTime,
 }
 
+impl Machine {
+    /// The newest heartbeat that was received of the machine.
+    pub fn heartbeat_id(&self) -> HeartbeatId {
+        HeartbeatId { agent_epoch: self.agent_epoch, heartbeat_number: self.heartbeat_number }
+    }
+}
+
 /// What an owner knows of its shard beyond the cache.
 #[derive(Debug)]
 pub struct OwnedShard {
@@ -60,7 +76,7 @@
     pub downlink_lost: BTreeMap<MachineId, MonotonicTime>,
     /// The newest report of machines that were given up: nothing older brings
     /// them back.
-    pub given_up: BTreeMap<MachineId, (AgentEpoch, HeartbeatNumber)>,
+    pub given_up: BTreeMap<MachineId, HeartbeatId>,
     /// Tasks wanted on each machine.
     pub on: BTreeMap<MachineId, BTreeSet<TaskKey>>,
     /// Slices with changes to write, since when.
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -82,7 +82,7 @@
         for peer in self.peers.values() {
             let recent = peer.heard.is_some_and(|at| self.now.since(at) < Millis(3000));
             for load in peer.status.iter().filter(|_| recent).flat_map(|n| &n.shards) {
-                let teams = load.teams.iter().map(|t| (t.team.clone(), (t.wanted_cpus, t.wanted_gpus)));
+                let teams = load.teams.iter().map(|t| (t.team.clone(), (t.unmet_cpus, t.unmet_gpus)));
                 wants.entry(ShardId(load.shard)).or_insert_with(|| teams.collect());
             }
         }
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::protocol::state::StateAnswer;
+use crate::protocol::state::StoreResponse;
 use crate::units::{CallId, FencingToken, MonotonicTime};
 
 /// A gift without an answer was sent again; that this was refused passed for
@@ -13,13 +13,13 @@
     core.owned_shards.insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
     core.last_read = Some(MonotonicTime(0));
     assert!(core.transfer_quota(shard, ShardId(1), "red", (4.0, 0.0)));
-    for answer in [StateAnswer::Unknown, StateAnswer::Refused, StateAnswer::Unknown] {
+    for answer in [StoreResponse::Unknown, StoreResponse::Unavailable, StoreResponse::Unknown] {
         core.state_answer(CallId(core.last_call), answer);
         assert_eq!(core.quota(shard, "red").0, Some(8.0));
         core.retry_state_at = MonotonicTime(0);
         core.resolve_quota_transfers();
     }
-    core.state_answer(CallId(core.last_call), StateAnswer::Committed(Revision(12)));
+    core.state_answer(CallId(core.last_call), StoreResponse::Committed(Revision(12)));
     assert!(core.owned_shards[&shard].transferring.is_none() && core.busy_keys.is_empty());
     assert_eq!((core.quota(shard, "red").0, core.quota(ShardId(1), "red").0), (Some(8.0), Some(16.0)));
 }
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -200,7 +200,7 @@
             owned_shard.stopping.remove(key);
             owned_shard.running_since.remove(key);
             if let Some(m) = owned_shard.machines.get_mut(machine) {
-                m.sent.remove(key);
+                m.starts_sent.remove(key);
             }
         }
         if let TaskRecord::Placed(_, machine) = &to {
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -3,7 +3,7 @@
 use crate::coordination::jobs::status_query::Question;
 use crate::coordination::shards::shard_quota::is_quota_transfer;
 use crate::coordination::{CloudCall, Core, Output};
-use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::cache::CacheChange;
 use crate::storage::records;
@@ -98,13 +98,12 @@
 
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
-        Change::Put { put, .. } => put,
-        Change::Delete { delete } => delete,
+        Change::Put { key, .. } | Change::Delete { key } => key,
     }
 }
 
 impl Core {
-    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) {
+    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) {
         let id = self.register_request(what);
         self.out.push(Output::State(id, call));
     }
@@ -137,15 +136,15 @@
         for change in &transaction.changes {
             self.busy_keys.insert(change_key(change).to_string());
         }
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
+        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
     }
 
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
+    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
         let Some(SentRequest { what, sent }) = self.pending_requests.remove(&id) else { return };
-        if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
+        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.last_state_answer = Some(self.now);
         }
-        if let StateAnswer::Rejected(why) = &answer {
+        if let StoreResponse::Invalid(why) = &answer {
             tracing::error!("the state service rejects {what:?}: {why}");
         }
         match what {
@@ -155,13 +154,13 @@
             PendingRequest::Grant => self.grant_answer(answer),
             PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
             PendingRequest::Simple(transaction)
-                if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) =>
+                if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) =>
             {
                 self.unresolved.transfers.push(transaction);
             }
             PendingRequest::Simple(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::QuotaTransferRetry(transaction)
-                if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) =>
+                if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) =>
             {
                 self.unresolved.transfers.push(transaction);
             }
@@ -191,18 +190,18 @@
         }
     }
 
-    fn simple_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
+    fn simple_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
         for change in &transaction.changes {
             self.busy_keys.remove(change_key(change));
         }
         match answer {
-            StateAnswer::Committed(revision) => self.committed(&transaction, revision),
+            StoreResponse::Committed(revision) => self.committed(&transaction, revision),
             // It counts as given until all that it names has been read.
-            StateAnswer::Conflict(_) if is_quota_transfer(&transaction) => {
+            StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
-            StateAnswer::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::LeaseGone => self.lease_gone_elsewhere(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match records::RecordKey::read(change_key(c)) {
@@ -223,13 +222,13 @@
             self.reads.force(self.now, 1.0);
             self.writes.force(self.now, transaction.changes.len() as f64);
             self.call_state(
-                StateCall::Transaction(transaction.clone()),
+                StoreRequest::Transaction(transaction.clone()),
                 PendingRequest::QuotaTransferRetry(transaction),
             );
         }
         for (key, shard) in std::mem::take(&mut self.unresolved.reads) {
             self.reads.force(self.now, 1.0);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
@@ -237,8 +236,8 @@
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             let changed = match change {
-                Change::Put { put, value, .. } => self.cache.apply(put, Some(value.clone()), revision),
-                Change::Delete { delete } => self.cache.apply(delete, None, revision),
+                Change::Put { key, value, .. } => self.cache.apply(key, Some(value.clone()), revision),
+                Change::Delete { key } => self.cache.apply(key, None, revision),
             };
             self.changed(changed);
         }
@@ -247,20 +246,20 @@
     pub(crate) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
             self.reads.force(self.now, 1.0);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
-    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StateAnswer) {
+    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
         if let (Some(records::RecordKey::Quota(_)), true) =
-            (records::RecordKey::read(&key), matches!(answer, StateAnswer::Unknown | StateAnswer::Refused))
+            (records::RecordKey::read(&key), matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable))
         {
             // What became of a gift must be known before allowance is used again.
             return self.unresolved.reads.push((key, shard));
         }
         let changed = match answer {
-            StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
-            StateAnswer::Missing(at) => self.cache.apply(&key, None, at),
+            StoreResponse::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
+            StoreResponse::Missing(at) => self.cache.apply(&key, None, at),
             _ => CacheChange::Nothing,
         };
         self.changed(changed);
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -4,7 +4,7 @@
 use crate::coordination::shards::owned_shard::Machine;
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::Priority;
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records;
@@ -191,7 +191,7 @@
         self.reads.force(self.now, 1.0);
         self.writes.force(self.now, transaction.changes.len() as f64);
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::ShardTransaction { shard, transaction },
         );
         let id = CallId(self.last_call);
@@ -203,15 +203,15 @@
     /// The change in a form that fits into one value, if any does: slices may
     /// have been cut when values were larger.
     fn fitted_slice(&self, change: Change, slice: &Slice) -> Option<Change> {
-        let Change::Put { put, value, lease } = change else { return Some(change) };
+        let Change::Put { key, value, lease } = change else { return Some(change) };
         let small = slice.desired().is_some_and(|want| {
             self.fits(want.tasks.len() * crate::coordination::jobs::submission::TASK_BYTES as usize)
         });
         if small || self.fits_value(&value) {
-            return Some(Change::Put { put, value, lease });
+            return Some(Change::Put { key, value, lease });
         }
         let compact = slice.desired().filter(|_| self.dependencies_enabled()).and_then(SliceRecord::compact);
-        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
+        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { key, value, lease })
     }
 
     /// Tasks of a slice that may be on machines at the same time, so that its
@@ -242,19 +242,20 @@
             for (at, task) in slice.into_iter().flat_map(|record| record.tasks.iter().enumerate()) {
                 let TaskRecord::Placed(attempt, machine) = task else { continue };
                 let key = (id.clone(), first + at as u32);
-                let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.0 == *attempt);
-                if !owned_shard.machines.get(machine).is_some_and(listed) {
-                    self.deferred_responses.touch(machine);
+                let is_reported =
+                    |m: &Machine| m.reported_tasks.get(&key).is_some_and(|reported| reported.attempt == *attempt);
+                if !owned_shard.machines.get(machine).is_some_and(is_reported) {
+                    self.deferred_responses.mark_ready(machine);
                 }
             }
         }
     }
 
-    pub(crate) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
+    pub(crate) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StoreResponse) {
         // The slices of a transaction that failed, or whose outcome is not
         // known, are sent again under the same versions: if it did go
         // through after all, the conflict says so and the records are read.
-        let committed = matches!(answer, StateAnswer::Committed(_));
+        let committed = matches!(answer, StoreResponse::Committed(_));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = None;
             if !committed {
@@ -267,7 +268,7 @@
             }
         }
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.touch_machines(shard, &transaction);
                 // Tell others only of what they may have to act on: ends of jobs.
@@ -275,13 +276,13 @@
                     self.send_revision_hint(revision);
                 }
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.rereads += failed.len();
                 }
                 self.reread(failed, Some(shard));
             }
-            StateAnswer::Rejected(_) => {
+            StoreResponse::Invalid(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.retry_at = self.now + Millis(2000);
                 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -21,7 +21,7 @@
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
     #[serde(rename = "ready_s", default)]
-    pub boot_s: f64,
+    pub provisioning_s: f64,
     #[serde(rename = "berths", default)]
     pub zones: Vec<String>,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct RentRequest {
     #[serde(rename = "charter")]
-    pub request: String,
+    pub request_id: String,
     #[serde(rename = "hull")]
     pub kind: String,
     #[serde(rename = "berth")]
@@ -53,7 +53,7 @@
 pub const LIST_LIMIT: usize = 500;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     #[serde(rename = "decks")]
     pub machines: Vec<MachineId>,
 }
@@ -88,6 +88,6 @@
 pub struct MachinePage {
     #[serde(rename = "decks")]
     pub machines: Vec<ListedMachine>,
-    #[serde(rename = "truncated", default)]
-    pub more: bool,
+    #[serde(default)]
+    pub truncated: bool,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -15,7 +15,8 @@
 #[serde(untagged)]
 pub enum Change {
     Put {
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         #[serde(rename = "data")]
         value: Value,
         #[serde(rename = "mooring", default, skip_serializing_if = "Option::is_none")]
@@ -23,19 +24,19 @@
     },
     Delete {
         #[serde(rename = "drop")]
-        delete: String,
+        key: String,
     },
 }
 
 impl Change {
     pub fn put(key: String, value: Value) -> Change {
-        Change::Put { put: key, value, lease: None }
+        Change::Put { key, value, lease: None }
     }
     pub fn put_leased(key: String, value: Value, lease: LeaseId) -> Change {
-        Change::Put { put: key, value, lease: Some(lease) }
+        Change::Put { key, value, lease: Some(lease) }
     }
     pub fn delete(key: String) -> Change {
-        Change::Delete { delete: key }
+        Change::Delete { key }
     }
 }
 
@@ -68,8 +69,8 @@
 pub struct Page {
     #[serde(rename = "rows")]
     pub items: Vec<Item>,
-    #[serde(rename = "truncated", default)]
-    pub more: bool,
+    #[serde(default)]
+    pub truncated: bool,
     #[serde(rename = "logline")]
     pub revision: Revision,
 }
@@ -78,8 +79,8 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(try_from = "AnyWatchEvent")]
 pub enum WatchEvent {
-    Put { put: String, value: Value, version: Revision },
-    Delete { delete: String, version: Revision },
+    Put { key: String, value: Value, version: Revision },
+    Delete { key: String, version: Revision },
 }
 
 /// An event of either kind as it stands on the wire, told apart by what is
@@ -101,8 +102,8 @@
     fn try_from(any: AnyWatchEvent) -> Result<WatchEvent, Self::Error> {
         let AnyWatchEvent { put, delete, value, version } = any;
         match (put, delete) {
-            (Some(put), None) => Ok(WatchEvent::Put { put, value, version }),
-            (None, Some(delete)) => Ok(WatchEvent::Delete { delete, version }),
+            (Some(key), None) => Ok(WatchEvent::Put { key, value, version }),
+            (None, Some(key)) => Ok(WatchEvent::Delete { key, version }),
             _ => Err("an event is either a put or a drop"),
         }
     }
@@ -129,90 +130,92 @@
 
 /// A call on the state service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateCall {
+pub enum StoreRequest {
     Get { key: String },
     List { prefix: String, after: Option<String> },
     Transaction(Transaction),
-    Grant { ttl_ms: u64 },
-    Renew { lease: LeaseId },
+    GrantLease { ttl_ms: u64 },
+    RenewLease { lease: LeaseId },
     Watch { prefix: String, after: Revision, wait_ms: u64 },
 }
 
 /// What came of a call.
 #[derive(Debug, Clone)]
-pub enum StateAnswer {
+pub enum StoreResponse {
     Found(Item),
     /// No such key as of this revision.
     Missing(Revision),
     Page(Page),
     Committed(Revision),
     Conflict(Vec<String>),
-    Granted(LeaseId),
-    Renewed,
+    LeaseGranted(LeaseId),
+    LeaseRenewed,
     LeaseGone,
     WatchEvents(WatchEvents),
     /// The watch's revision is too old: read the keys again.
     TooOld,
     /// Not carried out: an outage, or the limit on requests.
-    Refused,
+    Unavailable,
     /// Malformed in the service's eyes; not carried out.
-    Rejected(String),
+    Invalid(String),
     /// No answer: it may have been carried out, or may be later.
     Unknown,
 }
 
-impl StateCall {
+impl StoreRequest {
     /// The method, path and body of the call.
-    pub fn request(&self) -> (&'static str, String, Vec<u8>) {
+    pub fn to_http(&self) -> (&'static str, String, Vec<u8>) {
         let json = |value: &dyn erased::Json| value.bytes();
         match self {
-            StateCall::Get { key } => ("GET", format!("/kv/{key}"), vec![]),
-            StateCall::List { prefix, after } => {
+            StoreRequest::Get { key } => ("GET", format!("/kv/{key}"), vec![]),
+            StoreRequest::List { prefix, after } => {
                 let from = after.as_ref().map(|a| format!("&from={a}")).unwrap_or_default();
                 ("GET", format!("/kv?starts={prefix}{from}&limit=1000"), vec![])
             }
-            StateCall::Transaction(transaction) => ("POST", "/txn".into(), json(transaction)),
-            StateCall::Grant { ttl_ms } => ("POST", "/leases".into(), json(&LeaseRequest { ttl_ms: *ttl_ms })),
-            StateCall::Renew { lease } => ("POST", format!("/leases/{lease}/renew"), b"{}".to_vec()),
-            StateCall::Watch { prefix, after, wait_ms } => {
+            StoreRequest::Transaction(transaction) => ("POST", "/txn".into(), json(transaction)),
+            StoreRequest::GrantLease { ttl_ms } => ("POST", "/leases".into(), json(&LeaseRequest { ttl_ms: *ttl_ms })),
+            StoreRequest::RenewLease { lease } => ("POST", format!("/leases/{lease}/renew"), b"{}".to_vec()),
+            StoreRequest::Watch { prefix, after, wait_ms } => {
                 ("GET", format!("/changes?starts={prefix}&from={after}&block_ms={wait_ms}"), vec![])
             }
         }
     }
 
     /// Reads the answer to this call; what makes no sense counts as unknown.
-    pub fn answer(&self, status: u16, body: &[u8]) -> StateAnswer {
-        fn read<'a, T: Deserialize<'a>>(body: &'a [u8], make: impl FnOnce(T) -> StateAnswer) -> StateAnswer {
-            serde_json::from_slice(body).map_or(StateAnswer::Unknown, make)
+    pub fn parse_response(&self, status: u16, body: &[u8]) -> StoreResponse {
+        fn read<'a, T: Deserialize<'a>>(body: &'a [u8], make: impl FnOnce(T) -> StoreResponse) -> StoreResponse {
+            serde_json::from_slice(body).map_or(StoreResponse::Unknown, make)
         }
         match (self, status) {
-            (_, 429 | 503) => StateAnswer::Refused,
-            (StateCall::Get { .. }, 200) => read(body, StateAnswer::Found),
-            (StateCall::Get { .. }, 404) => read(body, |done: TransactionResult| StateAnswer::Missing(done.revision)),
-            (StateCall::List { .. }, 200) => read(body, StateAnswer::Page),
-            (StateCall::Transaction(_), 200) => {
-                read(body, |done: TransactionResult| StateAnswer::Committed(done.revision))
+            (_, 429 | 503) => StoreResponse::Unavailable,
+            (StoreRequest::Get { .. }, 200) => read(body, StoreResponse::Found),
+            (StoreRequest::Get { .. }, 404) => {
+                read(body, |done: TransactionResult| StoreResponse::Missing(done.revision))
+            }
+            (StoreRequest::List { .. }, 200) => read(body, StoreResponse::Page),
+            (StoreRequest::Transaction(_), 200) => {
+                read(body, |done: TransactionResult| StoreResponse::Committed(done.revision))
             }
-            (StateCall::Transaction(_), 409) => {
-                read(body, |done: TransactionResult| StateAnswer::Conflict(done.failed))
+            (StoreRequest::Transaction(_), 409) => {
+                read(body, |done: TransactionResult| StoreResponse::Conflict(done.failed))
             }
-            (StateCall::Transaction(_), 400) => {
+            (StoreRequest::Transaction(_), 400) => {
                 let text = String::from_utf8_lossy(body);
                 if text.contains("no such lease") {
-                    StateAnswer::LeaseGone
+                    StoreResponse::LeaseGone
                 } else {
-                    StateAnswer::Rejected(text.chars().take(200).collect())
+                    StoreResponse::Invalid(text.chars().take(200).collect())
                 }
             }
-            (StateCall::Grant { .. }, 200 | 201) => {
-                read(body, |granted: LeaseGranted| StateAnswer::Granted(granted.lease))
+            (StoreRequest::GrantLease { .. }, 200 | 201) => {
+                read(body, |granted: LeaseGranted| StoreResponse::LeaseGranted(granted.lease))
             }
-            (StateCall::Renew { .. }, 200) => StateAnswer::Renewed,
-            (StateCall::Renew { .. }, 404) => StateAnswer::LeaseGone,
-            (StateCall::Watch { .. }, 200) => read(body, StateAnswer::WatchEvents),
-            (StateCall::Watch { .. }, 410) => StateAnswer::TooOld,
-            (_, 400) => StateAnswer::Rejected(String::from_utf8_lossy(body).chars().take(200).collect()),
-            _ => StateAnswer::Unknown,
+            (StoreRequest::RenewLease { .. }, 200) => StoreResponse::LeaseRenewed,
+            (StoreRequest::RenewLease { .. }, 404) => StoreResponse::LeaseGone,
+            (StoreRequest::Watch { .. }, 200) => read(body, StoreResponse::WatchEvents),
+            (StoreRequest::Watch { .. }, 410) => StoreResponse::TooOld,
+            (_, 400) => StoreResponse::Invalid(String::from_utf8_lossy(body).chars().take(200).collect()),
+            _ => StoreResponse::Unknown,
         }
     }
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -64,9 +64,9 @@
     #[serde(rename = "reckon_s")]
     pub estimated_run_s: f64,
     #[serde(rename = "mark_s", default)]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "stow_s", default)]
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     #[serde(rename = "tide_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each once.
@@ -192,8 +192,8 @@
         }
         amount("image_gb", self.image_gb, 0.0)?;
         amount("reckon_s", self.estimated_run_s, 0.0)?;
-        amount("mark_s", self.checkpoint_s, 0.0)?;
-        amount("stow_s", self.save_s, 0.0)?;
+        amount("mark_s", self.checkpoint_interval_s, 0.0)?;
+        amount("stow_s", self.checkpoint_save_s, 0.0)?;
         if let Some(deadline) = self.deadline_s {
             amount("tide_s", deadline, 0.0)?;
         }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -22,11 +22,27 @@
     #[serde(rename = "helm", default)]
     pub token: FencingToken,
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<f64>,
+    pub termination_notice_s: Option<f64>,
     #[serde(rename = "loads", default)]
     pub tasks: Vec<TaskStatus>,
 }
 
+impl Heartbeat {
+    /// Where this heartbeat stands in the sequence of its worker's heartbeats.
+    pub fn id(&self) -> HeartbeatId {
+        HeartbeatId { agent_epoch: self.agent_epoch, heartbeat_number: self.heartbeat_number }
+    }
+}
+
+/// The place of a heartbeat in the sequence of one worker's heartbeats, ordered
+/// by agent epoch and then by number: a copy or a late arrival is not greater
+/// than the newest one that was received.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatId {
+    pub agent_epoch: AgentEpoch,
+    pub heartbeat_number: HeartbeatNumber,
+}
+
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct TaskStatus {
     #[serde(rename = "load")]
@@ -36,9 +52,9 @@
     #[serde(rename = "trim")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub exit_reason: Option<ExitReason>,
+    #[serde(rename = "saved", default, skip_serializing_if = "Option::is_none")]
+    pub checkpoint_saved: Option<bool>,
 }
 
 /// `job/number`, as tasks are called on the wire.
--- a/src/transport/outside.rs
+++ b/src/transport/outside.rs
@@ -3,8 +3,8 @@
 use super::events::Event;
 use super::http::Client;
 use crate::coordination::{CloudAnswer, CloudCall, Input};
-use crate::protocol::cloud::{MachineNames, LIST_LIMIT};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::cloud::{MachineIds, LIST_LIMIT};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::CallId;
 use std::net::SocketAddr;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -60,17 +60,17 @@
 
 type InputFor = Box<dyn FnOnce(CallId) -> Input>;
 
-fn state_call(client: &mut Client, call: &StateCall) -> InputFor {
-    let (method, path, body) = call.request();
+fn state_call(client: &mut Client, call: &StoreRequest) -> InputFor {
+    let (method, path, body) = call.to_http();
     let timeout = match call {
-        StateCall::Watch { wait_ms, .. } => STATE_TIMEOUT + Duration::from_millis(*wait_ms),
+        StoreRequest::Watch { wait_ms, .. } => STATE_TIMEOUT + Duration::from_millis(*wait_ms),
         _ => STATE_TIMEOUT,
     };
     let answer = match client.call(method, &path, &body, timeout) {
-        Ok((status, body)) => call.answer(status, &body),
+        Ok((status, body)) => call.parse_response(status, &body),
         Err(error) => {
             tracing::debug!("no answer from the state service: {error}");
-            StateAnswer::Unknown
+            StoreResponse::Unknown
         }
     };
     Box::new(move |id| Input::State(id, answer))
@@ -86,7 +86,7 @@
         }
         CloudCall::Rent(request) => ("POST", "/rentals".into(), json(serde_json::to_vec(request))),
         CloudCall::Return(names) => {
-            let names = MachineNames { machines: names.clone() };
+            let names = MachineIds { machines: names.clone() };
             ("POST", "/rentals/return".into(), json(serde_json::to_vec(&names)))
         }
     };
@@ -116,9 +116,9 @@
 
 /// Everything outside that the core calls on.
 pub struct Outside {
-    watch: Caller<StateCall>,
-    lease: Caller<StateCall>,
-    state: Caller<StateCall>,
+    watch: Caller<StoreRequest>,
+    lease: Caller<StoreRequest>,
+    state: Caller<StoreRequest>,
     cloud: Caller<CloudCall>,
 }
 
@@ -134,13 +134,13 @@
 
     /// Watches and leases have callers of their own, so that nothing holds
     /// them up. What finds its queue full was not carried out.
-    pub fn state(&self, id: CallId, call: StateCall) -> Option<Input> {
+    pub fn state(&self, id: CallId, call: StoreRequest) -> Option<Input> {
         let caller = match call {
-            StateCall::Watch { .. } => &self.watch,
-            StateCall::Grant { .. } | StateCall::Renew { .. } => &self.lease,
+            StoreRequest::Watch { .. } => &self.watch,
+            StoreRequest::GrantLease { .. } | StoreRequest::RenewLease { .. } => &self.lease,
             _ => &self.state,
         };
-        (!caller.call(id, call)).then_some(Input::State(id, StateAnswer::Refused))
+        (!caller.call(id, call)).then_some(Input::State(id, StoreResponse::Unavailable))
     }
 
     pub fn cloud(&self, id: CallId, call: CloudCall) -> Option<Input> {
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -88,7 +88,7 @@
         state: state.into(),
         addr: replica.addr.clone(),
         zone: replica.zone.clone(),
-        error: replica.error.map_or(0, |a| a.0),
+        failed_attempt: replica.error.map_or(0, |a| a.0),
         token: replica.token.0,
         age_ms: replica.age.0,
     }
--- a/src/transport/peers/tests.rs
+++ b/src/transport/peers/tests.rs
@@ -6,7 +6,12 @@
 fn a_nudge_is_short_but_never_takes_a_notes_place() {
     let (sender, mut receiver) = watch::channel(JobChange::default());
     let notes = Notes(sender);
-    let whole = PeerStatus { from: "n0".into(), revision: 5, faulty: vec!["i-000001".into()], ..PeerStatus::default() };
+    let whole = PeerStatus {
+        from: "n0".into(),
+        revision: 5,
+        faulty_machines: vec!["i-000001".into()],
+        ..PeerStatus::default()
+    };
     notes.tell(whole.clone());
     notes.nudge(Revision(9));
     let news = receiver.borrow_and_update().clone();
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -6,7 +6,7 @@
 use super::peers::{replica_told, Asker};
 use crate::coordination::{ClientRequest, Response};
 use crate::protocol::peer;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
 use crate::units::{JobId, LeaseId as OurLease, Revision};
 use std::net::SocketAddr;
@@ -37,12 +37,12 @@
         Controller { engine, peers, state, idle: Mutex::new(vec![]) }
     }
 
-    fn state_call(&self, call: &StateCall) -> StateAnswer {
+    fn state_call(&self, call: &StoreRequest) -> StoreResponse {
         let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
         let mut client = kept.unwrap_or_else(|| Client::new(self.state));
-        let (method, path, body) = call.request();
+        let (method, path, body) = call.to_http();
         let timeout = match call {
-            StateCall::Watch { wait_ms, .. } => STATE_TIMEOUT + Duration::from_millis(*wait_ms),
+            StoreRequest::Watch { wait_ms, .. } => STATE_TIMEOUT + Duration::from_millis(*wait_ms),
             _ => STATE_TIMEOUT,
         };
         match client.call(method, &path, &body, timeout) {
@@ -51,11 +51,11 @@
                 if idle.len() < MOST_IDLE {
                     idle.push(client);
                 }
-                call.answer(status, &body)
+                call.parse_response(status, &body)
             }
             Err(error) => {
                 tracing::debug!("no answer from the state service: {error}");
-                StateAnswer::Unknown
+                StoreResponse::Unknown
             }
         }
     }
@@ -88,14 +88,16 @@
             Call::Withdraw { job } => withdraw_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
             Call::Reach { addr } => Answer::Reached(self.peers.reach(addr.clone())),
-            Call::Get { key } => state_answer(self.state_call(&StateCall::Get { key: key.clone() })),
+            Call::Get { key } => state_answer(self.state_call(&StoreRequest::Get { key: key.clone() })),
             Call::List { prefix, after } => {
-                state_answer(self.state_call(&StateCall::List { prefix: prefix.clone(), after: after.clone() }))
+                state_answer(self.state_call(&StoreRequest::List { prefix: prefix.clone(), after: after.clone() }))
             }
-            Call::Commit(commit) => state_answer(self.state_call(&StateCall::Transaction(transaction(commit)))),
-            Call::Grant { ttl } => state_answer(self.state_call(&StateCall::Grant { ttl_ms: ttl.0 })),
-            Call::Renew { lease } => state_answer(self.state_call(&StateCall::Renew { lease: OurLease(lease.0) })),
-            Call::Watch { prefix, after, wait } => state_answer(self.state_call(&StateCall::Watch {
+            Call::Commit(commit) => state_answer(self.state_call(&StoreRequest::Transaction(transaction(commit)))),
+            Call::Grant { ttl } => state_answer(self.state_call(&StoreRequest::GrantLease { ttl_ms: ttl.0 })),
+            Call::Renew { lease } => {
+                state_answer(self.state_call(&StoreRequest::RenewLease { lease: OurLease(lease.0) }))
+            }
+            Call::Watch { prefix, after, wait } => state_answer(self.state_call(&StoreRequest::Watch {
                 prefix: prefix.clone(),
                 after: Revision(after.0),
                 wait_ms: wait.0,
@@ -114,40 +116,40 @@
     Transaction { conditions: conditions.collect(), changes: vec![change] }
 }
 
-fn state_answer(answer: StateAnswer) -> Answer {
+fn state_answer(answer: StoreResponse) -> Answer {
     let item =
         |item: crate::protocol::state::Item| Item { key: item.key, value: item.value, stamp: Stamp(item.version.0) };
     match answer {
-        StateAnswer::Found(found) => Answer::Found(item(found)),
-        StateAnswer::Missing(_) => Answer::Missing,
-        StateAnswer::Page(page) => Answer::Page {
+        StoreResponse::Found(found) => Answer::Found(item(found)),
+        StoreResponse::Missing(_) => Answer::Missing,
+        StoreResponse::Page(page) => Answer::Page {
             items: page.items.into_iter().map(item).collect(),
-            more: page.more,
+            more: page.truncated,
             revision: Stamp(page.revision.0),
         },
-        StateAnswer::Committed(at) => Answer::Committed(Stamp(at.0)),
-        StateAnswer::Conflict(_) => Answer::Conflict,
-        StateAnswer::Granted(lease) => Answer::Granted(LeaseId(lease.0)),
-        StateAnswer::Renewed => Answer::Renewed,
-        StateAnswer::LeaseGone => Answer::LeaseGone,
-        StateAnswer::WatchEvents(news) => Answer::Changes {
+        StoreResponse::Committed(at) => Answer::Committed(Stamp(at.0)),
+        StoreResponse::Conflict(_) => Answer::Conflict,
+        StoreResponse::LeaseGranted(lease) => Answer::Granted(LeaseId(lease.0)),
+        StoreResponse::LeaseRenewed => Answer::Renewed,
+        StoreResponse::LeaseGone => Answer::LeaseGone,
+        StoreResponse::WatchEvents(news) => Answer::Changes {
             revision: Stamp(news.revision.0),
             changed: news
                 .events
                 .into_iter()
                 .map(|event| match event {
-                    WatchEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
-                    WatchEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
+                    WatchEvent::Put { key, value, version } => (key, Some(value), Stamp(version.0)),
+                    WatchEvent::Delete { key, version } => (key, None, Stamp(version.0)),
                 })
                 .collect(),
         },
-        StateAnswer::TooOld => Answer::TooOld,
-        StateAnswer::Rejected(why) => {
+        StoreResponse::TooOld => Answer::TooOld,
+        StoreResponse::Invalid(why) => {
             tracing::warn!("the state service rejects a call of roll-outs: {why}");
             Answer::Refused
         }
-        StateAnswer::Refused => Answer::Refused,
-        StateAnswer::Unknown => Answer::Unknown,
+        StoreResponse::Unavailable => Answer::Refused,
+        StoreResponse::Unknown => Answer::Unknown,
     }
 }
 
@@ -177,8 +179,8 @@
         apart: false,
         spot_allowed: job.spot,
         estimated_run_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
         dependencies: vec![],
     }
@@ -225,7 +227,7 @@
         attempt: told.attempt,
         standing,
         zone: told.zone,
-        error: told.error,
+        error: told.failed_attempt,
         age: RolloutMillis(told.age_ms),
         token: told.token,
     }
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -9,7 +9,7 @@
 use standin::{settings, Shape, StateService, World};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
-use tillercleat::protocol::state::{StateAnswer, StateCall};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::{JobSpec, Malformed};
 use tillercleat::settings::Tuning;
 use tillercleat::units::{MonotonicTime, RequestId};
@@ -107,8 +107,8 @@
             for output in self.core.handle(MonotonicTime(self.now), 1_000_000, input) {
                 match output {
                     Output::Response(id, response) => told.push((id, response)),
-                    Output::State(_, StateCall::Watch { .. }) if !self.watched => {}
-                    Output::State(id, _) if !self.reached => next.push(Input::State(id, StateAnswer::Refused)),
+                    Output::State(_, StoreRequest::Watch { .. }) if !self.watched => {}
+                    Output::State(id, _) if !self.reached => next.push(Input::State(id, StoreResponse::Unavailable)),
                     Output::State(id, call) => next.push(Input::State(id, self.state.run(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
                         let catalog = Catalog { types: shape.types.clone() };
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tillercleat::protocol::state::{StateAnswer, StateCall, Transaction};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use tillercleat::transport::http::{Client, Connection};
 use tillercleat::units::{LeaseId, Revision};
 
@@ -50,51 +50,53 @@
     pairs.filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v.to_string())
 }
 
-fn state_call(method: &str, path: &str, body: &Value) -> StateCall {
+fn state_call(method: &str, path: &str, body: &Value) -> StoreRequest {
     let number = |name: &str| query(path, name).and_then(|v| v.parse().ok()).unwrap_or(0);
     match (method, path) {
         ("POST", "/txn") => {
-            StateCall::Transaction(serde_json::from_value::<Transaction>(body.clone()).expect("a transaction"))
+            StoreRequest::Transaction(serde_json::from_value::<Transaction>(body.clone()).expect("a transaction"))
         }
-        ("POST", "/leases") => StateCall::Grant { ttl_ms: body["ttl_ms"].as_u64().expect("a length") },
+        ("POST", "/leases") => StoreRequest::GrantLease { ttl_ms: body["ttl_ms"].as_u64().expect("a length") },
         ("POST", _) => {
             let lease = path.split('/').nth(2).and_then(|l| l.parse().ok()).expect("a lease");
-            StateCall::Renew { lease: LeaseId(lease) }
+            StoreRequest::RenewLease { lease: LeaseId(lease) }
         }
-        _ if path.starts_with("/changes") => StateCall::Watch {
+        _ if path.starts_with("/changes") => StoreRequest::Watch {
             prefix: query(path, "starts").unwrap_or_default(),
             after: Revision(number("from")),
             wait_ms: number("block_ms"),
         },
         _ if path.starts_with("/kv?") => {
-            StateCall::List { prefix: query(path, "starts").unwrap_or_default(), after: query(path, "from") }
+            StoreRequest::List { prefix: query(path, "starts").unwrap_or_default(), after: query(path, "from") }
         }
-        _ => StateCall::Get { key: path.trim_start_matches("/kv/").to_string() },
+        _ => StoreRequest::Get { key: path.trim_start_matches("/kv/").to_string() },
     }
 }
 
-fn state_answer(answer: StateAnswer) -> (u16, Value) {
+fn state_answer(answer: StoreResponse) -> (u16, Value) {
     use tillercleat::protocol::state::WatchEvent;
     match answer {
-        StateAnswer::Found(item) => (200, serde_json::to_value(item).expect("json")),
-        StateAnswer::Missing(at) => (404, json!({ "logline": at })),
-        StateAnswer::Page(page) => (200, json!({"rows": page.items, "truncated": page.more, "logline": page.revision})),
-        StateAnswer::Committed(at) => (200, json!({ "logline": at })),
-        StateAnswer::Conflict(failed) => (409, json!({"failed": failed, "logline": 1})),
-        StateAnswer::Granted(lease) => (200, json!({ "mooring": lease })),
-        StateAnswer::Renewed => (200, json!({})),
-        StateAnswer::WatchEvents(news) => {
+        StoreResponse::Found(item) => (200, serde_json::to_value(item).expect("json")),
+        StoreResponse::Missing(at) => (404, json!({ "logline": at })),
+        StoreResponse::Page(page) => {
+            (200, json!({"rows": page.items, "truncated": page.truncated, "logline": page.revision}))
+        }
+        StoreResponse::Committed(at) => (200, json!({ "logline": at })),
+        StoreResponse::Conflict(failed) => (409, json!({"failed": failed, "logline": 1})),
+        StoreResponse::LeaseGranted(lease) => (200, json!({ "mooring": lease })),
+        StoreResponse::LeaseRenewed => (200, json!({})),
+        StoreResponse::WatchEvents(news) => {
             let events: Vec<Value> = news
                 .events
                 .into_iter()
                 .map(|event| match event {
-                    WatchEvent::Put { put, value, version } => json!({"put": put, "data": value, "stamp": version}),
-                    WatchEvent::Delete { delete, version } => json!({"drop": delete, "stamp": version}),
+                    WatchEvent::Put { key, value, version } => json!({"put": key, "data": value, "stamp": version}),
+                    WatchEvent::Delete { key, version } => json!({"drop": key, "stamp": version}),
                 })
                 .collect();
             (200, json!({"logline": news.revision, "news": events}))
         }
-        StateAnswer::LeaseGone => (404, json!({"error": "no such lease"})),
+        StoreResponse::LeaseGone => (404, json!({"error": "no such lease"})),
         other => panic!("not served: {other:?}"),
     }
 }
@@ -104,12 +106,12 @@
     let begin = Instant::now();
     serve(move |method, path, body| {
         let call = state_call(method, path, body);
-        let wait = if let StateCall::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
+        let wait = if let StoreRequest::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
         let until = Instant::now() + Duration::from_millis(wait);
         loop {
             let now = begin.elapsed().as_millis() as u64;
             let answer = service.lock().expect("the service").run(now, call.clone());
-            let waiting = matches!(&answer, StateAnswer::WatchEvents(news) if news.events.is_empty());
+            let waiting = matches!(&answer, StoreResponse::WatchEvents(news) if news.events.is_empty());
             if !waiting || Instant::now() >= until {
                 return state_answer(answer);
             }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -13,11 +13,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
-use tillercleat::protocol::cloud::{
-    Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, MachineType,
-};
+use tillercleat::protocol::cloud::{Catalog, ListedMachine, ListedMachineState, MachineIds, MachinePage, MachineType};
 use tillercleat::protocol::peer::PeerStatus;
-use tillercleat::protocol::state::{Change, StateAnswer, StateCall};
+use tillercleat::protocol::state::{Change, StoreRequest, StoreResponse};
 use tillercleat::protocol::users::{JobSpec, JobState, Malformed};
 use tillercleat::protocol::workers::{Command, ExitReason, Heartbeat, TaskName, TaskState, TaskStatus};
 use tillercleat::settings::{Settings, Tuning};
@@ -62,7 +60,7 @@
         fetch_gb_per_s: 1.0,
         price: cpus / 8.0,
         spot_price: Some(cpus / 20.0),
-        boot_s: 5.0,
+        provisioning_s: 5.0,
         zones: zones.to_vec(),
     }
 }
@@ -137,8 +135,8 @@
         Input::Tick => "tick",
         Input::ClientRequest(..) => "question",
         Input::Heartbeat(..) => "report",
-        Input::State(_, StateAnswer::WatchEvents(_)) => "watch",
-        Input::State(_, StateAnswer::Page(_)) => "page",
+        Input::State(_, StoreResponse::WatchEvents(_)) => "watch",
+        Input::State(_, StoreResponse::Page(_)) => "page",
         Input::State(..) => "state",
         Input::Cloud(..) => "cloud",
         Input::PeerStatus(_) => "note",
@@ -395,11 +393,11 @@
     /// What a node does by sending this, if it is any of these.
     fn of(node: &str, output: &Output) -> Option<Moment> {
         match output {
-            Output::State(_, StateCall::List { .. }) => Some(Moment::Reads),
-            Output::State(_, StateCall::Grant { .. }) => Some(Moment::Leases),
-            Output::State(_, StateCall::Transaction(transaction)) => transaction.changes.iter().find_map(|change| {
-                let Change::Put { put, value, .. } = change else { return None };
-                Some(match put.split('/').nth(1)? {
+            Output::State(_, StoreRequest::List { .. }) => Some(Moment::Reads),
+            Output::State(_, StoreRequest::GrantLease { .. }) => Some(Moment::Leases),
+            Output::State(_, StoreRequest::Transaction(transaction)) => transaction.changes.iter().find_map(|change| {
+                let Change::Put { key, value, .. } = change else { return None };
+                Some(match key.split('/').nth(1)? {
                     "n" => Moment::Announces,
                     "o" if value["node"] == node => Moment::Claims,
                     "o" => Moment::HandsOver,
@@ -435,7 +433,7 @@
 enum Due {
     Tick(usize, u32),
     ToNode(usize, u32, Input),
-    State(usize, u32, CallId, StateCall, u64),
+    State(usize, u32, CallId, StoreRequest, u64),
     Cloud(usize, u32, CallId, CloudCall),
     ReportTimer(usize),
     /// A worker tries the next node, its report of this number having failed.
@@ -607,8 +605,8 @@
 
 /// What the version before would have written: it knows of no levels, and drops
 /// what it does not know of a job's record.
-fn as_older(call: &mut StateCall) {
-    let StateCall::Transaction(transaction) = call else { return };
+fn as_older(call: &mut StoreRequest) {
+    let StoreRequest::Transaction(transaction) = call else { return };
     for change in &mut transaction.changes {
         if let Change::Put { value: serde_json::Value::Object(value), .. } = change {
             for field in ["level", "awaits", "ready"] {
@@ -994,14 +992,14 @@
                     if self.nodes[node].older {
                         as_older(&mut call);
                     }
-                    let wait = if let StateCall::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
+                    let wait = if let StoreRequest::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
                     let mut delay = 3 + self.random(6);
                     if self.now < self.slow_state.0 {
                         delay += self.random(self.slow_state.1);
                     }
                     // The caller waits no longer; the call is carried out all the same.
                     if delay + 10 > STATE_PATIENCE {
-                        let unknown = Input::State(id, StateAnswer::Unknown);
+                        let unknown = Input::State(id, StoreResponse::Unknown);
                         self.at(self.now + STATE_PATIENCE, Due::ToNode(node, life, unknown));
                         self.at(self.now + delay, Due::State(node, u32::MAX, id, call, 0));
                         continue;
@@ -1052,37 +1050,40 @@
         }
     }
 
-    fn state_call(&mut self, node: usize, life: u32, id: CallId, call: StateCall, deadline: u64) {
+    fn state_call(&mut self, node: usize, life: u32, id: CallId, call: StoreRequest, deadline: u64) {
         let answer_at = |world: &World| world.now + 3;
         if self.now < self.state_out[node] {
             // Open watches wait; everything else is refused.
-            if matches!(call, StateCall::Watch { .. }) && self.now < deadline {
+            if matches!(call, StoreRequest::Watch { .. }) && self.now < deadline {
                 return self.at(self.now + 100, Due::State(node, life, id, call, deadline));
             }
-            return self.at(answer_at(self), Due::ToNode(node, life, Input::State(id, StateAnswer::Refused)));
+            return self.at(answer_at(self), Due::ToNode(node, life, Input::State(id, StoreResponse::Unavailable)));
         }
         let (until, late) = self.silent[node];
         if self.now < until {
-            if late > 0 && matches!(call, StateCall::Transaction(_)) {
+            if late > 0 && matches!(call, StoreRequest::Transaction(_)) {
                 // Carried out late; the answer never comes.
                 self.at(self.now + late, Due::State(node, u32::MAX, id, call, 0));
             }
-            return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StateAnswer::Unknown)));
+            return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StoreResponse::Unknown)));
         }
         let (until, share) = self.late_writes;
-        if self.now < until && matches!(call, StateCall::Transaction(_)) && life != u32::MAX && self.random(100) < share
+        if self.now < until
+            && matches!(call, StoreRequest::Transaction(_))
+            && life != u32::MAX
+            && self.random(100) < share
         {
             let late = 2000 + self.random(10_000);
             self.at(self.now + late, Due::State(node, u32::MAX, id, call, 0));
-            return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StateAnswer::Unknown)));
+            return self.at(self.now + 1500, Due::ToNode(node, life, Input::State(id, StoreResponse::Unknown)));
         }
-        if let StateCall::Transaction(transaction) = &call {
+        if let StoreRequest::Transaction(transaction) = &call {
             // Carried out late, it would undo what is newer.
             if !transaction.changes.is_empty() && transaction.conditions.is_empty() {
                 self.broken.push(format!("unconditional: {:?} at {}", transaction.changes, self.now));
             }
         }
-        if let StateCall::Watch { after, .. } = &call {
+        if let StoreRequest::Watch { after, .. } = &call {
             self.state.expire(self.now);
             if self.state.revision <= after.0 && self.now < deadline {
                 return self.at(self.now + 20, Due::State(node, life, id, call, deadline));
@@ -1111,11 +1112,11 @@
                         age_s: (self.now - w.rented) as f64 / 1000.0,
                     })
                     .collect();
-                CloudAnswer::Page(MachinePage { machines, more: false })
+                CloudAnswer::Page(MachinePage { machines, truncated: false })
             }
             CloudCall::Rent(request) => {
-                if let Some(names) = self.rentals.get(&request.request) {
-                    return CloudAnswer::Rented(MachineNames { machines: names.clone() });
+                if let Some(names) = self.rentals.get(&request.request_id) {
+                    return CloudAnswer::Rented(MachineIds { machines: names.clone() });
                 }
                 let alive = self.workers.iter().filter(|w| w.alive).count();
                 let count = (request.count as usize).min(self.shape.machines.saturating_sub(alive));
@@ -1134,8 +1135,8 @@
                     };
                     names.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
                 }
-                self.rentals.insert(request.request, names.clone());
-                CloudAnswer::Rented(MachineNames { machines: names })
+                self.rentals.insert(request.request_id, names.clone());
+                CloudAnswer::Rented(MachineIds { machines: names })
             }
             CloudCall::Return(names) => {
                 for worker in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
@@ -1199,8 +1200,8 @@
             task: TaskName { job: key.0.clone(), index: key.1 },
             attempt: task.attempt,
             state: task.state,
-            why: task.why,
-            saved: None,
+            exit_reason: task.why,
+            checkpoint_saved: None,
         });
         let heartbeat = Heartbeat {
             machine: worker.name.clone(),
@@ -1211,7 +1212,7 @@
             agent_epoch: AgentEpoch(worker.agent_epoch),
             heartbeat_number: HeartbeatNumber(worker.heartbeat_number),
             token: FencingToken(worker.token),
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.collect(),
         };
         let (node, zone, flight) = (worker.node, worker.zone, worker.heartbeat_number);
--- a/tests/standin/state.rs
+++ b/tests/standin/state.rs
@@ -1,7 +1,9 @@
 //! The state service: conditional transactions, leases, watches and limits.
 
 use std::collections::BTreeMap;
-use tillercleat::protocol::state::{Change, Item, Page, StateAnswer, StateCall, Transaction, WatchEvent, WatchEvents};
+use tillercleat::protocol::state::{
+    Change, Item, Page, StoreRequest, StoreResponse, Transaction, WatchEvent, WatchEvents,
+};
 use tillercleat::units::{LeaseId, Revision};
 
 /// Refills with time, one second's worth at the most.
@@ -70,11 +72,11 @@
         }
     }
 
-    fn transaction(&mut self, transaction: Transaction) -> StateAnswer {
+    fn transaction(&mut self, transaction: Transaction) -> StoreResponse {
         for change in &transaction.changes {
             if let Change::Put { lease: Some(lease), .. } = change {
                 if !self.leases.contains_key(&lease.0) {
-                    return StateAnswer::LeaseGone;
+                    return StoreResponse::LeaseGone;
                 }
             }
         }
@@ -83,48 +85,48 @@
         let too_many = transaction.changes.len() > self.most_ops || transaction.conditions.len() > 4 * self.most_ops;
         if self.buckets.is_some() && (too_many || transaction.changes.iter().any(too_large)) {
             *self.rejected.entry(format!("{transaction:?}")).or_default() += 1;
-            return StateAnswer::Rejected("too large".into());
+            return StoreResponse::Invalid("too large".into());
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
         let failed: Vec<String> =
             transaction.conditions.iter().filter(|c| version(&c.key) != c.version.0).map(|c| c.key.clone()).collect();
         if !failed.is_empty() {
-            return StateAnswer::Conflict(failed);
+            return StoreResponse::Conflict(failed);
         }
         self.revision += 1;
         for change in transaction.changes {
             match change {
-                Change::Put { put, value, lease } => {
-                    self.log.push((self.revision, put.clone(), Some(value.clone())));
-                    self.rows.insert(put, (value, self.revision, lease.map(|l| l.0)));
+                Change::Put { key, value, lease } => {
+                    self.log.push((self.revision, key.clone(), Some(value.clone())));
+                    self.rows.insert(key, (value, self.revision, lease.map(|l| l.0)));
                 }
-                Change::Delete { delete } => {
-                    self.rows.remove(&delete);
-                    self.log.push((self.revision, delete, None));
+                Change::Delete { key } => {
+                    self.rows.remove(&key);
+                    self.log.push((self.revision, key, None));
                 }
             }
         }
-        StateAnswer::Committed(Revision(self.revision))
+        StoreResponse::Committed(Revision(self.revision))
     }
 
-    pub fn run(&mut self, now: u64, call: StateCall) -> StateAnswer {
+    pub fn run(&mut self, now: u64, call: StoreRequest) -> StoreResponse {
         self.expire(now);
         *self.requests.entry(now / 1000).or_default() += 1;
-        let changes = if let StateCall::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
+        let changes = if let StoreRequest::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
         if let Some((requests, writes)) = &mut self.buckets {
             if !requests.take(now, 1.0) || !writes.take(now, changes as f64) {
                 self.limited += 1;
-                return StateAnswer::Refused;
+                return StoreResponse::Unavailable;
             }
         }
         match call {
-            StateCall::Get { key } => match self.rows.get(&key) {
+            StoreRequest::Get { key } => match self.rows.get(&key) {
                 Some((value, version, _)) => {
-                    StateAnswer::Found(Item { key, value: value.clone(), version: Revision(*version) })
+                    StoreResponse::Found(Item { key, value: value.clone(), version: Revision(*version) })
                 }
-                None => StateAnswer::Missing(Revision(self.revision)),
+                None => StoreResponse::Missing(Revision(self.revision)),
             },
-            StateCall::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let page = self.page.max(50);
                 let from = std::ops::Bound::Excluded(after.unwrap_or_default());
                 let rows = self.rows.range((from, std::ops::Bound::Unbounded)).filter(|(k, _)| k.starts_with(&prefix));
@@ -133,38 +135,38 @@
                     .map(|(k, r)| Item { key: k.clone(), value: r.0.clone(), version: Revision(r.1) })
                     .collect();
                 let more = items.len() > page;
-                StateAnswer::Page(Page {
+                StoreResponse::Page(Page {
                     items: items.into_iter().take(page).collect(),
-                    more,
+                    truncated: more,
                     revision: Revision(self.revision),
                 })
             }
-            StateCall::Transaction(transaction) => {
+            StoreRequest::Transaction(transaction) => {
                 *self.writes.entry(now / 1000).or_default() += transaction.changes.len();
                 self.transaction(transaction)
             }
-            StateCall::Grant { ttl_ms } => {
+            StoreRequest::GrantLease { ttl_ms } => {
                 self.last_lease += 1;
                 self.leases.insert(self.last_lease, (ttl_ms, now + ttl_ms));
-                StateAnswer::Granted(LeaseId(self.last_lease))
+                StoreResponse::LeaseGranted(LeaseId(self.last_lease))
             }
-            StateCall::Renew { lease } => match self.leases.get_mut(&lease.0) {
+            StoreRequest::RenewLease { lease } => match self.leases.get_mut(&lease.0) {
                 Some(entry) => {
                     entry.1 = now + entry.0;
-                    StateAnswer::Renewed
+                    StoreResponse::LeaseRenewed
                 }
-                None => StateAnswer::LeaseGone,
+                None => StoreResponse::LeaseGone,
             },
-            StateCall::Watch { after, .. } => {
+            StoreRequest::Watch { after, .. } => {
                 let from = self.log.partition_point(|e| e.0 <= after.0);
                 if self.log.len() - from > MOST_CHANGES {
-                    return StateAnswer::TooOld;
+                    return StoreResponse::TooOld;
                 }
                 let events = self.log[from..].iter().map(|(at, key, value)| match value {
-                    Some(value) => WatchEvent::Put { put: key.clone(), value: value.clone(), version: Revision(*at) },
-                    None => WatchEvent::Delete { delete: key.clone(), version: Revision(*at) },
+                    Some(value) => WatchEvent::Put { key: key.clone(), value: value.clone(), version: Revision(*at) },
+                    None => WatchEvent::Delete { key: key.clone(), version: Revision(*at) },
                 });
-                StateAnswer::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
+                StoreResponse::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
             }
         }
     }
--- a/tests/standin/trace.rs
+++ b/tests/standin/trace.rs
@@ -61,7 +61,7 @@
 fn wire_form(output: &Output) -> Vec<u8> {
     match output {
         Output::State(call, request) => {
-            let (method, path, body) = request.request();
+            let (method, path, body) = request.to_http();
             [format!("state {call} {method} {path} ").as_bytes(), &body].concat()
         }
         Output::Cloud(call, request) => {
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
-use tillercleat::protocol::state::{StateAnswer, StateCall};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::protocol::workers::{Command, Heartbeat, TaskName, TaskState, TaskStatus};
 use tillercleat::settings::Tuning;
@@ -53,7 +53,7 @@
     core: Core,
     now: u64,
     began: u64,
-    on_way: VecDeque<(CallId, StateCall)>,
+    on_way: VecDeque<(CallId, StoreRequest)>,
     replies: Vec<(RequestId, Response)>,
     requests: u64,
     tally: u64,
@@ -103,7 +103,7 @@
     /// The process ends, and another begins; what was on its way may still be carried out.
     fn restart(&mut self) {
         for (_, call) in std::mem::take(&mut self.on_way) {
-            if self.on_way.is_empty() && matches!(call, StateCall::Transaction(_)) {
+            if self.on_way.is_empty() && matches!(call, StoreRequest::Transaction(_)) {
                 self.service.run(self.now, call);
             }
         }
@@ -120,7 +120,7 @@
                 Output::Cloud(id, call) => {
                     let answer = match call {
                         CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.shape.types.clone() }),
-                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], more: false }),
+                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], truncated: false }),
                         CloudCall::Rent(_) => CloudAnswer::NoCapacity,
                         CloudCall::Return(_) => CloudAnswer::Failed,
                     };
@@ -151,8 +151,8 @@
             task: task.clone(),
             attempt: *attempt,
             state: TaskState::Running,
-            why: None,
-            saved: None,
+            exit_reason: None,
+            checkpoint_saved: None,
         });
         let heartbeat = Heartbeat {
             machine: MachineId::new(MACHINE),
@@ -163,7 +163,7 @@
             agent_epoch: AgentEpoch(self.agent_epoch),
             heartbeat_number: HeartbeatNumber(self.tally),
             token: self.token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.collect(),
         };
         self.feed(Input::Heartbeat(RequestId(self.requests), heartbeat));
@@ -179,7 +179,7 @@
         for _ in 0..ms / 50 {
             self.wait(50);
             while let Some((id, call)) = self.on_way.pop_front() {
-                let watch = matches!(call, StateCall::Watch { .. });
+                let watch = matches!(call, StoreRequest::Watch { .. });
                 let answer = self.service.run(self.now, call);
                 self.feed(Input::State(id, answer));
                 if watch {
@@ -191,8 +191,8 @@
     }
 
     fn record(&mut self, key: &str) -> Option<(serde_json::Value, u64)> {
-        match self.service.run(self.now, StateCall::Get { key: key.into() }) {
-            StateAnswer::Found(item) => Some((item.value, item.version.0)),
+        match self.service.run(self.now, StoreRequest::Get { key: key.into() }) {
+            StoreResponse::Found(item) => Some((item.value, item.version.0)),
             _ => None,
         }
     }
@@ -245,7 +245,7 @@
         }
     }
 
-    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut StateService, u64, StateCall) -> StateAnswer) {
+    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut StateService, u64, StoreRequest) -> StoreResponse) {
         if self.on_way.is_empty() {
             return;
         }
@@ -333,12 +333,12 @@
                 match step {
                     Step::Wait(ms) => site.wait(ms),
                     Step::Answer(pick) => site.answer(pick, |service, now, call| service.run(now, call)),
-                    Step::Refuse(pick) => site.answer(pick, |_, _, _| StateAnswer::Refused),
+                    Step::Refuse(pick) => site.answer(pick, |_, _, _| StoreResponse::Unavailable),
                     Step::Lose(pick, done) => site.answer(pick, |service, now, call| {
                         if done {
                             service.run(now, call);
                         }
-                        StateAnswer::Unknown
+                        StoreResponse::Unknown
                     }),
                     Step::Submit => drop(site.ask(ClientRequest::Submit(Box::new(job(2))))),
                     Step::Query => {
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -9,7 +9,7 @@
 fn messages_of_the_cloud_keep_their_words() {
     let machine = MachineId::new("i-000001");
     let rent =
-        RentRequest { request: "r-27".into(), kind: "m8".into(), zone: "a".into(), spot: true, count: RENT_LIMIT };
+        RentRequest { request_id: "r-27".into(), kind: "m8".into(), zone: "a".into(), spot: true, count: RENT_LIMIT };
     let kind = MachineType {
         name: "m8".into(),
         cpus: 8.0,
@@ -19,7 +19,7 @@
         fetch_gb_per_s: 1.5,
         price: 1.25,
         spot_price: Some(0.4),
-        boot_s: 5.0,
+        provisioning_s: 5.0,
         zones: vec!["a".into(), "b".into()],
     };
     let least: MachineType = from_str(r#"{"sku":"m1","cores":1.0,"mem_gb":2.0,"hourly":0.5}"#).expect("a type");
@@ -37,9 +37,9 @@
     let bare: MachinePage = from_str(page).expect("a page");
     let lines = [
         text(&rent),
-        both_ways(&MachineNames { machines: vec![machine.clone(), MachineId::new("i-000002")] }),
+        both_ways(&MachineIds { machines: vec![machine.clone(), MachineId::new("i-000002")] }),
         both_ways(&Catalog { types: vec![kind, least] }),
-        both_ways(&MachinePage { machines, more: true }),
+        both_ways(&MachinePage { machines, truncated: true }),
         both_ways(&bare),
         format!("{RENT_LIMIT} {RETURN_LIMIT} {LIST_LIMIT}"),
     ];
--- a/tests/wire/peers.rs
+++ b/tests/wire/peers.rs
@@ -26,7 +26,7 @@
         state: state.into(),
         addr: "10.1.0.2:9000".into(),
         zone: "a".into(),
-        error: 5,
+        failed_attempt: 5,
         token: 6,
         age_ms: 700,
     }
@@ -34,14 +34,14 @@
 
 #[test]
 fn messages_of_peers_keep_their_bytes() {
-    let team = TeamDemand { team: "red".into(), wanted_cpus: 3.5, wanted_gpus: 2.0 };
+    let team = TeamDemand { team: "red".into(), unmet_cpus: 3.5, unmet_gpus: 2.0 };
     let load = ShardStatus {
         shard: 1,
         token: 41,
         teams: vec![team.clone()],
-        leaving: vec!["i-000001".into()],
-        up: vec!["i-000002".into(), "i-000003".into()],
-        downlink_lost: vec!["i-000004".into()],
+        terminating_machines: vec!["i-000001".into()],
+        reporting_machines: vec!["i-000002".into(), "i-000003".into()],
+        downlink_lost_machines: vec!["i-000004".into()],
     };
     let age = MachineAge { machine: "i-000009".into(), age_s: 12.5 };
     let status = PeerStatus {
@@ -49,9 +49,9 @@
         revision: 300,
         state_reachable: true,
         shards: vec![load.clone(), ShardStatus::default()],
-        ages: vec![age.clone()],
-        faulty: vec!["i-000005".into()],
-        failing: vec!["wk-000004".into()],
+        machine_ages: vec![age.clone()],
+        faulty_machines: vec!["i-000005".into()],
+        failing_jobs: vec!["wk-000004".into()],
     };
     let states = [State::Waiting, State::Placed, State::Running, State::Leaving, State::Ended];
     let replicas = states.map(replica).to_vec();
--- a/tests/wire/state.rs
+++ b/tests/wire/state.rs
@@ -2,11 +2,11 @@
 
 use super::assert_golden;
 use serde_json::json;
-use tillercleat::protocol::state::{Change, Condition, Item, StateAnswer, StateCall, Transaction, WatchEvent};
+use tillercleat::protocol::state::{Change, Condition, Item, StoreRequest, StoreResponse, Transaction, WatchEvent};
 use tillercleat::units::{LeaseId, Revision};
 
 /// One call of each kind, with its name in the golden files.
-fn calls() -> [(&'static str, StateCall); 8] {
+fn calls() -> [(&'static str, StoreRequest); 8] {
     let condition = |key: &str, version| Condition { key: key.into(), version: Revision(version) };
     let changes = vec![
         Change::put("t/j/wk-1".into(), json!({"spec": {"b": 1.0, "a": null}, "at": 4000})),
@@ -16,14 +16,14 @@
     let transaction = Transaction { conditions: vec![condition("t/l", 41), condition("t/j/wk-1", 0)], changes };
     let (prefix, after) = ("t/".to_string(), Some("t/j/wk-000412".to_string()));
     [
-        ("get", StateCall::Get { key: "t/s/wk-000412/3".into() }),
-        ("list", StateCall::List { prefix: prefix.clone(), after: None }),
-        ("list on", StateCall::List { prefix: prefix.clone(), after }),
-        ("empty txn", StateCall::Transaction(Transaction::default())),
-        ("txn", StateCall::Transaction(transaction)),
-        ("lease", StateCall::Grant { ttl_ms: 5000 }),
-        ("renew", StateCall::Renew { lease: LeaseId(7) }),
-        ("watch", StateCall::Watch { prefix, after: Revision(41), wait_ms: 1000 }),
+        ("get", StoreRequest::Get { key: "t/s/wk-000412/3".into() }),
+        ("list", StoreRequest::List { prefix: prefix.clone(), after: None }),
+        ("list on", StoreRequest::List { prefix: prefix.clone(), after }),
+        ("empty txn", StoreRequest::Transaction(Transaction::default())),
+        ("txn", StoreRequest::Transaction(transaction)),
+        ("lease", StoreRequest::GrantLease { ttl_ms: 5000 }),
+        ("renew", StoreRequest::RenewLease { lease: LeaseId(7) }),
+        ("watch", StoreRequest::Watch { prefix, after: Revision(41), wait_ms: 1000 }),
     ]
 }
 
@@ -33,40 +33,40 @@
 
 fn event(event: &WatchEvent) -> String {
     match event {
-        WatchEvent::Put { put, value, version } => format!("put {put}={value}@{version}"),
-        WatchEvent::Delete { delete, version } => format!("drop {delete}@{version}"),
+        WatchEvent::Put { key, value, version } => format!("put {key}={value}@{version}"),
+        WatchEvent::Delete { key, version } => format!("drop {key}@{version}"),
     }
 }
 
 /// What was read from an answer, in words that no change of names touches.
-fn outcome(answer: &StateAnswer) -> String {
+fn outcome(answer: &StoreResponse) -> String {
     match answer {
-        StateAnswer::Found(item) => format!("a row {}", row(item)),
-        StateAnswer::Missing(revision) => format!("no row as of {revision}"),
-        StateAnswer::Page(page) => {
+        StoreResponse::Found(item) => format!("a row {}", row(item)),
+        StoreResponse::Missing(revision) => format!("no row as of {revision}"),
+        StoreResponse::Page(page) => {
             let rows: Vec<String> = page.items.iter().map(row).collect();
-            format!("rows {rows:?}, truncated {}, as of {}", page.more, page.revision)
+            format!("rows {rows:?}, truncated {}, as of {}", page.truncated, page.revision)
         }
-        StateAnswer::Committed(revision) => format!("applied at {revision}"),
-        StateAnswer::Conflict(keys) => format!("not applied because of {keys:?}"),
-        StateAnswer::Granted(lease) => format!("lease {lease}"),
-        StateAnswer::Renewed => "the lease goes on".into(),
-        StateAnswer::LeaseGone => "the lease is gone".into(),
-        StateAnswer::WatchEvents(events) => {
+        StoreResponse::Committed(revision) => format!("applied at {revision}"),
+        StoreResponse::Conflict(keys) => format!("not applied because of {keys:?}"),
+        StoreResponse::LeaseGranted(lease) => format!("lease {lease}"),
+        StoreResponse::LeaseRenewed => "the lease goes on".into(),
+        StoreResponse::LeaseGone => "the lease is gone".into(),
+        StoreResponse::WatchEvents(events) => {
             let news: Vec<String> = events.events.iter().map(event).collect();
             format!("news {news:?} as of {}", events.revision)
         }
-        StateAnswer::TooOld => "the watch begins too early".into(),
-        StateAnswer::Refused => "not carried out".into(),
-        StateAnswer::Rejected(why) => format!("malformed: {why}"),
-        StateAnswer::Unknown => "not known".into(),
+        StoreResponse::TooOld => "the watch begins too early".into(),
+        StoreResponse::Unavailable => "not carried out".into(),
+        StoreResponse::Invalid(why) => format!("malformed: {why}"),
+        StoreResponse::Unknown => "not known".into(),
     }
 }
 
 #[test]
 fn calls_of_the_state_service_keep_their_bytes() {
-    let line = |(name, call): (&str, StateCall)| {
-        let (method, path, body) = call.request();
+    let line = |(name, call): (&str, StoreRequest)| {
+        let (method, path, body) = call.to_http();
         format!("{name}: {method} {path} {}", String::from_utf8(body).expect("text"))
     };
     assert_golden("state-calls.txt", &calls().map(line));
@@ -87,7 +87,7 @@
     for (name, call) in calls() {
         for status in [200, 201, 400, 404, 409, 410, 421, 429, 500, 503] {
             for (kind, body) in &bodies {
-                let outcome = outcome(&call.answer(status, body.as_bytes()));
+                let outcome = outcome(&call.parse_response(status, body.as_bytes()));
                 lines.push(format!("{name}, {status}, {kind}: {outcome}"));
             }
         }
@@ -111,7 +111,7 @@
     let (_, watch) = calls().into_iter().last().expect("a watch");
     let line = |events: &str| {
         let body = format!(r#"{{"logline":9,"news":[{events}]}}"#);
-        format!("{events}: {}", outcome(&watch.answer(200, body.as_bytes())))
+        format!("{events}: {}", outcome(&watch.parse_response(200, body.as_bytes())))
     };
     assert_golden("state-events.txt", &events.map(line));
 }
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -25,8 +25,8 @@
         apart: true,
         spot_allowed: true,
         estimated_run_s: 60.0,
-        checkpoint_s: 5.0,
-        save_s: 1.0,
+        checkpoint_interval_s: 5.0,
+        checkpoint_save_s: 1.0,
         deadline_s: Some(600.0),
         dependencies: vec![],
     }
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -24,8 +24,8 @@
         task: task.clone(),
         attempt: Attempt(2),
         state: state.unwrap_or(TaskState::Exited),
-        why,
-        saved: why.map(|why| why == ExitReason::Stopped),
+        exit_reason: why,
+        checkpoint_saved: why.map(|why| why == ExitReason::Stopped),
     };
     let tasks = states.iter().map(|state| told(state, None)).chain(causes.map(|why| told(&None, why)));
     let heartbeat = Heartbeat {
@@ -37,7 +37,7 @@
         agent_epoch: AgentEpoch(5),
         heartbeat_number: HeartbeatNumber(6),
         token: FencingToken(7),
-        notice_s: Some(30.0),
+        termination_notice_s: Some(30.0),
         tasks: tasks.collect(),
     };
     let least = r#"{"deck":"i-1","endpoint":"e","hull":"m8","berth":"a","watch":1,"tally":2}"#;
