--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::protocol::workers::HeartbeatId;
 use crate::storage::records::FleetRecord;
-use crate::units::{FencingToken, HeartbeatSequence, Revision};
+use crate::units::{FencingToken, Revision};
 
 /// An owner of part 0 whose records name a task on a machine that is on its way out.
 struct Case {
@@ -42,10 +43,10 @@
             agent_epoch: AgentEpoch(1),
             heartbeat_number: HeartbeatNumber(heartbeat_number),
             token: FencingToken(token),
-            notice_s: None,
+            termination_notice_s: None,
             tasks: vec![],
         };
-        self.core.heartbeat(RequestId(heartbeat_number), heartbeat);
+        self.core.handle_heartbeat(RequestId(heartbeat_number), heartbeat);
         matches!(self.core.desired_task(&self.key), Some(TaskRecord::Placed(..)))
     }
 }
@@ -69,8 +70,8 @@
     let shard = ShardId(0);
     let machine =
         case.core.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&case.machine)).expect("a machine");
-    let sequence = HeartbeatSequence { agent_epoch: AgentEpoch(1), number: HeartbeatNumber(5) };
-    machine.start_sent_at.insert(case.key.clone(), sequence);
+    let sent_with = HeartbeatId { agent_epoch: AgentEpoch(1), heartbeat_number: HeartbeatNumber(5) };
+    machine.starts_sent.insert(case.key.clone(), sent_with);
     assert!(case.is_there_after(5, 9), "the answer to this one had the start");
     assert!(case.is_there_after(3, 9), "a copy from before");
     assert!(!case.is_there_after(6, 9));
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -72,7 +72,7 @@
             TaskRecord::Done => (Attempt(0), ReplicaState::Ended),
             TaskRecord::Placed(attempt, _) => {
                 let listed =
-                    machine.and_then(|m| m.listed.get(&key)).filter(|l| l.attempt == *attempt).map(|l| l.state);
+                    machine.and_then(|m| m.reported_tasks.get(&key)).filter(|l| l.attempt == *attempt).map(|l| l.state);
                 let leaving = owned_shard.stopping.contains_key(&key) || machine.is_some_and(|m| m.notice.is_some());
                 let state = match listed {
                     Some(TaskState::Running) if leaving => ReplicaState::Leaving,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -185,7 +185,7 @@
         match input {
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
             Input::PeerStatus(status) => self.receive_peer_status(status),
@@ -247,7 +247,7 @@
         self.forget_errors();
         self.renew_lease_proxies();
         self.expire_machines();
-        self.lead();
+        self.run_leader_cycle();
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -93,9 +93,9 @@
                     if !faulty && spec.kind != JobKind::Standing && rest + 0.5 < left {
                         continue;
                     }
-                    let saves = spec.checkpoint_s > 0.0;
-                    if !saves || faulty || left < spec.save_s * 1.5 + 3.0 {
-                        let grace = if saves { spec.save_s.max(1.0) } else { 0.0 };
+                    let saves = spec.checkpoint_interval_s > 0.0;
+                    if !saves || faulty || left < spec.checkpoint_save_s * 1.5 + 3.0 {
+                        let grace = if saves { spec.checkpoint_save_s.max(1.0) } else { 0.0 };
                         stops.push((*shard, key.clone(), grace));
                     }
                 }
@@ -140,7 +140,7 @@
         let cores: f64 = seats.iter().map(|s| s.type_.cpus).sum();
         let mut promised = 0.0;
         let mut waiters = 0;
-        let boot_s = self.quickest_boot_s();
+        let provisioning_s = self.quickest_boot_s();
         let mut shapes = Shapes::default();
         let mut closed = Closed::default();
         let most_on = self.most_on();
@@ -149,7 +149,7 @@
                 break;
             }
             let need = Resources::of_task(&job.record.spec);
-            let quick = self.objectives.start_before(&job.class, boot_s);
+            let quick = self.objectives.start_before(&job.class, provisioning_s);
             // What is left there is for work that must start at once.
             let kept = |spare: f64| !quick && reserve > 0.0 && spare - need.cpus < reserve;
             let at_once = !closed.to(&need, quick) && {
@@ -323,7 +323,7 @@
     }
 
     fn quickest_boot_s(&self) -> f64 {
-        self.catalog.types().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.catalog.types().map(|t| t.provisioning_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Seats that a round of one shard scores before it looks only at jobs with
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -12,7 +12,7 @@
     /// Estimated run time.
     pub run_s: f64,
     /// Progress between checkpoints; 0 if a loss costs everything.
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
 }
 
 /// P_c with P_s = 1: the chance that the machine outlasts the task.
@@ -30,16 +30,16 @@
 
 /// E = a + p·d + (1 − p)·(w + R).
 pub fn expected_completion(history: &LifetimeHistory, prospect: Prospect) -> f64 {
-    let Prospect { age_s, wait_s, run_s, checkpoint_s } = prospect;
+    let Prospect { age_s, wait_s, run_s, checkpoint_interval_s } = prospect;
     let age_then = age_s + wait_s;
     let p = completion_chance(history, age_then, run_s);
     if p >= 1.0 {
         return wait_s + run_s;
     }
     let wasted = history.wasted(age_then, run_s);
-    let (lost, again) = if checkpoint_s > 0.0 {
+    let (lost, again) = if checkpoint_interval_s > 0.0 {
         // What was saved need not run again.
-        (wasted, run_s - (wasted - checkpoint_s).max(0.0))
+        (wasted, run_s - (wasted - checkpoint_interval_s).max(0.0))
     } else {
         (wasted, run_s)
     };
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -18,7 +18,7 @@
 use crate::coordination::shards::owned_shard::ExpiryCheck;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::workers::{Command, Heartbeat, TaskState};
 use crate::storage::records::{lease_proxy_key, owner_key, NodeRecord};
 use crate::units::{FencingToken, MachineId, Millis, NodeName, Revision, ShardId};
@@ -113,7 +113,7 @@
         let stops = heartbeat.tasks.iter().filter(over);
         stops
             .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
-            .take(crate::coordination::heartbeats::handling::MOST_COMMANDS)
+            .take(crate::coordination::heartbeats::handling::MAX_COMMANDS)
             .collect()
     }
 
@@ -145,7 +145,7 @@
                     let silent = self.silent_machines(shard);
                     for name in names.iter().filter(|n| silent.contains(*n)) {
                         tracing::info!("nothing is left on {name}");
-                        self.clear_machine(shard, name);
+                        self.remove_lost_machine(shard, name);
                     }
                 }
                 waiting @ (ExpiryCheck::Confirmed { .. } | ExpiryCheck::Sent(_)) => owned_shard.expiry_check = waiting,
@@ -156,7 +156,7 @@
             let returned: BTreeSet<MachineId> = names.filter(|n| self.returned(n)).cloned().collect();
             for name in returned {
                 tracing::info!("{name} was returned");
-                self.clear_machine(shard, &name);
+                self.remove_lost_machine(shard, &name);
             }
         }
     }
@@ -195,19 +195,19 @@
             .extend(self.peers.keys().map(|n| Condition { key: lease_proxy_key(shard, n), version: Revision(0) }));
         self.store.charge_read(self.now);
         self.call_state(
-            StateCall::Transaction(Transaction { conditions, changes: vec![] }),
+            StoreRequest::Transaction(Transaction { conditions, changes: vec![] }),
             PendingRequest::ExpiryCheck(shard),
         );
     }
 
-    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StateAnswer) {
+    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StoreResponse) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let ExpiryCheck::Sent(names) = std::mem::take(&mut owned_shard.expiry_check) else { return };
         match answer {
-            StateAnswer::Committed(at) => {
+            StoreResponse::Committed(at) => {
                 owned_shard.expiry_check = ExpiryCheck::Confirmed { revision: at, machines: names }
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
             _ => {}
         }
     }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -173,7 +173,7 @@
             let recent = peer.heard.is_some_and(|at| self.now.since(at) < PEER_DEMAND_VALID);
             for status in peer.status.iter().filter(|_| recent).flat_map(|status| &status.shards) {
                 let teams = status.teams.iter().map(|demand| {
-                    let lacking = ComputeAmount { cpus: demand.wanted_cpus, gpus: demand.wanted_gpus };
+                    let lacking = ComputeAmount { cpus: demand.unmet_cpus, gpus: demand.unmet_gpus };
                     (demand.team.clone(), lacking)
                 });
                 shortages.entry(ShardId(status.shard)).or_insert_with(|| teams.collect());
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -8,7 +8,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::store_client::CacheSync;
 use crate::coordination::Core;
-use crate::protocol::state::{StateAnswer, StateCall, WatchEvent, WatchEvents};
+use crate::protocol::state::{StoreRequest, StoreResponse, WatchEvent, WatchEvents};
 use crate::storage::records::ROOT;
 use crate::units::{Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
@@ -46,14 +46,14 @@
     ) {
         self.store.charge_read(self.now);
         let what = PendingRequest::Load { seen, first, since };
-        self.call_state(StateCall::List { prefix: ROOT.into(), after }, what);
+        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, what);
     }
 
     fn send_watch(&mut self) {
         self.store.charge_read(self.now);
         // A watch without events must end well before the last read is stale.
         let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
-        let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
+        let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
         self.call_state(call, PendingRequest::Watch);
     }
 
@@ -63,9 +63,9 @@
         mut seen: BTreeSet<String>,
         first: Option<Revision>,
         since: MonotonicTime,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
-        let StateAnswer::Page(page) = answer else {
+        let StoreResponse::Page(page) = answer else {
             self.store.sync = CacheSync::Unread;
             return self.store.pause(self.now);
         };
@@ -79,7 +79,7 @@
             self.changed(changed);
         }
         match last {
-            Some(after) if page.more => self.load_page(Some(after), seen, Some(first), since),
+            Some(after) if page.truncated => self.load_page(Some(after), seen, Some(first), since),
             _ => self.finish_load(&seen, first, since),
         }
     }
@@ -100,11 +100,11 @@
     }
 
     /// Takes what a watch that was sent at `sent` brought.
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
+    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
         match answer {
-            StateAnswer::WatchEvents(news) => self.take_watch_events(sent, news),
-            StateAnswer::TooOld => self.store.sync = CacheSync::Unread,
+            StoreResponse::WatchEvents(news) => self.take_watch_events(sent, news),
+            StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
             _ => self.store.pause(self.now),
         }
     }
@@ -115,8 +115,8 @@
         self.cache.revision = self.cache.revision.max(news.revision);
         for event in news.events {
             let changed = match event {
-                WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
-                WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
+                WatchEvent::Put { key, value, version } => self.cache.apply(&key, Some(value), version),
+                WatchEvent::Delete { key, version } => self.cache.apply(&key, None, version),
             };
             self.changed(changed);
         }
