--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -1,17 +1,18 @@
-//! Answers to reports that wait a moment for something worth saying.
+//! Long poll: responses to heartbeats that are held back briefly until there is something to say.
 //!
-//! Starts travel only in answers to reports, and a worker with nothing new to
-//! tell reports again after `report_s` only: a core that came free with one
-//! report stood idle until the next, however soon its next task was written. So
-//! an answer with nothing in it is held back for a moment. What makes that safe:
+//! Starts travel only in responses to heartbeats, and a worker without news sends the next heartbeat after
+//! `report_s` only: without the long poll, a machine whose task had ended stood idle until then, however soon its
+//! next task was written. So a response without commands is deferred. Three rules keep that safe:
 //!
-//! - It is made when it is sent, from the records of that moment, and only if
-//!   the node is still entitled to answer; a newer report of the machine takes
-//!   the older one's place, which then starts nothing.
-//! - A worker drops answers after 4 s and counts its lease from when it sent
-//!   the report, as the owner does from when it came: neither changes.
-//! - A worker with tasks tells of changes every half second at most, so that is
-//!   as long as it is kept waiting; one without tasks has nothing to tell.
+//! - A deferred response is made when it is sent, from the records of that moment, and only if this controller may
+//!   still answer. A newer heartbeat of the machine replaces the older one, whose response then starts nothing.
+//! - A worker drops responses after 4 s and counts its lease from when it sent the heartbeat, as the owner counts
+//!   it from when the heartbeat came: the long poll changes neither.
+//! - A worker with tasks reports changes at most every half second, so its response is deferred no longer than
+//!   that. A worker without tasks has nothing to report.
+//!
+//! `handling` hands each recorded heartbeat over, `store_client` marks machines whose tasks have become durable, and
+//! the core sends what is due after each input.
 
 use crate::coordination::shards::owned_shard::Machine;
 use crate::coordination::{Core, Response};
@@ -19,167 +20,176 @@
 use crate::units::{MachineId, Millis, MonotonicTime, RequestId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Workers tell of changes no more often than this.
-const WORKER_PAUSE: Millis = Millis(450);
+/// Workers report changes no more often than this.
+const CHANGE_INTERVAL: Millis = Millis(450);
 
-/// The longest that a worker without tasks waits: well within the 4 s after
-/// which it would turn to another node, also if this one is slow.
-const LONGEST: Millis = Millis(2000);
+/// The longest wait of a worker without tasks: well within the 4 s after which it would turn to another
+/// controller, even if this one is slow.
+const MAX_IDLE_WAIT: Millis = Millis(2000);
 
-/// Room left before a machine counts as silent, for a report on its way.
-const MARGIN: Millis = Millis(500);
+/// Time that is left for a heartbeat on its way before its machine counts as silent.
+const SILENCE_MARGIN: Millis = Millis(500);
 
-/// Where workers report so often that the pause between reports is not this
-/// many times theirs between changes, the next report comes about as soon.
-const WORTHWHILE: f64 = 4.0;
+/// Where the interval between heartbeats is shorter than this many times [`CHANGE_INTERVAL`], the next heartbeat
+/// comes about as soon as a deferred response would.
+const MIN_INTERVAL_RATIO: f64 = 4.0;
 
-/// Share of the pause between a worker's reports that its answer may take.
-const SHARE: f64 = 0.75;
+/// The share of the interval between heartbeats for which a response may be deferred.
+const MAX_INTERVAL_SHARE: f64 = 0.75;
 
-/// A report whose answer is held back.
+/// A heartbeat whose response is held back.
 #[derive(Debug)]
 struct DeferredResponse {
     request: RequestId,
     heartbeat: Heartbeat,
-    until: MonotonicTime,
+    due_at: MonotonicTime,
 }
 
-/// Answers held back, one a machine.
+/// The responses that are held back, at most one a machine.
 #[derive(Debug, Default)]
 pub(crate) struct DeferredResponses {
-    held: BTreeMap<MachineId, DeferredResponse>,
-    /// By when each is to be given.
-    due: BTreeSet<(MonotonicTime, MachineId)>,
-    /// Machines for which there may be something to say now.
+    by_machine: BTreeMap<MachineId, DeferredResponse>,
+    /// When each response is to be sent at the latest.
+    deadlines: BTreeSet<(MonotonicTime, MachineId)>,
+    /// Machines for which there may be commands now.
     ready: BTreeSet<MachineId>,
 }
 
 impl DeferredResponses {
-    fn hold(&mut self, held: DeferredResponse) {
-        let machine = held.heartbeat.machine.clone();
-        self.due.insert((held.until, machine.clone()));
-        self.held.insert(machine, held);
+    /// Some of the machine's tasks became durable, so that there may be commands for it.
+    pub(crate) fn mark_ready(&mut self, machine: &MachineId) {
+        if self.by_machine.contains_key(machine) {
+            self.ready.insert(machine.clone());
+        }
     }
 
-    fn take(&mut self, machine: &MachineId) -> Option<DeferredResponse> {
-        let held = self.held.remove(machine)?;
-        self.due.remove(&(held.until, machine.clone()));
-        Some(held)
+    fn insert(&mut self, deferred: DeferredResponse) {
+        let machine = deferred.heartbeat.machine.clone();
+        self.deadlines.insert((deferred.due_at, machine.clone()));
+        self.by_machine.insert(machine, deferred);
     }
 
-    /// Something about the machine's tasks has become durable.
-    pub fn mark_ready(&mut self, machine: &MachineId) {
-        if self.held.contains_key(machine) {
-            self.ready.insert(machine.clone());
-        }
+    fn remove(&mut self, machine: &MachineId) -> Option<DeferredResponse> {
+        let deferred = self.by_machine.remove(machine)?;
+        self.deadlines.remove(&(deferred.due_at, machine.clone()));
+        Some(deferred)
     }
-}
 
-impl Core {
-    /// How long the answer to this machine's report may wait; none if there is
-    /// nothing to wait for.
-    fn patience(&self, shard: ShardId, machine: &Machine, heartbeat: &Heartbeat) -> Option<Millis> {
-        let owned_shard = self.owned_shards.get(&shard)?;
-        let report_ms = self.settings.cluster.workers.report_s * 1000.0;
-        if report_ms < WORTHWHILE * WORKER_PAUSE.0 as f64 {
-            return None;
-        }
-        // The worker's next report may come a whole pause and a quarter after the
-        // answer: it must not count as silent by then.
-        let before_silence = self.quiet().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
-        let within = |most: Millis| Millis(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
-        let lives = heartbeat.tasks.iter().any(|t| t.state != TaskState::Exited);
-        let usable = machine.token_acknowledged
-            && machine.notice.is_none()
-            && !machine.faulty
-            && !self.is_downlink_lost(machine)
-            && !owned_shard.releasing;
-        if !usable || self.draining(&heartbeat.machine) || !self.records_fresh() {
-            return None;
-        }
-        let exits = heartbeat.tasks.iter().any(|t| t.state == TaskState::Exited);
-        let unsent = owned_shard
-            .placed_tasks
-            .get(&heartbeat.machine)
-            .is_some_and(|on| on.iter().any(|k| !machine.reported_tasks.contains_key(k)));
-        if !lives && !exits {
-            return Some(within(LONGEST));
-        }
-        (exits || unsent).then(|| within(WORKER_PAUSE))
+    /// The machine whose response is due first, if it is due by now.
+    fn first_due(&self, now: MonotonicTime) -> Option<MachineId> {
+        let (due_at, machine) = self.deadlines.first()?;
+        (*due_at <= now).then(|| machine.clone())
     }
+}
 
-    /// Answers a report of one of our machines, now or in a moment.
-    pub(crate) fn answer_heartbeat(&mut self, shard: ShardId, request: RequestId, heartbeat: Heartbeat, fresh: bool) {
+impl Core {
+    /// Answers a recorded heartbeat of a machine in an owned shard, now or as a long poll.
+    pub(super) fn answer_heartbeat(
+        &mut self,
+        shard: ShardId,
+        request: RequestId,
+        heartbeat: Heartbeat,
+        is_newest: bool,
+    ) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let (token, ready) = (owned_shard.token, owned_shard.ready);
-        // A worker that asks again does not wait for the older answer any more.
-        if let Some(older) = self.deferred_responses.take(&heartbeat.machine) {
+        // A worker that sends another heartbeat does not wait for the older response any more.
+        if let Some(older) = self.deferred_responses.remove(&heartbeat.machine) {
             self.response(older.request, Response::Commands { token, commands: vec![] });
         }
-        let commands = self.orders(shard, &heartbeat, fresh, ready);
-        if commands.is_empty() && fresh && ready {
-            let machine = self.owned_shards.get(&shard).and_then(|m| m.machines.get(&heartbeat.machine));
-            if let Some(patience) = machine.and_then(|m| self.patience(shard, m, &heartbeat)) {
-                let until = self.now + patience;
-                return self.deferred_responses.hold(DeferredResponse { request, heartbeat, until });
+        let commands = self.commands_for(shard, &heartbeat, is_newest, ready);
+        if commands.is_empty() && is_newest && ready {
+            let machine = self.owned_shards.get(&shard).and_then(|owned| owned.machines.get(&heartbeat.machine));
+            if let Some(wait) = machine.and_then(|machine| self.long_poll_wait(shard, machine, &heartbeat)) {
+                let due_at = self.now + wait;
+                return self.deferred_responses.insert(DeferredResponse { request, heartbeat, due_at });
             }
         }
         self.response(request, Response::Commands { token, commands });
     }
 
-    /// What a machine of ours is told. An owner whose records are not as new as its
-    /// ownership yet renews the machine's lease too, so it stops what it knows to be over.
-    fn orders(&mut self, shard: ShardId, heartbeat: &Heartbeat, newest: bool, ready: bool) -> Vec<Command> {
-        match (newest, ready) {
-            (true, true) => self.commands(shard, heartbeat),
-            (true, false) => self.stop_commands_of_ended_jobs(heartbeat),
-            (false, _) => vec![],
-        }
-    }
-
-    /// Gives the answers that are due, and those that have something to say.
+    /// Sends the deferred responses that are due, and those that have commands by now.
     pub(crate) fn send_due_responses(&mut self) {
         for machine in std::mem::take(&mut self.deferred_responses.ready) {
-            self.give_answer(&machine, false);
+            self.answer_deferred(&machine, false);
         }
-        while let Some((until, machine)) = self.deferred_responses.due.first().cloned() {
-            if until > self.now {
-                break;
-            }
-            self.give_answer(&machine, true);
+        while let Some(machine) = self.deferred_responses.first_due(self.now) {
+            self.answer_deferred(&machine, true);
         }
     }
 
-    /// All answers for a shard that is no longer ours are due.
+    /// Makes all deferred responses of a shard due: it is no longer owned.
     pub(crate) fn expire_deferred_responses(&mut self, shard: ShardId) {
-        let of_shard: Vec<MachineId> =
-            self.deferred_responses.held.keys().filter(|name| self.shard_of(name) == shard).cloned().collect();
+        let machines = self.deferred_responses.by_machine.keys();
+        let of_shard: Vec<MachineId> = machines.filter(|name| self.shard_of(name) == shard).cloned().collect();
         for machine in of_shard {
-            if let Some(held) = self.deferred_responses.take(&machine) {
-                self.deferred_responses.hold(DeferredResponse { until: self.now, ..held });
+            if let Some(deferred) = self.deferred_responses.remove(&machine) {
+                self.deferred_responses.insert(DeferredResponse { due_at: self.now, ..deferred });
             }
         }
     }
 
-    fn give_answer(&mut self, machine: &MachineId, due: bool) {
-        let Some(held) = self.deferred_responses.take(machine) else { return };
+    /// How long the response to this heartbeat may be deferred; none if there is nothing to wait for.
+    fn long_poll_wait(&self, shard: ShardId, machine: &Machine, heartbeat: &Heartbeat) -> Option<Millis> {
+        let owned_shard = self.owned_shards.get(&shard)?;
+        let interval_ms = self.settings.cluster.workers.report_s * 1000.0;
+        if interval_ms < MIN_INTERVAL_RATIO * CHANGE_INTERVAL.0 as f64 {
+            return None;
+        }
+        let may_get_starts = machine.token_acknowledged
+            && !owned_shard.releasing
+            && self.is_usable(&heartbeat.machine, machine)
+            && self.records_fresh();
+        if !may_get_starts {
+            return None;
+        }
+        // The worker's next heartbeat may come an interval and a quarter after the response: the machine must not
+        // count as silent by then.
+        let before_silence = self.quiet().0 as f64 - 1.25 * interval_ms - SILENCE_MARGIN.0 as f64;
+        let limit = Millis((interval_ms * MAX_INTERVAL_SHARE).min(before_silence).max(0.0) as u64);
+        if heartbeat.tasks.is_empty() {
+            return Some(limit.min(MAX_IDLE_WAIT));
+        }
+        let has_exits = heartbeat.tasks.iter().any(|task| task.state == TaskState::Exited);
+        let placed_tasks = owned_shard.placed_tasks.get(&heartbeat.machine);
+        let has_unreported =
+            placed_tasks.is_some_and(|placed| placed.iter().any(|key| !machine.reported_tasks.contains_key(key)));
+        (has_exits || has_unreported).then_some(limit.min(CHANGE_INTERVAL))
+    }
+
+    /// The commands for a machine of an owned shard. An owner whose cache has not caught up with its ownership
+    /// renews the machine's lease all the same, so it stops at least the tasks of jobs that it knows to have ended.
+    fn commands_for(&mut self, shard: ShardId, heartbeat: &Heartbeat, is_newest: bool, ready: bool) -> Vec<Command> {
+        if !is_newest {
+            return vec![];
+        }
+        if ready {
+            self.reconcile(shard, heartbeat)
+        } else {
+            self.stop_commands_of_ended_jobs(heartbeat)
+        }
+    }
+
+    /// Answers a deferred heartbeat if there are commands for its worker or the response is due; otherwise it stays
+    /// deferred.
+    fn answer_deferred(&mut self, machine: &MachineId, is_due: bool) {
+        let Some(deferred) = self.deferred_responses.remove(machine) else { return };
         let shard = self.shard_of(machine);
-        let Some((token, ready)) = self.owned_shards.get(&shard).map(|m| (m.token, m.ready)) else {
-            let response = self.answer_foreign_heartbeat(shard, &held.heartbeat);
-            return self.response(held.request, response);
+        let Some((token, ready)) = self.owned_shards.get(&shard).map(|owned| (owned.token, owned.ready)) else {
+            let response = self.answer_foreign_heartbeat(shard, &deferred.heartbeat);
+            return self.response(deferred.request, response);
         };
-        if !self.may_answer_workers() || held.heartbeat.token > token {
-            return self.response(held.request, Response::Redirect(None));
+        if !self.may_answer_workers() || deferred.heartbeat.token > token {
+            return self.response(deferred.request, Response::Redirect(None));
         }
-        // The shard may have been lost and won again meanwhile: then this owner
-        // has not heard of the machine, and knows nothing of what is on it.
-        let newest = self.owned_shards.get(&shard).and_then(|m| m.machines.get(machine));
-        let newest = newest.is_some_and(|m| m.heartbeat_id() == held.heartbeat.id());
-        let commands = self.orders(shard, &held.heartbeat, newest, ready);
-        if commands.is_empty() && !due {
-            return self.deferred_responses.hold(held);
+        // The shard may have been lost and won again meanwhile: this owner then knows nothing of the machine.
+        let known = self.owned_shards.get(&shard).and_then(|owned| owned.machines.get(machine));
+        let is_newest = known.is_some_and(|known| known.heartbeat_id() == deferred.heartbeat.id());
+        let commands = self.commands_for(shard, &deferred.heartbeat, is_newest, ready);
+        if commands.is_empty() && !is_due {
+            return self.deferred_responses.insert(deferred);
         }
-        self.response(held.request, Response::Commands { token, commands });
+        self.response(deferred.request, Response::Commands { token, commands });
     }
 }
 
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -3,10 +3,10 @@
 use crate::protocol::workers::{TaskName, TaskStatus};
 use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, Revision};
 
-/// A new owner whose watch brought nothing any more went on renewing leases of
-/// machines on which a job ran that it knew to be cancelled.
+/// A new owner whose watch brought no more events went on renewing the leases of machines on which tasks ran of a
+/// job that it knew to be cancelled.
 #[test]
-fn an_owner_whose_records_lag_stops_what_it_knows_to_be_over() {
+fn an_owner_that_is_not_ready_stops_tasks_of_jobs_that_it_knows_to_have_ended() {
     let mut core = crate::coordination::tests::core();
     let record =
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
@@ -39,9 +39,9 @@
         tasks: vec![task],
     };
     core.handle_heartbeat(RequestId(1), heartbeat);
-    let told = |o: &Output| {
+    let stops_the_task = |o: &Output| {
         matches!(o, Output::Response(_, Response::Commands { commands, .. })
         if matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]))
     };
-    assert!(core.out.iter().any(told), "{:?}", core.out);
+    assert!(core.out.iter().any(stops_the_task), "{:?}", core.out);
 }
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -1,12 +1,12 @@
-//! What a report proves, and what it doesn't.
+//! What a heartbeat proves of the tasks on its machine, and what it doesn't.
 
 use super::*;
-use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::coordination::shards::owned_shard::TaskKey;
 use crate::protocol::workers::HeartbeatId;
-use crate::storage::records::FleetRecord;
-use crate::units::{FencingToken, Revision};
+use crate::storage::records::{FleetRecord, TaskRecord};
+use crate::units::{FencingToken, JobId, MachineId, Revision};
 
-/// An owner of part 0 whose records name a task on a machine that is on its way out.
+/// An owner of shard 0 whose records place a task on a machine that is being drained.
 struct Case {
     core: Core,
     machine: MachineId,
@@ -32,7 +32,7 @@
         Case { core, machine, key }
     }
 
-    /// A report of an empty machine; whether the task still counts as there.
+    /// Handles a heartbeat that lists no task. True if the task is still placed on the machine afterwards.
     fn is_there_after(&mut self, heartbeat_number: u64, token: u64) -> bool {
         let heartbeat = Heartbeat {
             machine: self.machine.clone(),
@@ -51,20 +51,20 @@
     }
 }
 
-/// A copy of a report from before the start of an owner that ended reached the next one:
-/// the task is on the machine all the same, until the worker has seen the new token.
+/// A copy of a heartbeat that was sent before an earlier owner's start command reached the next owner: the task is
+/// on the machine all the same, until the worker has acknowledged the new token.
 #[test]
-fn absence_is_proof_once_the_worker_has_seen_our_token() {
+fn an_unlisted_task_is_absent_once_the_worker_has_acknowledged_the_token() {
     let mut case = Case::new();
     assert!(case.is_there_after(4, 7));
     assert!(case.is_there_after(5, 8));
     assert!(!case.is_there_after(6, 9));
 }
 
-/// Neither the report that a start was sent in answer to nor an older one tells that
-/// the start did nothing.
+/// Neither the heartbeat that a start command was sent in response to nor an older one shows that the start had no
+/// effect.
 #[test]
-fn absence_is_proof_in_a_later_report_than_the_one_that_was_answered_with_the_start() {
+fn an_unlisted_task_is_absent_only_by_a_later_heartbeat_than_its_start_responds_to() {
     let mut case = Case::new();
     assert!(case.is_there_after(4, 8));
     let shard = ShardId(0);
@@ -77,9 +77,9 @@
     assert!(!case.is_there_after(6, 9));
 }
 
-/// A copy renews nothing and changes nothing, whatever token it has.
+/// A copy renews no lease and changes nothing, whatever token it has.
 #[test]
-fn what_is_not_newer_counts_for_nothing() {
+fn a_heartbeat_that_is_not_newer_is_ignored() {
     let mut case = Case::new();
     case.core.now = MonotonicTime(1000);
     assert!(case.is_there_after(7, 8));
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -113,7 +113,7 @@
         let stops = heartbeat.tasks.iter().filter(over);
         stops
             .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
-            .take(crate::coordination::heartbeats::handling::MAX_COMMANDS)
+            .take(crate::coordination::heartbeats::reconciliation::MAX_COMMANDS)
             .collect()
     }
 
--- a/src/units.rs
+++ b/src/units.rs
@@ -179,6 +179,13 @@
     }
 }
 
+impl Add for Millis {
+    type Output = Millis;
+    fn add(self, other: Millis) -> Millis {
+        Millis(self.0 + other.0)
+    }
+}
+
 impl MonotonicTime {
     /// Time passed since `earlier`; nothing if that lies ahead.
     pub fn since(self, earlier: MonotonicTime) -> Millis {
