--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -12,7 +12,8 @@
 #[allow(dead_code)]
 mod simulator;
 
-use simulator::{Cost, Fault, Shape, World};
+use simulator::statistics::Cost;
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use std::collections::BTreeMap;
 use tillercleat::protocol::users::JobSpec;
 
@@ -42,13 +43,13 @@
 
 /// Costs by kind of input, jobs accepted and tasks started.
 fn measure(machines: usize, overload: bool) -> (BTreeMap<&'static str, Cost>, usize, usize) {
-    let mut world = World::sized(1, Shape::fleet(if overload { 7 } else { 5 }, 3, machines));
+    let mut cluster = SimulatedCluster::with_config(1, ClusterConfig::fleet(if overload { 7 } else { 5 }, 3, machines));
     let pause = 1000.0 / (JOBS_PER_S * machines as f64 / 1000.0);
     let mut at = 4000.0;
     let mut number = 0;
     while at < END_MS as f64 {
-        let random = world.random(1 << 30);
-        world.submit(at as u64, job(number, random));
+        let random = cluster.random.below(1 << 30);
+        cluster.submit(at as u64, job(number, random));
         number += 1;
         let burst = (50_000.0..60_000.0).contains(&at);
         at += match (overload, burst) {
@@ -57,12 +58,12 @@
             _ => pause,
         };
     }
-    world.fault(65_000, Fault::Crash { node: 2, back_after: 5000 });
-    world.run(WARM_MS);
-    world.costs.clear();
-    world.run(END_MS);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    (std::mem::take(&mut world.costs), world.jobs.len(), world.starts)
+    cluster.inject_fault(65_000, Fault::Crash { node: 2, restart_after: 5000 });
+    cluster.run(WARM_MS);
+    cluster.statistics.costs.clear();
+    cluster.run(END_MS);
+    assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
+    (std::mem::take(&mut cluster.statistics.costs), cluster.jobs.len(), cluster.statistics.starts)
 }
 
 fn main() {
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use simulator::{settings, Shape, StateService, World};
+use simulator::{settings, ClusterConfig, SimulatedCluster, SimulatedStore};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StateAnswer, StateCall};
@@ -81,7 +81,7 @@
 /// One controller that has read the records and the catalog, and its state service.
 struct Node {
     core: Core,
-    state: StateService,
+    store: SimulatedStore,
     /// The state service answers; its watch brings what others wrote.
     reached: bool,
     watched: bool,
@@ -90,16 +90,17 @@
 }
 
 impl Node {
-    fn new(shape: &Shape) -> Node {
-        let state = StateService { page: 50, most_bytes: 8192, most_ops: 12, ..StateService::default() };
-        let core = Core::new(settings(shape, 0, 10.0), Tuning::default());
-        let mut node = Node { core, state, reached: true, watched: true, now: 1, asked: 0 };
-        (0..100).for_each(|_| drop(node.step(Input::Tick, shape)));
+    fn new(config: &ClusterConfig) -> Node {
+        let store =
+            SimulatedStore { page_size: 50, max_value_bytes: 8192, max_changes: 12, ..SimulatedStore::default() };
+        let core = Core::new(settings(config, 0, 10.0), Tuning::default());
+        let mut node = Node { core, store, reached: true, watched: true, now: 1, asked: 0 };
+        (0..100).for_each(|_| drop(node.step(Input::Tick, config)));
         node
     }
 
     /// Feeds an input and all that follows from it; what users are told.
-    fn step(&mut self, input: Input, shape: &Shape) -> Vec<(RequestId, Response)> {
+    fn step(&mut self, input: Input, config: &ClusterConfig) -> Vec<(RequestId, Response)> {
         self.now += 50;
         let mut next = vec![input];
         let mut told = vec![];
@@ -109,9 +110,9 @@
                     Output::Response(id, response) => told.push((id, response)),
                     Output::State(_, StateCall::Watch { .. }) if !self.watched => {}
                     Output::State(id, _) if !self.reached => next.push(Input::State(id, StateAnswer::Refused)),
-                    Output::State(id, call) => next.push(Input::State(id, self.state.run(self.now, call))),
+                    Output::State(id, call) => next.push(Input::State(id, self.store.run(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
-                        let catalog = Catalog { types: shape.types.clone() };
+                        let catalog = Catalog { types: config.machine_types.clone() };
                         next.push(Input::Cloud(id, CloudAnswer::Catalog(catalog)));
                     }
                     _ => {}
@@ -122,7 +123,7 @@
     }
 
     /// The status that this body gets.
-    fn submit(&mut self, body: &Value, shape: &Shape) -> u16 {
+    fn submit(&mut self, body: &Value, config: &ClusterConfig) -> u16 {
         let ask = match parse(body) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
             Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
@@ -130,9 +131,9 @@
         };
         self.asked += 1;
         let request = RequestId(self.asked);
-        let mut told = self.step(Input::ClientRequest(request, ask), shape);
+        let mut told = self.step(Input::ClientRequest(request, ask), config);
         // A question waits for a probe.
-        (0..8).for_each(|_| told.extend(self.step(Input::Tick, shape)));
+        (0..8).for_each(|_| told.extend(self.step(Input::Tick, config)));
         let response = told.into_iter().find(|(id, _)| *id == request).expect("an answer").1;
         match response {
             Response::Job { status, .. } | Response::Error { status, .. } => status,
@@ -156,45 +157,45 @@
 /// A repeat of a job that another node accepted got 422 or 400 from one whose records lagged.
 #[test]
 fn a_known_job_is_known_whatever_its_repeat_says() {
-    let shape = Shape::small();
+    let config = ClusterConfig::small();
     // What an earlier version accepted, written behind this node's back.
     let record = json!({"spec": without(valid(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
     let archive_ended_jobs = json!({"end": "done", "tasks": 2});
     let lagging = || {
-        let mut node = Node::new(&shape);
+        let mut node = Node::new(&config);
         node.watched = false;
-        node.state.revision += 2;
-        let revision = node.state.revision;
-        node.state.rows.insert("t/j/wk-000007".into(), (record.clone(), revision - 1, None));
-        node.state.rows.insert("f/wk-000008".into(), (archive_ended_jobs.clone(), revision, None));
+        node.store.revision += 2;
+        let revision = node.store.revision;
+        node.store.rows.insert("t/j/wk-000007".into(), (record.clone(), revision - 1, None));
+        node.store.rows.insert("f/wk-000008".into(), (archive_ended_jobs.clone(), revision, None));
         node
     };
     let odd = |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
     let mut node = lagging();
     for body in odd(7).iter().chain(&odd(8)) {
         node = lagging();
-        assert_eq!(node.submit(body, &shape), 200, "{body}");
+        assert_eq!(node.submit(body, &config), 200, "{body}");
     }
     // What was never accepted is refused, but not without having looked.
     let refused = [(0, 400), (1, 422)];
     for (at, status) in refused {
-        assert_eq!(node.submit(&odd(9)[at], &shape), status);
+        assert_eq!(node.submit(&odd(9)[at], &config), status);
     }
     node.reached = false;
     for (at, _) in refused {
-        assert_eq!(node.submit(&odd(9)[at], &shape), 503);
-        assert_eq!(node.submit(&odd(8)[at], &shape), 200, "an end is known without asking");
+        assert_eq!(node.submit(&odd(9)[at], &config), 503);
+        assert_eq!(node.submit(&odd(8)[at], &config), 200, "an end is known without asking");
     }
 }
 
 /// All that a task needs must come together, and all replicas of a service at once.
 #[test]
 fn what_can_never_run_is_refused_at_once() {
-    let mut shape = Shape { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..Shape::small() };
-    let mut large = shape.types[0].clone();
+    let mut config = ClusterConfig { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..ClusterConfig::small() };
+    let mut large = config.machine_types[0].clone();
     (large.name, large.gpus, large.mem_gb, large.zones, large.cpus) = ("g2".into(), 2.0, 16.0, vec!["b".into()], 16.0);
-    shape.types.push(large);
-    let mut node = Node::new(&shape);
+    config.machine_types.push(large);
+    let mut node = Node::new(&config);
     let service = json!({"rig": "standing", "reckon_s": 0.0});
     let cases = [
         (json!({}), 201),
@@ -223,7 +224,7 @@
     let all =
         cases.into_iter().chain(services.into_iter().map(|(change, status)| (with(service.clone(), &change), status)));
     for (number, (change, status)) in all.enumerate() {
-        assert_eq!(node.submit(&with(valid(number), &change), &shape), status, "{change}");
+        assert_eq!(node.submit(&with(valid(number), &change), &config), status, "{change}");
     }
 }
 
@@ -263,23 +264,23 @@
     fn what_is_accepted_runs_and_what_cannot_is_refused(
         seed in 1u64..1_000_000, changes in proptest::collection::vec(change(), 6..14),
     ) {
-        let mut world = World::sized(seed, Shape { machines: 40, ..Shape::small() });
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 40, ..ClusterConfig::small() });
         let all: Vec<Value> = changes.iter().enumerate().map(|(n, change)| with(valid(n), change)).collect();
         for (number, fields) in all.iter().enumerate() {
             let spec = parse(fields).expect("a valid job");
             if fields["rig"] == "standing" {
-                world.cancel(400_000, &spec.id);
+                cluster.cancel(400_000, &spec.id);
             }
-            world.submit(3000 + 400 * number as u64, spec);
+            cluster.submit(3000 + 400 * number as u64, spec);
         }
-        world.run(390_000);
+        cluster.run(390_000);
         for (fields, spec) in all.iter().map(|fields| (fields, parse(fields).expect("a valid job"))) {
-            let refused = world.final_no.get(&spec.id).copied();
+            let refused = cluster.rejections.get(&spec.id).copied();
             prop_assert_eq!(refused, (!can_run(fields)).then_some(422), "{}", fields);
-            let started = world.tries.get(&spec.id).copied().unwrap_or(0);
+            let started = cluster.statistics.starts_by_job.get(&spec.id).copied().unwrap_or(0);
             prop_assert!(refused.is_some() || started >= spec.task_count as usize, "{} started {}", fields, started);
         }
-        world.run(500_000);
-        prop_assert!(world.broken.is_empty(), "{:?}", world.broken);
+        cluster.run(500_000);
+        prop_assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
     }
 }
--- a/tests/forgotten.rs
+++ b/tests/forgotten.rs
@@ -6,7 +6,7 @@
 mod simulator;
 
 use proptest::prelude::*;
-use simulator::{Fault, Shape, World};
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::JobSpec;
 
 fn job(number: u64, tasks: u32) -> JobSpec {
@@ -24,13 +24,13 @@
     simulator::users::job_spec(text)
 }
 
-fn work(world: &mut World, every: u64, until: u64, tasks: u32) {
+fn work(cluster: &mut SimulatedCluster, every: u64, until: u64, tasks: u32) {
     for number in 0..until / every {
         let spec = job(number, 1 + (tasks + number as u32 * 37) % (2 * tasks));
         let (at, id) = (3000 + number * every, spec.id.clone());
-        world.submit(at, spec);
+        cluster.submit(at, spec);
         if number % 17 == 5 {
-            world.cancel(at + 8000, &id);
+            cluster.cancel(at + 8000, &id);
         }
     }
 }
@@ -41,12 +41,12 @@
     let long = || prop_oneof![300u64..4000, 6000u64..14_000, 20_000u64..70_000];
     let node = 0usize..3;
     prop_oneof![
-        3 => (1usize..5, long()).prop_map(|(each, for_ms)| vec![Fault::Deaf { each, for_ms }]),
-        2 => (node.clone(), long()).prop_map(|(node, for_ms)| vec![Fault::Mute { node, for_ms }]),
+        3 => (1usize..5, long()).prop_map(|(each, for_ms)| vec![Fault::DownlinkLost { every_nth: each, for_ms }]),
+        2 => (node.clone(), long()).prop_map(|(node, for_ms)| vec![Fault::ControllerAnswersLost { node, for_ms }]),
         2 => (10_000u64..60_000, prop_oneof![500u64..5000, 8000u64..30_000])
-            .prop_map(|(for_ms, late)| vec![Fault::Copies { share: 100, for_ms, late }]),
+            .prop_map(|(for_ms, late)| vec![Fault::DuplicatedHeartbeats { share: 100, for_ms, max_delay_ms: late }]),
         2 => (node.clone(), 1usize..3, long()).prop_map(|(first, count, for_ms)| {
-            (0..count).map(|n| Fault::Alone { node: (first + n) % 3, for_ms: for_ms + 700 * n as u64 }).collect()
+            (0..count).map(|n| Fault::ControllerIsolated { node: (first + n) % 3, for_ms: for_ms + 700 * n as u64 }).collect()
         }),
     ]
 }
@@ -56,14 +56,14 @@
     let node = 0usize..3;
     let back = prop_oneof![Just(50u64), Just(300), 2000u64..8000];
     prop_oneof![
-        3 => (node.clone(), back).prop_map(|(node, back_after)| Fault::Crash { node, back_after }),
-        1 => (1000u64..15_000).prop_map(|for_ms| Fault::StateOutage { node: None, for_ms }),
-        1 => (1000u64..20_000).prop_map(|for_ms| Fault::PeersCut { for_ms }),
+        3 => (node.clone(), back).prop_map(|(node, restart_after)| Fault::Crash { node, restart_after }),
+        1 => (1000u64..15_000).prop_map(|for_ms| Fault::StoreOutage { node: None, for_ms }),
+        1 => (1000u64..20_000).prop_map(|for_ms| Fault::PeerLinksCut { for_ms }),
         1 => (node.clone(), 0usize..3, 1000u64..30_000, any::<bool>())
-            .prop_map(|(node, zone, for_ms, hold)| Fault::Cut { node, zone, for_ms, hold }),
+            .prop_map(|(node, zone, for_ms, hold)| Fault::LinkCut { node, zone, for_ms, hold }),
         1 => (0usize..50).prop_map(|pick| Fault::MachineDies { pick }),
         1 => (0usize..50, 500u64..20_000).prop_map(|(pick, for_ms)| Fault::MachineHangs { pick, for_ms }),
-        1 => (node, 500u64..20_000).prop_map(|(node, for_ms)| Fault::StandsStill { node, for_ms }),
+        1 => (node, 500u64..20_000).prop_map(|(node, for_ms)| Fault::ControllerPaused { node, for_ms }),
     ]
 }
 
@@ -80,16 +80,16 @@
         troubles in proptest::collection::vec((15_000u64..60_000, trouble()), 1..4),
         others in proptest::collection::vec((15_000u64..80_000, other()), 0..4),
     ) {
-        let mut world = World::new(seed, 10.0);
-        work(&mut world, 1500, 70_000, 8);
+        let mut cluster = SimulatedCluster::new(seed, 10.0);
+        work(&mut cluster, 1500, 70_000, 8);
         for (at, faults) in troubles {
-            faults.into_iter().for_each(|fault| world.fault(at, fault));
+            faults.into_iter().for_each(|fault| cluster.inject_fault(at, fault));
         }
         for (at, fault) in others {
-            world.fault(at, fault);
+            cluster.inject_fault(at, fault);
         }
-        world.run(600_000);
-        prop_assert_eq!(world.problems(), [""; 0]);
+        cluster.run(600_000);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
     }
 }
 
@@ -97,29 +97,37 @@
 /// runs elsewhere, and they are given back; the others are not.
 #[test]
 fn machines_that_hear_nothing_are_given_up_and_given_back() {
-    let mut world = World::new(5, 10.0);
-    work(&mut world, 1500, 120_000, 8);
-    world.fault(30_000, Fault::Deaf { each: 3, for_ms: 10_000_000 });
-    world.run(200_000);
-    assert_eq!(world.deaf(), 0, "machines that hear nothing are still paid for");
-    assert!(world.lost_starts() < 400, "{} starts sent to machines that hear nothing", world.lost_starts());
+    let mut cluster = SimulatedCluster::new(5, 10.0);
+    work(&mut cluster, 1500, 120_000, 8);
+    cluster.inject_fault(30_000, Fault::DownlinkLost { every_nth: 3, for_ms: 10_000_000 });
+    cluster.run(200_000);
+    assert_eq!(cluster.machines_without_downlink(), 0, "machines that hear nothing are still paid for");
+    assert!(
+        cluster.undelivered_starts() < 400,
+        "{} starts sent to machines that hear nothing",
+        cluster.undelivered_starts()
+    );
     // Nothing presses: few machines do.
-    world.run(900_000);
-    assert_eq!(world.problems(), [""; 0]);
+    cluster.run(900_000);
+    assert_eq!(cluster.problems(), [""; 0]);
 }
 
 /// A controller whose answers alone are lost hands its parts over before its
 /// workers have killed their tasks time and again.
 #[test]
 fn an_owner_whose_answers_are_lost_hands_over() {
-    let mut world = World::new(7, 10.0);
-    work(&mut world, 1500, 90_000, 8);
-    world.fault(30_000, Fault::Mute { node: 0, for_ms: 120_000 });
-    world.run(150_000);
-    let machines = world.alive() as u64;
-    assert!(world.sessions_ended() <= machines / 2, "{} sessions of {machines} machines", world.sessions_ended());
-    world.run(500_000);
-    assert_eq!(world.problems(), [""; 0]);
+    let mut cluster = SimulatedCluster::new(7, 10.0);
+    work(&mut cluster, 1500, 90_000, 8);
+    cluster.inject_fault(30_000, Fault::ControllerAnswersLost { node: 0, for_ms: 120_000 });
+    cluster.run(150_000);
+    let machines = cluster.running_machines() as u64;
+    assert!(
+        cluster.expired_worker_leases() <= machines / 2,
+        "{} sessions of {machines} machines",
+        cluster.expired_worker_leases()
+    );
+    cluster.run(500_000);
+    assert_eq!(cluster.problems(), [""; 0]);
 }
 
 /// Copies of reports of machines that are dead: they bring nothing back to life
@@ -127,17 +135,20 @@
 #[test]
 fn late_copies_bring_no_machine_back() {
     let ended = |copies: bool| {
-        let mut world = World::new(9, 10.0);
-        work(&mut world, 1500, 36_000, 8);
+        let mut cluster = SimulatedCluster::new(9, 10.0);
+        work(&mut cluster, 1500, 36_000, 8);
         if copies {
-            world.fault(20_000, Fault::Copies { share: 100, for_ms: 100_000, late: 45_000 });
+            cluster.inject_fault(
+                20_000,
+                Fault::DuplicatedHeartbeats { share: 100, for_ms: 100_000, max_delay_ms: 45_000 },
+            );
         }
         for pick in 0..6 {
-            world.fault(40_000 + pick * 10, Fault::MachineDies { pick: 3 * pick as usize });
+            cluster.inject_fault(40_000 + pick * 10, Fault::MachineDies { pick: 3 * pick as usize });
         }
-        world.run(500_000);
-        assert_eq!(world.problems(), [""; 0]);
-        world.last_done()
+        cluster.run(500_000);
+        assert_eq!(cluster.problems(), [""; 0]);
+        cluster.last_completion()
     };
     let (without, with) = (ended(false), ended(true));
     assert!(with < without + 12_000, "{with} ms with copies, {without} without");
@@ -146,17 +157,17 @@
 /// All of it once at one and a half times the operators' size.
 #[test]
 fn the_same_at_1130_machines() {
-    let mut world = World::sized(11, Shape::fleet(7, 3, 1130));
-    work(&mut world, 120, 70_000, 60);
-    world.fault(20_000, Fault::Deaf { each: 3, for_ms: 30_000 });
-    world.fault(25_000, Fault::Copies { share: 100, for_ms: 50_000, late: 40_000 });
-    world.fault(30_000, Fault::Mute { node: 2, for_ms: 25_000 });
+    let mut cluster = SimulatedCluster::with_config(11, ClusterConfig::fleet(7, 3, 1130));
+    work(&mut cluster, 120, 70_000, 60);
+    cluster.inject_fault(20_000, Fault::DownlinkLost { every_nth: 3, for_ms: 30_000 });
+    cluster.inject_fault(25_000, Fault::DuplicatedHeartbeats { share: 100, for_ms: 50_000, max_delay_ms: 40_000 });
+    cluster.inject_fault(30_000, Fault::ControllerAnswersLost { node: 2, for_ms: 25_000 });
     for node in [4, 5] {
-        world.fault(45_000, Fault::Alone { node, for_ms: 40_000 });
+        cluster.inject_fault(45_000, Fault::ControllerIsolated { node, for_ms: 40_000 });
     }
     for node in 0..7 {
-        world.fault(58_000 + 400 * node as u64, Fault::Crash { node, back_after: 200 });
+        cluster.inject_fault(58_000 + 400 * node as u64, Fault::Crash { node, restart_after: 200 });
     }
-    world.run(500_000);
-    assert_eq!(world.problems(), [""; 0]);
+    cluster.run(500_000);
+    assert_eq!(cluster.problems(), [""; 0]);
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,7 +5,7 @@
 mod simulator;
 
 use proptest::prelude::*;
-use simulator::{Fault, Shape, World};
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::JobSpec;
 
 fn job(number: usize, rig: &str, tasks: u32, run_s: f64) -> JobSpec {
@@ -18,30 +18,36 @@
 }
 
 /// Rolled from controllers that know nothing of limits to come to ones that do.
-fn rolled(seed: u64, from: u64, fall: u64, ends: &[(u64, usize, u64)]) -> World {
-    let shape = Shape { machines: 90, up: 90, rps: 400.0, write_rps: 200.0, ..Shape::fleet(3, 2, 90) };
-    let mut world = World::sized(seed, shape);
-    world.run(1500);
-    world.tell_next(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 120.0}));
+fn rolled(seed: u64, from: u64, fall: u64, ends: &[(u64, usize, u64)]) -> SimulatedCluster {
+    let config = ClusterConfig {
+        machines: 90,
+        running: 90,
+        requests_per_s: 400.0,
+        writes_per_s: 200.0,
+        ..ClusterConfig::fleet(3, 2, 90)
+    };
+    let mut cluster = SimulatedCluster::with_config(seed, config);
+    cluster.run(1500);
+    cluster.announce_limits(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 120.0}));
     // Slices of up to 125 tasks, far more than 2 KiB with all of them running.
-    world.submit(4000, job(1, "array", 6000, 25.0));
-    world.submit(4200, job(2, "standing", 300, 0.0));
-    world.submit(4400, job(3, "array", 90, 40.0));
+    cluster.submit(4000, job(1, "array", 6000, 25.0));
+    cluster.submit(4200, job(2, "standing", 300, 0.0));
+    cluster.submit(4400, job(3, "array", 90, 40.0));
     for n in 10..40 {
-        world.submit(5000 + n as u64 * 1500, job(n, "array", 20 + n as u32 * 3, 8.0));
+        cluster.submit(5000 + n as u64 * 1500, job(n, "array", 20 + n as u32 * 3, 8.0));
     }
     for node in 0..3 {
-        world.older(node);
-        world.fault(from + node as u64 * 9000, Fault::Older { node, older: false });
-        world.fault(from + node as u64 * 9000 + 10, Fault::Crash { node, back_after: 6000 });
+        cluster.run_previous_version(node);
+        cluster.inject_fault(from + node as u64 * 9000, Fault::ControllerVersion { node, previous: false });
+        cluster.inject_fault(from + node as u64 * 9000 + 10, Fault::Crash { node, restart_after: 6000 });
     }
-    world.fault(fall, Fault::Limits { value_kb: 2, txn_ops: 4, write_rps: 120.0 });
-    for (at, node, back_after) in ends {
-        world.fault(*at, Fault::Crash { node: *node, back_after: *back_after });
+    cluster.inject_fault(fall, Fault::StoreLimits { value_kb: 2, txn_ops: 4, writes_per_s: 120.0 });
+    for (at, node, restart_after) in ends {
+        cluster.inject_fault(*at, Fault::Crash { node: *node, restart_after: *restart_after });
     }
-    world.cancel(200_000, &job(2, "standing", 1, 0.0).id);
-    world.run(600_000);
-    world
+    cluster.cancel(200_000, &job(2, "standing", 1, 0.0).id);
+    cluster.run(600_000);
+    cluster
 }
 
 proptest! {
@@ -59,9 +65,9 @@
         fall in 12_000u64..70_000,
         ends in proptest::collection::vec((20_000u64..90_000, 0usize..3, prop_oneof![Just(200u64), 1000u64..7000]), 0..4),
     ) {
-        let world = rolled(seed, 12_000, fall, &ends);
-        prop_assert_eq!(world.problems(), [""; 0]);
-        let again: Vec<_> = world.state.rejected.values().filter(|times| **times > 3).collect();
+        let cluster = rolled(seed, 12_000, fall, &ends);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
+        let again: Vec<_> = cluster.store.rejected_transactions.values().filter(|times| **times > 3).collect();
         prop_assert_eq!(again, Vec::<&usize>::new());
     }
 }
@@ -69,12 +75,19 @@
 /// A hundred thousand tasks, cut for the smaller values from the start.
 #[test]
 fn the_largest_job_fits_the_smaller_limits() {
-    let next = serde_json::json!({"value_kb": 2.0, "txn_ops": 4});
-    let shape = Shape { machines: 120, up: 120, rps: 2000.0, write_rps: 900.0, next, ..Shape::fleet(3, 2, 120) };
-    let mut world = World::sized(5, shape);
-    world.fault(2000, Fault::Limits { value_kb: 2, txn_ops: 4, write_rps: 900.0 });
-    world.submit(6000, job(1, "array", 100_000, 4.0));
-    world.run(1_500_000);
-    assert_eq!(world.problems(), [""; 0]);
-    assert_eq!(world.state.rejected.len(), 0, "{:?}", world.state.rejected.values());
+    let announced_limits = serde_json::json!({"value_kb": 2.0, "txn_ops": 4});
+    let config = ClusterConfig {
+        machines: 120,
+        running: 120,
+        requests_per_s: 2000.0,
+        writes_per_s: 900.0,
+        announced_limits,
+        ..ClusterConfig::fleet(3, 2, 120)
+    };
+    let mut cluster = SimulatedCluster::with_config(5, config);
+    cluster.inject_fault(2000, Fault::StoreLimits { value_kb: 2, txn_ops: 4, writes_per_s: 900.0 });
+    cluster.submit(6000, job(1, "array", 100_000, 4.0));
+    cluster.run(1_500_000);
+    assert_eq!(cluster.problems(), [""; 0]);
+    assert_eq!(cluster.store.rejected_transactions.len(), 0, "{:?}", cluster.store.rejected_transactions.values());
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -3,17 +3,17 @@
 #![allow(dead_code)]
 
 pub mod services;
-#[path = "../simulator/mod.rs"]
-mod simulator;
+#[path = "../simulator/store.rs"]
+mod store;
 
 use serde_json::{json, Value};
-use simulator::StateService;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use store::SimulatedStore;
 use tillercleat::protocol::state::{StateAnswer, StateCall, Transaction};
 use tillercleat::transport::http::{Client, Connection};
 use tillercleat::units::{LeaseId, Revision};
@@ -100,7 +100,7 @@
 }
 
 pub fn state_service() -> SocketAddr {
-    let service = Mutex::new(StateService::default());
+    let service = Mutex::new(SimulatedStore::default());
     let begin = Instant::now();
     serve(move |method, path, body| {
         let call = state_call(method, path, body);
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -7,7 +7,7 @@
 mod troubles;
 
 use proptest::prelude::*;
-use simulator::{Fault, Shape, World};
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::{JobKind, JobSpec};
 use troubles::*;
 
@@ -63,15 +63,18 @@
 
 impl Gap {
     /// When it is over.
-    fn play(&self, world: &mut World, from: u64) -> u64 {
+    fn play(&self, cluster: &mut SimulatedCluster, from: u64) -> u64 {
         let at = from + self.at;
         if let Some(late) = self.late {
-            world.fault(at.saturating_sub(600), Fault::StateSilence { node: self.node, for_ms: 600, late });
+            cluster.inject_fault(
+                at.saturating_sub(600),
+                Fault::StoreAnswersLost { node: self.node, for_ms: 600, carried_out_after: late },
+            );
         }
-        world.fault(at, Fault::StateOutage { node: Some(self.node), for_ms: self.refused });
-        world.fault(at + self.after, Fault::StateOutage { node: None, for_ms: self.gone });
+        cluster.inject_fault(at, Fault::StoreOutage { node: Some(self.node), for_ms: self.refused });
+        cluster.inject_fault(at + self.after, Fault::StoreOutage { node: None, for_ms: self.gone });
         if let Some((after, node)) = self.end {
-            world.fault(at + after, Fault::Crash { node, back_after: 300 });
+            cluster.inject_fault(at + after, Fault::Crash { node, restart_after: 300 });
         }
         at + self.after + self.gone
     }
@@ -85,8 +88,8 @@
     fn what_is_cancelled_behind_its_owners_back_is_gone_in_time(
         seed in 1u64..1_000_000, clocks in clocks(), gaps in proptest::collection::vec(gap(), 1..3),
     ) {
-        let (report_ms, lease_ms, cancel_ms) = clocks;
-        let mut world = World::sized(seed, Shape { report_ms, lease_ms, cancel_ms, ..Shape::small() });
+        let (heartbeat_ms, lease_ms, cancel_ms) = clocks;
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { heartbeat_ms, lease_ms, cancel_ms, ..ClusterConfig::small() });
         let mut from = 30_000;
         for (n, gap) in gaps.iter().enumerate() {
             for k in 0..8 {
@@ -94,16 +97,16 @@
                 // One of them follows another, and is over with it.
                 let spec = job(number, 6, if k == 0 { 3.0 } else { 120.0 }, (k == 7).then(|| number - 1));
                 let id = spec.id.clone();
-                world.submit(from - 25_000 + 300 * k as u64, spec);
+                cluster.submit(from - 25_000 + 300 * k as u64, spec);
                 if k > 1 {
-                    world.cancel((from + gap.at + 400 * k as u64).saturating_sub(1600), &id);
+                    cluster.cancel((from + gap.at + 400 * k as u64).saturating_sub(1600), &id);
                 }
             }
-            from = gap.play(&mut world, from) + 40_000;
+            from = gap.play(&mut cluster, from) + 40_000;
         }
-        world.run(from + 500_000);
-        prop_assert_eq!(world.problems(), [""; 0]);
-        prop_assert!(world.starts > 20);
+        cluster.run(from + 500_000);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
+        prop_assert!(cluster.statistics.starts > 20);
     }
 }
 
@@ -112,7 +115,7 @@
 
 /// Jobs of two or three tasks, each a machine wide, that end far apart; long
 /// ones; chains; and cancellations all along.
-fn work(world: &mut World, long_s: f64) {
+fn work(cluster: &mut SimulatedCluster, long_s: f64) {
     for number in 0..26usize {
         let (tasks, run_s) = [(2, 6.0), (3, 14.0), (7, long_s), (20, 8.0)][number % 4];
         let mut spec = job(number, tasks, run_s, (number % 6 == 5).then(|| number - 2));
@@ -120,27 +123,30 @@
             spec.cpus = 8.0;
         }
         let (at, id) = (3000 + number as u64 * 2400, spec.id.clone());
-        world.submit(at, spec);
+        cluster.submit(at, spec);
         // Many of the team with a limit: what they leave is taken at once.
         if number % 3 == 1 {
-            world.cancel(at + 2500 + 400 * number as u64, &id);
+            cluster.cancel(at + 2500 + 400 * number as u64, &id);
         }
     }
 }
 
 fn judged(seed: u64, clocks: (u64, u64, u64), long_s: f64, meetings: Vec<(u64, Meeting)>) -> Vec<String> {
-    let (report_ms, lease_ms, cancel_ms) = clocks;
-    let mut world = World::sized(seed, Shape { report_ms, lease_ms, cancel_ms, ..Shape::small() });
-    work(&mut world, long_s);
+    let (heartbeat_ms, lease_ms, cancel_ms) = clocks;
+    let mut cluster = SimulatedCluster::with_config(
+        seed,
+        ClusterConfig { heartbeat_ms, lease_ms, cancel_ms, ..ClusterConfig::small() },
+    );
+    work(&mut cluster, long_s);
     for (at, meeting) in meetings {
-        meeting.into_iter().for_each(|(after, fault)| world.fault(at + after, fault));
+        meeting.into_iter().for_each(|(after, fault)| cluster.inject_fault(at + after, fault));
     }
-    world.run(640_000);
-    world.problems()
+    cluster.run(640_000);
+    cluster.problems()
 }
 
 /// Jobs bound to a zone, in one zone or spread over them, arrays and services.
-fn bound_work(world: &mut World) {
+fn bound_work(cluster: &mut SimulatedCluster) {
     for number in 100..118usize {
         let mut spec = job(number, 2 + number as u32 % 7, [9.0, 30.0][number % 2], None);
         spec.team = "blue".into();
@@ -153,9 +159,9 @@
         if number % 3 == 0 && number % 4 < 3 {
             (spec.kind, spec.estimated_run_s, spec.task_count) = (JobKind::Standing, 0.0, 2 + number as u32 % 3);
             // Called off at the end; until then it is judged like any other.
-            world.cancel(560_000, &spec.id);
+            cluster.cancel(560_000, &spec.id);
         }
-        world.submit(3000 + (number as u64 - 100) * 2500, spec);
+        cluster.submit(3000 + (number as u64 - 100) * 2500, spec);
     }
 }
 
@@ -168,14 +174,14 @@
         seed in 1u64..1_000_000, at in 8000u64..60_000, losses in zones_lose_machines(),
         other in proptest::option::of((0u64..30_000, prop_oneof![cut_zones(), mute_machines(), ten_leaders()])),
     ) {
-        let mut world = World::sized(seed, Shape { machines: 20, ..Shape::small() });
-        bound_work(&mut world);
-        losses.into_iter().for_each(|(after, fault)| world.fault(at + after, fault));
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 20, ..ClusterConfig::small() });
+        bound_work(&mut cluster);
+        losses.into_iter().for_each(|(after, fault)| cluster.inject_fault(at + after, fault));
         if let Some((later, meeting)) = other {
-            meeting.into_iter().for_each(|(after, fault)| world.fault(at + later + after, fault));
+            meeting.into_iter().for_each(|(after, fault)| cluster.inject_fault(at + later + after, fault));
         }
-        world.run(640_000);
-        prop_assert_eq!(world.problems(), [""; 0]);
+        cluster.run(640_000);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
     }
 
     /// More work than room, urgent and not, while all links and the state service are slow:
@@ -184,17 +190,17 @@
     fn more_work_than_room_over_slow_links(
         seed in 1u64..1_000_000, at in 5000u64..40_000, slow in slow_links(), ends in changes_of_leader(),
     ) {
-        let mut world = World::sized(seed, Shape { machines: 8, ..Shape::small() });
-        work(&mut world, 25.0);
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 8, ..ClusterConfig::small() });
+        work(&mut cluster, 25.0);
         for number in 100..124usize {
-            world.submit(5000 + (number as u64 - 100) * 1500, job(number, 12, 12.0, None));
+            cluster.submit(5000 + (number as u64 - 100) * 1500, job(number, 12, 12.0, None));
         }
         for meeting in [slow, ends] {
-            meeting.into_iter().for_each(|(after, fault)| world.fault(at + after, fault));
+            meeting.into_iter().for_each(|(after, fault)| cluster.inject_fault(at + after, fault));
         }
-        world.run(640_000);
-        prop_assert_eq!(world.problems(), [""; 0]);
-        prop_assert!(world.alive() <= 8);
+        cluster.run(640_000);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
+        prop_assert!(cluster.running_machines() <= 8);
     }
 }
 
@@ -250,20 +256,20 @@
 /// any more, for as long as that node stayed away.
 #[test]
 fn a_part_that_was_to_go_back_and_stays_is_served() {
-    let mut world = World::new(3, 10.0);
-    world.fault(20_000, Fault::Crash { node: 0, back_after: 8000 });
-    world.fault(28_100, Fault::Crash { node: 0, back_after: 600_000 });
+    let mut cluster = SimulatedCluster::new(3, 10.0);
+    cluster.inject_fault(20_000, Fault::Crash { node: 0, restart_after: 8000 });
+    cluster.inject_fault(28_100, Fault::Crash { node: 0, restart_after: 600_000 });
     for node in [1, 2] {
-        world.fault(29_500, Fault::StateSilence { node, for_ms: 300, late: 0 });
+        cluster.inject_fault(29_500, Fault::StoreAnswersLost { node, for_ms: 300, carried_out_after: 0 });
     }
     // Nothing is written when the part is to go back.
     for number in 0..36 {
         let at = if number < 12 { 3000 + 10 * number } else { 34_000 + 800 * number };
-        world.submit(at, job(number as usize, 6, 9.0, None));
+        cluster.submit(at, job(number as usize, 6, 9.0, None));
     }
-    world.run(300_000);
-    assert_eq!(world.problems(), [""; 0]);
-    assert!(world.longest_wait() < 75_000, "a job waited {} ms", world.longest_wait());
+    cluster.run(300_000);
+    assert_eq!(cluster.problems(), [""; 0]);
+    assert!(cluster.longest_wait() < 75_000, "a job waited {} ms", cluster.longest_wait());
 }
 
 /// Allowance was given away while a record still named the task that it was for; the
@@ -272,9 +278,9 @@
 fn a_team_keeps_its_limit_when_its_part_changes_hands_in_the_middle_of_a_gift() {
     for (seed, slow) in [(498_749, 19_460), (494_853, 34_516)] {
         let meeting = vec![
-            (0, Fault::SlowState { for_ms: slow, most: 3986 }),
-            (18_740, Fault::StateOutage { node: Some(1), for_ms: 9000 }),
-            (20_740, Fault::StateOutage { node: None, for_ms: 35_342 }),
+            (0, Fault::SlowStore { for_ms: slow, max_delay_ms: 3986 }),
+            (18_740, Fault::StoreOutage { node: Some(1), for_ms: 9000 }),
+            (20_740, Fault::StoreOutage { node: None, for_ms: 35_342 }),
         ];
         assert_eq!(judged(seed, (800, 10_000, 16_000), 25.0, vec![(39_752, meeting)]), [""; 0]);
     }
@@ -286,16 +292,16 @@
 #[test]
 fn a_spread_service_gets_room_in_its_part_when_a_zone_was_lost() {
     for seed in 1..7 {
-        let mut world = World::sized(seed, Shape { machines: 30, ..Shape::small() });
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 30, ..ClusterConfig::small() });
         for number in 0..8usize {
             let mut spec = job(number, 2, 0.0, None);
             (spec.team, spec.kind) = ("blue".into(), JobKind::Standing);
             (spec.apart, spec.zone) = (number % 2 == 0, (number % 2 == 1).then(|| "b".into()));
-            world.cancel(400_000, &spec.id);
-            world.submit(3000 + 200 * number as u64, spec);
+            cluster.cancel(400_000, &spec.id);
+            cluster.submit(3000 + 200 * number as u64, spec);
         }
-        world.fault(60_000, Fault::ZoneLoses { zone: 1, each: 1 });
-        world.run(500_000);
-        assert_eq!(world.problems(), [""; 0], "seed {seed}");
+        cluster.inject_fault(60_000, Fault::ZoneMachinesDie { zone: 1, every_nth: 1 });
+        cluster.run(500_000);
+        assert_eq!(cluster.problems(), [""; 0], "seed {seed}");
     }
 }
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -6,7 +6,7 @@
 mod simulator;
 
 use proptest::prelude::*;
-use simulator::{Fault, Moment, Shape, World};
+use simulator::{ClusterConfig, CrashPoint, Fault, SimulatedCluster};
 use tillercleat::protocol::users::JobSpec;
 
 /// Classes whose tasks differ in size, run time and priority.
@@ -27,14 +27,14 @@
 }
 
 /// `jobs` a second until `until`; some are cancelled.
-fn work(world: &mut World, jobs: u64, until: u64, tasks: u32) {
+fn work(cluster: &mut SimulatedCluster, jobs: u64, until: u64, tasks: u32) {
     for number in 0..jobs * until / 1000 {
         let at = 3000 + number * 1000 / jobs;
         let spec = job(number, 1 + (tasks + number as u32 * 37) % (2 * tasks));
         let id = spec.id.clone();
-        world.submit(at, spec);
+        cluster.submit(at, spec);
         if number % 23 == 0 {
-            world.cancel(at + 20_000, &id);
+            cluster.cancel(at + 20_000, &id);
         }
     }
 }
@@ -47,10 +47,10 @@
 fn ends(nodes: usize) -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let which = prop_oneof![Just(1usize), 2..nodes, Just(nodes)];
     (15_000u64..60_000, which, 0..nodes, 1u64..5, 400u64..2500, quickly()).prop_map(
-        move |(at, count, first, times, pause, back_after)| {
+        move |(at, count, first, times, pause, restart_after)| {
             let each = |time: u64| {
                 let at = at + time * pause;
-                (0..count).map(move |n| (at, Fault::Crash { node: (first + n) % nodes, back_after }))
+                (0..count).map(move |n| (at, Fault::Crash { node: (first + n) % nodes, restart_after }))
             };
             (0..times).flat_map(each).collect()
         },
@@ -61,26 +61,32 @@
 /// a part is handed over only to a node that was away, and kept only for an
 /// owner that its workers cannot reach.
 fn middle(nodes: usize) -> impl Strategy<Value = Vec<(u64, Fault)>> {
-    let moment = prop::sample::select(Moment::ALL.to_vec());
+    let moment = prop::sample::select(CrashPoint::ALL.to_vec());
     let late = prop_oneof![Just(None), Just(Some(0u64)), Just(Some(120)), Just(Some(900)), Just(Some(4000))];
-    (10_000u64..60_000, 0..nodes, moment, quickly(), late).prop_map(move |(at, node, moment, back_after, late)| {
-        let trap = |node| (at, Fault::EndsAt { node, moment, back_after, late });
+    (10_000u64..60_000, 0..nodes, moment, quickly(), late).prop_map(move |(at, node, moment, restart_after, late)| {
+        let trap = |node| (at, Fault::CrashAt { node, point: moment, restart_after, late });
         let other = (node + 1) % nodes;
         match moment {
-            Moment::Reads | Moment::Leases | Moment::Announces | Moment::Claims | Moment::Leads => {
-                vec![trap(node), (at, Fault::Crash { node, back_after })]
+            CrashPoint::ReadRecords
+            | CrashPoint::GrantLease
+            | CrashPoint::AnnounceNode
+            | CrashPoint::ClaimShard
+            | CrashPoint::BecomeLeader => {
+                vec![trap(node), (at, Fault::Crash { node, restart_after })]
             }
-            Moment::HandsOver => {
-                let away = (at, Fault::Crash { node: other, back_after: 12_000 });
+            CrashPoint::HandOverShard => {
+                let away = (at, Fault::Crash { node: other, restart_after: 12_000 });
                 (0..nodes).filter(|n| *n != other).map(trap).chain([away]).collect()
             }
-            Moment::Keeps => {
-                let cut = (at, Fault::Cut { node: other, zone: usize::MAX, for_ms: 9000, hold: false });
+            CrashPoint::ProxyLease => {
+                let cut = (at, Fault::LinkCut { node: other, zone: usize::MAX, for_ms: 9000, hold: false });
                 (0..nodes).filter(|n| *n != other).map(trap).chain([cut]).collect()
             }
             // Whoever leads rents; whoever has room to spare gives.
-            Moment::NamesRental | Moment::Rents | Moment::GivesAllowance => (0..nodes).map(trap).collect(),
-            Moment::Writes => vec![trap(node)],
+            CrashPoint::RecordRental | CrashPoint::RentMachines | CrashPoint::TransferQuota => {
+                (0..nodes).map(trap).collect()
+            }
+            CrashPoint::WriteSlices => vec![trap(node)],
         }
     })
 }
@@ -88,10 +94,12 @@
 /// What else may be wrong while they end.
 fn trouble() -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let outage = (20_000u64..55_000, 1000u64..16_000)
-        .prop_map(|(at, for_ms)| vec![(at, Fault::StateOutage { node: None, for_ms })]);
-    let silence = (20_000u64..55_000, 0usize..3, 1000u64..9000, 0u64..8000)
-        .prop_map(|(at, node, for_ms, late)| vec![(at, Fault::StateSilence { node, for_ms, late })]);
-    let peers = (20_000u64..55_000, 1000u64..20_000).prop_map(|(at, for_ms)| vec![(at, Fault::PeersCut { for_ms })]);
+        .prop_map(|(at, for_ms)| vec![(at, Fault::StoreOutage { node: None, for_ms })]);
+    let silence = (20_000u64..55_000, 0usize..3, 1000u64..9000, 0u64..8000).prop_map(|(at, node, for_ms, late)| {
+        vec![(at, Fault::StoreAnswersLost { node, for_ms, carried_out_after: late })]
+    });
+    let peers =
+        (20_000u64..55_000, 1000u64..20_000).prop_map(|(at, for_ms)| vec![(at, Fault::PeerLinksCut { for_ms })]);
     prop_oneof![2 => Just(vec![]), 1 => outage, 1 => silence, 1 => peers]
 }
 
@@ -109,13 +117,13 @@
         middles in proptest::collection::vec(middle(3), 0..5),
         trouble in trouble(),
     ) {
-        let mut world = World::new(seed, 10.0);
-        work(&mut world, 1, 60_000, 8);
+        let mut cluster = SimulatedCluster::new(seed, 10.0);
+        work(&mut cluster, 1, 60_000, 8);
         for (at, fault) in ends.into_iter().chain(middles).chain([trouble]).flatten() {
-            world.fault(at, fault);
+            cluster.inject_fault(at, fault);
         }
-        world.run(700_000);
-        prop_assert_eq!(world.problems(), [""; 0]);
+        cluster.run(700_000);
+        prop_assert_eq!(cluster.problems(), [""; 0]);
     }
 }
 
@@ -123,23 +131,23 @@
 /// it is carried out, after, and in the time of the next life.
 #[test]
 fn an_end_in_the_middle_of_anything_breaks_nothing() {
-    for moment in Moment::ALL {
+    for moment in CrashPoint::ALL {
         let mut sprung = 0;
         for (seed, late) in [(1, None), (2, Some(0)), (3, Some(150)), (4, Some(2500))] {
-            let mut world = World::new(seed, 10.0);
-            work(&mut world, 1, 60_000, 8);
+            let mut cluster = SimulatedCluster::new(seed, 10.0);
+            work(&mut cluster, 1, 60_000, 8);
             for again in 0..3u64 {
                 let at = 16_000 + again * 14_000;
                 let node = (again as usize + 1) % 3;
-                world.fault(at, Fault::Crash { node, back_after: if again == 1 { 12_000 } else { 200 } });
-                world.fault(at + 100, Fault::Cut { node: 2, zone: 9, for_ms: 8000, hold: false });
+                cluster.inject_fault(at, Fault::Crash { node, restart_after: if again == 1 { 12_000 } else { 200 } });
+                cluster.inject_fault(at + 100, Fault::LinkCut { node: 2, zone: 9, for_ms: 8000, hold: false });
                 for node in 0..3 {
-                    world.fault(at, Fault::EndsAt { node, moment, back_after: 200, late });
+                    cluster.inject_fault(at, Fault::CrashAt { node, point: moment, restart_after: 200, late });
                 }
             }
-            world.run(700_000);
-            assert_eq!(world.problems(), [""; 0], "{moment:?} {late:?}");
-            sprung += world.sprung.get(&moment).copied().unwrap_or(0);
+            cluster.run(700_000);
+            assert_eq!(cluster.problems(), [""; 0], "{moment:?} {late:?}");
+            sprung += cluster.statistics.reached_crash_points.get(&moment).copied().unwrap_or(0);
         }
         assert!(sprung >= 4, "{moment:?} was met {sprung} times");
     }
@@ -149,45 +157,45 @@
 /// for them to run out, however often it ends.
 #[test]
 fn five_ends_within_one_lease_leave_the_parts_where_they_were() {
-    let mut world = World::new(9, 10.0);
-    work(&mut world, 1, 60_000, 8);
+    let mut cluster = SimulatedCluster::new(9, 10.0);
+    work(&mut cluster, 1, 60_000, 8);
     for again in 0..5 {
         for node in 0..3 {
-            world.fault(30_000 + again * 700, Fault::Crash { node, back_after: 50 });
+            cluster.inject_fault(30_000 + again * 700, Fault::Crash { node, restart_after: 50 });
         }
     }
-    world.run(33_500);
-    let before = world.starts;
-    world.run(45_000);
-    assert!(world.starts > before, "nothing started for 11 s after the last end");
-    assert_eq!(world.sessions_ended(), 0, "workers lost their leases");
-    world.run(700_000);
-    assert_eq!(world.problems(), [""; 0]);
+    cluster.run(33_500);
+    let before = cluster.statistics.starts;
+    cluster.run(45_000);
+    assert!(cluster.statistics.starts > before, "nothing started for 11 s after the last end");
+    assert_eq!(cluster.expired_worker_leases(), 0, "workers lost their leases");
+    cluster.run(700_000);
+    assert_eq!(cluster.problems(), [""; 0]);
 }
 
 /// The operators' worst, at their size and half as many machines again.
 fn storm(seed: u64, nodes: usize, machines: usize) {
-    let mut world = World::sized(seed, Shape::fleet(nodes, 3, machines));
-    work(&mut world, machines as u64 / 250, 90_000, 60);
-    for (at, back_after) in [(35_000, 50), (36_500, 300), (38_000, 200), (51_000, 200)] {
+    let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig::fleet(nodes, 3, machines));
+    work(&mut cluster, machines as u64 / 250, 90_000, 60);
+    for (at, restart_after) in [(35_000, 50), (36_500, 300), (38_000, 200), (51_000, 200)] {
         for node in 0..nodes {
-            world.fault(at, Fault::Crash { node, back_after });
+            cluster.inject_fault(at, Fault::Crash { node, restart_after });
         }
     }
-    world.fault(46_000, Fault::StateOutage { node: None, for_ms: 12_000 });
+    cluster.inject_fault(46_000, Fault::StoreOutage { node: None, for_ms: 12_000 });
     for node in 0..nodes {
-        world.fault(65_000 + node as u64 * 1500, Fault::Crash { node, back_after: 300 });
+        cluster.inject_fault(65_000 + node as u64 * 1500, Fault::Crash { node, restart_after: 300 });
     }
     for pick in 0..machines / 14 {
-        world.fault(80_000, Fault::MachineDies { pick: pick * 3 });
+        cluster.inject_fault(80_000, Fault::MachineDies { pick: pick * 3 });
     }
     for node in 0..nodes / 2 {
-        world.fault(80_200, Fault::Crash { node, back_after: 200 });
+        cluster.inject_fault(80_200, Fault::Crash { node, restart_after: 200 });
     }
-    world.run(78_000);
-    assert_eq!(world.sessions_ended(), 0, "workers lost their leases");
-    world.run(400_000);
-    assert_eq!(world.problems(), [""; 0]);
+    cluster.run(78_000);
+    assert_eq!(cluster.expired_worker_leases(), 0, "workers lost their leases");
+    cluster.run(400_000);
+    assert_eq!(cluster.problems(), [""; 0]);
 }
 
 #[test]
@@ -203,11 +211,11 @@
 /// The count of what is served can fail: with no controller for most of the day.
 #[test]
 fn a_day_on_which_little_is_served_is_told() {
-    let mut world = World::new(8, 10.0);
-    work(&mut world, 1, 60_000, 8);
+    let mut cluster = SimulatedCluster::new(8, 10.0);
+    work(&mut cluster, 1, 60_000, 8);
     for node in 0..3 {
-        world.fault(10_000, Fault::Crash { node, back_after: 600_000 });
+        cluster.inject_fault(10_000, Fault::Crash { node, restart_after: 600_000 });
     }
-    world.run(200_000);
-    assert!(world.starved(60_000).iter().any(|s| s.starts_with("team red")), "{:?}", world.served(60_000));
+    cluster.run(200_000);
+    assert!(cluster.underserved(60_000).iter().any(|s| s.starts_with("team red")), "{:?}", cluster.served(60_000));
 }
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -2,24 +2,24 @@
 
 use super::*;
 
-impl World {
+impl SimulatedCluster {
     pub(super) fn cloud_call(&mut self, call: CloudCall) -> CloudAnswer {
         match call {
-            CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.shape.types.clone() }),
+            CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() }),
             CloudCall::List { .. } => {
-                let machines = self.workers.iter().filter(|w| w.alive && self.now >= w.rented + 2000);
+                let machines = self.workers.iter().filter(|w| w.alive && self.now >= w.rented_at + 2000);
                 let machines = machines
                     .map(|w| ListedMachine {
                         machine: w.name.clone(),
                         kind: w.kind.clone(),
-                        zone: self.shape.zones[w.zone].clone(),
+                        zone: self.config.zones[w.zone].clone(),
                         spot: w.spot,
                         state: if self.now >= w.up_at {
                             ListedMachineState::Running
                         } else {
                             ListedMachineState::Booting
                         },
-                        age_s: (self.now - w.rented) as f64 / 1000.0,
+                        age_s: (self.now - w.rented_at) as f64 / 1000.0,
                     })
                     .collect();
                 CloudAnswer::Page(MachinePage { machines, more: false })
@@ -29,16 +29,16 @@
                     return CloudAnswer::Rented(MachineNames { machines: names.clone() });
                 }
                 let alive = self.workers.iter().filter(|w| w.alive).count();
-                let count = (request.count as usize).min(self.shape.machines.saturating_sub(alive));
+                let count = (request.count as usize).min(self.config.machines.saturating_sub(alive));
                 if count == 0 {
                     return CloudAnswer::NoCapacity;
                 }
-                let zone = self.shape.zones.iter().position(|z| *z == request.zone).expect("a zone of the catalog");
+                let zone = self.config.zones.iter().position(|z| *z == request.zone).expect("a zone of the catalog");
                 let mut names = vec![];
                 for _ in 0..count {
                     let index = self.workers.len();
-                    let boot = 2000 + self.random(6000);
-                    let up_at = match self.slow_boots {
+                    let boot = 2000 + self.random.below(6000);
+                    let up_at = match self.slow_provisioning {
                         (until, ..) if self.now >= until => self.now + boot,
                         (_, _, never_each) if never_each > 0 && index % never_each == 0 => u64::MAX / 2,
                         (_, times, _) => self.now + boot * times,
--- a/tests/simulator/faults.rs
+++ b/tests/simulator/faults.rs
@@ -7,21 +7,21 @@
 pub enum Fault {
     Crash {
         node: usize,
-        back_after: u64,
+        restart_after: u64,
     },
     /// The state service answers 503, to all or to one node.
-    StateOutage {
+    StoreOutage {
         node: Option<usize>,
         for_ms: u64,
     },
     /// State answers get lost, though the requests are carried out, perhaps late.
-    StateSilence {
+    StoreAnswersLost {
         node: usize,
         for_ms: u64,
-        late: u64,
+        carried_out_after: u64,
     },
     /// Workers of a zone, or beyond the last zone all, and one node cannot reach each other.
-    Cut {
+    LinkCut {
         node: usize,
         zone: usize,
         for_ms: u64,
@@ -34,18 +34,18 @@
         pick: usize,
         for_ms: u64,
     },
-    PeersCut {
+    PeerLinksCut {
         for_ms: u64,
     },
     /// A node stands still while its clocks run on; what comes meanwhile waits.
-    StandsStill {
+    ControllerPaused {
         node: usize,
         for_ms: u64,
     },
     /// New machines take so many times as long, and every so many never come up.
-    SlowBoots {
-        times: u64,
-        never_each: usize,
+    SlowProvisioning {
+        factor: u64,
+        every_nth_never: usize,
         for_ms: u64,
     },
     /// A machine fails every task that it starts.
@@ -53,189 +53,191 @@
         pick: usize,
     },
     /// Reports of every so many machines arrive, but answers don't reach them.
-    Deaf {
-        each: usize,
+    DownlinkLost {
+        every_nth: usize,
         for_ms: u64,
     },
     /// These machines (every so many, of a zone or of all) reach no controller.
-    MachinesMute {
-        each: usize,
+    UplinkLost {
+        every_nth: usize,
         zone: Option<usize>,
         for_ms: u64,
     },
     /// Users call off so many jobs that run and have long to go, within a fifth of a
     /// second; up to eight of their machines then hang for so long.
-    CancelNow {
+    CancelRunningJobs {
         count: usize,
         hang_ms: u64,
     },
     /// This share of jobs, in percent, is called off, asked about and sent again about
     /// when its last task ends.
-    CancelAtEnd {
+    CancelAtCompletion {
         share: u64,
         for_ms: u64,
     },
     /// Users repeat submissions, well and badly, cancel what is done, and send jobs that
     /// fit no machine or lack a field.
-    OddRequests {
+    ProbeRequests {
         for_ms: u64,
     },
     /// This share of reports, in percent, is held back, and arrives so much later at any node.
-    HeldReports {
+    DelayedHeartbeats {
         share: u64,
         for_ms: u64,
-        most: u64,
+        max_delay_ms: u64,
     },
     /// What is sent between any two takes up to so much longer.
     SlowLinks {
         for_ms: u64,
-        most: u64,
+        max_delay_ms: u64,
     },
     /// A zone with its machines and controllers is cut off from all others, the state
     /// service, and users.
-    ZoneCut {
+    ZoneIsolated {
         zone: usize,
         for_ms: u64,
         hold: bool,
     },
     /// All machines of a zone die, or every so many.
-    ZoneLoses {
+    ZoneMachinesDie {
         zone: usize,
-        each: usize,
+        every_nth: usize,
     },
     /// Whoever leads ends.
-    LeaderEnds {
-        back_after: u64,
+    LeaderCrash {
+        restart_after: u64,
     },
     /// A node's answers to workers are lost.
-    Mute {
+    ControllerAnswersLost {
         node: usize,
         for_ms: u64,
     },
     /// This share of reports, in percent, arrives once more, up to so much later, at any node.
-    Copies {
+    DuplicatedHeartbeats {
         share: u64,
         for_ms: u64,
-        late: u64,
+        max_delay_ms: u64,
     },
     /// This share of transactions, in percent, gets no answer and is carried out
     /// 2 to 12 s later, after newer ones.
-    LateWrites {
+    DelayedTransactions {
         share: u64,
         for_ms: u64,
     },
     /// The state service carries out and answers each call up to so much later.
-    SlowState {
+    SlowStore {
         for_ms: u64,
-        most: u64,
+        max_delay_ms: u64,
     },
     /// Answers to every so many machines are held up, each for up to so long.
-    HeldAnswers {
-        each: usize,
+    DelayedAnswers {
+        every_nth: usize,
         for_ms: u64,
-        most: u64,
+        max_delay_ms: u64,
     },
     /// A node loses the state service and the other nodes, not its workers.
-    Alone {
+    ControllerIsolated {
         node: usize,
         for_ms: u64,
     },
     /// The state service's limits fall.
-    Limits {
+    StoreLimits {
         value_kb: usize,
         txn_ops: usize,
-        write_rps: f64,
+        writes_per_s: f64,
     },
-    /// The node's next life is of the version before, as far as the records
+    /// The node's next incarnation is of the version before, as far as the records
     /// show; or of this one again.
-    Older {
+    ControllerVersion {
         node: usize,
-        older: bool,
+        previous: bool,
     },
     /// The process ends the next time that a node does something, and is
     /// started again at once. What it just asked for is carried out so much
-    /// later, in the time of its next life perhaps, or never.
-    EndsAt {
+    /// later, in the time of its next incarnation perhaps, or never.
+    CrashAt {
         node: usize,
-        moment: Moment,
-        back_after: u64,
+        point: CrashPoint,
+        restart_after: u64,
         late: Option<u64>,
     },
 }
 
 impl Fault {
     /// How long it is a trouble.
-    pub(super) fn lasts(&self) -> u64 {
+    pub(super) fn duration_ms(&self) -> u64 {
         match self {
-            Fault::Crash { back_after, .. } | Fault::LeaderEnds { back_after } | Fault::EndsAt { back_after, .. } => {
-                *back_after
-            }
-            Fault::CancelNow { hang_ms, .. } => hang_ms + 400,
-            Fault::StateOutage { for_ms, .. }
-            | Fault::StateSilence { for_ms, .. }
-            | Fault::Cut { for_ms, .. }
+            Fault::Crash { restart_after, .. }
+            | Fault::LeaderCrash { restart_after }
+            | Fault::CrashAt { restart_after, .. } => *restart_after,
+            Fault::CancelRunningJobs { hang_ms, .. } => hang_ms + 400,
+            Fault::StoreOutage { for_ms, .. }
+            | Fault::StoreAnswersLost { for_ms, .. }
+            | Fault::LinkCut { for_ms, .. }
             | Fault::MachineHangs { for_ms, .. }
-            | Fault::PeersCut { for_ms }
-            | Fault::StandsStill { for_ms, .. }
-            | Fault::SlowBoots { for_ms, .. }
-            | Fault::Deaf { for_ms, .. }
-            | Fault::Mute { for_ms, .. }
-            | Fault::MachinesMute { for_ms, .. }
-            | Fault::CancelAtEnd { for_ms, .. }
-            | Fault::OddRequests { for_ms }
-            | Fault::ZoneCut { for_ms, .. }
-            | Fault::Alone { for_ms, .. } => *for_ms,
-            Fault::Copies { for_ms, late, .. } => for_ms + late,
-            Fault::HeldAnswers { for_ms, most, .. }
-            | Fault::HeldReports { for_ms, most, .. }
-            | Fault::SlowLinks { for_ms, most }
-            | Fault::SlowState { for_ms, most } => for_ms + most,
-            Fault::LateWrites { for_ms, .. } => for_ms + 12_000,
+            | Fault::PeerLinksCut { for_ms }
+            | Fault::ControllerPaused { for_ms, .. }
+            | Fault::SlowProvisioning { for_ms, .. }
+            | Fault::DownlinkLost { for_ms, .. }
+            | Fault::ControllerAnswersLost { for_ms, .. }
+            | Fault::UplinkLost { for_ms, .. }
+            | Fault::CancelAtCompletion { for_ms, .. }
+            | Fault::ProbeRequests { for_ms }
+            | Fault::ZoneIsolated { for_ms, .. }
+            | Fault::ControllerIsolated { for_ms, .. } => *for_ms,
+            Fault::DuplicatedHeartbeats { for_ms, max_delay_ms, .. } => for_ms + max_delay_ms,
+            Fault::DelayedAnswers { for_ms, max_delay_ms, .. }
+            | Fault::DelayedHeartbeats { for_ms, max_delay_ms, .. }
+            | Fault::SlowLinks { for_ms, max_delay_ms }
+            | Fault::SlowStore { for_ms, max_delay_ms } => for_ms + max_delay_ms,
+            Fault::DelayedTransactions { for_ms, .. } => for_ms + 12_000,
             _ => 0,
         }
     }
 }
 
-impl World {
-    pub fn fault(&mut self, at: u64, fault: Fault) {
-        self.over_from = self.over_from.max(at + fault.lasts());
-        self.at(at, Due::Fault(fault));
+impl SimulatedCluster {
+    pub fn inject_fault(&mut self, at: u64, fault: Fault) {
+        self.all_faults_end = self.all_faults_end.max(at + fault.duration_ms());
+        self.schedule(at, ScheduledEvent::Fault(fault));
     }
 
-    pub(super) fn strike(&mut self, fault: Fault) {
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         let now = self.now;
-        self.calm_from = self.calm_from.max(now + fault.lasts());
+        self.active_faults_end = self.active_faults_end.max(now + fault.duration_ms());
         match fault {
-            Fault::Crash { node, back_after } => {
+            Fault::Crash { node, restart_after } => {
                 if self.nodes[node].core.take().is_some() {
-                    self.nodes[node].life += 1;
+                    self.nodes[node].incarnation += 1;
                     // Users whose answer died with the node ask again.
                     let (lost, kept) = std::mem::take(&mut self.requests).into_iter().partition(|(at, _)| at.0 == node);
                     self.requests = kept;
                     for asked in BTreeMap::into_values(lost) {
                         match asked {
-                            Asked::User(job, what, tries, _) => self.ask_again(job, what, tries),
-                            Asked::Odd(odd) => self.odd_again(odd),
-                            Asked::Worker(..) => {}
+                            PendingRequest::User(job, what, tries, _) => self.ask_again(job, what, tries),
+                            PendingRequest::Probe(probe) => self.retry_probe(probe),
+                            PendingRequest::Worker(..) => {}
                         }
                     }
-                    self.at(now + back_after, Due::Restart(node));
+                    self.schedule(now + restart_after, ScheduledEvent::Restart(node));
                 }
             }
-            Fault::StateOutage { node: None, for_ms } => {
-                self.state_out.iter_mut().for_each(|until| *until = (*until).max(now + for_ms));
+            Fault::StoreOutage { node: None, for_ms } => {
+                self.store_outage_until.iter_mut().for_each(|until| *until = (*until).max(now + for_ms));
                 // Every lease has its full time again when the outage ends.
-                self.state.expire(now);
-                for lease in self.state.leases.values_mut() {
+                self.store.expire(now);
+                for lease in self.store.leases.values_mut() {
                     lease.1 = lease.1.max(now + for_ms + lease.0);
                 }
             }
-            Fault::StateOutage { node: Some(node), for_ms } => {
-                self.state_out[node] = self.state_out[node].max(now + for_ms);
+            Fault::StoreOutage { node: Some(node), for_ms } => {
+                self.store_outage_until[node] = self.store_outage_until[node].max(now + for_ms);
+            }
+            Fault::StoreAnswersLost { node, for_ms, carried_out_after } => {
+                self.store_answers_lost[node] = (now + for_ms, carried_out_after)
             }
-            Fault::StateSilence { node, for_ms, late } => self.silent[node] = (now + for_ms, late),
-            Fault::Cut { node, zone, for_ms, hold } => {
-                let zones = self.shape.zones.len();
+            Fault::LinkCut { node, zone, for_ms, hold } => {
+                let zones = self.config.zones.len();
                 for zone in if zone < zones { zone..zone + 1 } else { 0..zones } {
                     self.cuts.insert((node, zone), (now + for_ms, hold));
                 }
@@ -254,71 +256,81 @@
                     self.workers[alive[pick % alive.len()]].hung_until = now + for_ms;
                 }
             }
-            Fault::Deaf { each, for_ms } => {
-                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(each.max(1)) {
-                    worker.deaf_until = now + for_ms;
+            Fault::DownlinkLost { every_nth, for_ms } => {
+                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(every_nth.max(1)) {
+                    worker.downlink_lost_until = now + for_ms;
                 }
             }
-            Fault::MachinesMute { each, zone, for_ms } => {
+            Fault::UplinkLost { every_nth, zone, for_ms } => {
                 let those = self.workers.iter_mut().filter(|w| w.alive && zone.is_none_or(|z| z == w.zone));
-                those.step_by(each.max(1)).for_each(|w| w.mute_until = now + for_ms);
+                those.step_by(every_nth.max(1)).for_each(|w| w.uplink_lost_until = now + for_ms);
+            }
+            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_running_jobs(count, hang_ms),
+            Fault::CancelAtCompletion { share, for_ms } => self.cancel_at_completion = (now + for_ms, share),
+            Fault::ProbeRequests { for_ms } => self.schedule(now, ScheduledEvent::ProbeRequests(now + for_ms, now)),
+            Fault::DelayedHeartbeats { share, for_ms, max_delay_ms } => {
+                self.delayed_heartbeats = (now + for_ms, share, max_delay_ms)
             }
-            Fault::CancelNow { count, hang_ms } => self.call_off(count, hang_ms),
-            Fault::CancelAtEnd { share, for_ms } => self.cancel_at_end = (now + for_ms, share),
-            Fault::OddRequests { for_ms } => self.at(now, Due::OddRequests(now + for_ms, now)),
-            Fault::HeldReports { share, for_ms, most } => self.held_reports = (now + for_ms, share, most),
-            Fault::SlowLinks { for_ms, most } => self.slow_links = (now + for_ms, most),
-            Fault::ZoneCut { zone, for_ms, hold } => {
-                let zones = self.shape.zones.len();
+            Fault::SlowLinks { for_ms, max_delay_ms } => self.slow_links = (now + for_ms, max_delay_ms),
+            Fault::ZoneIsolated { zone, for_ms, hold } => {
+                let zones = self.config.zones.len();
                 for node in 0..self.nodes.len() {
                     let inside = node % zones == zone;
                     for far in (0..zones).filter(|z| (*z == zone) != inside) {
                         self.cuts.insert((node, far), (now + for_ms, hold));
                     }
                     if inside {
-                        self.silent[node] = (now + for_ms, if hold { for_ms } else { 0 });
-                        (self.nodes[node].alone_until, self.nodes[node].hidden_until) = (now + for_ms, now + for_ms);
+                        self.store_answers_lost[node] = (now + for_ms, if hold { for_ms } else { 0 });
+                        (self.nodes[node].isolated_until, self.nodes[node].users_cut_until) =
+                            (now + for_ms, now + for_ms);
                     }
                 }
             }
-            Fault::ZoneLoses { zone, each } => {
+            Fault::ZoneMachinesDie { zone, every_nth } => {
                 let there = self.workers.iter_mut().filter(|w| w.alive && w.zone == zone);
-                there.step_by(each.max(1)).for_each(|worker| {
+                there.step_by(every_nth.max(1)).for_each(|worker| {
                     worker.alive = false;
                     worker.tasks.clear();
                 });
             }
-            Fault::LeaderEnds { back_after } => {
+            Fault::LeaderCrash { restart_after } => {
                 let leads = |node: &usize| {
-                    let key = self.state.rows.get("t/l");
+                    let key = self.store.rows.get("t/l");
                     key.is_some_and(|row| row.0["node"] == format!("n{node}"))
                 };
                 if let Some(node) = (0..self.nodes.len()).find(leads) {
-                    self.strike(Fault::Crash { node, back_after });
+                    self.apply_fault(Fault::Crash { node, restart_after });
                 }
             }
-            Fault::Mute { node, for_ms } => self.nodes[node].mute_until = now + for_ms,
-            Fault::Copies { share, for_ms, late } => self.copies = (now + for_ms, share, late),
-            Fault::SlowState { for_ms, most } => self.slow_state = (now + for_ms, most),
-            Fault::LateWrites { share, for_ms } => self.late_writes = (now + for_ms, share),
-            Fault::HeldAnswers { each, for_ms, most } => {
-                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(each.max(1)) {
-                    worker.held = (now + for_ms, most);
+            Fault::ControllerAnswersLost { node, for_ms } => self.nodes[node].answers_lost_until = now + for_ms,
+            Fault::DuplicatedHeartbeats { share, for_ms, max_delay_ms } => {
+                self.duplicated_heartbeats = (now + for_ms, share, max_delay_ms)
+            }
+            Fault::SlowStore { for_ms, max_delay_ms } => self.slow_store = (now + for_ms, max_delay_ms),
+            Fault::DelayedTransactions { share, for_ms } => self.delayed_transactions = (now + for_ms, share),
+            Fault::DelayedAnswers { every_nth, for_ms, max_delay_ms } => {
+                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(every_nth.max(1)) {
+                    worker.delayed_answers = (now + for_ms, max_delay_ms);
                 }
             }
-            Fault::Alone { node, for_ms } => {
-                self.state_out[node] = self.state_out[node].max(now + for_ms);
-                self.nodes[node].alone_until = now + for_ms;
+            Fault::ControllerIsolated { node, for_ms } => {
+                self.store_outage_until[node] = self.store_outage_until[node].max(now + for_ms);
+                self.nodes[node].isolated_until = now + for_ms;
+            }
+            Fault::StoreLimits { value_kb, txn_ops, writes_per_s } => {
+                (self.store.max_value_bytes, self.store.max_changes) = (value_kb * 1024, txn_ops);
+                self.store.buckets =
+                    Some((TokenBucket::new(self.config.requests_per_s), TokenBucket::new(writes_per_s)));
+            }
+            Fault::ControllerVersion { node, previous } => self.nodes[node].previous_version = previous,
+            Fault::PeerLinksCut { for_ms } => self.peer_links_cut_until = now + for_ms,
+            Fault::ControllerPaused { node, for_ms } => self.nodes[node].paused_until = now + for_ms,
+            Fault::SlowProvisioning { factor, every_nth_never, for_ms } => {
+                self.slow_provisioning = (now + for_ms, factor, every_nth_never)
             }
-            Fault::Limits { value_kb, txn_ops, write_rps } => {
-                (self.state.most_bytes, self.state.most_ops) = (value_kb * 1024, txn_ops);
-                self.state.buckets = Some((Bucket::new(self.shape.rps), Bucket::new(write_rps)));
+            Fault::CrashAt { node, point, restart_after, late } => {
+                self.crash_points.push((node, point, restart_after, late))
             }
-            Fault::Older { node, older } => self.nodes[node].older = older,
-            Fault::PeersCut { for_ms } => self.peers_cut = now + for_ms,
-            Fault::StandsStill { node, for_ms } => self.nodes[node].still_until = now + for_ms,
-            Fault::SlowBoots { times, never_each, for_ms } => self.slow_boots = (now + for_ms, times, never_each),
-            Fault::EndsAt { node, moment, back_after, late } => self.traps.push((node, moment, back_after, late)),
             Fault::MachineFaulty { pick } => {
                 let alive: Vec<usize> = (0..self.workers.len()).filter(|w| self.workers[*w].alive).collect();
                 if !alive.is_empty() {
--- a/tests/simulator/invariants.rs
+++ b/tests/simulator/invariants.rs
@@ -4,10 +4,10 @@
 use super::*;
 
 /// How long after all troubles work may wait while there is room for it.
-const LEFT_WAITING: u64 = 90_000;
+const MAX_WAITING_MS: u64 = 90_000;
 
-/// Pause between two looks, in a small world and in a large one.
-const EVERY: [u64; 2] = [2000, 10_000];
+/// Pause between two looks, in a small cluster and in a large one.
+const CHECK_INTERVALS_MS: [u64; 2] = [2000, 10_000];
 
 /// Work of a job that waits: since when without any start, beside machines that have
 /// had room for it all the while.
@@ -31,38 +31,39 @@
     }
 }
 
-impl World {
+impl SimulatedCluster {
     /// Looks now and then, once all troubles are over.
-    pub(super) fn judge(&mut self) {
-        let every = EVERY[usize::from(self.workers.len() > 100)];
-        if self.now < self.judged + every || self.now < self.calm_from {
+    pub(super) fn check_invariants(&mut self) {
+        let every = CHECK_INTERVALS_MS[usize::from(self.workers.len() > 100)];
+        if self.now < self.invariants_checked_at + every || self.now < self.active_faults_end {
             return;
         }
-        self.judged = self.now;
-        self.judge_silence();
-        if self.now >= self.over_from.max(self.calm_from) {
-            self.judge_waiting();
+        self.invariants_checked_at = self.now;
+        self.check_unanswered_jobs();
+        if self.now >= self.all_faults_end.max(self.active_faults_end) {
+            self.check_waiting_jobs();
         }
     }
 
     /// Open jobs whose users get no answer whatsoever, not even a refusal.
-    fn judge_silence(&mut self) {
-        let (now, calm) = (self.now, self.calm_from);
+    fn check_unanswered_jobs(&mut self) {
+        let (now, calm) = (self.now, self.active_faults_end);
         let silent = |(id, j): &(&JobId, &Job)| {
-            let asks = j.accepted && !j.done_told && j.cancel_told.is_none() && !self.given_up.contains(*id);
-            asks && now > calm.max(j.answered) + FORGOTTEN
+            let asks =
+                j.accepted && !j.done_reported && j.cancel_reported_at.is_none() && !self.users_given_up.contains(*id);
+            asks && now > calm.max(j.last_answer_at) + MAX_UNANSWERED_MS
         };
         let silent: Vec<String> = self.jobs.iter().filter(silent).map(|(id, _)| id.to_string()).collect();
-        self.broken.extend(silent.into_iter().map(|id| format!("forgotten: {id} is not answered at {now}")));
+        self.violations.extend(silent.into_iter().map(|id| format!("forgotten: {id} is not answered at {now}")));
     }
 
     fn in_use(&mut self) -> Use {
-        let (now, turnover) = (self.now, 1000 + self.shape.report_ms * 5 / 2);
-        while self.left.front().is_some_and(|(at, ..)| at + turnover < now) {
-            self.left.pop_front();
+        let (now, turnover) = (self.now, 1000 + self.config.heartbeat_ms * 5 / 2);
+        while self.recently_ended.front().is_some_and(|(at, ..)| at + turnover < now) {
+            self.recently_ended.pop_front();
         }
         let mut used = Use { team: BTreeMap::new(), machine: vec![(0.0, 0.0); self.workers.len()] };
-        for (_, at, id) in &self.left {
+        for (_, at, id) in &self.recently_ended {
             if let Some(job) = self.jobs.get(id) {
                 used.add(*at, &job.spec);
             }
@@ -79,7 +80,7 @@
     /// Tasks of a job that are neither done nor on any machine; and where the others are.
     fn missing(&self, id: &JobId, job: &Job) -> (usize, Vec<usize>) {
         let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
-        let on: Vec<usize> = (self.placed.range(range))
+        let on: Vec<usize> = (self.placements.range(range))
             .flat_map(|(key, workers)| workers.iter().map(move |at| (key, *at)))
             .filter(|(key, at)| {
                 let worker = &self.workers[*at];
@@ -87,18 +88,19 @@
             })
             .map(|(_, at)| self.workers[at].zone)
             .collect();
-        ((job.spec.task_count as usize).saturating_sub(job.finished.len() + on.len()), on)
+        ((job.spec.task_count as usize).saturating_sub(job.finished_tasks.len() + on.len()), on)
     }
 
     /// No job is left waiting while a machine that fits has room and its team is
     /// under its limit.
-    fn judge_waiting(&mut self) {
+    fn check_waiting_jobs(&mut self) {
         let used = self.in_use();
         let mut waiting = BTreeMap::new();
         for (id, job) in &self.jobs {
-            let done =
-                |name: &JobId| self.jobs.get(name).is_some_and(|j| j.finished.len() == j.spec.task_count as usize);
-            let over = job.cancel_asked || job.cancelled().is_some() || self.mistaken.contains(id);
+            let done = |name: &JobId| {
+                self.jobs.get(name).is_some_and(|j| j.finished_tasks.len() == j.spec.task_count as usize)
+            };
+            let over = job.cancel_requested || job.cancelled().is_some() || self.failing_jobs.contains(id);
             if !job.accepted || over || !job.spec.dependencies.iter().all(done) {
                 continue;
             }
@@ -107,7 +109,7 @@
                 continue;
             }
             let mut beside = self.with_room(&job.spec, &zones, &used);
-            let before = self.waiting.get(id).filter(|before| before.since > job.last_start);
+            let before = self.waiting.get(id).filter(|before| before.since > job.last_start_at);
             let mut since = self.now;
             if let Some(before) = before.filter(|before| !before.beside.is_disjoint(&beside)) {
                 beside.retain(|at| before.beside.contains(at));
@@ -118,9 +120,9 @@
             }
         }
         for (id, Waiting { since, beside }) in &mut waiting {
-            if self.now > *since + LEFT_WAITING {
+            if self.now > *since + MAX_WAITING_MS {
                 let beside: Vec<_> = beside.iter().map(|at| self.workers[*at].name.to_string()).take(3).collect();
-                self.broken.push(format!("left waiting: {id} since {since}, beside {}", beside.join(" ")));
+                self.violations.push(format!("left waiting: {id} since {since}, beside {}", beside.join(" ")));
                 // Told once every time that it has waited for so long.
                 *since = self.now;
             }
@@ -137,10 +139,10 @@
         }
         let half = spec.task_count.div_ceil(2) as usize;
         let fits = |worker: &Worker, (cpus, mem_gb): (f64, f64)| {
-            let Some(kind) = self.shape.types.iter().find(|t| t.name == worker.kind) else { return false };
+            let Some(kind) = self.config.machine_types.iter().find(|t| t.name == worker.kind) else { return false };
             let heartbeats = worker.alive && self.now > worker.up_at && !worker.faulty && self.now >= worker.hung_until;
             let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.kind))
-                && spec.zone.as_ref().is_none_or(|z| *z == self.shape.zones[worker.zone])
+                && spec.zone.as_ref().is_none_or(|z| *z == self.config.zones[worker.zone])
                 && (spec.spot_allowed || !worker.spot);
             let together = zones.iter().filter(|z| **z == worker.zone).count();
             let spread = !(spec.one_zone && together < zones.len() || spec.apart && together >= half);
--- a/tests/simulator/mod.rs
+++ b/tests/simulator/mod.rs
@@ -10,28 +10,30 @@
 mod invariants;
 mod jobs;
 mod network;
+mod random;
 mod starts;
-mod statistics;
+pub mod statistics;
 mod store;
 mod store_calls;
 mod trace;
 pub mod users;
 mod workers;
 
-pub use configuration::{settings, Shape};
+pub use configuration::{settings, ClusterConfig};
 use configuration::{TXN_OPS, VALUE_KB};
 use controllers::Node;
-pub use crash_points::Moment;
+pub use crash_points::CrashPoint;
 pub use faults::Fault;
 use invariants::Waiting;
 pub use jobs::Job;
-use network::Asked;
-pub use statistics::Cost;
+use network::PendingRequest;
+pub use random::Random;
+use statistics::Statistics;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
-use store::Bucket;
-pub use store::StateService;
-use store_calls::STATE_PATIENCE;
+pub use store::SimulatedStore;
+use store::TokenBucket;
+use store_calls::STORE_TIMEOUT_MS;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{
     Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, MachineType,
@@ -45,13 +47,13 @@
     AgentEpoch, Attempt, CallId, FencingToken, HeartbeatNumber, JobId, MachineId, MonotonicTime, NodeName, RequestId,
 };
 use trace::Trace;
-use users::Odd;
+use users::ProbeSubmission;
 use workers::Worker;
 
 /// How long after all troubles a job may be without any answer about it.
-const FORGOTTEN: u64 = 75_000;
+const MAX_UNANSWERED_MS: u64 = 75_000;
 
-enum Due {
+enum ScheduledEvent {
     Tick(usize, u32),
     ToNode(usize, u32, Input),
     State(usize, u32, CallId, StateCall, u64),
@@ -70,188 +72,162 @@
     Poll(JobId),
     /// A question that nobody repeats.
     ClientRequest(JobId),
-    Odd(Odd),
-    /// Odd requests go on until then; so many were sent.
-    OddRequests(u64, u64),
+    SendProbe(ProbeSubmission),
+    /// Probe requests go on until then; so many were sent.
+    ProbeRequests(u64, u64),
     /// A worker stands still for so long.
     Hang(usize, u64),
 }
 
-pub struct World {
-    shape: Shape,
+pub struct SimulatedCluster {
+    config: ClusterConfig,
     now: u64,
     order: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
-    what: BTreeMap<u64, Due>,
-    random: u64,
+    what: BTreeMap<u64, ScheduledEvent>,
+    pub random: Random,
     settings: Vec<Settings>,
     nodes: Vec<Node>,
-    pub state: StateService,
+    pub store: SimulatedStore,
     workers: Vec<Worker>,
     rentals: BTreeMap<String, Vec<MachineId>>,
     /// Workers that were ever told to start a task.
-    placed: BTreeMap<(JobId, u32), Vec<usize>>,
+    placements: BTreeMap<(JobId, u32), Vec<usize>>,
     /// The last second in which all workers were checked.
-    checked: u64,
+    cancellations_checked_s: u64,
     /// The last second in which the use of teams was summed up.
-    summed: u64,
+    quotas_checked_s: u64,
     /// A checksum of all that the controllers sent.
     pub trace: Trace,
-    /// What the controllers' inputs cost, by kind.
-    pub costs: BTreeMap<&'static str, Cost>,
     pub jobs: BTreeMap<JobId, Job>,
-    requests: BTreeMap<(usize, RequestId), Asked>,
+    requests: BTreeMap<(usize, RequestId), PendingRequest>,
     last_request: u64,
-    state_out: Vec<u64>,
-    silent: Vec<(u64, u64)>,
+    store_outage_until: Vec<u64>,
+    store_answers_lost: Vec<(u64, u64)>,
     cuts: BTreeMap<(usize, usize), (u64, bool)>,
-    peers_cut: u64,
+    peer_links_cut_until: u64,
     /// Boots that begin before then: how much longer, and which never end.
-    slow_boots: (u64, u64, usize),
+    slow_provisioning: (u64, u64, usize),
     /// Jobs submitted with a mistake.
-    pub mistaken: BTreeSet<JobId>,
-    /// Starts per job.
-    pub tries: BTreeMap<JobId, usize>,
+    pub failing_jobs: BTreeSet<JobId>,
     /// Nodes that are to end in the middle of something, and how often any did.
-    traps: Vec<(usize, Moment, u64, Option<u64>)>,
-    pub sprung: BTreeMap<Moment, usize>,
-    /// Requests of users that were told to come back.
-    pub refused: usize,
+    crash_points: Vec<(usize, CrashPoint, u64, Option<u64>)>,
     /// What users were last told of jobs that were refused for good.
-    pub final_no: BTreeMap<JobId, u16>,
+    pub rejections: BTreeMap<JobId, u16>,
     /// Until when, what share, and how late at the most.
-    copies: (u64, u64, u64),
-    late_writes: (u64, u64),
-    slow_state: (u64, u64),
-    held_reports: (u64, u64, u64),
+    duplicated_heartbeats: (u64, u64, u64),
+    delayed_transactions: (u64, u64),
+    slow_store: (u64, u64),
+    delayed_heartbeats: (u64, u64, u64),
     slow_links: (u64, u64),
-    cancel_at_end: (u64, u64),
-    /// Odd requests that got an answer for good.
-    pub odd_answers: usize,
-    /// Starts after a user was told that their job is cancelled.
-    pub late_starts: usize,
+    cancel_at_completion: (u64, u64),
     /// When work that waits beside room was first seen to, and when all was last judged.
     waiting: BTreeMap<JobId, Waiting>,
-    judged: u64,
+    invariants_checked_at: u64,
     /// Tasks that ended of late: when, on which machine, and of which job.
-    left: VecDeque<(u64, usize, JobId)>,
-    lost_starts: usize,
-    last_done: u64,
+    recently_ended: VecDeque<(u64, usize, JobId)>,
     /// Jobs whose users ask no more.
-    given_up: BTreeSet<JobId>,
+    users_given_up: BTreeSet<JobId>,
     /// When the last trouble is over of those that have begun, and of all.
-    calm_from: u64,
-    over_from: u64,
+    active_faults_end: u64,
+    all_faults_end: u64,
     /// Rules seen broken.
-    pub broken: Vec<String>,
-    pub starts: usize,
+    pub violations: Vec<String>,
+    pub statistics: Statistics,
 }
 
-impl World {
+impl SimulatedCluster {
     /// Three controllers; `lease_s` is what they are told of workers' leases.
-    pub fn new(seed: u64, lease_s: f64) -> World {
-        World::shaped(seed, Shape::small(), lease_s)
+    pub fn new(seed: u64, lease_s: f64) -> SimulatedCluster {
+        SimulatedCluster::build(seed, ClusterConfig::small(), lease_s)
     }
 
-    /// A world as large as `shape` says, whose controllers are told the truth.
-    pub fn sized(seed: u64, shape: Shape) -> World {
-        let lease_s = shape.lease_ms as f64 / 1000.0;
-        World::shaped(seed, shape, lease_s)
+    /// A cluster as large as `config` says, whose controllers are told the truth.
+    pub fn with_config(seed: u64, config: ClusterConfig) -> SimulatedCluster {
+        let lease_s = config.lease_ms as f64 / 1000.0;
+        SimulatedCluster::build(seed, config, lease_s)
     }
 
-    fn shaped(seed: u64, shape: Shape, lease_s: f64) -> World {
-        let state = StateService {
-            buckets: shape.strict.then(|| (Bucket::new(shape.rps), Bucket::new(shape.write_rps))),
-            page: shape.page,
-            most_bytes: VALUE_KB * 1024,
-            most_ops: TXN_OPS,
-            ..StateService::default()
+    fn build(seed: u64, config: ClusterConfig, lease_s: f64) -> SimulatedCluster {
+        let store = SimulatedStore {
+            buckets: config
+                .enforce_limits
+                .then(|| (TokenBucket::new(config.requests_per_s), TokenBucket::new(config.writes_per_s))),
+            page_size: config.page_size,
+            max_value_bytes: VALUE_KB * 1024,
+            max_changes: TXN_OPS,
+            ..SimulatedStore::default()
         };
-        let mut world = World {
+        let mut cluster = SimulatedCluster {
             now: 1000,
             order: 0,
             due: BinaryHeap::new(),
             what: BTreeMap::new(),
-            random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
-            settings: (0..shape.nodes).map(|n| settings(&shape, n, lease_s)).collect(),
+            random: Random::from_seed(seed),
+            settings: (0..config.nodes).map(|n| settings(&config, n, lease_s)).collect(),
             nodes: vec![],
-            state,
+            store,
             workers: vec![],
             rentals: BTreeMap::new(),
-            placed: BTreeMap::new(),
-            checked: 0,
-            summed: 0,
+            placements: BTreeMap::new(),
+            cancellations_checked_s: 0,
+            quotas_checked_s: 0,
             trace: Trace::default(),
-            costs: BTreeMap::new(),
             jobs: BTreeMap::new(),
             requests: BTreeMap::new(),
             last_request: 0,
-            state_out: vec![0; shape.nodes],
-            silent: vec![(0, 0); shape.nodes],
+            store_outage_until: vec![0; config.nodes],
+            store_answers_lost: vec![(0, 0); config.nodes],
             cuts: BTreeMap::new(),
-            peers_cut: 0,
-            slow_boots: (0, 1, 0),
-            mistaken: BTreeSet::new(),
-            tries: BTreeMap::new(),
-            traps: vec![],
-            sprung: BTreeMap::new(),
-            refused: 0,
-            final_no: BTreeMap::new(),
-            copies: (0, 0, 0),
-            late_writes: (0, 0),
-            slow_state: (0, 0),
-            held_reports: (0, 0, 0),
+            peer_links_cut_until: 0,
+            slow_provisioning: (0, 1, 0),
+            failing_jobs: BTreeSet::new(),
+            crash_points: vec![],
+            rejections: BTreeMap::new(),
+            duplicated_heartbeats: (0, 0, 0),
+            delayed_transactions: (0, 0),
+            slow_store: (0, 0),
+            delayed_heartbeats: (0, 0, 0),
             slow_links: (0, 0),
-            cancel_at_end: (0, 0),
-            odd_answers: 0,
-            late_starts: 0,
+            cancel_at_completion: (0, 0),
             waiting: BTreeMap::new(),
-            judged: 0,
-            left: VecDeque::new(),
-            lost_starts: 0,
-            last_done: 0,
-            given_up: BTreeSet::new(),
-            calm_from: 0,
-            over_from: 0,
-            broken: vec![],
-            starts: 0,
-            shape,
+            invariants_checked_at: 0,
+            recently_ended: VecDeque::new(),
+            users_given_up: BTreeSet::new(),
+            active_faults_end: 0,
+            all_faults_end: 0,
+            violations: vec![],
+            statistics: Statistics::default(),
+            config,
         };
-        for node in 0..world.shape.nodes {
-            world.nodes.push(Node {
+        for node in 0..cluster.config.nodes {
+            cluster.nodes.push(Node {
                 core: None,
-                life: 0,
+                incarnation: 0,
                 started: 0,
-                still_until: 0,
-                mute_until: 0,
-                alone_until: 0,
-                hidden_until: 0,
-                older: false,
+                paused_until: 0,
+                answers_lost_until: 0,
+                isolated_until: 0,
+                users_cut_until: 0,
+                previous_version: false,
             });
-            world.at(world.now, Due::Restart(node));
+            cluster.schedule(cluster.now, ScheduledEvent::Restart(node));
         }
-        for index in 0..world.shape.up {
+        for index in 0..cluster.config.running {
             // More small ones than large ones, as fleets are.
-            let size = [0, 1, 0, 2, 0, 0, 1, 0, 1, 0][index % 10] % world.shape.types.len();
-            let kind = world.shape.types[size].name.clone();
-            let up_at = world.now + world.random(world.shape.report_ms);
-            world.add_worker(kind, index / 10 % world.shape.zones.len(), true, up_at);
+            let size = [0, 1, 0, 2, 0, 0, 1, 0, 1, 0][index % 10] % cluster.config.machine_types.len();
+            let kind = cluster.config.machine_types[size].name.clone();
+            let up_at = cluster.now + cluster.random.below(cluster.config.heartbeat_ms);
+            cluster.add_worker(kind, index / 10 % cluster.config.zones.len(), true, up_at);
         }
-        world
+        cluster
     }
 
     fn random_node(&mut self) -> usize {
-        self.random(self.shape.nodes as u64) as usize
+        self.random.below(self.config.nodes as u64) as usize
     }
 
-    pub fn random(&mut self, below: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % below.max(1)
-    }
-
-    fn at(&mut self, time: u64, what: Due) {
+    fn schedule(&mut self, time: u64, what: ScheduledEvent) {
         self.order += 1;
         self.due.push(Reverse((time, self.order)));
         self.what.insert(self.order, what);
@@ -266,129 +242,139 @@
             self.due.pop();
             self.now = self.now.max(time);
             let Some(what) = self.what.remove(&order) else { continue };
-            self.happen(what);
+            self.handle_event(what);
         }
         self.now = until;
         self.check_cancelled();
     }
 
-    fn happen(&mut self, what: Due) {
-        self.judge();
+    fn handle_event(&mut self, what: ScheduledEvent) {
+        self.check_invariants();
         // What comes to a node that stands still waits, its own ticks first.
         let to = match &what {
-            Due::Tick(node, _) | Due::ToNode(node, ..) | Due::Heartbeat(node, ..) => Some(*node),
+            ScheduledEvent::Tick(node, _) | ScheduledEvent::ToNode(node, ..) | ScheduledEvent::Heartbeat(node, ..) => {
+                Some(*node)
+            }
             _ => None,
         };
-        if let Some(until) = to.map(|node| self.nodes[node].still_until).filter(|until| self.now < *until) {
-            let late = if matches!(what, Due::Tick(..)) { 0 } else { 1 };
-            return self.at(until + late, what);
+        if let Some(until) = to.map(|node| self.nodes[node].paused_until).filter(|until| self.now < *until) {
+            let late = if matches!(what, ScheduledEvent::Tick(..)) { 0 } else { 1 };
+            return self.schedule(until + late, what);
         }
         match what {
-            Due::Tick(node, life) if self.nodes[node].life == life => {
-                self.feed(node, Input::Tick);
-                self.at(self.now + 50, Due::Tick(node, life));
+            ScheduledEvent::Tick(node, incarnation) if self.nodes[node].incarnation == incarnation => {
+                self.handle_input(node, Input::Tick);
+                self.schedule(self.now + 50, ScheduledEvent::Tick(node, incarnation));
             }
-            Due::ToNode(node, life, input) if self.nodes[node].life == life => self.feed(node, input),
-            Due::Tick(..) | Due::ToNode(..) => {}
-            Due::State(node, life, id, call, deadline) => self.state_call(node, life, id, call, deadline),
-            Due::Cloud(node, life, id, call) => {
+            ScheduledEvent::ToNode(node, incarnation, input) if self.nodes[node].incarnation == incarnation => {
+                self.handle_input(node, input)
+            }
+            ScheduledEvent::Tick(..) | ScheduledEvent::ToNode(..) => {}
+            ScheduledEvent::State(node, incarnation, id, call, deadline) => {
+                self.state_call(node, incarnation, id, call, deadline)
+            }
+            ScheduledEvent::Cloud(node, incarnation, id, call) => {
                 let answer = self.cloud_call(call);
-                self.at(self.now + 50, Due::ToNode(node, life, Input::Cloud(id, answer)));
+                self.schedule(self.now + 50, ScheduledEvent::ToNode(node, incarnation, Input::Cloud(id, answer)));
             }
-            Due::ReportTimer(worker) => {
+            ScheduledEvent::ReportTimer(worker) => {
                 if self.workers[worker].alive {
-                    let (report_ms, spread) = (self.shape.report_ms, worker as u64 % 7);
-                    self.at(self.now + report_ms * 3 / 4 + spread * (report_ms * 3 / 50), Due::ReportTimer(worker));
+                    let (heartbeat_ms, spread) = (self.config.heartbeat_ms, worker as u64 % 7);
+                    self.schedule(
+                        self.now + heartbeat_ms * 3 / 4 + spread * (heartbeat_ms * 3 / 50),
+                        ScheduledEvent::ReportTimer(worker),
+                    );
                     self.send_heartbeat(worker);
                 }
             }
-            Due::TryNext(worker, flight) => {
+            ScheduledEvent::TryNext(worker, in_flight) => {
                 let nodes = self.nodes.len();
                 let w = &mut self.workers[worker];
-                if w.alive && w.flight.is_some_and(|(number, _)| number == flight) {
-                    w.flight = None;
+                if w.alive && w.in_flight.is_some_and(|(number, _)| number == in_flight) {
+                    w.in_flight = None;
                     w.node = (w.node + 1) % nodes;
                     self.send_heartbeat(worker);
                 }
             }
-            Due::Heartbeat(node, life, worker, heartbeat) => {
-                if self.nodes[node].life != life || self.nodes[node].core.is_none() {
+            ScheduledEvent::Heartbeat(node, incarnation, worker, heartbeat) => {
+                if self.nodes[node].incarnation != incarnation || self.nodes[node].core.is_none() {
                     // Refused or reset: the next node, a second later.
-                    self.at(self.now + 1000, Due::TryNext(worker, heartbeat.heartbeat_number.0));
+                    self.schedule(self.now + 1000, ScheduledEvent::TryNext(worker, heartbeat.heartbeat_number.0));
                 } else {
                     self.last_request += 1;
                     let id = RequestId(self.last_request);
-                    self.requests.insert((node, id), Asked::Worker(worker, heartbeat.heartbeat_number.0));
-                    self.feed(node, Input::Heartbeat(id, heartbeat));
+                    self.requests.insert((node, id), PendingRequest::Worker(worker, heartbeat.heartbeat_number.0));
+                    self.handle_input(node, Input::Heartbeat(id, heartbeat));
                 }
             }
-            Due::Copy(worker, heartbeat) => {
+            ScheduledEvent::Copy(worker, heartbeat) => {
                 let node = self.random_node();
                 self.last_request += 1;
                 if self.nodes[node].core.is_some() {
                     let id = RequestId(self.last_request);
-                    self.requests.insert((node, id), Asked::Worker(worker, 0));
-                    self.feed(node, Input::Heartbeat(id, heartbeat));
+                    self.requests.insert((node, id), PendingRequest::Worker(worker, 0));
+                    self.handle_input(node, Input::Heartbeat(id, heartbeat));
                 }
             }
-            Due::Answer(worker, flight, response, agent_epoch) => {
-                self.worker_answered(worker, flight, response, agent_epoch)
+            ScheduledEvent::Answer(worker, in_flight, response, agent_epoch) => {
+                self.worker_answered(worker, in_flight, response, agent_epoch)
             }
-            Due::Restart(node) => {
+            ScheduledEvent::Restart(node) => {
                 let core = Core::new(self.settings[node].clone(), Tuning::default());
                 let n = &mut self.nodes[node];
                 n.core = Some(core);
-                n.life += 1;
+                n.incarnation += 1;
                 n.started = self.now;
-                let life = n.life;
-                self.at(self.now + 1, Due::Tick(node, life));
+                let incarnation = n.incarnation;
+                self.schedule(self.now + 1, ScheduledEvent::Tick(node, incarnation));
             }
-            Due::Fault(fault) => self.strike(fault),
+            ScheduledEvent::Fault(fault) => self.apply_fault(fault),
             // Names are named once they are accepted.
-            Due::Submit(spec, tries)
+            ScheduledEvent::Submit(spec, tries)
                 if spec.dependencies.iter().any(|n| self.jobs.get(n).is_some_and(|j| !j.accepted)) =>
             {
-                self.at(self.now + 200, Due::Submit(spec, tries));
+                self.schedule(self.now + 200, ScheduledEvent::Submit(spec, tries));
             }
-            Due::Submit(spec, tries) => {
+            ScheduledEvent::Submit(spec, tries) => {
                 let id = spec.id.clone();
-                let doomed = spec
-                    .dependencies
-                    .iter()
-                    .any(|n| self.jobs.get(n).is_some_and(|j| j.doomed.is_some() || j.cancel_told.is_some()));
-                let doomed = doomed.then_some(self.now);
+                let dependency_cancelled_at = spec.dependencies.iter().any(|n| {
+                    self.jobs
+                        .get(n)
+                        .is_some_and(|j| j.dependency_cancelled_at.is_some() || j.cancel_reported_at.is_some())
+                });
+                let dependency_cancelled_at = dependency_cancelled_at.then_some(self.now);
                 self.jobs.entry(id.clone()).or_insert_with(|| Job {
                     spec: spec.clone(),
-                    came: self.now,
+                    submitted_at: self.now,
                     accepted: false,
-                    cancel_asked: false,
-                    cancel_told: None,
-                    doomed,
-                    answered: self.now,
-                    done_told: false,
-                    began: None,
-                    last_start: 0,
-                    finished: BTreeSet::new(),
+                    cancel_requested: false,
+                    cancel_reported_at: None,
+                    dependency_cancelled_at,
+                    last_answer_at: self.now,
+                    done_reported: false,
+                    first_start_at: None,
+                    last_start_at: 0,
+                    finished_tasks: BTreeSet::new(),
                 });
                 self.ask(ClientRequest::Submit(Box::new(spec)), id, "submit", tries);
             }
-            Due::Cancel(job, tries) => {
+            ScheduledEvent::Cancel(job, tries) => {
                 if let Some(job) = self.jobs.get_mut(&job) {
-                    job.cancel_asked = true;
+                    job.cancel_requested = true;
                 }
                 self.ask(ClientRequest::Cancel(job.clone()), job, "cancel", tries)
             }
-            Due::Poll(job) => self.ask(ClientRequest::Query(job.clone()), job, "poll", 0),
-            Due::ClientRequest(job) => self.ask(ClientRequest::Query(job.clone()), job, "ask", 0),
-            Due::Odd(odd) => self.send_odd(odd),
-            Due::OddRequests(until, number) => {
-                self.odd_request(number);
+            ScheduledEvent::Poll(job) => self.ask(ClientRequest::Query(job.clone()), job, "poll", 0),
+            ScheduledEvent::ClientRequest(job) => self.ask(ClientRequest::Query(job.clone()), job, "ask", 0),
+            ScheduledEvent::SendProbe(probe) => self.send_probe(probe),
+            ScheduledEvent::ProbeRequests(until, number) => {
+                self.send_next_probe(number);
                 if self.now < until {
-                    let pause = 100 + self.random(900);
-                    self.at(self.now + pause, Due::OddRequests(until, number + 1));
+                    let pause = 100 + self.random.below(900);
+                    self.schedule(self.now + pause, ScheduledEvent::ProbeRequests(until, number + 1));
                 }
             }
-            Due::Hang(worker, for_ms) => self.workers[worker].hung_until = self.now + for_ms,
+            ScheduledEvent::Hang(worker, for_ms) => self.workers[worker].hung_until = self.now + for_ms,
         }
     }
 }
--- a/tests/simulator/store.rs
+++ b/tests/simulator/store.rs
@@ -6,15 +6,15 @@
 
 /// Refills with time, one second's worth at the most.
 #[derive(Debug, Clone, Copy)]
-pub struct Bucket {
+pub struct TokenBucket {
     pub per_s: f64,
     level: f64,
     at: u64,
 }
 
-impl Bucket {
-    pub fn new(per_s: f64) -> Bucket {
-        Bucket { per_s, level: per_s, at: 0 }
+impl TokenBucket {
+    pub fn new(per_s: f64) -> TokenBucket {
+        TokenBucket { per_s, level: per_s, at: 0 }
     }
 
     fn take(&mut self, now: u64, cost: f64) -> bool {
@@ -29,33 +29,33 @@
 }
 
 /// Changes that the state service remembers for watches.
-const MOST_CHANGES: usize = 10_000;
+const MAX_LOGGED_CHANGES: usize = 10_000;
 
 #[derive(Default)]
-pub struct StateService {
+pub struct SimulatedStore {
     pub revision: u64,
     pub rows: BTreeMap<String, (serde_json::Value, u64, Option<u64>)>,
     pub leases: BTreeMap<u64, (u64, u64)>,
     pub last_lease: u64,
     pub log: Vec<(u64, String, Option<serde_json::Value>)>,
     /// Limits on requests and on changes, if it keeps any.
-    pub buckets: Option<(Bucket, Bucket)>,
+    pub buckets: Option<(TokenBucket, TokenBucket)>,
     /// Calls refused for being too many.
-    pub limited: usize,
-    pub page: usize,
+    pub rate_limited_calls: usize,
+    pub page_size: usize,
     /// The most bytes of a value, and changes of a transaction; conditions may
     /// be four times as many.
-    pub most_bytes: usize,
-    pub most_ops: usize,
+    pub max_value_bytes: usize,
+    pub max_changes: usize,
     /// What was refused for its size, and how often: asked again unchanged, it
     /// is refused again.
-    pub rejected: BTreeMap<String, usize>,
+    pub rejected_transactions: BTreeMap<String, usize>,
     /// Changes asked for and requests made, by second.
-    pub writes: BTreeMap<u64, usize>,
-    pub requests: BTreeMap<u64, usize>,
+    pub changes_by_second: BTreeMap<u64, usize>,
+    pub requests_by_second: BTreeMap<u64, usize>,
 }
 
-impl StateService {
+impl SimulatedStore {
     pub fn expire(&mut self, now: u64) {
         let ended: Vec<u64> = self.leases.iter().filter(|(_, l)| l.1 < now).map(|(id, _)| *id).collect();
         for lease in ended {
@@ -79,10 +79,11 @@
             }
         }
         let too_large =
-            |c: &Change| matches!(c, Change::Put { value, .. } if value.to_string().len() > self.most_bytes);
-        let too_many = transaction.changes.len() > self.most_ops || transaction.conditions.len() > 4 * self.most_ops;
+            |c: &Change| matches!(c, Change::Put { value, .. } if value.to_string().len() > self.max_value_bytes);
+        let too_many =
+            transaction.changes.len() > self.max_changes || transaction.conditions.len() > 4 * self.max_changes;
         if self.buckets.is_some() && (too_many || transaction.changes.iter().any(too_large)) {
-            *self.rejected.entry(format!("{transaction:?}")).or_default() += 1;
+            *self.rejected_transactions.entry(format!("{transaction:?}")).or_default() += 1;
             return StateAnswer::Rejected("too large".into());
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
@@ -109,11 +110,11 @@
 
     pub fn run(&mut self, now: u64, call: StateCall) -> StateAnswer {
         self.expire(now);
-        *self.requests.entry(now / 1000).or_default() += 1;
+        *self.requests_by_second.entry(now / 1000).or_default() += 1;
         let changes = if let StateCall::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
         if let Some((requests, writes)) = &mut self.buckets {
             if !requests.take(now, 1.0) || !writes.take(now, changes as f64) {
-                self.limited += 1;
+                self.rate_limited_calls += 1;
                 return StateAnswer::Refused;
             }
         }
@@ -125,7 +126,7 @@
                 None => StateAnswer::Missing(Revision(self.revision)),
             },
             StateCall::List { prefix, after } => {
-                let page = self.page.max(50);
+                let page = self.page_size.max(50);
                 let from = std::ops::Bound::Excluded(after.unwrap_or_default());
                 let rows = self.rows.range((from, std::ops::Bound::Unbounded)).filter(|(k, _)| k.starts_with(&prefix));
                 let items: Vec<Item> = rows
@@ -140,7 +141,7 @@
                 })
             }
             StateCall::Transaction(transaction) => {
-                *self.writes.entry(now / 1000).or_default() += transaction.changes.len();
+                *self.changes_by_second.entry(now / 1000).or_default() += transaction.changes.len();
                 self.transaction(transaction)
             }
             StateCall::Grant { ttl_ms } => {
@@ -157,7 +158,7 @@
             },
             StateCall::Watch { after, .. } => {
                 let from = self.log.partition_point(|e| e.0 <= after.0);
-                if self.log.len() - from > MOST_CHANGES {
+                if self.log.len() - from > MAX_LOGGED_CHANGES {
                     return StateAnswer::TooOld;
                 }
                 let events = self.log[from..].iter().map(|(at, key, value)| match value {
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -5,7 +5,7 @@
 mod simulator;
 
 use proptest::prelude::*;
-use simulator::{Shape, StateService};
+use simulator::{ClusterConfig, SimulatedStore};
 use std::collections::VecDeque;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
@@ -48,8 +48,8 @@
 
 /// One controller of three, alone, and the state service.
 struct Site {
-    shape: Shape,
-    service: StateService,
+    config: ClusterConfig,
+    service: SimulatedStore,
     core: Core,
     now: u64,
     began: u64,
@@ -77,13 +77,13 @@
 }
 
 impl Site {
-    fn reporting_every(report_ms: u64) -> Site {
-        let shape = Shape { report_ms, lease_ms: 20_000, ..Shape::small() };
-        let core = Core::new(simulator::settings(&shape, 0, 20.0), Tuning::default());
-        let (service, replies) = (StateService::default(), vec![]);
+    fn reporting_every(heartbeat_ms: u64) -> Site {
+        let config = ClusterConfig { heartbeat_ms, lease_ms: 20_000, ..ClusterConfig::small() };
+        let core = Core::new(simulator::settings(&config, 0, 20.0), Tuning::default());
+        let (service, replies) = (SimulatedStore::default(), vec![]);
         let on_way = VecDeque::new();
         Site {
-            shape,
+            config,
             service,
             core,
             now: 1000,
@@ -107,7 +107,7 @@
                 self.service.run(self.now, call);
             }
         }
-        self.core = Core::new(simulator::settings(&self.shape, 0, 20.0), Tuning::default());
+        self.core = Core::new(simulator::settings(&self.config, 0, 20.0), Tuning::default());
         self.began = self.now;
     }
 
@@ -119,7 +119,9 @@
                 Output::Response(request, response) => self.replies.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
-                        CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.shape.types.clone() }),
+                        CloudCall::Catalog => {
+                            CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() })
+                        }
                         CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], more: false }),
                         CloudCall::Rent(_) => CloudAnswer::NoCapacity,
                         CloudCall::Return(_) => CloudAnswer::Failed,
@@ -138,7 +140,7 @@
     }
 
     fn heartbeat(&mut self) {
-        if self.now > self.lease_from + self.shape.lease_ms {
+        if self.now > self.lease_from + self.config.lease_ms {
             // The lease is over, and with it all that ran.
             self.running = None;
             self.agent_epoch += 1;
@@ -245,7 +247,7 @@
         }
     }
 
-    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut StateService, u64, StateCall) -> StateAnswer) {
+    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut SimulatedStore, u64, StateCall) -> StateAnswer) {
         if self.on_way.is_empty() {
             return;
         }
@@ -315,9 +317,9 @@
     fn a_start_ends_well_whatever_the_order_of_answers(
         steps in proptest::collection::vec(step(), 0..120),
         again in proptest::collection::vec(step(), 0..80),
-        report_ms in prop_oneof![Just(1000u64), Just(2500)],
+        heartbeat_ms in prop_oneof![Just(1000u64), Just(2500)],
     ) {
-        let mut site = Site::reporting_every(report_ms);
+        let mut site = Site::reporting_every(heartbeat_ms);
         site.settle(5000);
         site.ask(ClientRequest::Submit(Box::new(job(1))));
         site.settle(400);
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,11 +1,11 @@
-//! A trace that must not move: fixed worlds whose every output is folded into one
+//! A trace that must not move: fixed clusters whose every output is folded into one
 //! checksum each. A change of names, files or form keeps the checksums; a change of
 //! behaviour moves them, and then records new ones here, with the reason in its commit.
 
 #[allow(dead_code)]
 mod simulator;
 
-use simulator::{Fault, Shape, World};
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::units::JobId;
 
@@ -40,73 +40,76 @@
 }
 
 /// A job each `pause` milliseconds until `until`; every so many is cancelled, and users ask on.
-fn work(world: &mut World, until: u64, pause: u64, cancel_each: usize) {
+fn work(cluster: &mut SimulatedCluster, until: u64, pause: u64, cancel_each: usize) {
     for (number, at) in (3000..until).step_by(pause as usize).enumerate() {
-        world.submit(at, job(number, 1 + (number as u32 * 7) % 23, &[]));
+        cluster.submit(at, job(number, 1 + (number as u32 * 7) % 23, &[]));
         if number % cancel_each == 0 || number % 17 == 5 {
-            world.cancel(at + 25_000, &id(number));
+            cluster.cancel(at + 25_000, &id(number));
         }
-        world.poll(at + 4000, &id(number));
+        cluster.poll(at + 4000, &id(number));
     }
 }
 
-/// The checksum of a world played until `until`, and how many inputs it covers. Nothing
+/// The checksum of a cluster played until `until`, and how many inputs it covers. Nothing
 /// may go wrong in it.
-fn played(mut world: World, until: u64) -> (u64, u64) {
-    world.run(until);
-    assert_eq!(world.problems(), [""; 0]);
-    assert!(world.starts > 200, "only {} tasks were started", world.starts);
-    (world.trace.checksum(), world.trace.inputs)
+fn played(mut cluster: SimulatedCluster, until: u64) -> (u64, u64) {
+    cluster.run(until);
+    assert_eq!(cluster.problems(), [""; 0]);
+    assert!(cluster.statistics.starts > 200, "only {} tasks were started", cluster.statistics.starts);
+    (cluster.trace.checksum(), cluster.trace.inputs)
 }
 
-fn calm() -> World {
-    let mut world = World::sized(5, Shape { rps: 300.0, write_rps: 120.0, ..Shape::fleet(5, 3, 60) });
-    work(&mut world, 90_000, 700, 19);
-    world
+fn calm() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::with_config(
+        5,
+        ClusterConfig { requests_per_s: 300.0, writes_per_s: 120.0, ..ClusterConfig::fleet(5, 3, 60) },
+    );
+    work(&mut cluster, 90_000, 700, 19);
+    cluster
 }
 
-fn restarts_with_a_zone_cut() -> World {
-    let mut world = World::new(6, 10.0);
-    work(&mut world, 70_000, 1100, 13);
-    for (at, node, back_after) in
+fn restarts_with_a_zone_cut() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(6, 10.0);
+    work(&mut cluster, 70_000, 1100, 13);
+    for (at, node, restart_after) in
         [(20_000, 0, 200), (21_000, 1, 50), (34_000, 2, 9000), (52_000, 0, 300), (52_100, 1, 300)]
     {
-        world.fault(at, Fault::Crash { node, back_after });
+        cluster.inject_fault(at, Fault::Crash { node, restart_after });
     }
-    world.fault(26_000, Fault::ZoneCut { zone: 0, for_ms: 14_000, hold: true });
-    world.fault(58_000, Fault::MachineDies { pick: 3 });
-    world.fault(60_000, Fault::MachineHangs { pick: 1, for_ms: 15_000 });
-    world.fault(40_000, Fault::MachineFaulty { pick: 5 });
-    world
+    cluster.inject_fault(26_000, Fault::ZoneIsolated { zone: 0, for_ms: 14_000, hold: true });
+    cluster.inject_fault(58_000, Fault::MachineDies { pick: 3 });
+    cluster.inject_fault(60_000, Fault::MachineHangs { pick: 1, for_ms: 15_000 });
+    cluster.inject_fault(40_000, Fault::MachineFaulty { pick: 5 });
+    cluster
 }
 
-fn state_outage_with_cancellations() -> World {
-    let mut world = World::new(7, 10.0);
-    work(&mut world, 70_000, 900, 5);
-    world.fault(24_000, Fault::StateOutage { node: None, for_ms: 12_000 });
-    world.fault(23_000, Fault::CancelNow { count: 6, hang_ms: 8000 });
-    world.fault(30_000, Fault::CancelNow { count: 4, hang_ms: 0 });
-    world.fault(45_000, Fault::StateSilence { node: 1, for_ms: 6000, late: 4000 });
-    world.fault(50_000, Fault::LateWrites { share: 30, for_ms: 10_000 });
-    world.fault(55_000, Fault::Alone { node: 2, for_ms: 9000 });
-    world.fault(62_000, Fault::Mute { node: 0, for_ms: 12_000 });
-    world
+fn state_outage_with_cancellations() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(7, 10.0);
+    work(&mut cluster, 70_000, 900, 5);
+    cluster.inject_fault(24_000, Fault::StoreOutage { node: None, for_ms: 12_000 });
+    cluster.inject_fault(23_000, Fault::CancelRunningJobs { count: 6, hang_ms: 8000 });
+    cluster.inject_fault(30_000, Fault::CancelRunningJobs { count: 4, hang_ms: 0 });
+    cluster.inject_fault(45_000, Fault::StoreAnswersLost { node: 1, for_ms: 6000, carried_out_after: 4000 });
+    cluster.inject_fault(50_000, Fault::DelayedTransactions { share: 30, for_ms: 10_000 });
+    cluster.inject_fault(55_000, Fault::ControllerIsolated { node: 2, for_ms: 9000 });
+    cluster.inject_fault(62_000, Fault::ControllerAnswersLost { node: 0, for_ms: 12_000 });
+    cluster
 }
 
-fn chains_under_overload() -> World {
-    let mut world = World::new(8, 10.0);
+fn chains_under_overload() -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(8, 10.0);
     for chain in 0..14 {
         for step in 0..5usize {
             let number = 1000 + chain * 20 + step;
             let dependencies: &[usize] = if step == 0 { &[] } else { &[number - 1] };
             let at = 4000 + chain as u64 * 1500 + step as u64 * 200;
-            world.submit(at, job(number, 2 + (number as u32) % 6, dependencies));
+            cluster.submit(at, job(number, 2 + (number as u32) % 6, dependencies));
         }
     }
-    work(&mut world, 45_000, 450, 11);
-    world.fault(40_000, Fault::LeaderEnds { back_after: 3000 });
-    world.cancel(30_000, &id(1061));
-    world
+    work(&mut cluster, 45_000, 450, 11);
+    cluster.inject_fault(40_000, Fault::LeaderCrash { restart_after: 3000 });
+    cluster.cancel(30_000, &id(1061));
+    cluster
 }
 
 #[test]
