--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -38,7 +38,7 @@
         "hulls": null, "berth": null, "one_zone": false, "apart": false, "driftwood": true,
         "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": run_s * 3.0 + 10.0
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// Costs by kind of input, jobs accepted and tasks started.
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -20,7 +20,7 @@
         "rig": "array", "rank": rank, "loads": tasks, "cores": 1.0, "mem_gb": 1.0, "kit": "img", "image_gb": 0.2,
         "driftwood": true, "reckon_s": run_s, "awaits": dependencies.iter().map(|n| id(*n)).collect::<Vec<_>>()
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// A chain of `steps` from job `first` on; some name an earlier one as well.
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -91,8 +91,7 @@
 
 impl Node {
     fn new(config: &ClusterConfig) -> Node {
-        let store =
-            SimulatedStore { page_size: 50, max_value_bytes: 8192, max_changes: 12, ..SimulatedStore::default() };
+        let store = SimulatedStore::with_sizes(50, 8192, 12);
         let core = Core::new(settings(config, 0, 10.0), Tuning::default());
         let mut node = Node { core, store, reached: true, watched: true, now: 1, asked: 0 };
         (0..100).for_each(|_| drop(node.step(Input::Tick, config)));
@@ -110,7 +109,7 @@
                     Output::Response(id, response) => told.push((id, response)),
                     Output::State(_, StateCall::Watch { .. }) if !self.watched => {}
                     Output::State(id, _) if !self.reached => next.push(Input::State(id, StateAnswer::Refused)),
-                    Output::State(id, call) => next.push(Input::State(id, self.store.run(self.now, call))),
+                    Output::State(id, call) => next.push(Input::State(id, self.store.execute(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
                         let catalog = Catalog { types: config.machine_types.clone() };
                         next.push(Input::Cloud(id, CloudAnswer::Catalog(catalog)));
@@ -166,8 +165,8 @@
         node.watched = false;
         node.store.revision += 2;
         let revision = node.store.revision;
-        node.store.rows.insert("t/j/wk-000007".into(), (record.clone(), revision - 1, None));
-        node.store.rows.insert("f/wk-000008".into(), (archive_ended_jobs.clone(), revision, None));
+        node.store.insert_unseen("t/j/wk-000007", record.clone(), revision - 1);
+        node.store.insert_unseen("f/wk-000008", archive_ended_jobs.clone(), revision);
         node
     };
     let odd = |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,7 +14,7 @@
         "one_zone": false, "apart": number % 7 == 0, "driftwood": true, "reckon_s": run_s, "mark_s": 0.0,
         "stow_s": 0.0, "tide_s": null
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// One job a second for a minute and a half.
--- a/tests/forgotten.rs
+++ b/tests/forgotten.rs
@@ -21,7 +21,7 @@
         "image_gb": 0.5, "apart": number % 11 == 0, "one_zone": number % 13 == 1, "driftwood": true, "reckon_s": run_s,
         "awaits": if number % 9 == 8 { vec![format!("wk-{:06}", number - 2)] } else { vec![] }
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 fn work(cluster: &mut SimulatedCluster, every: u64, until: u64, tasks: u32) {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -14,7 +14,7 @@
         "cores": 1.0, "mem_gb": 1.0, "kit": "img", "image_gb": 0.2, "driftwood": true, "reckon_s": run_s,
         "one_zone": number % 7 == 3
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// Rolled from controllers that know nothing of limits to come to ones that do.
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -108,7 +108,7 @@
         let until = Instant::now() + Duration::from_millis(wait);
         loop {
             let now = begin.elapsed().as_millis() as u64;
-            let answer = service.lock().expect("the service").run(now, call.clone());
+            let answer = service.lock().expect("the service").execute(now, call.clone());
             let waiting = matches!(&answer, StateAnswer::WatchEvents(news) if news.events.is_empty());
             if !waiting || Instant::now() >= until {
                 return state_answer(answer);
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -30,7 +30,7 @@
         "reckon_s": run_s, "mark_s": 5.0, "stow_s": 4.0,
         "awaits": dependencies.map(|n| vec![format!("wk-{n:06}")]).unwrap_or_default()
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// Workers' lease, their reports and the time a cancellation has, as operators set them.
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -23,7 +23,7 @@
         "kit": format!("img-{}", number % 5), "image_gb": 0.5, "hulls": null, "berth": null, "one_zone": false,
         "apart": number % 19 == 0, "driftwood": true, "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": 4.0 * run_s + 30.0
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// `jobs` a second until `until`; some are cancelled.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,7 +17,7 @@
         "apart": shape == "apart", "driftwood": shape != "owned",
         "reckon_s": if shape == "standing" { 0.0 } else { run_s }, "mark_s": 0.0, "stow_s": 0.0, "tide_s": null
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// Two dozen jobs of all shapes over the first minute, some cancelled.
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -1,60 +1,105 @@
-//! The cloud of the simulated cluster.
+//! The cloud: its catalog, the list of machines that is a little behind, rentals and returns.
 
-use super::*;
+use super::SimulatedCluster;
+use std::collections::BTreeMap;
+use tillercleat::coordination::{CloudAnswer, CloudCall};
+use tillercleat::protocol::cloud::{
+    Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, RentRequest,
+};
+use tillercleat::units::MachineId;
+
+/// How long a machine is rented before the list shows it (milliseconds).
+const LIST_LAG_MS: u64 = 2000;
+/// How long a machine takes to come up at least, and what it may take longer (milliseconds).
+const MIN_BOOT_MS: u64 = 2000;
+const BOOT_SPREAD_MS: u64 = 6000;
+/// When machines come up that never do.
+const NEVER: u64 = u64::MAX / 2;
+
+/// Machines rented before then come up late, or never.
+#[derive(Debug, Clone, Copy)]
+struct SlowProvisioning {
+    until: u64,
+    factor: u64,
+    /// 0: all of them come up.
+    every_nth_never: usize,
+}
+
+/// What the cloud remembers.
+pub(super) struct Cloud {
+    /// The machines of each rental, by the request's name: a repeated request gets the same.
+    rentals: BTreeMap<String, Vec<MachineId>>,
+    slow: SlowProvisioning,
+}
+
+impl Default for Cloud {
+    fn default() -> Cloud {
+        Cloud { rentals: BTreeMap::new(), slow: SlowProvisioning { until: 0, factor: 1, every_nth_never: 0 } }
+    }
+}
+
+impl Cloud {
+    pub(super) fn slow_down(&mut self, until: u64, factor: u64, every_nth_never: usize) {
+        self.slow = SlowProvisioning { until, factor, every_nth_never };
+    }
+
+    /// When the machine of this number is up that is rented now and takes `boot_ms` as a rule.
+    fn up_at(&self, now: u64, index: usize, boot_ms: u64) -> u64 {
+        let SlowProvisioning { until, factor, every_nth_never } = self.slow;
+        if now >= until {
+            now + boot_ms
+        } else if every_nth_never > 0 && index % every_nth_never == 0 {
+            NEVER
+        } else {
+            now + boot_ms * factor
+        }
+    }
+}
 
 impl SimulatedCluster {
-    pub(super) fn cloud_call(&mut self, call: CloudCall) -> CloudAnswer {
+    pub(super) fn call_cloud(&mut self, call: CloudCall) -> CloudAnswer {
         match call {
             CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() }),
-            CloudCall::List { .. } => {
-                let machines = self.workers.iter().filter(|w| w.alive && self.now >= w.rented_at + 2000);
-                let machines = machines
-                    .map(|w| ListedMachine {
-                        machine: w.name.clone(),
-                        kind: w.kind.clone(),
-                        zone: self.config.zones[w.zone].clone(),
-                        spot: w.spot,
-                        state: if self.now >= w.up_at {
-                            ListedMachineState::Running
-                        } else {
-                            ListedMachineState::Booting
-                        },
-                        age_s: (self.now - w.rented_at) as f64 / 1000.0,
-                    })
-                    .collect();
-                CloudAnswer::Page(MachinePage { machines, more: false })
-            }
-            CloudCall::Rent(request) => {
-                if let Some(names) = self.rentals.get(&request.request) {
-                    return CloudAnswer::Rented(MachineNames { machines: names.clone() });
-                }
-                let alive = self.workers.iter().filter(|w| w.alive).count();
-                let count = (request.count as usize).min(self.config.machines.saturating_sub(alive));
-                if count == 0 {
-                    return CloudAnswer::NoCapacity;
-                }
-                let zone = self.config.zones.iter().position(|z| *z == request.zone).expect("a zone of the catalog");
-                let mut names = vec![];
-                for _ in 0..count {
-                    let index = self.workers.len();
-                    let boot = 2000 + self.random.below(6000);
-                    let up_at = match self.slow_provisioning {
-                        (until, ..) if self.now >= until => self.now + boot,
-                        (_, _, never_each) if never_each > 0 && index % never_each == 0 => u64::MAX / 2,
-                        (_, times, _) => self.now + boot * times,
-                    };
-                    names.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
-                }
-                self.rentals.insert(request.request, names.clone());
-                CloudAnswer::Rented(MachineNames { machines: names })
-            }
+            CloudCall::List { .. } => CloudAnswer::Page(self.list_machines()),
+            CloudCall::Rent(request) => self.rent_machines(request),
             CloudCall::Return(names) => {
-                for worker in self.workers.iter_mut().filter(|w| names.contains(&w.name)) {
-                    worker.alive = false;
-                    worker.tasks.clear();
-                }
+                let returned = self.workers.iter_mut().filter(|worker| names.contains(&worker.name));
+                returned.for_each(|worker| worker.die());
                 CloudAnswer::Returned
             }
         }
     }
+
+    fn list_machines(&self) -> MachinePage {
+        let listed = |worker: &&super::workers::Worker| worker.alive && self.now >= worker.rented_at + LIST_LAG_MS;
+        let machines = self.workers.iter().filter(listed).map(|worker| ListedMachine {
+            machine: worker.name.clone(),
+            kind: worker.kind.clone(),
+            zone: self.config.zones[worker.zone].clone(),
+            spot: worker.spot,
+            state: if self.now >= worker.up_at { ListedMachineState::Running } else { ListedMachineState::Booting },
+            age_s: (self.now - worker.rented_at) as f64 / 1000.0,
+        });
+        MachinePage { machines: machines.collect(), more: false }
+    }
+
+    fn rent_machines(&mut self, request: RentRequest) -> CloudAnswer {
+        if let Some(machines) = self.cloud.rentals.get(&request.request) {
+            return CloudAnswer::Rented(MachineNames { machines: machines.clone() });
+        }
+        let room = self.config.machines.saturating_sub(self.running_machines());
+        let count = (request.count as usize).min(room);
+        if count == 0 {
+            return CloudAnswer::NoCapacity;
+        }
+        let zone = self.config.zones.iter().position(|zone| *zone == request.zone).expect("a zone of the catalog");
+        let mut machines = vec![];
+        for _ in 0..count {
+            let boot_ms = MIN_BOOT_MS + self.random.below(BOOT_SPREAD_MS);
+            let up_at = self.cloud.up_at(self.now, self.workers.len(), boot_ms);
+            machines.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
+        }
+        self.cloud.rentals.insert(request.request, machines.clone());
+        CloudAnswer::Rented(MachineNames { machines })
+    }
 }
--- a/tests/simulator/configuration.rs
+++ b/tests/simulator/configuration.rs
@@ -1,33 +1,46 @@
-//! How large a simulated cluster is, and the settings of its controllers.
+//! How large a simulated cluster is, what its store and cloud allow, and the settings that its
+//! controllers are given.
 
-use super::*;
+use super::SimulatedStore;
+use serde_json::{json, Value};
+use tillercleat::protocol::cloud::MachineType;
+use tillercleat::settings::Settings;
 
-/// How large a cluster is, and its limits.
+/// The most that a value of the store may take (KiB).
+const MAX_VALUE_KB: usize = 8;
+/// The most changes of a transaction.
+const MAX_CHANGES: usize = 12;
+
+/// A cluster and its limits.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
+    /// Controllers.
     pub nodes: usize,
     pub zones: Vec<String>,
     /// Machines that the cloud has in all.
     pub machines: usize,
-    /// Of these, up and reporting from the start.
+    /// How many of them run from the start.
     pub running: usize,
     pub machine_types: Vec<MachineType>,
     pub heartbeat_ms: u64,
+    /// Of workers.
     pub lease_ms: u64,
+    /// How long a cancelled task may still run.
     pub cancel_ms: u64,
-    /// Requests and changes a second that the state service takes; the rest it
-    /// refuses if `enforce_limits`.
+    /// Requests and changes a second that the store takes; it refuses the rest if
+    /// `enforce_limits`.
     pub requests_per_s: f64,
     pub writes_per_s: f64,
     pub enforce_limits: bool,
     /// Items of one page of a list.
     pub page_size: usize,
-    pub teams: serde_json::Value,
-    /// What the controllers are told of limits to come.
-    pub announced_limits: serde_json::Value,
+    /// As in the settings.
+    pub teams: Value,
+    /// Limits of the store to come, as the settings name them.
+    pub announced_limits: Value,
 }
 
-pub(super) fn machine_type(name: &str, cpus: f64, mem_gb: f64, zones: &[String]) -> MachineType {
+fn machine_type(name: &str, cpus: f64, mem_gb: f64, zones: &[String]) -> MachineType {
     MachineType {
         name: name.into(),
         cpus,
@@ -59,12 +72,12 @@
             writes_per_s: 200.0,
             enforce_limits: false,
             page_size: 50,
-            teams: serde_json::json!([{"name": "red", "cpus": 8.0, "cpus_max": 24.0}, {"name": "blue", "cpus_max": 0.0}]),
-            announced_limits: serde_json::Value::Null,
+            teams: json!([{"name": "red", "cpus": 8.0, "cpus_max": 24.0}, {"name": "blue", "cpus_max": 0.0}]),
+            announced_limits: Value::Null,
         }
     }
 
-    /// As many machines as asked for, of three sizes, half of them up at the start.
+    /// As many machines as asked for, of three sizes, half of them running from the start.
     pub fn fleet(nodes: usize, zones: usize, machines: usize) -> ClusterConfig {
         let zones: Vec<String> = (0..zones).map(|n| format!("z{n}")).collect();
         ClusterConfig {
@@ -84,29 +97,33 @@
             writes_per_s: 0.33 * machines as f64,
             enforce_limits: true,
             page_size: 1000,
-            teams: serde_json::json!([{"name": "red", "cpus": 500.0, "cpus_max": 2500.0}, {"name": "blue", "cpus_max": 0.0}]),
-            announced_limits: serde_json::Value::Null,
+            teams: json!([{"name": "red", "cpus": 500.0, "cpus_max": 2500.0}, {"name": "blue", "cpus_max": 0.0}]),
+            announced_limits: Value::Null,
         }
     }
-}
-
-/// The most that a value may take, in KiB.
-pub(super) const VALUE_KB: usize = 8;
 
-/// The most changes of a transaction.
-pub(super) const TXN_OPS: usize = 12;
+    /// The store with its limits.
+    pub(super) fn store(&self) -> SimulatedStore {
+        let mut store = SimulatedStore::with_sizes(self.page_size, MAX_VALUE_KB * 1024, MAX_CHANGES);
+        if self.enforce_limits {
+            store.limit_rates(self.requests_per_s, self.writes_per_s);
+        }
+        store
+    }
+}
 
+/// The settings of one node; `lease_s` is what it is told of workers' leases.
 pub fn settings(config: &ClusterConfig, node: usize, lease_s: f64) -> Settings {
-    let addr = |n: usize| format!("127.0.0.1:{}", 1000 + n);
-    let domain = |n: usize| config.zones[n % config.zones.len()].clone();
-    let known: Vec<serde_json::Value> = (0..config.nodes)
-        .filter(|n| *n != node)
-        .map(|n| serde_json::json!({"label": format!("n{n}"), "domain": domain(n), "address": addr(n)}))
+    let address = |number: usize| format!("127.0.0.1:{}", 1000 + number);
+    let zone = |node: usize| config.zones[node % config.zones.len()].clone();
+    let peers: Vec<Value> = (0..config.nodes)
+        .filter(|peer| *peer != node)
+        .map(|peer| json!({"label": format!("n{peer}"), "domain": zone(peer), "address": address(peer)}))
         .collect();
-    serde_json::from_value(serde_json::json!({
-        "label": format!("n{node}"), "domain": domain(node),
-        "client_listen": addr(50 + node), "internal_addr": addr(node),
-        "known": known, "external": {"cloud": addr(90), "state": addr(91)}, "unheard_of": 1,
+    serde_json::from_value(json!({
+        "label": format!("n{node}"), "domain": zone(node),
+        "client_listen": address(50 + node), "internal_addr": address(node),
+        "known": peers, "external": {"cloud": address(90), "state": address(91)}, "unheard_of": 1,
         "cluster": {
             "zones": config.zones,
             "teams": config.teams,
@@ -116,11 +133,11 @@
                 "lease_s": lease_s,
                 "cancel_s": config.cancel_ms as f64 / 1000.0
             },
-            "state": {"rps": config.requests_per_s, "write_rps": config.writes_per_s, "value_kb": VALUE_KB, "txn_ops": TXN_OPS,
+            "state": {"rps": config.requests_per_s, "write_rps": config.writes_per_s, "value_kb": MAX_VALUE_KB, "txn_ops": MAX_CHANGES,
                 "next": config.announced_limits},
             "cloud": {"rps": 5.0, "list_lag_s": 2.0},
             "quota": {"ram_mb": 56.0, "fd_limit": 800}
         }
     }))
-    .expect("settings")
+    .expect("settings of the right form")
 }
--- a/tests/simulator/controllers.rs
+++ b/tests/simulator/controllers.rs
@@ -1,28 +1,61 @@
-//! The controllers of the simulated cluster.
+//! The controllers under test: their processes, the inputs they are fed and the way of what they
+//! send. The cores are the real ones; only their surroundings are simulated.
 
-use super::statistics::kind_of;
-use super::*;
+use super::events::{ProcessId, ScheduledEvent};
+use super::statistics::input_kind;
+use super::SimulatedCluster;
+use std::time::Instant;
+use tillercleat::coordination::{CloudCall, Core, Input, Output};
+use tillercleat::protocol::peer::PeerStatus;
+use tillercleat::protocol::state::{Change, StateCall};
+use tillercleat::settings::Tuning;
+use tillercleat::units::{CallId, MonotonicTime, Revision};
 
-pub(super) struct Node {
+/// Pause between two ticks of a controller's clock (milliseconds).
+const TICK_MS: u64 = 50;
+/// How long a call to the cloud is on its way, and its answer (milliseconds).
+const CLOUD_CALL_MS: u64 = 80;
+const CLOUD_ANSWER_MS: u64 = 50;
+
+/// How much the nodes' steady clocks run ahead in 100,000 ms: they drift apart a little.
+const CLOCK_DRIFT: [u64; 3] = [0, 40, 25];
+/// How far the nodes' times of day are apart (milliseconds).
+const TIME_OF_DAY_OFFSET_MS: u64 = 500;
+
+/// Fields of records that the previous version doesn't know, and so doesn't write.
+const FIELDS_OF_THIS_VERSION: [&str; 3] = ["level", "awaits", "ready"];
+
+/// A controller and the faults that it meets. Times are in milliseconds.
+#[derive(Default)]
+pub(super) struct Controller {
+    /// None while its process is not running.
     pub(super) core: Option<Core>,
+    /// Rises at each start and at each crash.
     pub(super) incarnation: u32,
-    pub(super) started: u64,
+    started_at: u64,
     pub(super) paused_until: u64,
+    /// Until then its answers to workers are lost.
     pub(super) answers_lost_until: u64,
+    /// Until then it reaches no other controller.
     pub(super) isolated_until: u64,
-    /// Until when no user reaches it.
+    /// Until then no user reaches it.
     pub(super) users_cut_until: u64,
-    /// Announces itself as the version before did.
+    /// Writes what the previous version would write.
     pub(super) previous_version: bool,
 }
 
-/// What the version before would have written: it knows of no levels, and drops
-/// what it does not know of a job's record.
-pub(super) fn strip_to_previous_version(call: &mut StateCall) {
+impl Controller {
+    pub(super) fn is_running(&self) -> bool {
+        self.core.is_some()
+    }
+}
+
+/// Removes what the previous version would not have written.
+fn strip_to_previous_version(call: &mut StateCall) {
     let StateCall::Transaction(transaction) = call else { return };
     for change in &mut transaction.changes {
         if let Change::Put { value: serde_json::Value::Object(value), .. } = change {
-            for field in ["level", "awaits", "ready"] {
+            for field in FIELDS_OF_THIS_VERSION {
                 value.remove(field);
             }
         }
@@ -30,67 +63,100 @@
 }
 
 impl SimulatedCluster {
+    /// A controller writes as the previous version did, from its start.
+    pub fn run_previous_version(&mut self, node: usize) {
+        self.controllers[node].previous_version = true;
+    }
+
+    /// Gives the settings limits to come, which controllers know from their next start on.
+    pub fn announce_limits(&mut self, limits: serde_json::Value) {
+        for settings in &mut self.settings {
+            settings.cluster.state.next = serde_json::from_value(limits.clone()).expect("limits of the settings' form");
+        }
+    }
+
+    /// The process that a node runs now.
+    pub(super) fn process(&self, node: usize) -> ProcessId {
+        ProcessId { node, incarnation: self.controllers[node].incarnation }
+    }
+
+    /// Any node, whether it runs or not.
+    pub(super) fn random_node(&mut self) -> usize {
+        self.random.below(self.config.nodes as u64) as usize
+    }
+
+    pub(super) fn start_controller(&mut self, node: usize) {
+        let controller = &mut self.controllers[node];
+        controller.core = Some(Core::new(self.settings[node].clone(), Tuning::default()));
+        controller.incarnation += 1;
+        controller.started_at = self.now;
+        let process = self.process(node);
+        self.schedule(self.now + 1, ScheduledEvent::Tick(process));
+    }
+
+    pub(super) fn tick(&mut self, process: ProcessId) {
+        if process != self.process(process.node) {
+            return;
+        }
+        self.handle_input(process.node, Input::Tick);
+        self.schedule(self.now + TICK_MS, ScheduledEvent::Tick(process));
+    }
+
+    pub(super) fn deliver_input(&mut self, to: ProcessId, input: Input) {
+        if to == self.process(to.node) {
+            self.handle_input(to.node, input);
+        }
+    }
+
+    /// Feeds a controller's core one input, and sends what it answers.
     pub(super) fn handle_input(&mut self, node: usize, input: Input) {
-        let n = &mut self.nodes[node];
-        let Some(core) = n.core.as_mut() else { return };
-        // Steady clocks drift apart a little, and the time of day is off.
-        let steady = (self.now - n.started) * (100_000 + [0, 40, 25][node % 3]) / 100_000 + 1;
-        let kind = kind_of(&input);
-        let began = std::time::Instant::now();
-        let outputs = core.handle(MonotonicTime(steady), self.now + 500 * (node % 3) as u64, input);
-        self.statistics.costs.entry(kind).or_default().add(began.elapsed().as_nanos() as u64);
-        let incarnation = n.incarnation;
-        self.trace.add(self.now, node, &outputs);
+        let now = self.now;
+        let controller = &mut self.controllers[node];
+        let Some(core) = controller.core.as_mut() else { return };
+        let drift = CLOCK_DRIFT[node % CLOCK_DRIFT.len()];
+        let steady = MonotonicTime((now - controller.started_at) * (100_000 + drift) / 100_000 + 1);
+        let time_of_day = now + TIME_OF_DAY_OFFSET_MS * (node % 3) as u64;
+        let kind = input_kind(&input);
+        let began = Instant::now();
+        let outputs = core.handle(steady, time_of_day, input);
+        self.statistics.add_cost(kind, began.elapsed());
+        self.trace.add(now, node, &outputs);
+        let process = self.process(node);
         for output in outputs {
-            if self.crash_if_reached(node, &output) {
+            if self.crash_if_planned(node, &output) {
                 // What it was about to send after this is never sent.
                 return;
             }
-            match output {
-                Output::Response(id, response) => self.route_response(node, id, response),
-                Output::State(id, mut call) => {
-                    if self.nodes[node].previous_version {
-                        strip_to_previous_version(&mut call);
-                    }
-                    let wait = if let StateCall::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
-                    let mut delay = 3 + self.random.below(6);
-                    if self.now < self.slow_store.0 {
-                        delay += self.random.below(self.slow_store.1);
-                    }
-                    // The caller waits no longer; the call is carried out all the same.
-                    if delay + 10 > STORE_TIMEOUT_MS {
-                        let unknown = Input::State(id, StateAnswer::Unknown);
-                        self.schedule(self.now + STORE_TIMEOUT_MS, ScheduledEvent::ToNode(node, incarnation, unknown));
-                        self.schedule(self.now + delay, ScheduledEvent::State(node, u32::MAX, id, call, 0));
-                        continue;
-                    }
-                    self.schedule(
-                        self.now + delay,
-                        ScheduledEvent::State(node, incarnation, id, call, self.now + wait),
-                    );
-                }
-                Output::Cloud(id, call) => {
-                    self.schedule(self.now + 80, ScheduledEvent::Cloud(node, incarnation, id, call))
-                }
-                Output::RevisionHint(revision) => {
-                    let status = PeerStatus { from: format!("n{node}"), revision: revision.0, ..PeerStatus::default() };
-                    let status = PeerStatus { state_reachable: true, ..status };
-                    self.send_peer_status(node, status);
+            self.send_output(process, output);
+        }
+    }
+
+    fn send_output(&mut self, process: ProcessId, output: Output) {
+        let node = process.node;
+        match output {
+            Output::Response(id, response) => self.route_response(node, id, response),
+            Output::State(id, mut call) => {
+                if self.controllers[node].previous_version {
+                    strip_to_previous_version(&mut call);
                 }
-                Output::BroadcastStatus(status) => self.send_peer_status(node, status),
+                self.send_store_call(process, id, call);
             }
+            Output::Cloud(id, call) => {
+                self.schedule(self.now + CLOUD_CALL_MS, ScheduledEvent::CloudCall { caller: process, id, call });
+            }
+            Output::RevisionHint(revision) => self.broadcast_status(node, revision_hint(node, revision)),
+            Output::BroadcastStatus(status) => self.broadcast_status(node, status),
         }
     }
 
-    /// A node is of the version before from the start.
-    pub fn run_previous_version(&mut self, node: usize) {
-        self.nodes[node].previous_version = true;
+    /// Carries a call to the cloud out, and sends the answer.
+    pub(super) fn answer_cloud_call(&mut self, caller: ProcessId, id: CallId, call: CloudCall) {
+        let input = Input::Cloud(id, self.call_cloud(call));
+        self.schedule(self.now + CLOUD_ANSWER_MS, ScheduledEvent::DeliverInput { to: caller, input });
     }
+}
 
-    /// What controllers are told of limits to come, from their next lives on.
-    pub fn announce_limits(&mut self, next: serde_json::Value) {
-        for settings in &mut self.settings {
-            settings.cluster.state.next = serde_json::from_value(next.clone()).expect("limits");
-        }
-    }
+/// The status that tells peers of a new revision and nothing else.
+fn revision_hint(node: usize, revision: Revision) -> PeerStatus {
+    PeerStatus { from: format!("n{node}"), revision: revision.0, state_reachable: true, ..PeerStatus::default() }
 }
--- a/tests/simulator/crash_points.rs
+++ b/tests/simulator/crash_points.rs
@@ -1,27 +1,35 @@
-//! Ends of controllers in the middle of what they do.
+//! Crashes of controllers in the middle of what they do: the points at which a test may let one
+//! end, told from outside by what it sends.
 
-use super::*;
+use super::events::{ProcessId, ScheduledEvent};
+use super::store_calls::StoreCall;
+use super::Fault;
+use super::SimulatedCluster;
+use tillercleat::coordination::{CloudCall, Output};
+use tillercleat::protocol::state::{Change, StateCall, Transaction};
 
-/// What a controller is in the middle of, told by what it asks of others.
+/// What a controller is in the middle of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashPoint {
-    /// Reading all records.
+    /// Reading all records at its start.
     ReadRecords,
-    /// Its lease, and the key that shows it to the others.
+    /// Getting a lease of its own.
     GrantLease,
+    /// Writing the key that shows it to the others.
     AnnounceNode,
-    /// Ownership of a part for itself.
+    /// Taking a shard for itself.
     ClaimShard,
-    /// A part on its way to another node.
+    /// Giving a shard to another node.
     HandOverShard,
     BecomeLeader,
     TransferQuota,
-    /// A rental's name, before the call, and the call.
+    /// Writing a rental's name, before the call.
     RecordRental,
+    /// The call to the cloud.
     RentMachines,
-    /// A key that lets it answer workers for an owner.
+    /// Writing the key that lets it renew leases for an owner.
     ProxyLease,
-    /// Tasks' records.
+    /// Writing records of tasks.
     WriteSlices,
 }
 
@@ -40,54 +48,74 @@
         CrashPoint::WriteSlices,
     ];
 
-    /// What a node does by sending this, if it is any of these.
-    pub(super) fn of(node: &str, output: &Output) -> Option<CrashPoint> {
+    /// The point that a node reaches by sending this, if it is any of these.
+    fn of(node: &str, output: &Output) -> Option<CrashPoint> {
         match output {
             Output::State(_, StateCall::List { .. }) => Some(CrashPoint::ReadRecords),
             Output::State(_, StateCall::Grant { .. }) => Some(CrashPoint::GrantLease),
-            Output::State(_, StateCall::Transaction(transaction)) => transaction.changes.iter().find_map(|change| {
-                let Change::Put { put, value, .. } = change else { return None };
-                Some(match put.split('/').nth(1)? {
-                    "n" => CrashPoint::AnnounceNode,
-                    "o" if value["node"] == node => CrashPoint::ClaimShard,
-                    "o" => CrashPoint::HandOverShard,
-                    "l" => CrashPoint::BecomeLeader,
-                    "a" => CrashPoint::TransferQuota,
-                    "f" => CrashPoint::RecordRental,
-                    "w" => CrashPoint::ProxyLease,
-                    "s" => CrashPoint::WriteSlices,
-                    _ => return None,
-                })
-            }),
+            Output::State(_, StateCall::Transaction(transaction)) => CrashPoint::of_transaction(node, transaction),
             Output::Cloud(_, CloudCall::Rent(_)) => Some(CrashPoint::RentMachines),
             _ => None,
         }
     }
+
+    /// The point of the first change that has one.
+    fn of_transaction(node: &str, transaction: &Transaction) -> Option<CrashPoint> {
+        transaction.changes.iter().find_map(|change| {
+            let Change::Put { put, value, .. } = change else { return None };
+            Some(match put.split('/').nth(1)? {
+                "n" => CrashPoint::AnnounceNode,
+                "o" if value["node"] == node => CrashPoint::ClaimShard,
+                "o" => CrashPoint::HandOverShard,
+                "l" => CrashPoint::BecomeLeader,
+                "a" => CrashPoint::TransferQuota,
+                "f" => CrashPoint::RecordRental,
+                "w" => CrashPoint::ProxyLease,
+                "s" => CrashPoint::WriteSlices,
+                _ => return None,
+            })
+        })
+    }
+}
+
+/// A crash that happens once the node reaches the point.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PlannedCrash {
+    pub(super) node: usize,
+    pub(super) point: CrashPoint,
+    pub(super) restart_after: u64,
+    /// How much later what it just sent is carried out, if ever (milliseconds).
+    pub(super) late: Option<u64>,
 }
 
 impl SimulatedCluster {
-    /// Ends a node that is to end when it sends this; true if it did.
-    pub(super) fn crash_if_reached(&mut self, node: usize, output: &Output) -> bool {
-        let Some(point) = CrashPoint::of(&format!("n{node}"), output).filter(|_| !self.crash_points.is_empty()) else {
+    /// Ends a node that is to crash when it sends this; true if it did.
+    pub(super) fn crash_if_planned(&mut self, node: usize, output: &Output) -> bool {
+        if self.planned_crashes.is_empty() {
             return false;
-        };
-        let Some(at) = self.crash_points.iter().position(|planned| planned.0 == node && planned.1 == point) else {
-            return false;
-        };
-        let (_, _, restart_after, late) = self.crash_points.swap_remove(at);
+        }
+        let Some(point) = CrashPoint::of(&format!("n{node}"), output) else { return false };
+        let planned = |crash: &PlannedCrash| crash.node == node && crash.point == point;
+        let Some(at) = self.planned_crashes.iter().position(planned) else { return false };
+        let PlannedCrash { restart_after, late, .. } = self.planned_crashes.swap_remove(at);
         *self.statistics.reached_crash_points.entry(point).or_default() += 1;
-        // Nobody is left to take the answer.
-        let gone = u32::MAX;
-        match (output, late) {
-            (Output::State(id, call), Some(late)) => {
-                self.schedule(self.now + late, ScheduledEvent::State(node, gone, *id, call.clone(), 0));
-            }
-            (Output::Cloud(id, call), Some(late)) => {
-                self.schedule(self.now + late, ScheduledEvent::Cloud(node, gone, *id, call.clone()))
-            }
-            _ => {}
+        if let Some(late) = late {
+            self.carry_out_later(node, output, late);
         }
         self.apply_fault(Fault::Crash { node, restart_after });
         true
     }
+
+    /// A call whose caller is about to end is carried out, and its answer goes to nobody.
+    fn carry_out_later(&mut self, node: usize, output: &Output, late: u64) {
+        let caller = ProcessId::gone(node);
+        let event = match output {
+            Output::State(id, call) => {
+                ScheduledEvent::StoreCall(StoreCall { caller, id: *id, call: call.clone(), watch_until: 0 })
+            }
+            Output::Cloud(id, call) => ScheduledEvent::CloudCall { caller, id: *id, call: call.clone() },
+            _ => return,
+        };
+        self.schedule(self.now + late, event);
+    }
 }
--- a/tests/simulator/faults.rs
+++ b/tests/simulator/faults.rs
@@ -1,176 +1,95 @@
-//! What goes wrong, and when.
+//! The faults that tests inject. What each of them does stands in `fault_effects`.
 
-use super::*;
+use super::crash_points::CrashPoint;
+use super::random::Random;
 
-/// What goes wrong, and when (milliseconds).
+/// What goes wrong. Times are in milliseconds, `for_ms` is how long it lasts, `share` is in
+/// percent, and `every_nth` picks every so many of the machines that run.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    Crash {
-        node: usize,
-        restart_after: u64,
-    },
-    /// The state service answers 503, to all or to one node.
-    StoreOutage {
-        node: Option<usize>,
-        for_ms: u64,
-    },
-    /// State answers get lost, though the requests are carried out, perhaps late.
-    StoreAnswersLost {
-        node: usize,
-        for_ms: u64,
-        carried_out_after: u64,
-    },
-    /// Workers of a zone, or beyond the last zone all, and one node cannot reach each other.
-    LinkCut {
-        node: usize,
-        zone: usize,
-        for_ms: u64,
-        hold: bool,
-    },
-    MachineDies {
-        pick: usize,
-    },
-    MachineHangs {
-        pick: usize,
-        for_ms: u64,
-    },
-    PeerLinksCut {
-        for_ms: u64,
-    },
-    /// A node stands still while its clocks run on; what comes meanwhile waits.
-    ControllerPaused {
-        node: usize,
-        for_ms: u64,
-    },
-    /// New machines take so many times as long, and every so many never come up.
-    SlowProvisioning {
-        factor: u64,
-        every_nth_never: usize,
-        for_ms: u64,
-    },
+    /// The process of a controller ends and is started again later.
+    Crash { node: usize, restart_after: u64 },
+    /// Whoever is leader crashes.
+    LeaderCrash { restart_after: u64 },
+    /// The process ends the next time that it reaches this point. What it just asked for is
+    /// carried out after `late`, perhaps when its successor runs, or never.
+    CrashAt { node: usize, point: CrashPoint, restart_after: u64, late: Option<u64> },
+    /// A controller stands still while its clocks run on; what arrives meanwhile waits.
+    ControllerPaused { node: usize, for_ms: u64 },
+    /// From its next start on, a controller writes as the previous version did, or as this one
+    /// does again.
+    ControllerVersion { node: usize, previous: bool },
+    /// A controller loses the store and the other controllers, not its workers.
+    ControllerIsolated { node: usize, for_ms: u64 },
+    /// A controller's answers to workers are lost.
+    ControllerAnswersLost { node: usize, for_ms: u64 },
+    /// Controllers don't reach one another.
+    PeerLinksCut { for_ms: u64 },
+    /// Workers of a zone, or of all zones if there is no such zone, and one controller don't
+    /// reach each other. What is sent is lost, or if `hold`, delivered afterwards.
+    LinkCut { node: usize, zone: usize, for_ms: u64, hold: bool },
+    /// A zone with its machines and controllers is cut off from all others, the store and users.
+    ZoneIsolated { zone: usize, for_ms: u64, hold: bool },
+    /// Each message takes longer, by up to `max_delay_ms`.
+    SlowLinks { for_ms: u64, max_delay_ms: u64 },
+    /// The store answers 503, to all or to one controller.
+    StoreOutage { node: Option<usize>, for_ms: u64 },
+    /// The store's answers to a controller get lost. Its transactions are carried out late, or
+    /// never if `carried_out_after` is 0.
+    StoreAnswersLost { node: usize, for_ms: u64, carried_out_after: u64 },
+    /// This share of transactions gets no answer and is carried out 2 to 12 s later, after
+    /// newer ones.
+    DelayedTransactions { share: u64, for_ms: u64 },
+    /// The store carries out and answers each call later.
+    SlowStore { for_ms: u64, max_delay_ms: u64 },
+    /// The store's limits fall.
+    StoreLimits { value_kb: usize, txn_ops: usize, writes_per_s: f64 },
+    /// A machine is lost, with all that runs on it.
+    MachineDies { pick: usize },
+    /// A worker stands still; its tasks go on and its lease runs out.
+    MachineHangs { pick: usize, for_ms: u64 },
     /// A machine fails every task that it starts.
-    MachineFaulty {
-        pick: usize,
-    },
-    /// Reports of every so many machines arrive, but answers don't reach them.
-    DownlinkLost {
-        every_nth: usize,
-        for_ms: u64,
-    },
-    /// These machines (every so many, of a zone or of all) reach no controller.
-    UplinkLost {
-        every_nth: usize,
-        zone: Option<usize>,
-        for_ms: u64,
-    },
-    /// Users call off so many jobs that run and have long to go, within a fifth of a
-    /// second; up to eight of their machines then hang for so long.
-    CancelRunningJobs {
-        count: usize,
-        hang_ms: u64,
-    },
-    /// This share of jobs, in percent, is called off, asked about and sent again about
-    /// when its last task ends.
-    CancelAtCompletion {
-        share: u64,
-        for_ms: u64,
-    },
-    /// Users repeat submissions, well and badly, cancel what is done, and send jobs that
-    /// fit no machine or lack a field.
-    ProbeRequests {
-        for_ms: u64,
-    },
-    /// This share of reports, in percent, is held back, and arrives so much later at any node.
-    DelayedHeartbeats {
-        share: u64,
-        for_ms: u64,
-        max_delay_ms: u64,
-    },
-    /// What is sent between any two takes up to so much longer.
-    SlowLinks {
-        for_ms: u64,
-        max_delay_ms: u64,
-    },
-    /// A zone with its machines and controllers is cut off from all others, the state
-    /// service, and users.
-    ZoneIsolated {
-        zone: usize,
-        for_ms: u64,
-        hold: bool,
-    },
+    MachineFaulty { pick: usize },
     /// All machines of a zone die, or every so many.
-    ZoneMachinesDie {
-        zone: usize,
-        every_nth: usize,
-    },
-    /// Whoever leads ends.
-    LeaderCrash {
-        restart_after: u64,
-    },
-    /// A node's answers to workers are lost.
-    ControllerAnswersLost {
-        node: usize,
-        for_ms: u64,
-    },
-    /// This share of reports, in percent, arrives once more, up to so much later, at any node.
-    DuplicatedHeartbeats {
-        share: u64,
-        for_ms: u64,
-        max_delay_ms: u64,
-    },
-    /// This share of transactions, in percent, gets no answer and is carried out
-    /// 2 to 12 s later, after newer ones.
-    DelayedTransactions {
-        share: u64,
-        for_ms: u64,
-    },
-    /// The state service carries out and answers each call up to so much later.
-    SlowStore {
-        for_ms: u64,
-        max_delay_ms: u64,
-    },
-    /// Answers to every so many machines are held up, each for up to so long.
-    DelayedAnswers {
-        every_nth: usize,
-        for_ms: u64,
-        max_delay_ms: u64,
-    },
-    /// A node loses the state service and the other nodes, not its workers.
-    ControllerIsolated {
-        node: usize,
-        for_ms: u64,
-    },
-    /// The state service's limits fall.
-    StoreLimits {
-        value_kb: usize,
-        txn_ops: usize,
-        writes_per_s: f64,
-    },
-    /// The node's next incarnation is of the version before, as far as the records
-    /// show; or of this one again.
-    ControllerVersion {
-        node: usize,
-        previous: bool,
-    },
-    /// The process ends the next time that a node does something, and is
-    /// started again at once. What it just asked for is carried out so much
-    /// later, in the time of its next incarnation perhaps, or never.
-    CrashAt {
-        node: usize,
-        point: CrashPoint,
-        restart_after: u64,
-        late: Option<u64>,
-    },
+    ZoneMachinesDie { zone: usize, every_nth: usize },
+    /// New machines take `factor` times as long, and every so many never come up.
+    SlowProvisioning { factor: u64, every_nth_never: usize, for_ms: u64 },
+    /// Heartbeats of these machines arrive, but the answers don't reach them.
+    DownlinkLost { every_nth: usize, for_ms: u64 },
+    /// These machines, of a zone or of all, reach no controller.
+    UplinkLost { every_nth: usize, zone: Option<usize>, for_ms: u64 },
+    /// Answers to these machines arrive late.
+    DelayedAnswers { every_nth: usize, for_ms: u64, max_delay_ms: u64 },
+    /// This share of heartbeats arrives late, at any controller.
+    DelayedHeartbeats { share: u64, for_ms: u64, max_delay_ms: u64 },
+    /// This share of heartbeats arrives a second time, at any controller.
+    DuplicatedHeartbeats { share: u64, for_ms: u64, max_delay_ms: u64 },
+    /// Users cancel so many jobs that have long to go, within a fifth of a second; up to eight
+    /// of their machines then hang.
+    CancelRunningJobs { count: usize, hang_ms: u64 },
+    /// This share of jobs is cancelled, asked about and submitted again when its last task ends.
+    CancelAtCompletion { share: u64, for_ms: u64 },
+    /// Users repeat submissions, well and badly, cancel what is done, and submit jobs that fit
+    /// no machine or lack a field.
+    ProbeRequests { for_ms: u64 },
 }
 
+/// Transactions that are delayed are carried out at least this much later (milliseconds).
+pub(super) const MIN_TRANSACTION_DELAY_MS: u64 = 2000;
+/// What a transaction's delay may exceed that by.
+pub(super) const TRANSACTION_DELAY_SPREAD_MS: u64 = 10_000;
+
+/// Within what time cancelled jobs' machines begin to hang, at the most.
+const MAX_HANG_START_MS: u64 = 400;
+
 impl Fault {
-    /// How long it is a trouble.
+    /// How long its effects last (milliseconds).
     pub(super) fn duration_ms(&self) -> u64 {
         match self {
             Fault::Crash { restart_after, .. }
             | Fault::LeaderCrash { restart_after }
             | Fault::CrashAt { restart_after, .. } => *restart_after,
-            Fault::CancelRunningJobs { hang_ms, .. } => hang_ms + 400,
+            Fault::CancelRunningJobs { hang_ms, .. } => hang_ms + MAX_HANG_START_MS,
             Fault::StoreOutage { for_ms, .. }
             | Fault::StoreAnswersLost { for_ms, .. }
             | Fault::LinkCut { for_ms, .. }
@@ -185,158 +104,63 @@
             | Fault::ProbeRequests { for_ms }
             | Fault::ZoneIsolated { for_ms, .. }
             | Fault::ControllerIsolated { for_ms, .. } => *for_ms,
-            Fault::DuplicatedHeartbeats { for_ms, max_delay_ms, .. } => for_ms + max_delay_ms,
-            Fault::DelayedAnswers { for_ms, max_delay_ms, .. }
+            Fault::DuplicatedHeartbeats { for_ms, max_delay_ms, .. }
+            | Fault::DelayedAnswers { for_ms, max_delay_ms, .. }
             | Fault::DelayedHeartbeats { for_ms, max_delay_ms, .. }
             | Fault::SlowLinks { for_ms, max_delay_ms }
             | Fault::SlowStore { for_ms, max_delay_ms } => for_ms + max_delay_ms,
-            Fault::DelayedTransactions { for_ms, .. } => for_ms + 12_000,
-            _ => 0,
+            Fault::DelayedTransactions { for_ms, .. } => {
+                for_ms + MIN_TRANSACTION_DELAY_MS + TRANSACTION_DELAY_SPREAD_MS
+            }
+            Fault::MachineDies { .. }
+            | Fault::MachineFaulty { .. }
+            | Fault::ZoneMachinesDie { .. }
+            | Fault::StoreLimits { .. }
+            | Fault::ControllerVersion { .. } => 0,
         }
     }
 }
 
-impl SimulatedCluster {
-    pub fn inject_fault(&mut self, at: u64, fault: Fault) {
-        self.all_faults_end = self.all_faults_end.max(at + fault.duration_ms());
-        self.schedule(at, ScheduledEvent::Fault(fault));
+/// A time in which a share of messages meets a fault, or all of them are late.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct FaultWindow {
+    /// When it ends (milliseconds).
+    pub(super) until: u64,
+    /// Percent of the messages, where not all are affected.
+    pub(super) share: u64,
+    pub(super) max_delay_ms: u64,
+}
+
+impl FaultWindow {
+    pub(super) fn is_active(&self, now: u64) -> bool {
+        now < self.until
     }
 
-    pub(super) fn apply_fault(&mut self, fault: Fault) {
-        let now = self.now;
-        self.active_faults_end = self.active_faults_end.max(now + fault.duration_ms());
-        match fault {
-            Fault::Crash { node, restart_after } => {
-                if self.nodes[node].core.take().is_some() {
-                    self.nodes[node].incarnation += 1;
-                    // Users whose answer died with the node ask again.
-                    let (lost, kept) = std::mem::take(&mut self.requests).into_iter().partition(|(at, _)| at.0 == node);
-                    self.requests = kept;
-                    for asked in BTreeMap::into_values(lost) {
-                        match asked {
-                            PendingRequest::User(job, what, tries, _) => self.ask_again(job, what, tries),
-                            PendingRequest::Probe(probe) => self.retry_probe(probe),
-                            PendingRequest::Worker(..) => {}
-                        }
-                    }
-                    self.schedule(now + restart_after, ScheduledEvent::Restart(node));
-                }
-            }
-            Fault::StoreOutage { node: None, for_ms } => {
-                self.store_outage_until.iter_mut().for_each(|until| *until = (*until).max(now + for_ms));
-                // Every lease has its full time again when the outage ends.
-                self.store.expire(now);
-                for lease in self.store.leases.values_mut() {
-                    lease.1 = lease.1.max(now + for_ms + lease.0);
-                }
-            }
-            Fault::StoreOutage { node: Some(node), for_ms } => {
-                self.store_outage_until[node] = self.store_outage_until[node].max(now + for_ms);
-            }
-            Fault::StoreAnswersLost { node, for_ms, carried_out_after } => {
-                self.store_answers_lost[node] = (now + for_ms, carried_out_after)
-            }
-            Fault::LinkCut { node, zone, for_ms, hold } => {
-                let zones = self.config.zones.len();
-                for zone in if zone < zones { zone..zone + 1 } else { 0..zones } {
-                    self.cuts.insert((node, zone), (now + for_ms, hold));
-                }
-            }
-            Fault::MachineDies { pick } => {
-                let alive: Vec<usize> = (0..self.workers.len()).filter(|w| self.workers[*w].alive).collect();
-                if !alive.is_empty() {
-                    let worker = &mut self.workers[alive[pick % alive.len()]];
-                    worker.alive = false;
-                    worker.tasks.clear();
-                }
-            }
-            Fault::MachineHangs { pick, for_ms } => {
-                let alive: Vec<usize> = (0..self.workers.len()).filter(|w| self.workers[*w].alive).collect();
-                if !alive.is_empty() {
-                    self.workers[alive[pick % alive.len()]].hung_until = now + for_ms;
-                }
-            }
-            Fault::DownlinkLost { every_nth, for_ms } => {
-                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(every_nth.max(1)) {
-                    worker.downlink_lost_until = now + for_ms;
-                }
-            }
-            Fault::UplinkLost { every_nth, zone, for_ms } => {
-                let those = self.workers.iter_mut().filter(|w| w.alive && zone.is_none_or(|z| z == w.zone));
-                those.step_by(every_nth.max(1)).for_each(|w| w.uplink_lost_until = now + for_ms);
-            }
-            Fault::CancelRunningJobs { count, hang_ms } => self.cancel_running_jobs(count, hang_ms),
-            Fault::CancelAtCompletion { share, for_ms } => self.cancel_at_completion = (now + for_ms, share),
-            Fault::ProbeRequests { for_ms } => self.schedule(now, ScheduledEvent::ProbeRequests(now + for_ms, now)),
-            Fault::DelayedHeartbeats { share, for_ms, max_delay_ms } => {
-                self.delayed_heartbeats = (now + for_ms, share, max_delay_ms)
-            }
-            Fault::SlowLinks { for_ms, max_delay_ms } => self.slow_links = (now + for_ms, max_delay_ms),
-            Fault::ZoneIsolated { zone, for_ms, hold } => {
-                let zones = self.config.zones.len();
-                for node in 0..self.nodes.len() {
-                    let inside = node % zones == zone;
-                    for far in (0..zones).filter(|z| (*z == zone) != inside) {
-                        self.cuts.insert((node, far), (now + for_ms, hold));
-                    }
-                    if inside {
-                        self.store_answers_lost[node] = (now + for_ms, if hold { for_ms } else { 0 });
-                        (self.nodes[node].isolated_until, self.nodes[node].users_cut_until) =
-                            (now + for_ms, now + for_ms);
-                    }
-                }
-            }
-            Fault::ZoneMachinesDie { zone, every_nth } => {
-                let there = self.workers.iter_mut().filter(|w| w.alive && w.zone == zone);
-                there.step_by(every_nth.max(1)).for_each(|worker| {
-                    worker.alive = false;
-                    worker.tasks.clear();
-                });
-            }
-            Fault::LeaderCrash { restart_after } => {
-                let leads = |node: &usize| {
-                    let key = self.store.rows.get("t/l");
-                    key.is_some_and(|row| row.0["node"] == format!("n{node}"))
-                };
-                if let Some(node) = (0..self.nodes.len()).find(leads) {
-                    self.apply_fault(Fault::Crash { node, restart_after });
-                }
-            }
-            Fault::ControllerAnswersLost { node, for_ms } => self.nodes[node].answers_lost_until = now + for_ms,
-            Fault::DuplicatedHeartbeats { share, for_ms, max_delay_ms } => {
-                self.duplicated_heartbeats = (now + for_ms, share, max_delay_ms)
-            }
-            Fault::SlowStore { for_ms, max_delay_ms } => self.slow_store = (now + for_ms, max_delay_ms),
-            Fault::DelayedTransactions { share, for_ms } => self.delayed_transactions = (now + for_ms, share),
-            Fault::DelayedAnswers { every_nth, for_ms, max_delay_ms } => {
-                for worker in self.workers.iter_mut().filter(|w| w.alive).step_by(every_nth.max(1)) {
-                    worker.delayed_answers = (now + for_ms, max_delay_ms);
-                }
-            }
-            Fault::ControllerIsolated { node, for_ms } => {
-                self.store_outage_until[node] = self.store_outage_until[node].max(now + for_ms);
-                self.nodes[node].isolated_until = now + for_ms;
-            }
-            Fault::StoreLimits { value_kb, txn_ops, writes_per_s } => {
-                (self.store.max_value_bytes, self.store.max_changes) = (value_kb * 1024, txn_ops);
-                self.store.buckets =
-                    Some((TokenBucket::new(self.config.requests_per_s), TokenBucket::new(writes_per_s)));
-            }
-            Fault::ControllerVersion { node, previous } => self.nodes[node].previous_version = previous,
-            Fault::PeerLinksCut { for_ms } => self.peer_links_cut_until = now + for_ms,
-            Fault::ControllerPaused { node, for_ms } => self.nodes[node].paused_until = now + for_ms,
-            Fault::SlowProvisioning { factor, every_nth_never, for_ms } => {
-                self.slow_provisioning = (now + for_ms, factor, every_nth_never)
-            }
-            Fault::CrashAt { node, point, restart_after, late } => {
-                self.crash_points.push((node, point, restart_after, late))
-            }
-            Fault::MachineFaulty { pick } => {
-                let alive: Vec<usize> = (0..self.workers.len()).filter(|w| self.workers[*w].alive).collect();
-                if !alive.is_empty() {
-                    self.workers[alive[pick % alive.len()]].faulty = true;
-                }
-            }
+    /// Whether this message is one of the share. Nothing is drawn outside the window.
+    pub(super) fn hits(&self, now: u64, random: &mut Random) -> bool {
+        self.is_active(now) && random.below(100) < self.share
+    }
+
+    /// How late a message is that the fault hits.
+    pub(super) fn delay(&self, random: &mut Random) -> u64 {
+        random.below(self.max_delay_ms)
+    }
+
+    /// The delay of a message sent now: none outside the window.
+    pub(super) fn delay_at(&self, now: u64, random: &mut Random) -> u64 {
+        if self.is_active(now) {
+            self.delay(random)
+        } else {
+            0
         }
     }
 }
+
+/// When faults are over, so that checks know from when on nothing excuses a delay.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct FaultsEnd {
+    /// The end of those that have begun (milliseconds).
+    pub(super) active: u64,
+    /// The end of all, also of those to come.
+    pub(super) all: u64,
+}
--- a/tests/simulator/invariants.rs
+++ b/tests/simulator/invariants.rs
@@ -1,155 +1,156 @@
-//! What is judged all along, in every test: jobs that nobody answers for, and work
-//! that waits beside room.
+//! The rules of the protocol, checked in every run from outside: what users are told, what runs,
+//! and what waits. Violations are collected as text; a test asserts that there are none.
+//! Checks of starts and of waiting work stand in files of their own.
 
-use super::*;
+use super::users::{Job, UserRequest};
+use super::waiting_work::WaitingJob;
+use super::worker_heartbeats::SMALL_FLEET;
+use super::SimulatedCluster;
+use std::collections::{BTreeMap, VecDeque};
+use tillercleat::protocol::state::StateCall;
+use tillercleat::protocol::users::JobState;
+use tillercleat::protocol::workers::TaskName;
+use tillercleat::units::JobId;
 
-/// How long after all troubles work may wait while there is room for it.
-const MAX_WAITING_MS: u64 = 90_000;
+/// How long after all faults a job may be without any answer about it (milliseconds).
+const MAX_UNANSWERED_MS: u64 = 75_000;
 
-/// Pause between two looks, in a small cluster and in a large one.
-const CHECK_INTERVALS_MS: [u64; 2] = [2000, 10_000];
+/// Pause between two checks, in a small cluster and in a large one (milliseconds).
+const CHECK_PAUSE_MS: u64 = 2000;
+const LARGE_CHECK_PAUSE_MS: u64 = 10_000;
 
-/// Work of a job that waits: since when without any start, beside machines that have
-/// had room for it all the while.
-pub(super) struct Waiting {
-    since: u64,
-    beside: BTreeSet<usize>,
+/// A task that ended of late: what it used may not be free yet in the controllers' eyes.
+pub(super) struct EndedTask {
+    pub(super) at: u64,
+    pub(super) worker: usize,
+    pub(super) job: JobId,
 }
 
-/// What is used of a team, and of each machine: cores and memory. What came free a
-/// report or two ago counts, as the next tasks are on their way to it.
-struct Use {
-    team: BTreeMap<String, f64>,
-    machine: Vec<(f64, f64)>,
+/// What the checks remember. Times are in milliseconds.
+#[derive(Default)]
+pub(super) struct InvariantChecks {
+    last_check: u64,
+    /// Jobs that wait though there is room for them.
+    pub(super) waiting: BTreeMap<JobId, WaitingJob>,
+    pub(super) recently_ended: VecDeque<EndedTask>,
+    /// Workers that were ever told to start a task.
+    pub(super) placements: BTreeMap<TaskName, Vec<usize>>,
+    /// The last second in which tasks of cancelled jobs were looked for.
+    cancelled_checked_s: u64,
+    /// The last second in which the use of a team was summed up.
+    pub(super) quota_checked_s: u64,
 }
 
-impl Use {
-    fn add(&mut self, machine: usize, spec: &JobSpec) {
-        *self.team.entry(spec.team.clone()).or_default() += spec.cpus;
-        self.machine[machine].0 += spec.cpus;
-        self.machine[machine].1 += spec.mem_gb;
+impl InvariantChecks {
+    pub(super) fn note_ended_task(&mut self, at: u64, worker: usize, job: &JobId) {
+        self.recently_ended.push_back(EndedTask { at, worker, job: job.clone() });
     }
 }
 
 impl SimulatedCluster {
-    /// Looks now and then, once all troubles are over.
+    /// Looks now and then, once all faults that have begun are over.
     pub(super) fn check_invariants(&mut self) {
-        let every = CHECK_INTERVALS_MS[usize::from(self.workers.len() > 100)];
-        if self.now < self.invariants_checked_at + every || self.now < self.active_faults_end {
+        let large = self.workers.len() > SMALL_FLEET;
+        let pause = if large { LARGE_CHECK_PAUSE_MS } else { CHECK_PAUSE_MS };
+        if self.now < self.checks.last_check + pause || self.now < self.faults_end.active {
             return;
         }
-        self.invariants_checked_at = self.now;
+        self.checks.last_check = self.now;
         self.check_unanswered_jobs();
-        if self.now >= self.all_faults_end.max(self.active_faults_end) {
+        if self.now >= self.faults_end.all.max(self.faults_end.active) {
             self.check_waiting_jobs();
         }
     }
 
-    /// Open jobs whose users get no answer whatsoever, not even a refusal.
+    /// No open job is without any answer, not even a refusal, for long.
     fn check_unanswered_jobs(&mut self) {
-        let (now, calm) = (self.now, self.active_faults_end);
-        let silent = |(id, j): &(&JobId, &Job)| {
-            let asks =
-                j.accepted && !j.done_reported && j.cancel_reported_at.is_none() && !self.users_given_up.contains(*id);
-            asks && now > calm.max(j.last_answer_at) + MAX_UNANSWERED_MS
+        let now = self.now;
+        let unanswered = |(id, job): &(&JobId, &Job)| {
+            job.is_open() && !self.users_given_up.contains(*id) && self.is_unanswered_for_long(job)
         };
-        let silent: Vec<String> = self.jobs.iter().filter(silent).map(|(id, _)| id.to_string()).collect();
-        self.violations.extend(silent.into_iter().map(|id| format!("forgotten: {id} is not answered at {now}")));
+        let unanswered = self.jobs.iter().filter(unanswered);
+        let violations: Vec<String> =
+            unanswered.map(|(id, _)| format!("forgotten: {id} is not answered at {now}")).collect();
+        self.violations.extend(violations);
     }
 
-    fn in_use(&mut self) -> Use {
-        let (now, turnover) = (self.now, 1000 + self.config.heartbeat_ms * 5 / 2);
-        while self.recently_ended.front().is_some_and(|(at, ..)| at + turnover < now) {
-            self.recently_ended.pop_front();
+    fn is_unanswered_for_long(&self, job: &Job) -> bool {
+        self.now > self.faults_end.active.max(job.last_answer_at) + MAX_UNANSWERED_MS
+    }
+
+    /// What a user is told of a job must agree with what it was told before, and be true.
+    pub(super) fn check_reported_state(&mut self, request: &UserRequest, status: u16, state: JobState) {
+        let (id, now) = (&request.job, self.now);
+        let job = &self.jobs[id];
+        if request.job_was_accepted && status == 201 {
+            self.violations.push(format!("accepted twice: {id} at {now}"));
         }
-        let mut used = Use { team: BTreeMap::new(), machine: vec![(0.0, 0.0); self.workers.len()] };
-        for (_, at, id) in &self.recently_ended {
-            if let Some(job) = self.jobs.get(id) {
-                used.add(*at, &job.spec);
-            }
+        if state == JobState::Done && !job.is_done() {
+            self.violations.push(format!("not_done: {id} at {now}"));
         }
-        for (at, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.alive) {
-            for (key, task) in &worker.tasks {
-                let Some(job) = self.jobs.get(&key.0).filter(|_| task.state != TaskState::Exited) else { continue };
-                used.add(at, &job.spec);
-            }
+        let no_longer_done = job.done_reported && state != JobState::Done;
+        let no_longer_cancelled = job.cancel_reported_at.is_some() && state != JobState::Cancelled;
+        if no_longer_done || no_longer_cancelled {
+            self.violations.push(format!("went_back: {id} is {state:?} at {now}"));
+        }
+        let open = matches!(state, JobState::Queued | JobState::Running);
+        if open && job.dependency_cancelled_at.is_some_and(|at| now > at + self.config.cancel_ms) {
+            self.violations.push(format!("orphaned: {id} is {state:?} at {now}"));
+        }
+        let newly_cancelled = state == JobState::Cancelled && job.cancel_reported_at.is_none();
+        let by_a_dependency = job.dependency_cancelled_at.is_some() || !job.spec.dependencies.is_empty();
+        if newly_cancelled && !job.cancel_requested && !by_a_dependency {
+            self.violations.push(format!("went_back: nobody cancelled {id} at {now}"));
         }
-        used
     }
 
-    /// Tasks of a job that are neither done nor on any machine; and where the others are.
-    fn missing(&self, id: &JobId, job: &Job) -> (usize, Vec<usize>) {
-        let range = (id.clone(), 0)..=(id.clone(), u32::MAX);
-        let on: Vec<usize> = (self.placements.range(range))
-            .flat_map(|(key, workers)| workers.iter().map(move |at| (key, *at)))
-            .filter(|(key, at)| {
-                let worker = &self.workers[*at];
-                worker.alive && worker.tasks.get(*key).is_some_and(|t| t.state != TaskState::Exited)
-            })
-            .map(|(_, at)| self.workers[at].zone)
-            .collect();
-        ((job.spec.task_count as usize).saturating_sub(job.finished_tasks.len() + on.len()), on)
+    /// A job that was accepted is never unknown, and not without an answer for long.
+    pub(super) fn check_refusal(&mut self, request: &UserRequest, status: u16) {
+        if !request.job_was_accepted {
+            return;
+        }
+        let (id, now) = (&request.job, self.now);
+        if matches!(status, 400 | 404 | 422) {
+            self.violations.push(format!("forgotten: {id} gets {status} at {now}"));
+        }
+        let job = &self.jobs[id];
+        if self.is_unanswered_for_long(job) {
+            self.violations.push(format!("forgotten: {id} at {now}, last heard of at {}", job.last_answer_at));
+        }
     }
 
-    /// No job is left waiting while a machine that fits has room and its team is
-    /// under its limit.
-    fn check_waiting_jobs(&mut self) {
-        let used = self.in_use();
-        let mut waiting = BTreeMap::new();
-        for (id, job) in &self.jobs {
-            let done = |name: &JobId| {
-                self.jobs.get(name).is_some_and(|j| j.finished_tasks.len() == j.spec.task_count as usize)
-            };
-            let over = job.cancel_requested || job.cancelled().is_some() || self.failing_jobs.contains(id);
-            if !job.accepted || over || !job.spec.dependencies.iter().all(done) {
-                continue;
-            }
-            let (missing, zones) = self.missing(id, job);
-            if missing == 0 {
-                continue;
-            }
-            let mut beside = self.with_room(&job.spec, &zones, &used);
-            let before = self.waiting.get(id).filter(|before| before.since > job.last_start_at);
-            let mut since = self.now;
-            if let Some(before) = before.filter(|before| !before.beside.is_disjoint(&beside)) {
-                beside.retain(|at| before.beside.contains(at));
-                since = before.since;
-            }
-            if !beside.is_empty() {
-                waiting.insert(id.clone(), Waiting { since, beside });
-            }
+    /// A transaction without conditions would undo what is newer if it is carried out late.
+    pub(super) fn check_conditions(&mut self, call: &StateCall) {
+        let StateCall::Transaction(transaction) = call else { return };
+        if !transaction.changes.is_empty() && transaction.conditions.is_empty() {
+            self.violations.push(format!("unconditional: {:?} at {}", transaction.changes, self.now));
         }
-        for (id, Waiting { since, beside }) in &mut waiting {
-            if self.now > *since + MAX_WAITING_MS {
-                let beside: Vec<_> = beside.iter().map(|at| self.workers[*at].name.to_string()).take(3).collect();
-                self.violations.push(format!("left waiting: {id} since {since}, beside {}", beside.join(" ")));
-                // Told once every time that it has waited for so long.
-                *since = self.now;
-            }
+    }
+
+    /// Looks for tasks of cancelled jobs: at each call in a small fleet, once a second in a large one.
+    pub(super) fn check_cancelled_tasks_in_turn(&mut self) {
+        let second = self.now / 1000;
+        if self.checks.cancelled_checked_s < second || self.workers.len() < SMALL_FLEET {
+            self.checks.cancelled_checked_s = second;
+            self.check_cancelled_tasks();
         }
-        self.waiting = waiting;
     }
 
-    /// Machines that have room for one more task, if its team may run it.
-    fn with_room(&self, spec: &JobSpec, zones: &[usize], used: &Use) -> BTreeSet<usize> {
-        let limit = self.settings[0].cluster.teams.iter().find(|t| t.name == spec.team).map_or(0.0, |t| t.cpus_max);
-        let team = used.team.get(&spec.team).copied().unwrap_or(0.0);
-        if limit > 0.0 && team + spec.cpus > limit + 1e-6 {
-            return BTreeSet::new();
+    /// No task runs for longer than the cancellation time after its job was cancelled.
+    pub(super) fn check_cancelled_tasks(&mut self) {
+        for index in 0..self.workers.len() {
+            if self.workers[index].alive {
+                self.advance_worker(index);
+            }
+        }
+        let (now, cancel_ms) = (self.now, self.config.cancel_ms);
+        for worker in self.workers.iter().filter(|worker| worker.alive) {
+            for (name, task) in &worker.tasks {
+                let cancelled_at = self.jobs.get(&name.job).and_then(Job::cancelled_at);
+                if task.is_running() && cancelled_at.is_some_and(|at| now > at + cancel_ms) {
+                    self.violations.push(format!("ran_cancelled: {}/{} at {now}", name.job, name.index));
+                }
+            }
         }
-        let half = spec.task_count.div_ceil(2) as usize;
-        let fits = |worker: &Worker, (cpus, mem_gb): (f64, f64)| {
-            let Some(kind) = self.config.machine_types.iter().find(|t| t.name == worker.kind) else { return false };
-            let heartbeats = worker.alive && self.now > worker.up_at && !worker.faulty && self.now >= worker.hung_until;
-            let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.kind))
-                && spec.zone.as_ref().is_none_or(|z| *z == self.config.zones[worker.zone])
-                && (spec.spot_allowed || !worker.spot);
-            let together = zones.iter().filter(|z| **z == worker.zone).count();
-            let spread = !(spec.one_zone && together < zones.len() || spec.apart && together >= half);
-            let room = cpus + spec.cpus <= kind.cpus + 1e-6 && mem_gb + spec.mem_gb <= kind.mem_gb + 1e-6;
-            heartbeats && allowed && spread && room
-        };
-        let fitting = self.workers.iter().zip(&used.machine).enumerate().filter(|(_, (w, used))| fits(w, **used));
-        fitting.map(|(at, _)| at).collect()
     }
 }
--- a/tests/simulator/network.rs
+++ b/tests/simulator/network.rs
@@ -1,65 +1,74 @@
-//! What controllers and workers send to one another.
+//! Links between controllers and workers, and between controllers: cuts and delays.
 
-use super::*;
+use super::events::ScheduledEvent;
+use super::faults::FaultWindow;
+use super::SimulatedCluster;
+use std::collections::BTreeMap;
+use tillercleat::coordination::Input;
+use tillercleat::protocol::peer::PeerStatus;
 
-pub(super) enum PendingRequest {
-    /// With whether the job had been accepted when its user asked.
-    User(JobId, &'static str, u32, bool),
-    Probe(ProbeSubmission),
-    Worker(usize, u64),
+/// How long a message between two processes takes at least (milliseconds).
+pub(super) const LINK_MS: u64 = 2;
+
+/// A cut between a node and the workers of a zone.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Cut {
+    pub(super) until: u64,
+    /// What is sent meanwhile is delivered afterwards; otherwise it is lost.
+    pub(super) hold: bool,
 }
 
-impl SimulatedCluster {
-    /// How much longer the way between two takes.
-    pub(super) fn link(&mut self) -> u64 {
-        if self.now < self.slow_links.0 {
-            self.random.below(self.slow_links.1)
-        } else {
-            0
-        }
+/// What happens to a message that is sent now.
+pub(super) enum LinkState {
+    Open,
+    /// It arrives after this time.
+    HeldUntil(u64),
+    Lost,
+}
+
+/// The state of all links.
+#[derive(Default)]
+pub(super) struct Network {
+    /// By node and zone.
+    cuts: BTreeMap<(usize, usize), Cut>,
+    pub(super) peer_links_cut_until: u64,
+    pub(super) slow_links: FaultWindow,
+    pub(super) delayed_heartbeats: FaultWindow,
+    pub(super) duplicated_heartbeats: FaultWindow,
+}
+
+impl Network {
+    pub(super) fn cut(&mut self, node: usize, zone: usize, cut: Cut) {
+        self.cuts.insert((node, zone), cut);
     }
 
-    pub(super) fn send_peer_status(&mut self, node: usize, status: PeerStatus) {
-        for peer in (0..self.nodes.len()).filter(|p| *p != node) {
-            let alone = self.nodes[node].isolated_until.max(self.nodes[peer].isolated_until);
-            if self.now >= self.peer_links_cut_until.max(alone) && self.nodes[peer].core.is_some() {
-                let (to, link) = (self.nodes[peer].incarnation, self.link());
-                self.schedule(self.now + 2 + link, ScheduledEvent::ToNode(peer, to, Input::PeerStatus(status.clone())));
-            }
+    /// The link between a node and the workers of a zone.
+    pub(super) fn link_state(&self, node: usize, zone: usize, now: u64) -> LinkState {
+        match self.cuts.get(&(node, zone)) {
+            Some(cut) if now < cut.until && cut.hold => LinkState::HeldUntil(cut.until),
+            Some(cut) if now < cut.until => LinkState::Lost,
+            _ => LinkState::Open,
         }
     }
+}
 
-    pub(super) fn route_response(&mut self, node: usize, id: RequestId, response: Response) {
-        match self.requests.remove(&(node, id)) {
-            Some(PendingRequest::User(job, what, tries, accepted)) => {
-                self.user_answered(job, what, tries, accepted, response)
-            }
-            Some(PendingRequest::Probe(probe)) => self.probe_answered(probe, response),
-            Some(PendingRequest::Worker(worker, in_flight)) => {
-                if self.now < self.workers[worker].downlink_lost_until.max(self.nodes[node].answers_lost_until) {
-                    if let Response::Commands { commands, .. } = &response {
-                        let starts = commands.iter().filter(|c| matches!(c, Command::Start { .. }));
-                        self.statistics.undelivered_starts += starts.count();
-                    }
-                    return;
-                }
-                let zone = self.workers[worker].zone;
-                let agent_epoch = self.workers[worker].agent_epoch;
-                if let Some(most) =
-                    Some(self.workers[worker].delayed_answers).filter(|held| self.now < held.0).map(|held| held.1)
-                {
-                    let late = 2 + self.random.below(most);
-                    return self
-                        .schedule(self.now + late, ScheduledEvent::Answer(worker, in_flight, response, agent_epoch));
-                }
-                let at = match self.cuts.get(&(node, zone)) {
-                    Some(&(until, true)) if self.now < until => until + 1,
-                    Some(&(until, false)) if self.now < until => return,
-                    _ => self.now + 2 + self.link(),
-                };
-                self.schedule(at, ScheduledEvent::Answer(worker, in_flight, response, agent_epoch));
+impl SimulatedCluster {
+    /// How much longer than usual a message takes that is sent now.
+    pub(super) fn link_delay(&mut self) -> u64 {
+        self.network.slow_links.delay_at(self.now, &mut self.random)
+    }
+
+    /// Sends a controller's status to all others that run and can be reached.
+    pub(super) fn broadcast_status(&mut self, node: usize, status: PeerStatus) {
+        for peer in (0..self.controllers.len()).filter(|peer| *peer != node) {
+            let isolated_until = self.controllers[node].isolated_until.max(self.controllers[peer].isolated_until);
+            let cut = self.now < self.network.peer_links_cut_until.max(isolated_until);
+            if cut || !self.controllers[peer].is_running() {
+                continue;
             }
-            None => {}
+            let (to, delay) = (self.process(peer), self.link_delay());
+            let input = Input::PeerStatus(status.clone());
+            self.schedule(self.now + LINK_MS + delay, ScheduledEvent::DeliverInput { to, input });
         }
     }
 }
--- a/tests/simulator/statistics.rs
+++ b/tests/simulator/statistics.rs
@@ -1,40 +1,27 @@
-//! What a run cost and how jobs were served.
-
-use super::*;
-
-/// Processor time that the controllers' cores took for inputs of one kind.
+//! What happened in a run, counted, and how well jobs were served: questions that tests ask.
+
+use super::users::Job;
+use super::{CrashPoint, SimulatedCluster};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tillercleat::coordination::Input;
+use tillercleat::protocol::state::StateAnswer;
+use tillercleat::protocol::users::JobSpec;
+use tillercleat::units::JobId;
+
+/// Within what time of its submission one of a class's largest jobs must start (milliseconds).
+const MAX_START_DELAY_OF_LARGEST_MS: u64 = 240_000;
+
+/// Processor time that the controllers' cores took for inputs of one kind (nanoseconds).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     pub count: u64,
     pub nanos: u64,
+    /// Of the costliest input.
     pub most: u64,
 }
 
-impl Cost {
-    pub(super) fn add(&mut self, nanos: u64) {
-        self.count += 1;
-        self.nanos += nanos;
-        self.most = self.most.max(nanos);
-    }
-}
-
-/// What costs are counted under.
-pub(super) fn kind_of(input: &Input) -> &'static str {
-    match input {
-        Input::Tick => "tick",
-        Input::ClientRequest(..) => "question",
-        Input::Heartbeat(..) => "report",
-        Input::State(_, StateAnswer::WatchEvents(_)) => "watch",
-        Input::State(_, StateAnswer::Page(_)) => "page",
-        Input::State(..) => "state",
-        Input::Cloud(..) => "cloud",
-        Input::PeerStatus(_) => "note",
-    }
-}
-
-/// Within what time of its submission one of a class's largest jobs must begin.
-pub(super) const MAX_START_DELAY_OF_LARGEST_MS: u64 = 240_000;
-
 /// What happened in a run, counted.
 #[derive(Default)]
 pub struct Statistics {
@@ -57,6 +44,30 @@
     pub last_completion: u64,
 }
 
+impl Statistics {
+    pub(super) fn add_cost(&mut self, kind: &'static str, took: Duration) {
+        let nanos = took.as_nanos() as u64;
+        let cost = self.costs.entry(kind).or_default();
+        cost.count += 1;
+        cost.nanos += nanos;
+        cost.most = cost.most.max(nanos);
+    }
+}
+
+/// The kind that an input's cost is counted under.
+pub(super) fn input_kind(input: &Input) -> &'static str {
+    match input {
+        Input::Tick => "tick",
+        Input::ClientRequest(..) => "request",
+        Input::Heartbeat(..) => "heartbeat",
+        Input::State(_, StateAnswer::WatchEvents(_)) => "watch",
+        Input::State(_, StateAnswer::Page(_)) => "page",
+        Input::State(..) => "store",
+        Input::Cloud(..) => "cloud",
+        Input::PeerStatus(_) => "peer",
+    }
+}
+
 /// How the jobs of a class or team were served, of those that came early enough.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Served {
@@ -66,8 +77,14 @@
 }
 
 impl Served {
+    fn add(&mut self, started: bool, done: bool) {
+        self.submitted += 1;
+        self.started += usize::from(started);
+        self.done += usize::from(done);
+    }
+
     /// The operators call a day failed on which less than half is served.
-    pub fn enough(&self) -> bool {
+    pub fn is_enough(&self) -> bool {
         2 * self.started >= self.submitted && 2 * self.done >= self.submitted
     }
 }
@@ -75,45 +92,45 @@
 impl SimulatedCluster {
     /// Jobs that were accepted and neither done nor cancelled in their users' eyes.
     pub fn open_jobs(&self) -> Vec<&JobId> {
-        let open = |j: &Job| j.accepted && !j.done_reported && j.cancel_reported_at.is_none();
-        self.jobs.iter().filter(|(_, j)| open(j)).map(|(id, _)| id).collect()
+        self.jobs.iter().filter(|(_, job)| job.is_open()).map(|(id, _)| id).collect()
     }
 
-    /// Jobs that follow a cancelled one and do not say so.
+    /// Jobs that depend on a cancelled one and are not reported as cancelled.
     pub fn dependents_not_cancelled(&self) -> Vec<String> {
-        let waits = |j: &Job| j.accepted && j.dependency_cancelled_at.is_some() && j.cancel_reported_at.is_none();
-        self.jobs.iter().filter(|(_, j)| waits(j)).map(|(id, _)| format!("waits on: {id}")).collect()
+        let waits =
+            |job: &Job| job.accepted && job.dependency_cancelled_at.is_some() && job.cancel_reported_at.is_none();
+        self.jobs.iter().filter(|(_, job)| waits(job)).map(|(id, _)| format!("waits on: {id}")).collect()
     }
 
-    /// True if all tasks of a job have completed.
+    /// True if all tasks of a job are done.
     pub fn is_done(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|j| j.finished_tasks.len() == j.spec.task_count as usize)
+        self.jobs.get(id).is_some_and(Job::is_done)
     }
 
-    /// Machines that hear nothing and are paid for.
+    /// Machines that are paid for and that no answer reaches.
     pub fn machines_without_downlink(&self) -> usize {
-        self.workers.iter().filter(|w| w.alive && self.now < w.downlink_lost_until).count()
+        self.workers.iter().filter(|worker| worker.alive && self.now < worker.downlink_lost_until).count()
     }
 
-    /// Starts sent to machines that hear nothing.
+    /// Starts sent to machines that no answer reaches.
     pub fn undelivered_starts(&self) -> usize {
         self.statistics.undelivered_starts
     }
 
-    /// The longest that an accepted job waited for its first start.
+    /// The longest that an accepted job waited for its first start (milliseconds).
     pub fn longest_wait(&self) -> u64 {
-        let begun = self.jobs.values().filter(|j| j.accepted);
-        begun.map(|j| j.first_start_at.unwrap_or(self.now) - j.submitted_at).max().unwrap_or(0)
+        let accepted = self.jobs.values().filter(|job| job.accepted);
+        accepted.map(|job| job.first_start_at.unwrap_or(self.now) - job.submitted_at).max().unwrap_or(0)
     }
 
-    /// When the last task was done.
+    /// When the last task was done (milliseconds).
     pub fn last_completion(&self) -> u64 {
         self.statistics.last_completion
     }
 
-    /// The largest jobs of each class: its tenth with most cores times tasks,
-    /// and that with most tasks.
-    pub(super) fn largest(&self) -> BTreeSet<&JobId> {
+    /// The largest jobs of each class: its tenth with most cores times tasks, and that with most
+    /// tasks.
+    fn largest_jobs(&self) -> BTreeSet<&JobId> {
         let mut classes: BTreeMap<&str, Vec<(&JobId, &JobSpec)>> = BTreeMap::new();
         for (id, job) in &self.jobs {
             classes.entry(&job.spec.class).or_default().push((id, &job.spec));
@@ -131,34 +148,32 @@
         largest
     }
 
-    /// How jobs that came by `by` were served, by class and by team. Those that
-    /// were cancelled or cannot succeed count nowhere.
+    /// How jobs that were submitted by a time were served, by class and by team. Those that were
+    /// cancelled or cannot succeed count nowhere.
     pub fn served(&self, by: u64) -> BTreeMap<String, Served> {
         let mut served: BTreeMap<String, Served> = BTreeMap::new();
-        let largest = self.largest();
+        let largest = self.largest_jobs();
         for (id, job) in &self.jobs {
-            if job.submitted_at > by || job.cancelled().is_some() || self.failing_jobs.contains(id) {
+            if job.submitted_at > by || job.cancelled_at().is_some() || self.failing_jobs.contains(id) {
                 continue;
             }
-            let among = largest.contains(id).then(|| format!("largest of {}", job.spec.class));
-            for name in
-                [format!("class {}", job.spec.class), format!("team {}", job.spec.team)].into_iter().chain(among)
-            {
-                // The largest must begin in time, unless they wait for others.
-                let largest = name.starts_with("largest") && job.spec.dependencies.is_empty();
-                let within = if largest { MAX_START_DELAY_OF_LARGEST_MS } else { u64::MAX };
-                let sum = served.entry(name).or_default();
-                sum.submitted += 1;
-                sum.started += usize::from(job.first_start_at.is_some_and(|at| at - job.submitted_at <= within));
-                sum.done += usize::from(job.finished_tasks.len() == job.spec.task_count as usize);
+            let waited = job.first_start_at.map(|at| at - job.submitted_at);
+            served.entry(format!("class {}", job.spec.class)).or_default().add(waited.is_some(), job.is_done());
+            served.entry(format!("team {}", job.spec.team)).or_default().add(waited.is_some(), job.is_done());
+            if largest.contains(id) {
+                // These must start in time, unless they wait for others.
+                let in_time =
+                    |waited: u64| waited <= MAX_START_DELAY_OF_LARGEST_MS || !job.spec.dependencies.is_empty();
+                let started = waited.is_some_and(in_time);
+                served.entry(format!("largest of {}", job.spec.class)).or_default().add(started, job.is_done());
             }
         }
         served
     }
 
-    /// Classes and teams of which less than half was served, of what came by `by`.
+    /// Classes and teams of which less than half was served, of what was submitted by a time.
     pub fn underserved(&self, by: u64) -> Vec<String> {
-        let few = |(name, served): (String, Served)| (!served.enough()).then(|| format!("{name}: {served:?}"));
+        let few = |(name, served): (String, Served)| (!served.is_enough()).then(|| format!("{name}: {served:?}"));
         self.served(by).into_iter().filter_map(few).collect()
     }
 
@@ -171,12 +186,12 @@
 
     /// Jobs whose users were told that they are accepted.
     pub fn accepted_jobs(&self) -> usize {
-        self.jobs.values().filter(|j| j.accepted).count()
+        self.jobs.values().filter(|job| job.accepted).count()
     }
 
     /// Machines that are paid for.
     pub fn running_machines(&self) -> usize {
-        self.workers.iter().filter(|w| w.alive).count()
+        self.workers.iter().filter(|worker| worker.alive).count()
     }
 
     /// Machines rented so far.
@@ -186,21 +201,21 @@
 
     /// Machines that were given back though they are not faulty.
     pub fn healthy_machines_returned(&self) -> usize {
-        self.workers.iter().filter(|w| !w.faulty && !w.alive).count()
+        self.workers.iter().filter(|worker| !worker.faulty && !worker.alive).count()
     }
 
     /// Faulty machines that are still paid for.
     pub fn faulty_machines_kept(&self) -> usize {
-        self.workers.iter().filter(|w| w.faulty && w.alive).count()
+        self.workers.iter().filter(|worker| worker.faulty && worker.alive).count()
     }
 
-    /// Keys under a prefix.
+    /// Keys of the store under a prefix.
     pub fn count_keys(&self, prefix: &str) -> usize {
-        self.store.rows.keys().filter(|k| k.starts_with(prefix)).count()
+        self.store.count_keys(prefix)
     }
 
-    /// Leases of living workers that have run out.
+    /// How often leases of workers ran out whose machines are still there.
     pub fn expired_worker_leases(&self) -> u64 {
-        self.workers.iter().filter(|w| w.alive).map(|w| w.agent_epoch - 1).sum()
+        self.workers.iter().filter(|worker| worker.alive).map(|worker| worker.agent_epoch - 1).sum()
     }
 }
--- a/tests/simulator/store.rs
+++ b/tests/simulator/store.rs
@@ -1,25 +1,35 @@
-//! The state service: conditional transactions, leases, watches and limits.
+//! The store: conditional transactions, leases, watches and limits, written from the protocol.
+//! The simulated cluster calls it in virtual time, the tests on loopback serve it over HTTP.
 
+use serde_json::Value;
 use std::collections::BTreeMap;
+use std::ops::Bound;
 use tillercleat::protocol::state::{Change, Item, Page, StateAnswer, StateCall, Transaction, WatchEvent, WatchEvents};
 use tillercleat::units::{LeaseId, Revision};
 
+/// Changes that the store remembers for watches.
+const MAX_LOGGED_CHANGES: usize = 10_000;
+/// Conditions of a transaction may be so many times as many as its changes.
+const CONDITIONS_PER_CHANGE: usize = 4;
+
 /// Refills with time, one second's worth at the most.
 #[derive(Debug, Clone, Copy)]
-pub struct TokenBucket {
-    pub per_s: f64,
+struct TokenBucket {
+    per_s: f64,
     level: f64,
-    at: u64,
+    /// When it was last filled (milliseconds).
+    filled_at: u64,
 }
 
 impl TokenBucket {
-    pub fn new(per_s: f64) -> TokenBucket {
-        TokenBucket { per_s, level: per_s, at: 0 }
+    fn new(per_s: f64) -> TokenBucket {
+        TokenBucket { per_s, level: per_s, filled_at: 0 }
     }
 
     fn take(&mut self, now: u64, cost: f64) -> bool {
-        self.level = (self.level + self.per_s * now.saturating_sub(self.at) as f64 / 1000.0).min(self.per_s);
-        self.at = self.at.max(now);
+        let elapsed_s = now.saturating_sub(self.filled_at) as f64 / 1000.0;
+        self.level = (self.level + self.per_s * elapsed_s).min(self.per_s);
+        self.filled_at = self.filled_at.max(now);
         let fits = self.level >= cost;
         if fits {
             self.level -= cost;
@@ -28,145 +38,219 @@
     }
 }
 
-/// Changes that the state service remembers for watches.
-const MAX_LOGGED_CHANGES: usize = 10_000;
+/// Limits on requests and on changes.
+#[derive(Debug, Clone, Copy)]
+struct RateLimits {
+    requests: TokenBucket,
+    changes: TokenBucket,
+}
 
+/// A value, the revision of its last change, and the lease that it ends with.
+struct Row {
+    value: Value,
+    version: u64,
+    lease: Option<u64>,
+}
+
+struct Lease {
+    ttl_ms: u64,
+    expires_at: u64,
+}
+
+/// A change as watches show it; without a value the key was deleted.
+struct LoggedChange {
+    revision: u64,
+    key: String,
+    value: Option<Value>,
+}
+
+/// The store. Times are in milliseconds.
 #[derive(Default)]
 pub struct SimulatedStore {
     pub revision: u64,
-    pub rows: BTreeMap<String, (serde_json::Value, u64, Option<u64>)>,
-    pub leases: BTreeMap<u64, (u64, u64)>,
-    pub last_lease: u64,
-    pub log: Vec<(u64, String, Option<serde_json::Value>)>,
-    /// Limits on requests and on changes, if it keeps any.
-    pub buckets: Option<(TokenBucket, TokenBucket)>,
-    /// Calls refused for being too many.
-    pub rate_limited_calls: usize,
-    pub page_size: usize,
-    /// The most bytes of a value, and changes of a transaction; conditions may
-    /// be four times as many.
+    rows: BTreeMap<String, Row>,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
+    log: Vec<LoggedChange>,
+    /// Without them it keeps no limits on sizes either.
+    rate_limits: Option<RateLimits>,
+    /// Items of one page of a list, 50 at the least.
+    page_size: usize,
     pub max_value_bytes: usize,
     pub max_changes: usize,
-    /// What was refused for its size, and how often: asked again unchanged, it
-    /// is refused again.
+    /// Calls refused for being too many.
+    pub rate_limited_calls: usize,
+    /// What was refused for its size, and how often: asked again unchanged, it is refused again.
     pub rejected_transactions: BTreeMap<String, usize>,
-    /// Changes asked for and requests made, by second.
     pub changes_by_second: BTreeMap<u64, usize>,
     pub requests_by_second: BTreeMap<u64, usize>,
 }
 
 impl SimulatedStore {
-    pub fn expire(&mut self, now: u64) {
-        let ended: Vec<u64> = self.leases.iter().filter(|(_, l)| l.1 < now).map(|(id, _)| *id).collect();
-        for lease in ended {
+    /// A store of these sizes, which it enforces once its rates are limited.
+    pub fn with_sizes(page_size: usize, max_value_bytes: usize, max_changes: usize) -> SimulatedStore {
+        let mut store = SimulatedStore::default();
+        (store.page_size, store.max_value_bytes, store.max_changes) = (page_size, max_value_bytes, max_changes);
+        store
+    }
+
+    /// Limits requests and changes a second, and from then on sizes.
+    pub fn limit_rates(&mut self, requests_per_s: f64, changes_per_s: f64) {
+        let (requests, changes) = (TokenBucket::new(requests_per_s), TokenBucket::new(changes_per_s));
+        self.rate_limits = Some(RateLimits { requests, changes });
+    }
+
+    pub fn value(&self, key: &str) -> Option<&Value> {
+        self.rows.get(key).map(|row| &row.value)
+    }
+
+    pub fn count_keys(&self, prefix: &str) -> usize {
+        self.rows.keys().filter(|key| key.starts_with(prefix)).count()
+    }
+
+    /// Stores a value behind the controllers' backs: no watch shows it.
+    pub fn insert_unseen(&mut self, key: &str, value: Value, version: u64) {
+        self.rows.insert(key.into(), Row { value, version, lease: None });
+    }
+
+    /// Ends leases that have run out, and deletes their keys.
+    pub fn expire_leases(&mut self, now: u64) {
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, lease)| lease.expires_at < now).map(|(id, _)| *id).collect();
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> =
-                self.rows.iter().filter(|(_, r)| r.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
+                self.rows.iter().filter(|(_, row)| row.lease == Some(lease)).map(|(key, _)| key.clone()).collect();
             for key in keys {
                 self.revision += 1;
                 self.rows.remove(&key);
-                self.log.push((self.revision, key, None));
+                self.log_change(key, None);
             }
         }
     }
 
-    fn transaction(&mut self, transaction: Transaction) -> StateAnswer {
-        for change in &transaction.changes {
-            if let Change::Put { lease: Some(lease), .. } = change {
-                if !self.leases.contains_key(&lease.0) {
-                    return StateAnswer::LeaseGone;
-                }
-            }
-        }
-        let too_large =
-            |c: &Change| matches!(c, Change::Put { value, .. } if value.to_string().len() > self.max_value_bytes);
-        let too_many =
-            transaction.changes.len() > self.max_changes || transaction.conditions.len() > 4 * self.max_changes;
-        if self.buckets.is_some() && (too_many || transaction.changes.iter().any(too_large)) {
-            *self.rejected_transactions.entry(format!("{transaction:?}")).or_default() += 1;
-            return StateAnswer::Rejected("too large".into());
-        }
-        let version = |key: &str| self.rows.get(key).map_or(0, |r| r.1);
-        let failed: Vec<String> =
-            transaction.conditions.iter().filter(|c| version(&c.key) != c.version.0).map(|c| c.key.clone()).collect();
-        if !failed.is_empty() {
-            return StateAnswer::Conflict(failed);
-        }
-        self.revision += 1;
-        for change in transaction.changes {
-            match change {
-                Change::Put { put, value, lease } => {
-                    self.log.push((self.revision, put.clone(), Some(value.clone())));
-                    self.rows.insert(put, (value, self.revision, lease.map(|l| l.0)));
-                }
-                Change::Delete { delete } => {
-                    self.rows.remove(&delete);
-                    self.log.push((self.revision, delete, None));
-                }
-            }
+    /// Gives every lease its full time from then on, if it has less.
+    pub fn extend_leases(&mut self, from: u64) {
+        for lease in self.leases.values_mut() {
+            lease.expires_at = lease.expires_at.max(from + lease.ttl_ms);
         }
-        StateAnswer::Committed(Revision(self.revision))
     }
 
-    pub fn run(&mut self, now: u64, call: StateCall) -> StateAnswer {
-        self.expire(now);
+    /// Carries a call out and answers it.
+    pub fn execute(&mut self, now: u64, call: StateCall) -> StateAnswer {
+        self.expire_leases(now);
         *self.requests_by_second.entry(now / 1000).or_default() += 1;
         let changes = if let StateCall::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
-        if let Some((requests, writes)) = &mut self.buckets {
-            if !requests.take(now, 1.0) || !writes.take(now, changes as f64) {
-                self.rate_limited_calls += 1;
-                return StateAnswer::Refused;
-            }
+        if !self.admit(now, changes) {
+            self.rate_limited_calls += 1;
+            return StateAnswer::Refused;
         }
         match call {
-            StateCall::Get { key } => match self.rows.get(&key) {
-                Some((value, version, _)) => {
-                    StateAnswer::Found(Item { key, value: value.clone(), version: Revision(*version) })
-                }
-                None => StateAnswer::Missing(Revision(self.revision)),
-            },
-            StateCall::List { prefix, after } => {
-                let page = self.page_size.max(50);
-                let from = std::ops::Bound::Excluded(after.unwrap_or_default());
-                let rows = self.rows.range((from, std::ops::Bound::Unbounded)).filter(|(k, _)| k.starts_with(&prefix));
-                let items: Vec<Item> = rows
-                    .take(page + 1)
-                    .map(|(k, r)| Item { key: k.clone(), value: r.0.clone(), version: Revision(r.1) })
-                    .collect();
-                let more = items.len() > page;
-                StateAnswer::Page(Page {
-                    items: items.into_iter().take(page).collect(),
-                    more,
-                    revision: Revision(self.revision),
-                })
-            }
+            StateCall::Get { key } => self.get(key),
+            StateCall::List { prefix, after } => self.list(&prefix, after),
             StateCall::Transaction(transaction) => {
-                *self.changes_by_second.entry(now / 1000).or_default() += transaction.changes.len();
-                self.transaction(transaction)
+                *self.changes_by_second.entry(now / 1000).or_default() += changes;
+                self.commit(transaction)
             }
             StateCall::Grant { ttl_ms } => {
                 self.last_lease += 1;
-                self.leases.insert(self.last_lease, (ttl_ms, now + ttl_ms));
+                self.leases.insert(self.last_lease, Lease { ttl_ms, expires_at: now + ttl_ms });
                 StateAnswer::Granted(LeaseId(self.last_lease))
             }
             StateCall::Renew { lease } => match self.leases.get_mut(&lease.0) {
-                Some(entry) => {
-                    entry.1 = now + entry.0;
+                Some(lease) => {
+                    lease.expires_at = now + lease.ttl_ms;
                     StateAnswer::Renewed
                 }
                 None => StateAnswer::LeaseGone,
             },
-            StateCall::Watch { after, .. } => {
-                let from = self.log.partition_point(|e| e.0 <= after.0);
-                if self.log.len() - from > MAX_LOGGED_CHANGES {
-                    return StateAnswer::TooOld;
-                }
-                let events = self.log[from..].iter().map(|(at, key, value)| match value {
-                    Some(value) => WatchEvent::Put { put: key.clone(), value: value.clone(), version: Revision(*at) },
-                    None => WatchEvent::Delete { delete: key.clone(), version: Revision(*at) },
-                });
-                StateAnswer::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
+            StateCall::Watch { after, .. } => self.changes_after(after),
+        }
+    }
+
+    /// Whether the limits allow one more request with as many changes.
+    fn admit(&mut self, now: u64, changes: usize) -> bool {
+        let Some(limits) = &mut self.rate_limits else { return true };
+        limits.requests.take(now, 1.0) && limits.changes.take(now, changes as f64)
+    }
+
+    fn get(&self, key: String) -> StateAnswer {
+        match self.rows.get(&key) {
+            Some(row) => StateAnswer::Found(Item { key, value: row.value.clone(), version: Revision(row.version) }),
+            None => StateAnswer::Missing(Revision(self.revision)),
+        }
+    }
+
+    fn list(&self, prefix: &str, after: Option<String>) -> StateAnswer {
+        let size = self.page_size.max(50);
+        let rows = self.rows.range((Bound::Excluded(after.unwrap_or_default()), Bound::Unbounded));
+        let mut items: Vec<Item> = rows
+            .filter(|(key, _)| key.starts_with(prefix))
+            .take(size + 1)
+            .map(|(key, row)| Item { key: key.clone(), value: row.value.clone(), version: Revision(row.version) })
+            .collect();
+        let more = items.len() > size;
+        items.truncate(size);
+        StateAnswer::Page(Page { items, more, revision: Revision(self.revision) })
+    }
+
+    fn changes_after(&self, after: Revision) -> StateAnswer {
+        let from = self.log.partition_point(|change| change.revision <= after.0);
+        if self.log.len() - from > MAX_LOGGED_CHANGES {
+            return StateAnswer::TooOld;
+        }
+        let events = self.log[from..].iter().map(|LoggedChange { revision, key, value }| match value {
+            Some(value) => WatchEvent::Put { put: key.clone(), value: value.clone(), version: Revision(*revision) },
+            None => WatchEvent::Delete { delete: key.clone(), version: Revision(*revision) },
+        });
+        StateAnswer::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
+    }
+
+    fn commit(&mut self, transaction: Transaction) -> StateAnswer {
+        if transaction.changes.iter().any(|change| self.has_expired_lease(change)) {
+            return StateAnswer::LeaseGone;
+        }
+        if self.rate_limits.is_some() && self.is_too_large(&transaction) {
+            *self.rejected_transactions.entry(format!("{transaction:?}")).or_default() += 1;
+            return StateAnswer::Rejected("too large".into());
+        }
+        let version = |key: &str| self.rows.get(key).map_or(0, |row| row.version);
+        let failed = transaction.conditions.iter().filter(|condition| version(&condition.key) != condition.version.0);
+        let failed: Vec<String> = failed.map(|condition| condition.key.clone()).collect();
+        if !failed.is_empty() {
+            return StateAnswer::Conflict(failed);
+        }
+        self.revision += 1;
+        transaction.changes.into_iter().for_each(|change| self.apply(change));
+        StateAnswer::Committed(Revision(self.revision))
+    }
+
+    fn has_expired_lease(&self, change: &Change) -> bool {
+        matches!(change, Change::Put { lease: Some(lease), .. } if !self.leases.contains_key(&lease.0))
+    }
+
+    fn is_too_large(&self, transaction: &Transaction) -> bool {
+        let large_value = |change: &Change| matches!(change, Change::Put { value, .. } if value.to_string().len() > self.max_value_bytes);
+        transaction.changes.len() > self.max_changes
+            || transaction.conditions.len() > CONDITIONS_PER_CHANGE * self.max_changes
+            || transaction.changes.iter().any(large_value)
+    }
+
+    fn apply(&mut self, change: Change) {
+        match change {
+            Change::Put { put, value, lease } => {
+                self.log_change(put.clone(), Some(value.clone()));
+                let lease = lease.map(|lease| lease.0);
+                self.rows.insert(put, Row { value, version: self.revision, lease });
+            }
+            Change::Delete { delete } => {
+                self.rows.remove(&delete);
+                self.log_change(delete, None);
             }
         }
     }
+
+    fn log_change(&mut self, key: String, value: Option<Value>) {
+        self.log.push(LoggedChange { revision: self.revision, key, value });
+    }
 }
--- a/tests/simulator/users.rs
+++ b/tests/simulator/users.rs
@@ -1,194 +1,229 @@
-//! What users do beyond asking until they are answered: jobs called off together or
-//! at the moment of their end, and probe requests.
+//! Users: they submit jobs, ask about them and cancel them, again and again until they are
+//! answered, and remember what they were told.
 
-use super::*;
+use super::events::ScheduledEvent;
+use super::requests::PendingRequest;
+use super::SimulatedCluster;
+use std::collections::BTreeSet;
+use tillercleat::coordination::{ClientRequest, Input, Response};
+use tillercleat::protocol::users::{JobSpec, JobState};
+use tillercleat::units::JobId;
 
-/// A job of these fields; what they leave out is as plain as can be.
-pub fn job_spec(mut fields: serde_json::Value) -> JobSpec {
-    let plain = serde_json::json!({"gpus": 0.0, "one_zone": false, "apart": false, "driftwood": false,
-        "mark_s": 0.0, "stow_s": 0.0});
-    for (name, value) in plain.as_object().expect("fields") {
-        fields.as_object_mut().expect("fields").entry(name).or_insert(value.clone());
-    }
-    JobSpec::parse(fields.to_string().as_bytes()).expect("a valid job")
+/// How often a submission or a cancellation is sent again.
+const MAX_RETRIES: u32 = 90;
+/// Pause before it is sent again (milliseconds).
+const RETRY_MS: u64 = 1000;
+/// Pause between two questions about a job (milliseconds).
+const POLL_MS: u64 = 3000;
+/// Pause of a submission that waits for the jobs that it depends on to be accepted (milliseconds).
+const DEPENDENCY_PAUSE_MS: u64 = 200;
+
+/// A job in its users' eyes, and what its tasks did. Times are in milliseconds.
+pub struct Job {
+    pub spec: JobSpec,
+    /// When its user first submitted it.
+    pub(super) submitted_at: u64,
+    pub(super) accepted: bool,
+    pub(super) cancel_requested: bool,
+    /// When a user was told that it is cancelled.
+    pub(super) cancel_reported_at: Option<u64>,
+    /// When a user was told that a job it depends on is cancelled.
+    pub(super) dependency_cancelled_at: Option<u64>,
+    pub(super) last_answer_at: u64,
+    pub(super) done_reported: bool,
+    pub(super) first_start_at: Option<u64>,
+    pub(super) last_start_at: u64,
+    pub(super) finished_tasks: BTreeSet<u32>,
 }
 
-/// A request that is no valid submission or repeats one, and the status that it has to get.
-#[derive(Debug, Clone)]
-pub struct ProbeSubmission {
-    id: JobId,
-    body: String,
-    expected: u16,
-    tries: u32,
+impl Job {
+    fn new(spec: JobSpec, now: u64, dependency_cancelled: bool) -> Job {
+        Job {
+            spec,
+            submitted_at: now,
+            accepted: false,
+            cancel_requested: false,
+            cancel_reported_at: None,
+            dependency_cancelled_at: dependency_cancelled.then_some(now),
+            last_answer_at: now,
+            done_reported: false,
+            first_start_at: None,
+            last_start_at: 0,
+            finished_tasks: BTreeSet::new(),
+        }
+    }
+
+    /// When its user was told that it is cancelled, or that one it depends on is.
+    pub(super) fn cancelled_at(&self) -> Option<u64> {
+        self.cancel_reported_at.into_iter().chain(self.dependency_cancelled_at).min()
+    }
+
+    pub(super) fn is_done(&self) -> bool {
+        self.finished_tasks.len() == self.spec.task_count as usize
+    }
+
+    /// Accepted, and neither done nor cancelled in its user's eyes.
+    pub(super) fn is_open(&self) -> bool {
+        self.accepted && !self.done_reported && self.cancel_reported_at.is_none()
+    }
 }
 
-/// A submission as its user writes it.
-fn body(spec: &JobSpec) -> serde_json::Value {
-    let mut fields = serde_json::to_value(spec).expect("a job");
-    fields["awaits"] = serde_json::to_value(&spec.dependencies).expect("ids");
-    fields
+/// What a user asks for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestKind {
+    Submit,
+    Cancel,
+    /// Asked until it is answered, and then again.
+    Poll,
+    /// Asked once.
+    QueryOnce,
 }
 
-/// Fields that no submission may lack.
-const REQUIRED: [&str; 17] = [
-    "haul",
-    "crew",
-    "rig",
-    "rank",
-    "loads",
-    "cores",
-    "gpus",
-    "mem_gb",
-    "kit",
-    "image_gb",
-    "one_zone",
-    "apart",
-    "driftwood",
-    "reckon_s",
-    "mark_s",
-    "stow_s",
-    "ref",
-];
+/// A user's request on its way.
+#[derive(Debug, Clone)]
+pub(super) struct UserRequest {
+    pub(super) job: JobId,
+    pub(super) kind: RequestKind,
+    retries: u32,
+    /// The job had been accepted when its user asked.
+    pub(super) job_was_accepted: bool,
+}
 
 impl SimulatedCluster {
-    /// Running jobs are called off within a fifth of a second; some of their machines hang.
-    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_ms: u64) {
-        let long = self.now + 5000;
-        let mut running: BTreeMap<JobId, usize> = BTreeMap::new();
-        for (at, worker) in self.workers.iter().enumerate().filter(|(_, w)| w.alive) {
-            for (key, task) in &worker.tasks {
-                let open = self
-                    .jobs
-                    .get(&key.0)
-                    .is_some_and(|j| j.accepted && !j.cancel_requested && j.dependency_cancelled_at.is_none());
-                if open && task.state != TaskState::Exited && task.ends_at > long {
-                    running.insert(key.0.clone(), at);
-                }
-            }
-        }
-        for (n, (id, worker)) in running.into_iter().take(count).enumerate() {
-            let at = self.now + self.random.below(200);
-            self.schedule(at, ScheduledEvent::Cancel(id, 0));
-            if hang_ms > 0 && n < 8 {
-                let at = self.now + self.random.below(400);
-                self.schedule(at, ScheduledEvent::Hang(worker, hang_ms));
-            }
+    /// Submits a job at a time (milliseconds).
+    pub fn submit(&mut self, at: u64, spec: JobSpec) {
+        self.schedule(at, ScheduledEvent::Submit { spec, retries: 0 });
+    }
+
+    /// Cancels a job at a time.
+    pub fn cancel(&mut self, at: u64, job: &JobId) {
+        self.schedule(at, ScheduledEvent::Cancel { job: job.clone(), retries: 0 });
+    }
+
+    /// Users ask about a job from a time on.
+    pub fn poll(&mut self, at: u64, job: &JobId) {
+        self.schedule(at, ScheduledEvent::Poll { job: job.clone() });
+    }
+
+    /// Runs until `at`; from then on the user of a job repeats nothing.
+    pub fn user_gives_up(&mut self, at: u64, job: &JobId) {
+        self.run(at);
+        self.users_given_up.insert(job.clone());
+    }
+
+    pub(super) fn send_submission(&mut self, spec: JobSpec, retries: u32) {
+        let jobs = &self.jobs;
+        let mut dependencies = spec.dependencies.iter().filter_map(|id| jobs.get(id));
+        if dependencies.clone().any(|job| !job.accepted) {
+            // Users name jobs once those are accepted.
+            return self.schedule(self.now + DEPENDENCY_PAUSE_MS, ScheduledEvent::Submit { spec, retries });
         }
+        let dependency_cancelled = dependencies.any(|job| job.cancelled_at().is_some());
+        let (id, now) = (spec.id.clone(), self.now);
+        self.jobs.entry(id.clone()).or_insert_with(|| Job::new(spec.clone(), now, dependency_cancelled));
+        self.send_request(ClientRequest::Submit(Box::new(spec)), id, RequestKind::Submit, retries);
     }
 
-    /// A job's last task is about to end: its user may call it off, ask and send it
-    /// again, before, in and after the transaction that ends it.
-    pub(super) fn cancel_at_completion_of(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get(id).filter(|j| j.accepted && !j.cancel_requested) else { return };
-        let on = |w: &Worker| w.tasks.iter().filter(|(k, t)| k.0 == *id && t.state != TaskState::Exited).count();
-        let running: usize = self.workers.iter().filter(|w| w.alive).map(on).sum();
-        if job.finished_tasks.len() + running < job.spec.task_count as usize {
-            return;
+    pub(super) fn send_cancellation(&mut self, id: JobId, retries: u32) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            job.cancel_requested = true;
         }
-        let of_job = |w: &Worker| w.tasks.iter().filter(|(k, _)| k.0 == *id).map(|(_, t)| t.ends_at).max();
-        let Some(end) = self.workers.iter().filter(|w| w.alive).filter_map(of_job).max() else { return };
-        if end > self.now + 200_000 {
-            return;
+        self.send_request(ClientRequest::Cancel(id.clone()), id, RequestKind::Cancel, retries);
+    }
+
+    pub(super) fn send_query(&mut self, id: JobId, kind: RequestKind) {
+        self.send_request(ClientRequest::Query(id.clone()), id, kind, 0);
+    }
+
+    /// Sends a request to any node; one that does not answer is asked again later.
+    fn send_request(&mut self, request: ClientRequest, job: JobId, kind: RequestKind, retries: u32) {
+        let node = self.random_node();
+        let job_was_accepted = self.jobs.get(&job).is_some_and(|job| job.accepted);
+        let pending = UserRequest { job, kind, retries, job_was_accepted };
+        let controller = &self.controllers[node];
+        if !controller.is_running() || self.now < controller.users_cut_until {
+            return self.retry_request(pending);
         }
-        let spec = job.spec.clone();
-        let mut moment = || end.saturating_sub(300).max(self.now) + self.random.below(1800);
-        let (cancel, polls, again) = (moment(), [moment(), moment()], moment());
-        self.schedule(cancel, ScheduledEvent::Cancel(id.clone(), 0));
-        polls.into_iter().for_each(|at| self.schedule(at, ScheduledEvent::ClientRequest(id.clone())));
-        self.schedule(again, ScheduledEvent::Submit(spec, 0));
-    }
-
-    /// One probe request, whichever comes next.
-    pub(super) fn send_next_probe(&mut self, number: u64) {
-        let accepted: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
-        if accepted.is_empty() {
+        let id = self.requests.add(node, PendingRequest::User(pending));
+        let (to, at) = (self.process(node), self.now + self.link_delay());
+        self.schedule(at, ScheduledEvent::DeliverInput { to, input: Input::ClientRequest(id, request) });
+    }
+
+    pub(super) fn retry_request(&mut self, request: UserRequest) {
+        let UserRequest { job, kind, retries, .. } = request;
+        if self.users_given_up.contains(&job) {
             return;
         }
-        let id = accepted[self.random.below(accepted.len() as u64) as usize].clone();
-        let fresh = JobId::new(&format!("wk-9{number:06}"));
-        let field = REQUIRED[self.random.below(REQUIRED.len() as u64) as usize];
-        let mut fields = body(&self.jobs[&id].spec);
-        let probe = |id: &JobId, fields: &serde_json::Value, expected: u16| ProbeSubmission {
-            id: id.clone(),
-            body: fields.to_string(),
-            expected,
-            tries: 0,
-        };
-        match number % 5 {
-            0 => self.schedule(self.now, ScheduledEvent::SendProbe(probe(&id, &fields, 200))),
-            1 => {
-                // The repeat of a job that is known, though nobody would take it now.
-                fields.as_object_mut().expect("fields").remove(field);
-                fields["ref"] = id.as_str().into();
-                fields["loads"] = 0.into();
-                self.schedule(self.now, ScheduledEvent::SendProbe(probe(&id, &fields, 200)));
-            }
-            2 => {
-                fields["ref"] = fresh.as_str().into();
-                fields.as_object_mut().expect("fields").remove(field);
-                self.schedule(self.now, ScheduledEvent::SendProbe(probe(&fresh, &fields, 400)));
+        let retry_at = self.now + RETRY_MS;
+        match kind {
+            RequestKind::Submit if retries < MAX_RETRIES => {
+                let spec = self.jobs[&job].spec.clone();
+                self.schedule(retry_at, ScheduledEvent::Submit { spec, retries: retries + 1 });
             }
-            3 => {
-                fields["ref"] = fresh.as_str().into();
-                fields["awaits"] = serde_json::Value::Null;
-                let (name, value) = [("mem_gb", 9000.0.into()), ("hulls", serde_json::json!([])), ("crew", "x".into())]
-                    [self.random.below(3) as usize]
-                    .clone();
-                fields[name] = value;
-                self.schedule(self.now, ScheduledEvent::SendProbe(probe(&fresh, &fields, 422)));
+            RequestKind::Cancel if retries < MAX_RETRIES => {
+                self.schedule(retry_at, ScheduledEvent::Cancel { job, retries: retries + 1 });
             }
-            _ => {
-                let done =
-                    self.jobs.iter().filter(|(_, j)| j.done_reported).map(|(id, _)| id.clone()).collect::<Vec<_>>();
-                if !done.is_empty() {
-                    let id = done[self.random.below(done.len() as u64) as usize].clone();
-                    self.schedule(self.now, ScheduledEvent::Cancel(id, 0));
-                }
+            RequestKind::Poll => self.schedule(self.now + POLL_MS, ScheduledEvent::Poll { job }),
+            RequestKind::Submit | RequestKind::Cancel | RequestKind::QueryOnce => {}
+        }
+    }
+
+    pub(super) fn user_answered(&mut self, request: UserRequest, response: Response) {
+        if !self.jobs.contains_key(&request.job) {
+            if matches!(response, Response::Job { .. }) {
+                self.violations.push(format!("invented: {}", request.job));
             }
+            return;
+        }
+        match response {
+            Response::Job { status, state, .. } => self.job_reported(request, status, state),
+            Response::Error { status, .. } => self.request_refused(request, status),
+            _ => {}
         }
     }
 
-    /// Sends a body as it is, to any node.
-    pub(super) fn send_probe(&mut self, probe: ProbeSubmission) {
-        let node = self.random_node();
-        if self.nodes[node].core.is_none() {
-            return self.retry_probe(probe);
+    /// A user was told the state of its job.
+    fn job_reported(&mut self, request: UserRequest, status: u16, state: JobState) {
+        self.check_reported_state(&request, status, state);
+        let now = self.now;
+        let id = request.job;
+        let job = self.jobs.get_mut(&id).expect("only known jobs are reported");
+        job.done_reported |= state == JobState::Done;
+        job.last_answer_at = now;
+        let newly_cancelled = state == JobState::Cancelled && job.cancel_reported_at.is_none();
+        if newly_cancelled {
+            job.cancel_reported_at = Some(now);
         }
-        let ask = match JobSpec::parse(probe.body.as_bytes()) {
-            Ok(spec) => ClientRequest::Submit(Box::new(spec)),
-            Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
-            // Answered where it arrives.
-            Err(Malformed { id: None, .. }) => return self.check_probe_status(probe, 400),
-        };
-        self.last_request += 1;
-        let id = RequestId(self.last_request);
-        let (incarnation, at) = (self.nodes[node].incarnation, self.now + self.link());
-        self.requests.insert((node, id), PendingRequest::Probe(probe));
-        self.schedule(at, ScheduledEvent::ToNode(node, incarnation, Input::ClientRequest(id, ask)));
-    }
-
-    pub(super) fn retry_probe(&mut self, probe: ProbeSubmission) {
-        if probe.tries < 60 {
-            self.schedule(
-                self.now + 1000,
-                ScheduledEvent::SendProbe(ProbeSubmission { tries: probe.tries + 1, ..probe }),
-            );
+        let newly_accepted = !std::mem::replace(&mut job.accepted, true);
+        if newly_cancelled {
+            self.mark_dependents_cancelled(&id);
+        }
+        if newly_accepted || request.kind == RequestKind::Poll {
+            self.schedule(now + POLL_MS, ScheduledEvent::Poll { job: id });
         }
     }
 
-    pub(super) fn probe_answered(&mut self, probe: ProbeSubmission, response: Response) {
-        match response {
-            Response::Error { status: 503, .. } => self.retry_probe(probe),
-            Response::Error { status, .. } | Response::Job { status, .. } => self.check_probe_status(probe, status),
-            _ => {}
+    /// A user got an error, for good or for now.
+    fn request_refused(&mut self, request: UserRequest, status: u16) {
+        self.check_refusal(&request, status);
+        if request.kind == RequestKind::Submit && matches!(status, 400 | 422) {
+            self.rejections.insert(request.job, status);
+            return;
         }
+        self.statistics.unavailable_answers += usize::from(status == 503);
+        self.retry_request(request);
     }
 
-    fn check_probe_status(&mut self, probe: ProbeSubmission, status: u16) {
-        self.statistics.probe_answers += 1;
-        if status != probe.expected {
-            let what = if probe.expected == 200 { "forgotten" } else { "accepted" };
-            self.violations.push(format!("{what}: {} gets {status}, not {}: {}", probe.id, probe.expected, probe.body));
+    /// All that depends on a cancelled job is cancelled with it.
+    fn mark_dependents_cancelled(&mut self, id: &JobId) {
+        let mut cancelled = vec![id.clone()];
+        while let Some(id) = cancelled.pop() {
+            for (dependent, job) in &mut self.jobs {
+                if job.dependency_cancelled_at.is_none() && job.spec.dependencies.contains(&id) {
+                    job.dependency_cancelled_at = Some(self.now);
+                    cancelled.push(dependent.clone());
+                }
+            }
         }
     }
 }
--- /dev/null
+++ b/tests/simulator/worker_heartbeats.rs
@@ -0,0 +1,217 @@
+//! Heartbeats of workers and the answers to them: what is sent, to which node, and what gets
+//! lost or delayed on the way.
+
+use super::events::{ProcessId, ScheduledEvent};
+use super::network::{LinkState, LINK_MS};
+use super::requests::PendingRequest;
+use super::workers::{HeartbeatInFlight, Worker, WorkerAnswer};
+use super::SimulatedCluster;
+use tillercleat::coordination::{Input, Response};
+use tillercleat::protocol::workers::{Command, Heartbeat, TaskStatus};
+use tillercleat::units::{AgentEpoch, FencingToken, HeartbeatNumber, NodeName};
+
+/// After what time a worker tries the next node (milliseconds).
+const HEARTBEAT_TIMEOUT_MS: u64 = 5000;
+/// The same if the node refuses the connection.
+const REFUSED_RETRY_MS: u64 = 1000;
+/// Answers later than this after the heartbeat are not acted on (milliseconds).
+const MAX_ANSWER_AGE_MS: u64 = 4000;
+/// How late a delayed heartbeat is at least, and a duplicated one (milliseconds).
+const MIN_DELAY_MS: u64 = 1000;
+const MIN_DUPLICATE_DELAY_MS: u64 = 1;
+/// In smaller fleets all workers are checked at each heartbeat; in larger ones, where that would
+/// cost the square of their number, once a second.
+pub(super) const SMALL_FLEET: usize = 100;
+
+impl Worker {
+    /// The next heartbeat, with the state of all its tasks.
+    fn next_heartbeat(&mut self, zone_name: &str, now: u64) -> Heartbeat {
+        self.heartbeat_number += 1;
+        self.in_flight = Some(HeartbeatInFlight { number: self.heartbeat_number, sent_at: now });
+        let tasks = self.tasks.iter().map(|(name, task)| TaskStatus {
+            task: name.clone(),
+            attempt: task.attempt,
+            state: task.state,
+            why: task.exit_reason,
+            saved: None,
+        });
+        Heartbeat {
+            machine: self.name.clone(),
+            addr: "127.0.0.1:1".into(),
+            kind: self.kind.clone(),
+            zone: zone_name.into(),
+            spot: self.spot,
+            agent_epoch: AgentEpoch(self.agent_epoch),
+            heartbeat_number: HeartbeatNumber(self.heartbeat_number),
+            token: FencingToken(self.token),
+            notice_s: None,
+            tasks: tasks.collect(),
+        }
+    }
+}
+
+impl SimulatedCluster {
+    /// A worker's timer: sends a heartbeat, and sets the timer again.
+    pub(super) fn heartbeat_due(&mut self, worker: usize) {
+        if !self.workers[worker].alive {
+            return;
+        }
+        // Each worker keeps a pause of its own, from three quarters of the usual one on.
+        let (heartbeat_ms, spread) = (self.config.heartbeat_ms, worker as u64 % 7);
+        let pause = heartbeat_ms * 3 / 4 + spread * (heartbeat_ms * 3 / 50);
+        self.schedule(self.now + pause, ScheduledEvent::HeartbeatDue { worker });
+        self.send_heartbeat(worker);
+    }
+
+    /// A heartbeat got no answer: the next node may answer.
+    pub(super) fn heartbeat_failed(&mut self, index: usize, number: u64) {
+        let nodes = self.controllers.len();
+        let worker = &mut self.workers[index];
+        if worker.alive && worker.in_flight.is_some_and(|in_flight| in_flight.number == number) {
+            worker.in_flight = None;
+            worker.node = (worker.node + 1) % nodes;
+            self.send_heartbeat(index);
+        }
+    }
+
+    fn send_heartbeat(&mut self, index: usize) {
+        if self.now < self.workers[index].hung_until {
+            return;
+        }
+        self.advance_worker(index);
+        self.check_cancelled_tasks_in_turn();
+        // One at a time.
+        if self.workers[index].in_flight.is_some() {
+            return;
+        }
+        let worker = &mut self.workers[index];
+        let heartbeat = worker.next_heartbeat(&self.config.zones[worker.zone], self.now);
+        self.transmit_heartbeat(index, heartbeat);
+    }
+
+    /// Puts a heartbeat on its way, with the faults of the network.
+    fn transmit_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) {
+        let now = self.now;
+        let worker = &self.workers[index];
+        let (node, zone, uplink_lost) = (worker.node, worker.zone, now < worker.uplink_lost_until);
+        let timeout = ScheduledEvent::HeartbeatFailed { worker: index, number: worker.heartbeat_number };
+        if uplink_lost {
+            // No connection opens.
+            return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
+        }
+        let delayed = self.network.delayed_heartbeats;
+        if delayed.hits(now, &mut self.random) {
+            let late = MIN_DELAY_MS + delayed.delay(&mut self.random);
+            self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
+            return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
+        }
+        let duplicated = self.network.duplicated_heartbeats;
+        if duplicated.hits(now, &mut self.random) {
+            let late = MIN_DUPLICATE_DELAY_MS + duplicated.delay(&mut self.random);
+            let heartbeat = heartbeat.clone();
+            self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
+        }
+        self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
+        let (to, delay) = (self.process(node), self.link_delay());
+        let arrives_at = match self.network.link_state(node, zone, now) {
+            LinkState::HeldUntil(until) => until + 1,
+            LinkState::Lost => return,
+            LinkState::Open => now + LINK_MS + delay,
+        };
+        self.schedule(arrives_at, ScheduledEvent::DeliverHeartbeat { to, worker: index, heartbeat });
+    }
+
+    pub(super) fn deliver_heartbeat(&mut self, to: ProcessId, worker: usize, heartbeat: Heartbeat) {
+        let number = heartbeat.heartbeat_number.0;
+        if to != self.process(to.node) || !self.controllers[to.node].is_running() {
+            // Refused or reset.
+            let retry = ScheduledEvent::HeartbeatFailed { worker, number };
+            return self.schedule(self.now + REFUSED_RETRY_MS, retry);
+        }
+        let id = self.requests.add(to.node, PendingRequest::Heartbeat { worker, number });
+        self.handle_input(to.node, Input::Heartbeat(id, heartbeat));
+    }
+
+    /// A delayed or duplicated heartbeat arrives at any node; the answer is of no use.
+    pub(super) fn deliver_stray_heartbeat(&mut self, worker: usize, heartbeat: Heartbeat) {
+        let node = self.random_node();
+        let id = self.requests.new_id();
+        if self.controllers[node].is_running() {
+            self.requests.insert(node, id, PendingRequest::Heartbeat { worker, number: 0 });
+            self.handle_input(node, Input::Heartbeat(id, heartbeat));
+        }
+    }
+
+    /// Sends a controller's answer to a worker, with the faults of the network.
+    pub(super) fn send_answer(&mut self, node: usize, index: usize, number: u64, response: Response) {
+        let now = self.now;
+        let worker = &self.workers[index];
+        if now < worker.downlink_lost_until.max(self.controllers[node].answers_lost_until) {
+            self.statistics.undelivered_starts += starts_in(&response);
+            return;
+        }
+        let (zone, delayed) = (worker.zone, worker.delayed_answers);
+        let answer = WorkerAnswer { worker: index, number, agent_epoch: worker.agent_epoch, response };
+        if delayed.is_active(now) {
+            let late = LINK_MS + delayed.delay(&mut self.random);
+            return self.schedule(now + late, ScheduledEvent::DeliverAnswer(answer));
+        }
+        let arrives_at = match self.network.link_state(node, zone, now) {
+            LinkState::HeldUntil(until) => until + 1,
+            LinkState::Lost => return,
+            LinkState::Open => now + LINK_MS + self.link_delay(),
+        };
+        self.schedule(arrives_at, ScheduledEvent::DeliverAnswer(answer));
+    }
+
+    pub(super) fn deliver_answer(&mut self, answer: WorkerAnswer) {
+        let (now, index) = (self.now, answer.worker);
+        let hung_until = self.workers[index].hung_until;
+        if now < hung_until {
+            // Handled when it goes on, if it still is in time then.
+            return self.schedule(hung_until, ScheduledEvent::DeliverAnswer(answer));
+        }
+        self.advance_worker(index);
+        let worker = &mut self.workers[index];
+        let Some(in_flight) = worker.in_flight else { return };
+        let in_time = in_flight.number == answer.number && now <= in_flight.sent_at + MAX_ANSWER_AGE_MS;
+        // Late answers, and those to an earlier epoch, are dropped.
+        if !worker.alive || !in_time || answer.agent_epoch != worker.agent_epoch {
+            return;
+        }
+        worker.in_flight = None;
+        self.obey(index, in_flight.sent_at, answer.response);
+    }
+
+    /// A worker does what the answer to its heartbeat says.
+    fn obey(&mut self, index: usize, sent_at: u64, response: Response) {
+        let nodes = self.controllers.len();
+        let worker = &mut self.workers[index];
+        match response {
+            Response::Commands { token, commands } => {
+                if token.0 < worker.token {
+                    return;
+                }
+                worker.token = token.0;
+                worker.lease_from = sent_at;
+                for command in commands {
+                    self.execute_command(index, command);
+                }
+            }
+            Response::Redirect(Some(node)) => {
+                worker.node = (0..nodes).find(|n| NodeName::new(&format!("n{n}")) == node).unwrap_or(0);
+            }
+            _ => worker.node = (worker.node + 1) % nodes,
+        }
+    }
+}
+
+/// How many starts an answer holds.
+fn starts_in(response: &Response) -> usize {
+    match response {
+        Response::Commands { commands, .. } => {
+            commands.iter().filter(|command| matches!(command, Command::Start { .. })).count()
+        }
+        _ => 0,
+    }
+}
--- a/tests/simulator/workers.rs
+++ b/tests/simulator/workers.rs
@@ -1,14 +1,55 @@
-//! The workers of the simulated cluster.
+//! The workers: one on each rented machine, with a lease that it renews by heartbeats and tasks
+//! that run and end. Their heartbeats stand in `worker_heartbeats`.
 
-use super::*;
+use super::events::ScheduledEvent;
+use super::faults::FaultWindow;
+use super::SimulatedCluster;
+use std::collections::BTreeMap;
+use tillercleat::coordination::Response;
+use tillercleat::protocol::workers::{Command, ExitReason, TaskName, TaskState};
+use tillercleat::units::{Attempt, JobId, MachineId};
 
-pub(super) struct RunningTask {
+/// How long a task runs that fails (milliseconds).
+const FAILING_RUN_MS: u64 = 1000;
+/// How long a task of an unknown job runs (milliseconds).
+const UNKNOWN_RUN_MS: u64 = 1000;
+/// A task takes at least this much of its estimate, and up to so much more (percent).
+const MIN_RUN_PERCENT: u64 = 80;
+const RUN_SPREAD_PERCENT: u64 = 60;
+
+/// A task on a worker, until the worker is told to forget it.
+pub(super) struct WorkerTask {
     pub(super) attempt: Attempt,
     pub(super) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
+    /// When it ends by itself (milliseconds).
     pub(super) ends_at: u64,
 }
 
+impl WorkerTask {
+    pub(super) fn is_running(&self) -> bool {
+        self.state != TaskState::Exited
+    }
+}
+
+/// A heartbeat that has got no answer yet.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct HeartbeatInFlight {
+    pub(super) number: u64,
+    pub(super) sent_at: u64,
+}
+
+/// A controller's answer on its way to a worker.
+pub(super) struct WorkerAnswer {
+    pub(super) worker: usize,
+    /// The number of the heartbeat that it answers.
+    pub(super) number: u64,
+    /// The worker's epoch when it was sent.
+    pub(super) agent_epoch: u64,
+    pub(super) response: Response,
+}
+
+/// A worker and its machine. Times are in milliseconds.
 pub(super) struct Worker {
     pub(super) name: MachineId,
     pub(super) kind: String,
@@ -16,22 +57,53 @@
     pub(super) spot: bool,
     pub(super) rented_at: u64,
     pub(super) up_at: u64,
+    /// The machine is rented, and not lost.
     pub(super) alive: bool,
     pub(super) hung_until: u64,
+    /// Until then no answer reaches it.
     pub(super) downlink_lost_until: u64,
-    /// Until when it reaches no controller.
+    /// Until then it reaches no controller.
     pub(super) uplink_lost_until: u64,
-    /// Until when its answers are held up, and for how long each at the most.
-    pub(super) delayed_answers: (u64, u64),
+    pub(super) delayed_answers: FaultWindow,
+    /// Fails every task.
     pub(super) faulty: bool,
     pub(super) agent_epoch: u64,
     pub(super) heartbeat_number: u64,
     pub(super) token: u64,
+    /// The node that it sends its heartbeats to.
     pub(super) node: usize,
+    /// Since when its lease counts.
     pub(super) lease_from: u64,
-    pub(super) tasks: BTreeMap<(JobId, u32), RunningTask>,
-    /// The report in in_flight: its number and when it was sent.
-    pub(super) in_flight: Option<(u64, u64)>,
+    pub(super) tasks: BTreeMap<TaskName, WorkerTask>,
+    pub(super) in_flight: Option<HeartbeatInFlight>,
+}
+
+impl Worker {
+    /// The machine is gone, with all that ran on it.
+    pub(super) fn die(&mut self) {
+        self.alive = false;
+        self.tasks.clear();
+    }
+
+    pub(super) fn runs(&self, task: &TaskName) -> bool {
+        self.tasks.get(task).is_some_and(WorkerTask::is_running)
+    }
+
+    /// How many tasks of a job run on it.
+    pub(super) fn running_tasks_of(&self, job: &JobId) -> usize {
+        self.tasks.iter().filter(|(name, task)| name.job == *job && task.is_running()).count()
+    }
+
+    fn has_attempt(&self, task: &TaskName, attempt: Attempt) -> bool {
+        self.tasks.get(task).is_some_and(|on_worker| on_worker.attempt == attempt)
+    }
+
+    /// The worker kills its tasks and begins a new epoch.
+    fn lose_lease(&mut self, now: u64) {
+        self.agent_epoch += 1;
+        self.lease_from = now;
+        self.tasks.clear();
+    }
 }
 
 impl SimulatedCluster {
@@ -50,7 +122,7 @@
             hung_until: 0,
             downlink_lost_until: 0,
             uplink_lost_until: 0,
-            delayed_answers: (0, 0),
+            delayed_answers: FaultWindow::default(),
             faulty: false,
             agent_epoch: 1,
             heartbeat_number: 0,
@@ -60,170 +132,79 @@
             tasks: BTreeMap::new(),
             in_flight: None,
         });
-        self.schedule(up_at, ScheduledEvent::ReportTimer(index));
+        self.schedule(up_at, ScheduledEvent::HeartbeatDue { worker: index });
         name
     }
 
-    /// Lets a worker's time pass: its lease, and the tasks that end.
+    /// Lets a worker's time pass up to now: its lease may run out, and tasks end.
     pub(super) fn advance_worker(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
         if now > worker.lease_from + self.config.lease_ms {
-            worker.agent_epoch += 1;
-            worker.lease_from = now;
-            worker.tasks.clear();
+            worker.lose_lease(now);
         }
         if now < worker.hung_until {
-            // A hanging machine carries out nothing, but its lease runs out.
-            return;
-        }
-        for (key, task) in &mut worker.tasks {
-            if task.state != TaskState::Exited && task.ends_at <= now {
-                task.state = TaskState::Exited;
-                self.recently_ended.push_back((now, index, key.0.clone()));
-                if worker.faulty || self.failing_jobs.contains(&key.0) {
-                    task.exit_reason = Some(ExitReason::Error);
-                    continue;
-                }
-                task.exit_reason = Some(ExitReason::Done);
-                if let Some(job) = self.jobs.get_mut(&key.0) {
-                    job.finished_tasks.insert(key.1);
-                    self.statistics.last_completion = now;
-                }
-            }
-        }
-    }
-
-    pub(super) fn send_heartbeat(&mut self, index: usize) {
-        if self.now < self.workers[index].hung_until {
-            return;
-        }
-        self.advance_worker(index);
-        // All of them at every report would cost the square of a large fleet.
-        if self.cancellations_checked_s < self.now / 1000 || self.workers.len() < 100 {
-            self.cancellations_checked_s = self.now / 1000;
-            self.check_cancelled();
-        }
-        let now = self.now;
-        let worker = &mut self.workers[index];
-        // One at a time.
-        if worker.in_flight.is_some() {
+            // A hanging worker carries out nothing, but its lease runs out.
             return;
         }
-        worker.heartbeat_number += 1;
-        worker.in_flight = Some((worker.heartbeat_number, now));
-        let tasks = worker.tasks.iter().map(|(key, task)| TaskStatus {
-            task: TaskName { job: key.0.clone(), index: key.1 },
-            attempt: task.attempt,
-            state: task.state,
-            why: task.exit_reason,
-            saved: None,
-        });
-        let heartbeat = Heartbeat {
-            machine: worker.name.clone(),
-            addr: "127.0.0.1:1".into(),
-            kind: worker.kind.clone(),
-            zone: self.config.zones[worker.zone].clone(),
-            spot: worker.spot,
-            agent_epoch: AgentEpoch(worker.agent_epoch),
-            heartbeat_number: HeartbeatNumber(worker.heartbeat_number),
-            token: FencingToken(worker.token),
-            notice_s: None,
-            tasks: tasks.collect(),
-        };
-        let (node, zone, in_flight) = (worker.node, worker.zone, worker.heartbeat_number);
-        if now < worker.uplink_lost_until {
-            // No connection opens.
-            return self.schedule(now + 5000, ScheduledEvent::TryNext(index, in_flight));
-        }
-        if now < self.delayed_heartbeats.0 && self.random.below(100) < self.delayed_heartbeats.1 {
-            let late = 1000 + self.random.below(self.delayed_heartbeats.2);
-            self.schedule(now + late, ScheduledEvent::Copy(index, heartbeat));
-            return self.schedule(now + 5000, ScheduledEvent::TryNext(index, in_flight));
-        }
-        if now < self.duplicated_heartbeats.0 && self.random.below(100) < self.duplicated_heartbeats.1 {
-            let late = 1 + self.random.below(self.duplicated_heartbeats.2);
-            self.schedule(now + late, ScheduledEvent::Copy(index, heartbeat.clone()));
-        }
-        self.schedule(now + 5000, ScheduledEvent::TryNext(index, in_flight));
-        let (incarnation, link) = (self.nodes[node].incarnation, self.link());
-        match self.cuts.get(&(node, zone)) {
-            Some(&(until, true)) if now < until => {
-                self.schedule(until + 1, ScheduledEvent::Heartbeat(node, incarnation, index, heartbeat))
+        let faulty = worker.faulty;
+        for (name, task) in worker.tasks.iter_mut().filter(|(_, task)| task.is_running() && task.ends_at <= now) {
+            task.state = TaskState::Exited;
+            self.checks.note_ended_task(now, index, &name.job);
+            if faulty || self.failing_jobs.contains(&name.job) {
+                task.exit_reason = Some(ExitReason::Error);
+                continue;
             }
-            Some(&(until, false)) if now < until => {}
-            _ => self.schedule(now + 2 + link, ScheduledEvent::Heartbeat(node, incarnation, index, heartbeat)),
-        }
-    }
-
-    pub(super) fn worker_answered(&mut self, index: usize, in_flight: u64, response: Response, agent_epoch: u64) {
-        if self.now < self.workers[index].hung_until {
-            // Processed when it goes on, if it still is in time then.
-            let at = self.workers[index].hung_until;
-            return self.schedule(at, ScheduledEvent::Answer(index, in_flight, response, agent_epoch));
-        }
-        self.advance_worker(index);
-        let nodes = self.nodes.len();
-        let worker = &mut self.workers[index];
-        let Some((current, sent)) = worker.in_flight else { return };
-        // Late answers, and those to an earlier session, are dropped.
-        if !worker.alive || current != in_flight || self.now > sent + 4000 || agent_epoch != worker.agent_epoch {
-            return;
-        }
-        worker.in_flight = None;
-        match response {
-            Response::Commands { token, commands } => {
-                if token.0 < worker.token {
-                    return;
-                }
-                worker.token = token.0;
-                worker.lease_from = sent;
-                for command in commands {
-                    self.execute_command(index, command);
-                }
+            task.exit_reason = Some(ExitReason::Done);
+            if let Some(job) = self.jobs.get_mut(&name.job) {
+                job.finished_tasks.insert(name.index);
+                self.statistics.last_completion = now;
             }
-            Response::Redirect(Some(node)) => {
-                worker.node = (0..nodes).find(|n| NodeName::new(&format!("n{n}")) == node).unwrap_or(0);
-            }
-            _ => worker.node = (worker.node + 1) % nodes,
         }
     }
 
+    /// Does what a controller tells a worker to do.
     pub(super) fn execute_command(&mut self, index: usize, command: Command) {
-        let now = self.now;
+        let worker = &mut self.workers[index];
         match command {
-            Command::Start { task, attempt } => {
-                let key = (task.job.clone(), task.index);
-                if self.workers[index].tasks.get(&key).is_some_and(|t| t.attempt == attempt) {
-                    return;
-                }
-                self.check_start(index, &key);
-                let run = self.jobs.get(&task.job).map_or(1000, |j| (j.spec.estimated_run_s * 1000.0) as u64);
-                let ends = now + run * (80 + self.random.below(60)) / 100;
-                let fails = self.workers[index].faulty || self.failing_jobs.contains(&task.job);
-                let ends = if fails { now + 1000 } else { ends };
-                let ends = if run == 0 { u64::MAX } else { ends };
-                let task = RunningTask { attempt, state: TaskState::Running, exit_reason: None, ends_at: ends };
-                let job = key.0.clone();
-                self.workers[index].tasks.insert(key, task);
-                if now < self.cancel_at_completion.0 && self.random.below(100) < self.cancel_at_completion.1 {
-                    self.cancel_at_completion_of(&job);
-                }
-            }
+            Command::Start { task, attempt } if worker.has_attempt(&task, attempt) => {}
+            Command::Start { task, attempt } => self.start_task(index, task, attempt),
             Command::Stop { task, attempt, .. } => {
-                if let Some(on) = self.workers[index].tasks.get_mut(&(task.job, task.index)) {
-                    if on.attempt == attempt && on.state != TaskState::Exited {
-                        on.state = TaskState::Exited;
-                        on.exit_reason = Some(ExitReason::Stopped);
-                    }
+                let stopped = worker.tasks.get_mut(&task).filter(|on_worker| on_worker.attempt == attempt);
+                if let Some(on_worker) = stopped.filter(|on_worker| on_worker.is_running()) {
+                    on_worker.state = TaskState::Exited;
+                    on_worker.exit_reason = Some(ExitReason::Stopped);
                 }
             }
             Command::Forget { task, attempt } => {
-                let key = (task.job, task.index);
-                if self.workers[index].tasks.get(&key).is_some_and(|t| t.attempt == attempt) {
-                    self.workers[index].tasks.remove(&key);
+                if worker.has_attempt(&task, attempt) {
+                    worker.tasks.remove(&task);
                 }
             }
         }
     }
+
+    fn start_task(&mut self, index: usize, task: TaskName, attempt: Attempt) {
+        self.check_start(index, &task);
+        let ends_at = self.end_of_run(index, &task.job);
+        let started = WorkerTask { attempt, state: TaskState::Running, exit_reason: None, ends_at };
+        let job = task.job.clone();
+        self.workers[index].tasks.insert(task, started);
+        if self.cancel_at_completion.hits(self.now, &mut self.random) {
+            self.schedule_cancel_at_completion(&job);
+        }
+    }
+
+    /// When a task of a job ends that this worker starts now. Tasks of services never do.
+    fn end_of_run(&mut self, index: usize, job: &JobId) -> u64 {
+        let run_ms = self.jobs.get(job).map_or(UNKNOWN_RUN_MS, |job| (job.spec.estimated_run_s * 1000.0) as u64);
+        let percent = MIN_RUN_PERCENT + self.random.below(RUN_SPREAD_PERCENT);
+        if run_ms == 0 {
+            u64::MAX
+        } else if self.workers[index].faulty || self.failing_jobs.contains(job) {
+            self.now + FAILING_RUN_MS
+        } else {
+            self.now + run_ms * percent / 100
+        }
+    }
 }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -73,7 +73,7 @@
         "one_zone": false, "apart": false, "driftwood": true, "reckon_s": 300.0, "mark_s": 0.0, "stow_s": 0.0,
         "tide_s": null
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 impl Site {
@@ -104,7 +104,7 @@
     fn restart(&mut self) {
         for (_, call) in std::mem::take(&mut self.on_way) {
             if self.on_way.is_empty() && matches!(call, StateCall::Transaction(_)) {
-                self.service.run(self.now, call);
+                self.service.execute(self.now, call);
             }
         }
         self.core = Core::new(simulator::settings(&self.config, 0, 20.0), Tuning::default());
@@ -182,7 +182,7 @@
             self.wait(50);
             while let Some((id, call)) = self.on_way.pop_front() {
                 let watch = matches!(call, StateCall::Watch { .. });
-                let answer = self.service.run(self.now, call);
+                let answer = self.service.execute(self.now, call);
                 self.feed(Input::State(id, answer));
                 if watch {
                     break;
@@ -193,7 +193,7 @@
     }
 
     fn record(&mut self, key: &str) -> Option<(serde_json::Value, u64)> {
-        match self.service.run(self.now, StateCall::Get { key: key.into() }) {
+        match self.service.execute(self.now, StateCall::Get { key: key.into() }) {
             StateAnswer::Found(item) => Some((item.value, item.version.0)),
             _ => None,
         }
@@ -334,11 +334,11 @@
             for step in steps {
                 match step {
                     Step::Wait(ms) => site.wait(ms),
-                    Step::Answer(pick) => site.answer(pick, |service, now, call| service.run(now, call)),
+                    Step::Answer(pick) => site.answer(pick, |service, now, call| service.execute(now, call)),
                     Step::Refuse(pick) => site.answer(pick, |_, _, _| StateAnswer::Refused),
                     Step::Lose(pick, done) => site.answer(pick, |service, now, call| {
                         if done {
-                            service.run(now, call);
+                            service.execute(now, call);
                         }
                         StateAnswer::Unknown
                     }),
@@ -366,7 +366,7 @@
         for _ in 0..20 {
             site.wait(20);
             while let Some((id, call)) = site.on_way.pop_front() {
-                let answer = site.service.run(site.now, call);
+                let answer = site.service.execute(site.now, call);
                 site.feed(Input::State(id, answer));
                 if site.on_way.len() > 20 {
                     break;
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -28,7 +28,7 @@
         _ => "array",
     };
     let tasks = if rig == "array" && number % 13 != 0 { tasks } else { 2 };
-    simulator::users::job_spec(serde_json::json!({
+    simulator::fixtures::job_spec(serde_json::json!({
         "ref": id(number), "haul": class, "crew": if number % 6 == 0 { "red" } else { "blue" },
         "rig": rig, "rank": rank, "loads": tasks, "cores": cpus, "mem_gb": 2.0 * cpus,
         "kit": format!("img-{}", number % 4), "image_gb": 0.5, "one_zone": number % 13 == 0,
