--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -72,7 +72,7 @@
     /// too early, all that can run runs, and what follows a cancelled job is
     /// cancelled wholly, whatever fails meanwhile.
     #[test]
-    fn chains_end_and_nothing_starts_too_early(
+    fn dependent_jobs_start_after_their_dependencies_and_all_end(
         seed in 1u64..1_000_000,
         lengths in proptest::collection::vec(2usize..31, 1..4),
         cancelled in proptest::collection::vec((0usize..90, 5000u64..60_000), 0..4),
@@ -103,7 +103,7 @@
 /// moments that hurt: long after the others ended and were put away, while a
 /// predecessor is withdrawn elsewhere, and when it is done already.
 #[test]
-fn late_and_cancelled_names_get_one_lasting_answer() {
+fn archived_and_cancelled_dependencies_get_one_lasting_answer() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
     cluster.submit(4000, job(1, 2, 2.0, "normal", &[]));
     cluster.submit(4000, job(2, 2, 400.0, "normal", &[]));
@@ -138,7 +138,7 @@
 /// transaction was on its way all the while. It waits for nothing that is done,
 /// and follows what is cancelled.
 #[test]
-fn what_was_put_away_before_a_late_acceptance_is_looked_up() {
+fn a_job_accepted_late_looks_up_archived_dependencies() {
     for cancelled in [false, true] {
         let mut cluster = SimulatedCluster::new(9, 10.0);
         cluster.submit(4000, job(1, 2, 30.0, "normal", &[]));
@@ -163,7 +163,7 @@
 /// A job that ended long ago is kept in sight while another that waits names it:
 /// each node that starts would have to look it up.
 #[test]
-fn a_job_that_is_named_is_not_put_away() {
+fn a_dependency_of_a_waiting_job_is_not_archived() {
     let mut cluster = SimulatedCluster::new(15, 10.0);
     cluster.submit(4000, job(1, 1, 2.0, "normal", &[]));
     cluster.submit(4000, job(2, 1, 700.0, "normal", &[]));
@@ -178,7 +178,7 @@
 
 /// What is no list of ids, or names what was never accepted or never ends.
 #[test]
-fn names_are_checked_at_the_door() {
+fn invalid_dependencies_are_rejected_on_submission() {
     let spec = |dependencies: serde_json::Value| {
         let mut text = serde_json::to_value(job(1, 1, 1.0, "normal", &[])).expect("a job");
         text["awaits"] = dependencies;
@@ -218,7 +218,7 @@
 /// A thousand jobs behind one that is cancelled, with few writes to be had and
 /// the state service down right after the answer: all say so in time.
 #[test]
-fn a_thousand_followers_are_cancelled_at_once() {
+fn a_thousand_dependents_are_cancelled_in_time() {
     let config = ClusterConfig { writes_per_s: 35.0, enforce_limits: true, ..ClusterConfig::small() };
     let mut cluster = SimulatedCluster::with_config(11, config);
     cluster.submit(4000, job(0, 2, 900.0, "normal", &[]));
@@ -236,7 +236,7 @@
 /// Waiting jobs take nothing of a team's limit or guarantee, and are no work to
 /// rent machines for.
 #[test]
-fn what_waits_takes_nothing_from_others() {
+fn waiting_dependents_use_no_quota_and_no_machines() {
     let mut cluster = SimulatedCluster::new(13, 10.0);
     cluster.submit(4000, job(0, 1, 300.0, "high", &[]));
     for n in 1..200 {
@@ -257,7 +257,7 @@
 /// The early steps of a chain whose end presses go before a flood of work of
 /// higher priority than their own; once the end is cancelled they do not.
 #[test]
-fn the_urgency_of_the_last_step_counts_for_the_first() {
+fn the_first_job_of_a_chain_inherits_the_priority_of_the_last() {
     let begun_at = |cancel: bool| {
         let config = ClusterConfig { machines: 4, ..ClusterConfig::small() };
         let mut cluster = SimulatedCluster::with_config(17, config);
@@ -282,7 +282,7 @@
 /// Nothing new is taken while a controller lives that knows nothing of it, one
 /// that is away may come back old, and one that is gone for good holds nobody up.
 #[test]
-fn chains_are_taken_once_all_controllers_know_of_them() {
+fn dependencies_are_accepted_once_all_controllers_support_them() {
     let mut cluster = SimulatedCluster::new(19, 10.0);
     cluster.run_previous_version(1);
     cluster.submit(4000, job(1, 1, 1.0, "normal", &[]));
@@ -313,7 +313,7 @@
 /// An older controller that comes back when chains are on starts nothing of a
 /// waiting job, and what it writes takes nothing from anybody.
 #[test]
-fn an_older_controller_among_waiting_jobs_breaks_nothing() {
+fn a_controller_of_the_previous_version_among_waiting_jobs_breaks_no_rule() {
     let mut cluster = SimulatedCluster::new(23, 10.0);
     chain(&mut cluster, 0, 12, 8000);
     fan(&mut cluster, 40, 20, 9000);
@@ -334,7 +334,7 @@
 
 /// Names of finished jobs in `dependencies` are looked at once each.
 #[test]
-fn names_are_bounded_by_what_a_record_holds() {
+fn a_job_with_a_hundred_dependencies_fits_smaller_records() {
     let names: BTreeSet<usize> = (1..=100).collect();
     let mut cluster = SimulatedCluster::with_config(
         25,
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -29,7 +29,7 @@
 
 /// Everything but what may be null; a missing `gpus` or `one_zone` passed for a default.
 #[test]
-fn what_may_not_be_null_may_not_be_missing() {
+fn fields_that_may_not_be_null_may_not_be_missing() {
     let all = valid(1);
     assert!(parse(&all).is_ok());
     for (name, value) in all.as_object().expect("fields") {
@@ -45,7 +45,7 @@
 
 /// Bodies that are no submission at all, and what can be read of them.
 #[test]
-fn malformed_bodies_are_refused_by_name_if_they_have_one() {
+fn malformed_bodies_are_rejected_with_their_job_id_if_readable() {
     let whole = valid(1).to_string();
     let named = |body: &str| JobSpec::parse(body.as_bytes()).expect_err(body).id.map(|id| id.to_string());
     let twice = whole.replacen('{', r#"{"cores":1.0,"#, 1);
@@ -155,7 +155,7 @@
 
 /// A repeat of a job that another node accepted got 422 or 400 from one whose records lagged.
 #[test]
-fn a_known_job_is_known_whatever_its_repeat_says() {
+fn a_repeated_submission_of_a_known_job_gets_200_whatever_it_says() {
     let config = ClusterConfig::small();
     // What an earlier version accepted, written behind this node's back.
     let record = json!({"spec": without(valid(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
@@ -189,7 +189,7 @@
 
 /// All that a task needs must come together, and all replicas of a service at once.
 #[test]
-fn what_can_never_run_is_refused_at_once() {
+fn jobs_that_can_never_run_are_rejected_at_once() {
     let mut config = ClusterConfig { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..ClusterConfig::small() };
     let mut large = config.machine_types[0].clone();
     (large.name, large.gpus, large.mem_gb, large.zones, large.cpus) = ("g2".into(), 2.0, 16.0, vec!["b".into()], 16.0);
@@ -260,7 +260,7 @@
     })]
     /// What is accepted runs, and what can't run is refused.
     #[test]
-    fn what_is_accepted_runs_and_what_cannot_is_refused(
+    fn accepted_jobs_run_and_impossible_ones_are_rejected(
         seed in 1u64..1_000_000, changes in proptest::collection::vec(change(), 6..14),
     ) {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 40, ..ClusterConfig::small() });
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -64,7 +64,7 @@
 /// address is had again, connections of users and workers that outlive the
 /// process harm nothing, no life ends by itself, and no job is lost.
 #[test]
-fn the_binary_is_killed_and_started_again_at_once() {
+fn the_binary_survives_quick_restarts() {
     let client_addr = free_port();
     let path = std::env::temp_dir().join(format!("tillercleat-again-{}.json", std::process::id()));
     std::fs::write(&path, settings(client_addr, 200).to_string()).expect("a settings file");
@@ -124,7 +124,7 @@
 /// in all the while, and users again once the flood has passed.
 #[test]
 #[cfg(target_os = "linux")]
-fn a_flood_beyond_the_threads_ends_nothing_and_keeps_workers() {
+fn a_connection_flood_stays_within_the_threads_and_keeps_workers() {
     const CEILING: usize = 48;
     let client_addr = free_port();
     let file = |end: &str| std::env::temp_dir().join(format!("tillercleat-flood-{}.{end}", std::process::id()));
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn bad_settings_end_with_one_line() {
+fn bad_settings_end_the_program_with_one_line() {
     let path = std::env::temp_dir().join(format!("tillercleat-bad-{}.json", std::process::id()));
     std::fs::write(&path, r#"{"label": "n0"}"#).expect("a settings file");
     let output = Command::new(env!("CARGO_BIN_EXE_tillercleat"))
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,7 +32,7 @@
 /// What the operators do at night: all controllers are rolled, and the state
 /// service fails for a while; here at their full size.
 #[test]
-fn a_roll_and_an_outage_at_750_machines_keep_the_rules() {
+fn rolling_restart_and_store_outage_at_750_machines_break_no_rule() {
     let mut cluster = SimulatedCluster::with_config(11, ClusterConfig::fleet(5, 3, 750));
     let jobs = work(&mut cluster);
     // Longer than a worker's lease: owners must go on answering.
@@ -53,7 +53,7 @@
 /// All controllers end together, and again before the first lease is over. All
 /// read all records at once then, within one limit on requests.
 #[test]
-fn all_controllers_end_twice_within_a_lease_and_soon_accept_again() {
+fn all_controllers_crash_twice_within_a_lease_and_accept_jobs_within_2_s() {
     let mut cluster = SimulatedCluster::with_config(12, ClusterConfig::fleet(7, 3, 750));
     work(&mut cluster);
     for at in [50_000, 58_000] {
@@ -91,7 +91,7 @@
 /// The record of machines on their way out outgrew a value when all of a large
 /// fleet was to go: it was refused for ever, and nothing was returned or rented.
 #[test]
-fn a_large_fleet_without_work_is_given_back() {
+fn a_large_idle_fleet_is_scaled_in() {
     let mut cluster = SimulatedCluster::with_config(14, ClusterConfig::fleet(5, 3, 1600));
     cluster.submit(4000, job(1, 40, 1.0, 10.0));
     cluster.run(150_000);
@@ -104,7 +104,7 @@
 /// Three times what the fleet can do, with two controllers lost in the midst of
 /// it: whatever had to wait is done in the end, and nobody is left out.
 #[test]
-fn overload_at_1130_machines_leaves_nobody_out() {
+fn overload_at_1130_machines_starves_no_job() {
     let mut cluster = SimulatedCluster::with_config(15, ClusterConfig::fleet(7, 3, 1130));
     for number in 0..480 {
         // The first team has a limit that is a ninth of the fleet.
--- a/tests/forgotten.rs
+++ b/tests/forgotten.rs
@@ -75,7 +75,7 @@
         ..Default::default()
     })]
     #[test]
-    fn nobody_is_forgotten_whatever_is_lost(
+    fn no_accepted_job_is_forgotten_whatever_is_lost(
         seed in 1u64..1_000_000,
         troubles in proptest::collection::vec((15_000u64..60_000, trouble()), 1..4),
         others in proptest::collection::vec((15_000u64..80_000, other()), 0..4),
@@ -96,7 +96,7 @@
 /// A third of the machines hear nothing any more, for good. What was on them
 /// runs elsewhere, and they are given back; the others are not.
 #[test]
-fn machines_that_hear_nothing_are_given_up_and_given_back() {
+fn machines_without_downlink_are_replaced_and_returned() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
     work(&mut cluster, 1500, 120_000, 8);
     cluster.inject_fault(30_000, Fault::DownlinkLost { every_nth: 3, for_ms: 10_000_000 });
@@ -115,7 +115,7 @@
 /// A controller whose answers alone are lost hands its parts over before its
 /// workers have killed their tasks time and again.
 #[test]
-fn an_owner_whose_answers_are_lost_hands_over() {
+fn an_owner_whose_answers_are_lost_releases_its_shards() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
     work(&mut cluster, 1500, 90_000, 8);
     cluster.inject_fault(30_000, Fault::ControllerAnswersLost { node: 0, for_ms: 120_000 });
@@ -133,7 +133,7 @@
 /// Copies of reports of machines that are dead: they bring nothing back to life
 /// and put nothing off.
 #[test]
-fn late_copies_bring_no_machine_back() {
+fn late_duplicated_heartbeats_revive_no_machine() {
     let ended = |copies: bool| {
         let mut cluster = SimulatedCluster::new(9, 10.0);
         work(&mut cluster, 1500, 36_000, 8);
@@ -156,7 +156,7 @@
 
 /// All of it once at one and a half times the operators' size.
 #[test]
-fn the_same_at_1130_machines() {
+fn lost_and_duplicated_messages_at_1130_machines_break_no_rule() {
     let mut cluster = SimulatedCluster::with_config(11, ClusterConfig::fleet(7, 3, 1130));
     work(&mut cluster, 120, 70_000, 60);
     cluster.inject_fault(20_000, Fault::DownlinkLost { every_nth: 3, for_ms: 30_000 });
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -60,7 +60,7 @@
     /// In the middle of the roll, or after it, with ends at any moment: what was
     /// stored before stays, all is done, nothing is asked again that was refused.
     #[test]
-    fn what_was_stored_before_limits_fall_goes_on(
+    fn records_stored_before_limits_fall_stay_in_use(
         seed in 1u64..1_000_000,
         fall in 12_000u64..70_000,
         ends in proptest::collection::vec((20_000u64..90_000, 0usize..3, prop_oneof![Just(200u64), 1000u64..7000]), 0..4),
@@ -74,7 +74,7 @@
 
 /// A hundred thousand tasks, cut for the smaller values from the start.
 #[test]
-fn the_largest_job_fits_the_smaller_limits() {
+fn the_largest_job_fits_smaller_limits() {
     let announced_limits = serde_json::json!({"value_kb": 2.0, "txn_ops": 4});
     let config = ClusterConfig {
         machines: 120,
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -85,7 +85,7 @@
     /// Tasks of cancelled jobs must be gone in time though their owner never
     /// hears of the cancellation, and nothing else may break.
     #[test]
-    fn what_is_cancelled_behind_its_owners_back_is_gone_in_time(
+    fn tasks_cancelled_while_the_store_refuses_their_owner_end_in_time(
         seed in 1u64..1_000_000, clocks in clocks(), gaps in proptest::collection::vec(gap(), 1..3),
     ) {
         let (heartbeat_ms, lease_ms, cancel_ms) = clocks;
@@ -170,7 +170,7 @@
     /// Jobs bound to a zone or spread go on once it has machines again, and nothing is
     /// placed wrong beside the tasks that remain.
     #[test]
-    fn jobs_bound_to_zones_outlive_their_machines(
+    fn jobs_bound_to_zones_go_on_when_zones_lose_machines(
         seed in 1u64..1_000_000, at in 8000u64..60_000, losses in zones_lose_machines(),
         other in proptest::option::of((0u64..30_000, prop_oneof![cut_zones(), mute_machines(), ten_leaders()])),
     ) {
@@ -187,7 +187,7 @@
     /// More work than room, urgent and not, while all links and the state service are slow:
     /// nothing starves, and no machine is bought twice.
     #[test]
-    fn more_work_than_room_over_slow_links(
+    fn overload_over_slow_links_starves_no_job(
         seed in 1u64..1_000_000, at in 5000u64..40_000, slow in slow_links(), ends in changes_of_leader(),
     ) {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 8, ..ClusterConfig::small() });
@@ -216,28 +216,28 @@
     };
 }
 
-meeting!(transactions_carried_out_late_undo_nothing_newer, late_transactions);
-meeting!(tasks_that_end_far_apart_count_once_each, changes_of_leader);
-meeting!(a_node_ends_while_machines_are_out_of_reach, lost_machines);
-meeting!(a_node_left_alone_tells_nobody_anything_old, alone);
-meeting!(old_reports_prove_nothing, old_reports);
-meeting!(a_slow_state_service_confirms_nothing_on_a_guess, slow_state);
-meeting!(what_is_held_up_starts_nothing_again, held_answers);
-meeting!(parts_go_there_and_back, there_and_back);
-meeting!(ends_of_jobs_meet_their_users, ends_of_jobs);
-meeting!(mute_machines_lose_nothing_but_time, mute_machines);
-meeting!(what_hung_machines_go_on_with_is_over_in_time, hung_machines);
-meeting!(called_off_as_the_state_service_refuses_the_leader, called_off_in_the_gap);
-meeting!(held_reports_prove_nothing, held_reports);
-meeting!(a_team_at_its_limit_stays_there_and_gets_it_back, at_the_limit);
-meeting!(a_zone_that_was_cut_off_comes_back, cut_zones);
-meeting!(ten_leaders_in_two_minutes, ten_leaders);
-meeting!(all_away_for_longer_than_a_lease, all_away);
+meeting!(late_transactions_undo_nothing_newer, late_transactions);
+meeting!(tasks_that_end_far_apart_count_once_under_crashes, changes_of_leader);
+meeting!(crashes_while_machines_are_unreachable_break_no_rule, lost_machines);
+meeting!(an_isolated_controller_gives_no_stale_answers, alone);
+meeting!(heartbeats_of_earlier_epochs_are_ignored, old_reports);
+meeting!(a_slow_store_breaks_no_rule, slow_state);
+meeting!(delayed_answers_start_no_task_again, held_answers);
+meeting!(crashes_during_shard_handovers_break_no_rule, there_and_back);
+meeting!(jobs_cancelled_at_completion_break_no_rule, ends_of_jobs);
+meeting!(machines_without_uplink_break_no_rule, mute_machines);
+meeting!(cancelled_tasks_of_hung_machines_end_in_time, hung_machines);
+meeting!(jobs_cancelled_while_the_store_refuses_the_leader_end_in_time, called_off_in_the_gap);
+meeting!(delayed_heartbeats_break_no_rule, held_reports);
+meeting!(a_team_stays_within_its_limit_when_owners_change, at_the_limit);
+meeting!(an_isolated_zone_rejoins, cut_zones);
+meeting!(ten_leader_crashes_in_two_minutes_break_no_rule, ten_leaders);
+meeting!(all_controllers_down_for_longer_than_a_lease_break_no_rule, all_away);
 
 proptest! {
     #![proptest_config(cases(30))]
     #[test]
-    fn two_or_three_troubles_that_meet_break_nothing(
+    fn two_or_three_scenarios_at_once_break_no_rule(
         seed in 1u64..1_000_000,
         clocks in clocks(),
         meetings in proptest::collection::vec((8000u64..50_000, prop_oneof![
@@ -255,7 +255,7 @@
 /// the transaction got no answer: whoever kept the part started nothing of it
 /// any more, for as long as that node stayed away.
 #[test]
-fn a_part_that_was_to_go_back_and_stays_is_served() {
+fn a_shard_whose_handover_got_no_answer_is_served() {
     let mut cluster = SimulatedCluster::new(3, 10.0);
     cluster.inject_fault(20_000, Fault::Crash { node: 0, restart_after: 8000 });
     cluster.inject_fault(28_100, Fault::Crash { node: 0, restart_after: 600_000 });
@@ -275,7 +275,7 @@
 /// Allowance was given away while a record still named the task that it was for; the
 /// next owner started that task, and the team had more than its limit.
 #[test]
-fn a_team_keeps_its_limit_when_its_part_changes_hands_in_the_middle_of_a_gift() {
+fn a_team_keeps_its_limit_when_its_shard_changes_owner_during_a_quota_transfer() {
     for (seed, slow) in [(498_749, 19_460), (494_853, 34_516)] {
         let meeting = vec![
             (0, Fault::SlowStore { for_ms: slow, max_delay_ms: 3986 }),
@@ -290,7 +290,7 @@
 /// machines there were all of other parts, and the service could not move while some of
 /// it ran.
 #[test]
-fn a_spread_service_gets_room_in_its_part_when_a_zone_was_lost() {
+fn a_spread_service_gets_room_in_its_shard_after_a_zone_is_lost() {
     for seed in 1..7 {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 30, ..ClusterConfig::small() });
         for number in 0..8usize {
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -111,7 +111,7 @@
         ..Default::default()
     })]
     #[test]
-    fn quick_restarts_break_nothing(
+    fn quick_restarts_break_no_rule(
         seed in 1u64..1_000_000,
         ends in proptest::collection::vec(ends(3), 1..3),
         middles in proptest::collection::vec(middle(3), 0..5),
@@ -130,7 +130,7 @@
 /// Each of these is met, whatever the generated days happen to meet: before
 /// it is carried out, after, and in the time of the next life.
 #[test]
-fn an_end_in_the_middle_of_anything_breaks_nothing() {
+fn a_crash_at_each_crash_point_breaks_no_rule() {
     for moment in CrashPoint::ALL {
         let mut sprung = 0;
         for (seed, late) in [(1, None), (2, Some(0)), (3, Some(150)), (4, Some(2500))] {
@@ -156,7 +156,7 @@
 /// A node whose earlier life's keys still live takes them over; it does not wait
 /// for them to run out, however often it ends.
 #[test]
-fn five_ends_within_one_lease_leave_the_parts_where_they_were() {
+fn five_restarts_within_one_lease_keep_shard_ownership() {
     let mut cluster = SimulatedCluster::new(9, 10.0);
     work(&mut cluster, 1, 60_000, 8);
     for again in 0..5 {
@@ -210,7 +210,7 @@
 
 /// The count of what is served can fail: with no controller for most of the day.
 #[test]
-fn a_day_on_which_little_is_served_is_told() {
+fn underserved_teams_are_reported() {
     let mut cluster = SimulatedCluster::new(8, 10.0);
     work(&mut cluster, 1, 60_000, 8);
     for node in 0..3 {
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_service_that_turns_unhealthy_at_the_third_step_is_taken_back() {
+fn a_service_that_turns_unhealthy_at_the_third_step_is_rolled_back() {
     let clients = [free_port(), free_port()];
     let peers = [free_port(), free_port()];
     let state = state_service();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_quiet_day_runs_everything() {
+fn all_jobs_run_without_faults() {
     let mut cluster = SimulatedCluster::new(1, 10.0);
     work(&mut cluster);
     // Nothing presses here: the work may take its time on few machines.
@@ -79,7 +79,7 @@
         ..Default::default()
     })]
     #[test]
-    fn the_rules_hold_whatever_fails(
+    fn the_rules_hold_under_random_faults(
         seed in 1u64..1_000_000,
         faults in proptest::collection::vec((5000u64..110_000, fault()), 1..9),
     ) {
@@ -96,7 +96,7 @@
 /// Workers cut off from their owner lost all tasks after a lease, though a
 /// node that they could reach was there to answer in its name.
 #[test]
-fn workers_cut_off_from_their_owner_are_kept_by_another_node() {
+fn a_lease_proxy_keeps_workers_cut_off_from_their_owner() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
     work(&mut cluster);
     cluster.inject_fault(30_000, Fault::PeerLinksCut { for_ms: 25_000 });
@@ -112,7 +112,7 @@
 /// A controller that lost the workers alone went on renewing its lease, the
 /// others sent its workers back to it, and all of their tasks were killed.
 #[test]
-fn an_owner_that_no_worker_reaches_hands_its_parts_over_in_time() {
+fn an_owner_that_no_worker_reaches_releases_its_shards_in_time() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
     work(&mut cluster);
     for zone in 0..2 {
@@ -135,7 +135,7 @@
 /// reach for a minute: others serve its workers, nothing runs twice, and its
 /// late words change nothing.
 #[test]
-fn a_controller_that_stands_still_or_falls_silent_breaks_nothing() {
+fn a_paused_or_unreachable_controller_breaks_no_rule() {
     let mut cluster = SimulatedCluster::new(3, 10.0);
     work(&mut cluster);
     for (at, node, for_ms) in [(20_000, 0, 20_000), (45_000, 1, 5000), (52_000, 0, 9900), (70_000, 2, 35_000)] {
@@ -153,7 +153,7 @@
 /// While boots were slow, each machine was given up and asked for again, and
 /// all of them were paid for when they came.
 #[test]
-fn machines_that_come_late_are_not_asked_for_over_and_over() {
+fn slowly_provisioned_machines_are_not_rented_again() {
     let mut cluster = SimulatedCluster::new(4, 10.0);
     cluster.inject_fault(1, Fault::SlowProvisioning { factor: 6, every_nth_never: 6, for_ms: 150_000 });
     steady(&mut cluster, 150_000);
@@ -164,7 +164,7 @@
 
 /// Two jobs with a mistake made every healthy machine look faulty.
 #[test]
-fn jobs_that_always_fail_cost_little_and_no_machine() {
+fn failing_jobs_are_retried_rarely_and_no_machine_is_returned_for_them() {
     let mut cluster = SimulatedCluster::new(6, 10.0);
     steady(&mut cluster, 120_000);
     for number in 0..6 {
@@ -195,7 +195,7 @@
 
 /// The other way round: sound jobs that meet faulty machines.
 #[test]
-fn faulty_machines_are_given_back_and_the_jobs_they_failed_run() {
+fn faulty_machines_are_returned_and_their_jobs_run() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
     steady(&mut cluster, 120_000);
     for pick in [1, 4] {
@@ -210,7 +210,7 @@
 /// A job waited for ever while the only machine that it might go to was one
 /// that it had failed on, which counted as room, so that none was rented.
 #[test]
-fn a_job_goes_back_to_the_only_machine_there_is() {
+fn a_failed_job_is_retried_on_the_only_machine() {
     let mut cluster = SimulatedCluster::with_config(10, ClusterConfig { machines: 1, ..ClusterConfig::small() });
     let id = JobId::new("wk-000001");
     cluster.submit(3000, job(1, 2, 1.0, 10.0, "plain"));
@@ -227,7 +227,7 @@
 /// Each poll cost a read of its job, which kept submissions from being taken;
 /// each tiny job cost four writes at once.
 #[test]
-fn a_swarm_and_a_poll_storm_stay_within_the_limits() {
+fn many_small_jobs_and_polls_stay_within_the_store_limits() {
     let mut cluster = SimulatedCluster::new(8, 10.0);
     steady(&mut cluster, 90_000);
     for number in 0..600 {
@@ -256,7 +256,7 @@
 
 /// Records of all jobs ever were read at every start and kept by every node.
 #[test]
-fn jobs_that_ended_long_ago_are_put_away_and_still_known() {
+fn jobs_that_ended_long_ago_are_archived_and_still_known() {
     let mut cluster = SimulatedCluster::new(9, 10.0);
     work(&mut cluster);
     cluster.run(600_000);
@@ -275,7 +275,7 @@
 /// The checker can fail: controllers that believe leases to be shorter than
 /// they are start tasks of silent machines again too early.
 #[test]
-fn a_broken_safeguard_is_caught() {
+fn a_task_that_runs_twice_is_detected() {
     let caught = (1..=8).any(|seed| {
         let mut cluster = SimulatedCluster::new(seed, 2.0);
         work(&mut cluster);
@@ -291,7 +291,7 @@
 /// Each part had less of a team's limit left than a task takes, and kept it: nothing of
 /// the team ever started, or cores of its limit went unused while its jobs waited.
 #[test]
-fn what_no_part_can_use_of_a_limit_makes_up_a_task() {
+fn quota_that_no_shard_can_use_alone_is_transferred() {
     // One task at a time, and two; with one where two may run the latter takes 448 s.
     for (limit, within) in [(4.0, 700_000), (10.0, 380_000)] {
         let teams = serde_json::json!([{"name": "red", "cpus_max": limit}, {"name": "blue", "cpus_max": 0.0}]);
@@ -308,7 +308,7 @@
 /// Jobs of the lowest priority began only when higher work no longer filled the fleet:
 /// after five minutes on a recorded day, where the largest have to begin within four.
 #[test]
-fn the_lowest_work_begins_while_higher_work_fills_the_fleet() {
+fn low_priority_jobs_start_while_higher_priority_ones_fill_the_fleet() {
     let mut cluster = SimulatedCluster::with_config(21, ClusterConfig { machines: 6, ..ClusterConfig::small() });
     for number in 0..500usize {
         let mut spec = job(number, 12, 1.0, 14.0, "plain");
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -261,7 +261,7 @@
 /// A core that came free stood idle until its worker's next report, up to
 /// `report_s`, though the next task for it was written in a tenth of a second.
 #[test]
-fn a_start_goes_out_with_the_answer_that_waits() {
+fn a_start_command_is_sent_with_the_deferred_response() {
     let mut site = Site::reporting_every(2500);
     site.settle(5000);
     // The first report shows the token, the second that the worker has seen it.
@@ -284,7 +284,7 @@
 
 /// Two answers in the worker's hands would start a task twice over.
 #[test]
-fn a_newer_report_takes_the_place_of_one_that_waits() {
+fn a_newer_heartbeat_replaces_a_deferred_one() {
     let mut site = Site::reporting_every(2500);
     site.settle(5000);
     for _ in 0..2 {
@@ -314,7 +314,7 @@
     /// not durable, an accepted job is never unknown, what runs goes on, and the
     /// node serves once answers come again.
     #[test]
-    fn a_start_ends_well_whatever_the_order_of_answers(
+    fn startup_succeeds_whatever_the_order_of_store_answers(
         steps in proptest::collection::vec(step(), 0..120),
         again in proptest::collection::vec(step(), 0..80),
         heartbeat_ms in prop_oneof![Just(1000u64), Just(2500)],
@@ -388,7 +388,7 @@
 /// Each life logged and counted the ends of all jobs that it read of, and each
 /// deal of a job counted it once more as a usual one.
 #[test]
-fn what_a_start_reads_is_no_news() {
+fn records_read_at_startup_are_not_reported_as_changes() {
     use tillercleat::storage::cache::{CacheChange, JobChange, StateCache};
     let record = |end: Option<&str>, shards: Option<[u32; 1]>| {
         let mut record = serde_json::json!({"spec": job(1), "at": 1000});
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_calm_world_keeps_its_trace() {
+fn a_calm_cluster_keeps_its_trace() {
     assert_eq!(played(calm(), 220_000), (11353118013152163849, 54826));
 }
 
