--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -1,15 +1,15 @@
 //! Two or more troubles that meet. The stand-in, not the controllers, judges
 //! the rules. `MEETING_CASES` asks for more cases than are played by default.
 
+mod scenarios;
 #[allow(dead_code)]
 #[path = "../simulator/mod.rs"]
 mod simulator;
-mod troubles;
 
 use proptest::prelude::*;
+use scenarios::*;
 use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::{JobKind, JobSpec};
-use troubles::*;
 
 fn cases(default: u32) -> ProptestConfig {
     let asked = std::env::var("MEETING_CASES").ok().and_then(|text| text.parse().ok());
