--- a/src/storage/cache/tests.rs
+++ b/src/storage/cache/job/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::units::MachineId;
+use crate::storage::cache::StateCache;
+use crate::units::{Attempt, JobId, MachineId};
 use proptest::prelude::*;
 
 fn task() -> impl Strategy<Value = TaskRecord> {
@@ -58,8 +59,8 @@
             for slice in cache.jobs[&id].slices() {
                 let mut fresh = Slice::known(revision, slice.record().cloned());
                 fresh.set_desired(slice.desired().cloned());
-                prop_assert_eq!(slice.counts, fresh.counts);
-                counts = counts.replaced(TaskCounts::default(), fresh.counts);
+                prop_assert_eq!(slice.counts(), fresh.counts());
+                counts = counts.replaced(TaskCounts::default(), fresh.counts());
             }
             prop_assert_eq!(cache.jobs[&id].counts, counts);
         }
--- a/src/storage/effective_priority.rs
+++ b/src/storage/effective_priority.rs
@@ -1,12 +1,14 @@
-//! How urgent work is for the sake of what needs it.
+//! How urgent a job is for the sake of the jobs that depend on it. The graph of
+//! dependencies in `coordination` computes it; queue and writes go by it.
 
 use crate::protocol::users::Priority;
 
-/// How urgent a job is: its priority, and when it should be complete.
+/// A priority, and when the job should be complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EffectivePriority {
+    /// The highest priority of the job and those that depend on it.
     pub priority: Priority,
-    /// Time of day in milliseconds.
+    /// When it should be complete, if that matters to any: time of day in milliseconds.
     pub due_ms: Option<u64>,
 }
 
@@ -20,7 +22,7 @@
         EffectivePriority { priority: self.priority.max(other.priority), due_ms }
     }
 
-    /// The same for what must be done before `takes_ms` of work.
+    /// The same for a job that must be done before `takes_ms` of work can begin.
     pub fn before(self, takes_ms: u64) -> EffectivePriority {
         EffectivePriority { due_ms: self.due_ms.map(|due| due.saturating_sub(takes_ms)), ..self }
     }
--- a/src/storage/names.rs
+++ b/src/storage/names.rs
@@ -1,15 +1,18 @@
-//! Names that many records repeat (classes, teams, images), each kept once.
+//! Interned names: those that many records repeat (classes, teams, images) are
+//! kept once.
 //!
-//! Rounds compare names by the hundred thousand. Texts that are equal get the
-//! same label when a record is read, so that labels compare by address alone,
-//! at the cost of a small number.
+//! Scheduling cycles compare names by the hundred thousand. Equal texts get the
+//! same allocation when a record is read, so that names compare by address alone.
 
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// A name of a [`NameInterner`]; labels of different ones must not be compared.
+/// Names below which none that are out of use are dropped.
+const MIN_NAMES: usize = 256;
+
+/// A name of a [`NameInterner`]; names of different interners must not be compared.
 #[derive(Debug, Clone)]
 pub struct InternedName(Arc<str>);
 
@@ -33,9 +36,6 @@
     }
 }
 
-/// Names below which nothing is tidied away.
-const FEW: usize = 256;
-
 /// All names in use.
 #[derive(Debug, Default)]
 pub struct NameInterner {
@@ -45,13 +45,13 @@
 }
 
 impl NameInterner {
-    /// The label of a text. Memory follows the names in use, not all there ever
+    /// The name for a text. Memory follows the names in use, not all there ever
     /// were: users choose them.
     pub fn intern(&mut self, text: &str) -> InternedName {
         if let Some(known) = self.known.get(text) {
             return InternedName(known.clone());
         }
-        if self.known.len() >= 2 * self.kept.max(FEW) {
+        if self.known.len() >= 2 * self.kept.max(MIN_NAMES) {
             self.known.retain(|name| Arc::strong_count(name) > 1);
             self.kept = self.known.len();
         }
