--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -143,7 +143,7 @@
         let boot_s = self.quickest_boot_s();
         let mut shapes = Shapes::default();
         let mut closed = Closed::default();
-        let most_on = self.most_on();
+        let most_on = self.max_started_tasks();
         for (id, job) in order {
             if places.len() >= self.tuning.max_placements_per_cycle || scored >= 3 * most_scores {
                 break;
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -8,11 +8,13 @@
 
 pub(crate) mod pending_requests;
 pub(crate) mod rate_limiter;
+pub(crate) mod shard_writes;
 pub(crate) mod transactions;
 pub(crate) mod watch;
 
-use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest, UnresolvedTransactions};
+use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
 use crate::coordination::store_client::rate_limiter::RateLimiter;
+use crate::coordination::store_client::transactions::UnresolvedTransactions;
 use crate::units::{CallId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -1,61 +1,155 @@
-//! Making a shard's changes durable: one transaction at a time, what presses
-//! first, and nothing that somebody else has changed meanwhile.
+//! Making the changes of owned shards durable: one transaction at a time a
+//! shard, the most urgent slices first, and nothing that somebody else has
+//! changed meanwhile.
+//!
+//! Called at the end of every step of the core. Effects follow the record: a
+//! task is started only after the transaction that places it was committed.
 
-use crate::coordination::shards::owned_shard::Machine;
+use crate::coordination::jobs::submission::TASK_BYTES;
+use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::Priority;
 use crate::storage::cache::{Job, Slice};
-use crate::storage::records;
-use crate::storage::records::{job_key, owner_key, slice_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::{JobId, Millis, MonotonicTime, Revision, ShardId};
+use crate::storage::records::{
+    job_key, owner_key, slice_key, JobOutcome, JobRecord, RecordKey, SliceRecord, TaskRecord,
+};
+use crate::units::{FencingToken, JobId, Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
 
-/// How soon a slice's changes should be durable; less is sooner.
+/// Most that a task takes in the compact form of a slice, in bytes.
+const COMPACT_TASK_BYTES: usize = 12;
+
+/// Size of a transaction from which on no more slices are added, in bytes.
+const MAX_TRANSACTION_BYTES: usize = 40_000;
+
+/// What the conditions of a slice add to a transaction, in bytes.
+const CONDITION_BYTES: usize = 200;
+
+/// What the record of a job that ends adds to a transaction, in bytes.
+const JOB_RECORD_BYTES: usize = 800;
+
+/// How long changes that can wait are left alone while writes are scarce.
+const SCARCE_PAUSE: Millis = Millis(20);
+
+/// How long a shard does not write after a transaction that was not committed.
+const RETRY_PAUSE: Millis = Millis(150);
+
+/// The same after one that the store rejected as invalid.
+const INVALID_PAUSE: Millis = Millis(2000);
+
+/// How soon a slice's changes should be durable; the more urgent are less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Haste {
+enum WriteUrgency {
     /// A machine stands ready for a task that may start once this is written.
     Start,
     /// The end of a slice, perhaps of its job, or what has waited long.
     Soon,
-    /// Exits: the machine is free already, and more will come.
+    /// Exits of tasks: the machine is free already, and more exits will come.
     Exit,
-    /// Clearing away.
-    Whenever,
+    /// Deleting records that nobody needs any more.
+    Cleanup,
 }
 
-impl Haste {
-    /// What has waited for so long must not starve.
-    fn after(self, waited: Millis) -> Haste {
-        let patience = match self {
-            Haste::Start | Haste::Soon => return self,
-            Haste::Exit => Millis(2000),
-            Haste::Whenever => Millis(20_000),
+impl WriteUrgency {
+    fn of(slice: &Slice, job_ended: bool) -> WriteUrgency {
+        if job_ended || slice.desired().is_none() {
+            WriteUrgency::Cleanup
+        } else if slice.has_unwritten_starts() {
+            WriteUrgency::Start
+        } else if slice.is_desired_done() {
+            WriteUrgency::Soon
+        } else {
+            WriteUrgency::Exit
+        }
+    }
+
+    /// The urgency after a wait: what has waited for long must not starve.
+    fn after(self, waited: Millis) -> WriteUrgency {
+        let longest_wait = match self {
+            WriteUrgency::Start | WriteUrgency::Soon => return self,
+            WriteUrgency::Exit => Millis(2000),
+            WriteUrgency::Cleanup => Millis(20_000),
         };
-        if waited >= patience {
-            Haste::Soon
+        if waited >= longest_wait {
+            WriteUrgency::Soon
         } else {
             self
         }
     }
 }
 
-fn haste_of(slice: &Slice, ended: bool) -> Haste {
-    if ended || slice.desired().is_none() {
-        Haste::Whenever
-    } else if slice.has_unwritten_starts() {
-        Haste::Start
-    } else if slice.is_desired_done() {
-        Haste::Soon
-    } else {
-        Haste::Exit
+/// A slice with changes to write. The order is that in which they are written.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedSlice {
+    urgency: WriteUrgency,
+    /// When it stops giving way to jobs of higher priority.
+    due: MonotonicTime,
+    job: JobId,
+    index: usize,
+}
+
+/// How much may go into one transaction.
+#[derive(Debug, Clone, Copy)]
+struct BatchLimits {
+    max_changes: usize,
+    /// Less than half a second's share of writes is left: what can wait for more
+    /// changes to the same slice leaves the rest to starts.
+    writes_scarce: bool,
+}
+
+/// A transaction in the making.
+struct Batch {
+    transaction: Transaction,
+    /// Slices that are in it, or that turned out to need no write.
+    taken: Vec<(JobId, usize)>,
+    /// Jobs whose record's version is a condition already.
+    jobs: BTreeSet<JobId>,
+    /// Estimated size of the transaction.
+    bytes: usize,
+}
+
+impl Batch {
+    /// A transaction that holds only while the shard is owned with this token.
+    fn fenced_by(shard: ShardId, token: FencingToken) -> Batch {
+        let conditions = vec![Condition { key: owner_key(shard), version: Revision(token.0) }];
+        let transaction = Transaction { conditions, changes: vec![] };
+        Batch { transaction, taken: vec![], jobs: BTreeSet::new(), bytes: 0 }
+    }
+
+    /// True if there is no room for another slice and the record of its job,
+    /// should it be the job's last.
+    fn is_full(&self, limits: BatchLimits) -> bool {
+        self.transaction.changes.len() + 2 > limits.max_changes || self.bytes > MAX_TRANSACTION_BYTES
+    }
+
+    /// Makes the transaction hold only if neither the slice nor its job was
+    /// changed by anybody else.
+    fn add_conditions(&mut self, id: &JobId, job: &Job, index: usize) {
+        let conditions = &mut self.transaction.conditions;
+        conditions.push(Condition { key: slice_key(id, index), version: job.slices()[index].held().version });
+        if self.jobs.insert(id.clone()) {
+            conditions.push(Condition { key: job_key(id), version: job.version });
+        }
+    }
+
+    /// Ends the job with its last slice, which need not be kept.
+    fn add_job_end(&mut self, id: &JobId, job: &Job, index: usize, limits: BatchLimits) {
+        let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
+        let Ok(value) = serde_json::to_value(record) else { return };
+        self.bytes += JOB_RECORD_BYTES;
+        self.transaction.changes.push(Change::put(job_key(id), value));
+        // While writes are scarce, the slice's record is deleted later.
+        if job.slices()[index].record().is_some() && !limits.writes_scarce {
+            self.transaction.changes.push(Change::delete(slice_key(id, index)));
+        }
     }
 }
 
-/// How long writes for a job stand back behind those of the highest priority:
-/// a swarm of little work must not hold up what presses, nor wait for ever.
-fn patience_ms(priority: Priority) -> u64 {
+/// How long writes for a job give way to those of the highest priority: many
+/// small jobs must not hold up what is urgent, nor wait for ever.
+fn priority_delay_ms(priority: Priority) -> u64 {
     match priority {
         Priority::Low => 2000,
         Priority::Normal => 500,
@@ -63,26 +157,44 @@
     }
 }
 
-/// Tasks that a slice may have on machines, and tried before, so that its dense
-/// form fits into one value for certain: bytes a task, at the most.
-const DENSE_BYTES: usize = 12;
+/// True if the shard has changes and no transaction of it is unfinished.
+fn can_write(owned_shard: &OwnedShard, now: MonotonicTime) -> bool {
+    owned_shard.ready
+        && owned_shard.inflight.is_none()
+        && owned_shard.rereads == 0
+        && now >= owned_shard.retry_at
+        && !owned_shard.dirty.is_empty()
+}
 
-/// The change that makes a slice of a job as it is wanted, if one is needed.
+/// The change that makes a slice of a job durable as it is desired, if one is needed.
 fn slice_change(job: &Job, id: &JobId, index: usize) -> Option<Change> {
-    let slice = &job.slices()[index];
-    let want = slice.desired()?;
+    let slice = job.slices().get(index)?;
+    let desired = slice.desired()?;
     let key = slice_key(id, index);
-    if job.record.end.is_some() && !want.has_placed_task() {
-        // Nothing of an ended job is left here: the slice has served.
+    if job.record.end.is_some() && !desired.has_placed_task() {
+        // Nothing of an ended job is left here: the record is not needed any more.
         return slice.record().map(|_| Change::delete(key));
     }
     if slice.dirty() {
-        return Some(Change::put(key, serde_json::to_value(want).ok()?));
+        return Some(Change::put(key, serde_json::to_value(desired).ok()?));
     }
     None
 }
 
+/// True if the job is done once this slice is durable as it is desired.
+fn completes_job(job: &Job, index: usize) -> bool {
+    let is_done = |(at, slice): (usize, &Slice)| {
+        if at == index {
+            slice.desired().is_some_and(SliceRecord::is_done)
+        } else {
+            slice.is_done()
+        }
+    };
+    job.record.end.is_none() && job.slices().iter().enumerate().all(is_done)
+}
+
 impl Core {
+    /// Writes what is to be written of all owned shards.
     pub(crate) fn write_pending_changes(&mut self) {
         if !self.store.may_send(self.now) {
             return;
@@ -92,146 +204,120 @@
         }
     }
 
-    /// Sends one transaction with the shard's oldest changes, each slice's
-    /// coalesced; all of it holds only if we still own the shard, no slice was
-    /// changed behind our back, and no job was cancelled or dealt anew.
-    pub(crate) fn write_shard_changes(&mut self, shard: ShardId) {
-        let level = self.store.write_budget(self.now).floor();
+    /// Sends one transaction with the shard's most urgent changes, each slice's
+    /// coalesced. All of it holds only if this node still owns the shard, and
+    /// nobody else has changed a slice, or cancelled or reassigned a job.
+    fn write_shard_changes(&mut self, shard: ShardId) {
+        let budget = self.store.write_budget(self.now).floor();
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
-        if !owned_shard.ready
-            || owned_shard.inflight.is_some()
-            || owned_shard.rereads > 0
-            || self.now < owned_shard.retry_at
-            || owned_shard.dirty.is_empty()
-        {
+        if !can_write(owned_shard, self.now) {
             return;
         }
-        let limit = self.settings.cluster.state.txn_ops.min(level.max(0.0) as usize);
-        if limit < 2 {
+        let limits = BatchLimits {
+            max_changes: self.settings.cluster.state.txn_ops.min(budget.max(0.0) as usize),
+            writes_scarce: budget < self.store.writes_per_s() / 2.0,
+        };
+        if limits.max_changes < 2 {
             return;
         }
-        let mut order: Vec<(Haste, MonotonicTime, (JobId, usize))> = vec![];
-        for (key, since) in &owned_shard.dirty {
-            let job = self.cache.jobs.get(&key.0);
-            let slice = job.and_then(|j| Some((j.record.end, j.slices().get(key.1)?)));
-            let haste = slice.map_or(Haste::Whenever, |(end, slice)| haste_of(slice, end.is_some()));
-            let priority = job.map_or(Priority::Low, |j| j.priority());
-            let due = MonotonicTime(since.0 + patience_ms(priority));
-            order.push((haste.after(self.now.since(*since)), due, key.clone()));
-        }
-        order.sort();
-        // Writes are scarce: what can wait for more to come to the same slice
-        // leaves half of them to starts.
-        let thrifty = level < self.store.writes_per_s() / 2.0;
-        let mut transaction = Transaction {
-            conditions: vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }],
-            changes: vec![],
-        };
-        let mut sent = vec![];
-        let mut jobs = BTreeSet::new();
-        let mut bytes = 0;
-        for (haste, _, (id, index)) in order {
-            if thrifty && haste > Haste::Soon {
+        let batch = self.fill_batch(Batch::fenced_by(shard, owned_shard.token), self.write_queue(owned_shard), limits);
+        self.send_batch(shard, batch);
+    }
+
+    /// The slices of a shard with changes to write, in the order of writing.
+    fn write_queue(&self, owned_shard: &OwnedShard) -> Vec<QueuedSlice> {
+        let queued = owned_shard.dirty.iter().map(|((id, index), since)| {
+            let job = self.cache.jobs.get(id);
+            let slice = job.and_then(|job| Some((job, job.slices().get(*index)?)));
+            let urgency =
+                slice.map_or(WriteUrgency::Cleanup, |(job, slice)| WriteUrgency::of(slice, job.record.end.is_some()));
+            let priority = job.map_or(Priority::Low, |job| job.priority());
+            QueuedSlice {
+                urgency: urgency.after(self.now.since(*since)),
+                due: MonotonicTime(since.0 + priority_delay_ms(priority)),
+                job: id.clone(),
+                index: *index,
+            }
+        });
+        let mut queue: Vec<QueuedSlice> = queued.collect();
+        queue.sort();
+        queue
+    }
+
+    /// Adds slices in the order of the queue until the transaction is full.
+    fn fill_batch(&self, mut batch: Batch, queue: Vec<QueuedSlice>, limits: BatchLimits) -> Batch {
+        for QueuedSlice { urgency, job: id, index, .. } in queue {
+            if limits.writes_scarce && urgency > WriteUrgency::Soon {
                 break;
             }
-            let Some(job) = self.cache.jobs.get(&id) else {
-                sent.push((id, index));
-                continue;
-            };
-            let Some(change) = job.slices().get(index).and_then(|_| slice_change(job, &id, index)) else {
-                sent.push((id, index));
+            let job = self.cache.jobs.get(&id);
+            let Some((job, change)) = job.and_then(|job| Some((job, slice_change(job, &id, index)?))) else {
+                batch.taken.push((id, index));
                 continue;
             };
             // What does not fit waits: as its tasks end, its record shrinks.
-            let Some(change) = self.fitted_slice(change, &job.slices()[index]) else { continue };
-            // Room for the job's own record, should this slice be its last.
-            if transaction.changes.len() + 2 > limit || bytes > 40_000 {
+            let Some(change) = self.fit_into_value(change, &job.slices()[index]) else { continue };
+            if batch.is_full(limits) {
                 break;
             }
-            bytes += serde_json::to_vec(&change).map_or(0, |b| b.len()) + 200;
-            transaction
-                .conditions
-                .push(Condition { key: slice_key(&id, index), version: job.slices()[index].held().version });
-            if jobs.insert(id.clone()) {
-                transaction.conditions.push(Condition { key: job_key(&id), version: job.version });
-            }
-            let last = job.record.end.is_none()
-                && job.slices().iter().enumerate().all(|(at, s)| {
-                    if at == index {
-                        s.desired().is_some_and(SliceRecord::is_done)
-                    } else {
-                        s.is_done()
-                    }
-                });
-            if last && !self.store.is_key_busy(&job_key(&id)) {
-                // Done with its last slice: the slice need not be kept.
-                let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
-                if let Ok(value) = serde_json::to_value(record) {
-                    bytes += 800;
-                    transaction.changes.push(Change::put(job_key(&id), value));
-                    // While writes are scarce, clearing away is left for later.
-                    if job.slices()[index].record().is_some() && !thrifty {
-                        transaction.changes.push(Change::delete(slice_key(&id, index)));
-                    }
-                }
+            batch.bytes += serde_json::to_vec(&change).map_or(0, |bytes| bytes.len()) + CONDITION_BYTES;
+            batch.add_conditions(&id, job, index);
+            if completes_job(job, index) && !self.store.is_key_busy(&job_key(&id)) {
+                batch.add_job_end(&id, job, index, limits);
             } else {
-                transaction.changes.push(change);
+                batch.transaction.changes.push(change);
             }
-            sent.push((id, index));
+            batch.taken.push((id, index));
         }
+        batch
+    }
+
+    fn send_batch(&mut self, shard: ShardId, batch: Batch) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        for key in &sent {
-            owned_shard.dirty.remove(key);
+        for slice in &batch.taken {
+            owned_shard.dirty.remove(slice);
         }
+        let transaction = batch.transaction;
         if transaction.changes.is_empty() {
-            // All of it can wait for writes: not to be weighed at every input.
-            owned_shard.retry_at = self.now + Millis(20);
+            // All of it can wait for writes: it need not be weighed at every input.
+            owned_shard.retry_at = self.now + SCARCE_PAUSE;
             return;
         }
         self.store.charge_transaction(self.now, transaction.changes.len());
-        let id = self.call_state(
-            StateCall::Transaction(transaction.clone()),
-            PendingRequest::ShardTransaction { shard, transaction },
-        );
+        let request = StateCall::Transaction(transaction.clone());
+        let call = self.call_state(request, PendingRequest::ShardTransaction { shard, transaction });
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.inflight = Some(id);
+            owned_shard.inflight = Some(call);
         }
     }
 
     /// The change in a form that fits into one value, if any does: slices may
     /// have been cut when values were larger.
-    fn fitted_slice(&self, change: Change, slice: &Slice) -> Option<Change> {
+    fn fit_into_value(&self, change: Change, slice: &Slice) -> Option<Change> {
         let Change::Put { put, value, lease } = change else { return Some(change) };
-        let small = slice.desired().is_some_and(|want| {
-            self.fits(want.tasks.len() * crate::coordination::jobs::submission::TASK_BYTES as usize)
-        });
-        if small || self.fits_value(&value) {
+        let always_fits = slice.desired().is_some_and(|record| self.fits(record.tasks.len() * TASK_BYTES as usize));
+        if always_fits || self.fits_value(&value) {
             return Some(Change::Put { put, value, lease });
         }
         let compact = slice.desired().filter(|_| self.dependencies_enabled()).and_then(SliceRecord::compact);
         compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
     }
 
-    /// Tasks of a slice that may be on machines at the same time, so that its
-    /// record stays one value. Slices are cut so that this is all of them,
-    /// but for those cut when values were larger and those of huge jobs.
-    pub(crate) fn most_on(&self) -> usize {
+    /// Started tasks that a slice may have so that its record certainly fits into
+    /// one value. Slices are cut so that this is all of their tasks, but for those
+    /// cut when values were larger and those of huge jobs.
+    pub(crate) fn max_started_tasks(&self) -> usize {
         let bytes = (self.settings.cluster.state.value_kb * 1024.0 * 0.9) as usize;
-        bytes
-            / if self.dependencies_enabled() {
-                DENSE_BYTES
-            } else {
-                crate::coordination::jobs::submission::TASK_BYTES as usize
-            }
+        bytes / if self.dependencies_enabled() { COMPACT_TASK_BYTES } else { TASK_BYTES as usize }
     }
 
-    /// Machines that a committed transaction put tasks on may be told so now:
-    /// those that do not list them yet. A slice names all machines that its
-    /// tasks are on, and each answer made in vain costs as much as a report.
-    fn touch_machines(&mut self, shard: ShardId, transaction: &Transaction) {
+    /// Lets machines that a committed transaction placed tasks on be answered
+    /// now: those that do not report these tasks yet. A slice names all machines
+    /// that its tasks are on, and each needless answer costs as much as a heartbeat.
+    fn wake_placed_machines(&mut self, shard: ShardId, transaction: &Transaction) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         for change in &transaction.changes {
-            let Some(records::RecordKey::Slice(id, index)) = records::RecordKey::read(change_key(change)) else {
+            let Some(RecordKey::Slice(id, index)) = RecordKey::read(change_key(change)) else {
                 continue;
             };
             let Some(job) = self.cache.jobs.get(&id) else { continue };
@@ -248,28 +334,21 @@
         }
     }
 
-    pub(crate) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
-        // The slices of a transaction that failed, or whose outcome is not
-        // known, are sent again under the same versions: if it did go
-        // through after all, the conflict says so and the records are read.
-        let committed = matches!(answer, StateAnswer::Committed(_));
+    /// Takes the answer to a transaction of a shard's slices.
+    pub(super) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = None;
-            if !committed {
-                for key in transaction.conditions.iter() {
-                    if let Some(records::RecordKey::Slice(id, index)) = records::RecordKey::read(&key.key) {
-                        owned_shard.dirty.entry((id, index)).or_insert(self.now);
-                    }
-                }
-                owned_shard.retry_at = self.now + Millis(150);
-            }
+        }
+        if !matches!(answer, StateAnswer::Committed(_)) {
+            self.queue_again(shard, &transaction);
         }
         match answer {
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
-                self.touch_machines(shard, &transaction);
-                // Tell others only of what they may have to act on: ends of jobs.
-                if transaction.changes.iter().any(|c| change_key(c).starts_with("t/j/")) {
+                self.wake_placed_machines(shard, &transaction);
+                // Other controllers need to know at once of ends of jobs only.
+                let is_job = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Job(_)));
+                if transaction.changes.iter().any(is_job) {
                     self.send_revision_hint(revision);
                 }
             }
@@ -281,12 +360,26 @@
             }
             StateAnswer::Rejected(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                    owned_shard.retry_at = self.now + Millis(2000);
+                    owned_shard.retry_at = self.now + INVALID_PAUSE;
                 }
             }
             _ => {}
         }
     }
+
+    /// Queues the slices of a transaction that failed, or whose outcome is not
+    /// known, under the same versions: if it did go through after all, the next
+    /// one conflicts and the records are read.
+    fn queue_again(&mut self, shard: ShardId, transaction: &Transaction) {
+        let now = self.now;
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        for condition in &transaction.conditions {
+            if let Some(RecordKey::Slice(id, index)) = RecordKey::read(&condition.key) {
+                owned_shard.dirty.entry((id, index)).or_insert(now);
+            }
+        }
+        owned_shard.retry_at = now + RETRY_PAUSE;
+    }
 }
 
 #[cfg(test)]
--- a/src/coordination/store_client/shard_writes/tests.rs
+++ b/src/coordination/store_client/shard_writes/tests.rs
@@ -12,11 +12,11 @@
 #[test]
 fn starts_are_written_before_exits_but_nothing_starves() {
     let on = |n: u64| TaskRecord::Placed(Attempt(n), MachineId::new("i-000001"));
-    let start = haste_of(&slice(&[on(1), TaskRecord::Pending(Attempt(0))], &[TaskRecord::Done, on(1)]), false);
-    let exit = haste_of(&slice(&[on(1), on(1)], &[TaskRecord::Done, on(1)]), false);
-    let last = haste_of(&slice(&[TaskRecord::Done, on(1)], &[TaskRecord::Done, TaskRecord::Done]), false);
+    let start = WriteUrgency::of(&slice(&[on(1), TaskRecord::Pending(Attempt(0))], &[TaskRecord::Done, on(1)]), false);
+    let exit = WriteUrgency::of(&slice(&[on(1), on(1)], &[TaskRecord::Done, on(1)]), false);
+    let last = WriteUrgency::of(&slice(&[TaskRecord::Done, on(1)], &[TaskRecord::Done, TaskRecord::Done]), false);
     assert!(start < last && last < exit, "{start:?} {last:?} {exit:?}");
-    assert_eq!(exit.after(Millis(500)), Haste::Exit);
-    assert_eq!(exit.after(Millis(2500)), Haste::Soon);
-    assert_eq!(haste_of(&slice(&[on(1)], &[on(1)]), true).after(Millis(22_000)), Haste::Soon);
+    assert_eq!(exit.after(Millis(500)), WriteUrgency::Exit);
+    assert_eq!(exit.after(Millis(2500)), WriteUrgency::Soon);
+    assert_eq!(WriteUrgency::of(&slice(&[on(1)], &[on(1)]), true).after(Millis(22_000)), WriteUrgency::Soon);
 }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -5,10 +5,11 @@
 //! never writes to the store.
 
 use crate::coordination::membership::startup::Milestone;
-use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::store_client::pending_requests::{LoadProgress, PendingRequest};
 use crate::coordination::store_client::CacheSync;
 use crate::coordination::Core;
 use crate::protocol::state::{StateAnswer, StateCall, WatchEvent, WatchEvents};
+use crate::storage::cache::CacheChange;
 use crate::storage::records::ROOT;
 use crate::units::{Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
@@ -26,7 +27,7 @@
         match self.store.sync {
             CacheSync::Unread => {
                 self.store.sync = CacheSync::Loading;
-                self.load_page(None, BTreeSet::new(), None, self.now);
+                self.load_page(None, LoadProgress { seen: BTreeSet::new(), revision: None, since: self.now });
             }
             CacheSync::Loaded if self.now >= self.store.next_watch => {
                 self.store.sync = CacheSync::Watching;
@@ -37,16 +38,9 @@
     }
 
     /// Asks for the page of records after the key `after`.
-    fn load_page(
-        &mut self,
-        after: Option<String>,
-        seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-    ) {
+    fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
         self.store.charge_read(self.now);
-        let what = PendingRequest::Load { seen, first, since };
-        self.call_state(StateCall::List { prefix: ROOT.into(), after }, what);
+        self.call_state(StateCall::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
@@ -58,49 +52,43 @@
     }
 
     /// Takes a page of records; the last one completes the load.
-    pub(crate) fn load_answer(
-        &mut self,
-        mut seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-        answer: StateAnswer,
-    ) {
+    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StateAnswer) {
         let StateAnswer::Page(page) = answer else {
             self.store.sync = CacheSync::Unread;
             return self.store.pause(self.now);
         };
         // Changes made while the pages were read come again by the watch,
         // which begins at the first page's revision.
-        let first = first.unwrap_or(page.revision);
-        let last = page.items.last().map(|i| i.key.clone());
+        let revision = *progress.revision.get_or_insert(page.revision);
+        let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
             let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-            seen.insert(item.key);
+            progress.seen.insert(item.key);
             self.changed(changed);
         }
-        match last {
-            Some(after) if page.more => self.load_page(Some(after), seen, Some(first), since),
-            _ => self.finish_load(&seen, first, since),
+        match last_key {
+            Some(after) if page.more => self.load_page(Some(after), progress),
+            _ => self.finish_load(&progress, revision),
         }
     }
 
-    /// All records have been read, as of revision `first`, the first page's.
-    fn finish_load(&mut self, seen: &BTreeSet<String>, first: Revision, since: MonotonicTime) {
-        self.cache.forget_missing(seen, first);
-        self.cache.revision = first;
+    /// All records have been read, as of the first page's revision.
+    fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
+        self.cache.forget_missing(&progress.seen, revision);
+        self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
         // The first page is as old as when it was asked for, however long the others took.
-        self.store.last_read = Some(since);
+        self.store.last_read = Some(progress.since);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
         }
         self.activate_ready_shards();
-        tracing::info!("read {} records up to revision {first}", seen.len());
+        tracing::info!(records = progress.seen.len(), %revision, "loaded all records");
         self.reached(Milestone::RecordsRead);
     }
 
     /// Takes what a watch that was sent at `sent` brought.
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
+    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
         self.store.sync = CacheSync::Loaded;
         match answer {
             StateAnswer::WatchEvents(news) => self.take_watch_events(sent, news),
@@ -125,6 +113,21 @@
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
+
+    /// Lets the concern that goes by a record act on its change.
+    pub(crate) fn changed(&mut self, what: CacheChange) {
+        match what {
+            CacheChange::Owner(shard) => self.owner_changed(shard),
+            CacheChange::Job(job, news) => self.job_changed(&job, news),
+            CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
+            CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
+            CacheChange::Fleet => self.fleet_changed(),
+            CacheChange::Other => self.catalog_changed(),
+            CacheChange::JobGone(job) => self.dependency_graph.lost(&job),
+            CacheChange::Node(node) => self.node_changed(&node),
+            CacheChange::Leader | CacheChange::Nothing => {}
+        }
+    }
 }
 
 #[cfg(test)]
