--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -1,9 +1,10 @@
 //! Jobs that ended long ago: put away where no node reads or watches them,
 //! and looked up one by one when somebody asks.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::coordination::Core;
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
 use crate::units::{JobId, RequestId};
 
@@ -19,7 +20,7 @@
     /// that nobody else has use for.
     pub(crate) fn archive_ended_jobs(&mut self) {
         let idle = self.store.writes_above(self.now, 0.8);
-        if !self.leading() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
+        if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         // Two changes a job, and no more than is idle.
@@ -55,32 +56,32 @@
     /// Looks up a job that has no record among those put away.
     pub(crate) fn look_up_archived(&mut self, request: RequestId, job: JobId, known: bool) {
         if self.cache.archived(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.afford(request, 1.0) {
             self.call_state(
-                StateCall::Get { key: archived_job_key(&job) },
+                StoreRequest::Get { key: archived_job_key(&job) },
                 PendingRequest::Archived { request, job, known },
             );
         }
     }
 
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StateAnswer) {
+    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StoreResponse) {
         let response = match answer {
             // A submission whose outcome was unknown was not carried out.
-            StateAnswer::Missing(_) if !known => Response::problem(404, "no such job"),
-            StateAnswer::Found(_) => match self.take_archived(&job, answer) {
-                Some(_) => return self.answer_job(request, 200, &job, None),
-                None => Response::later("the job cannot be read"),
+            StoreResponse::Missing(_) if !known => Refusal::JobNotFound.into(),
+            StoreResponse::Found(_) => match self.take_archived(&job, answer) {
+                Some(_) => return self.answer_known_job(request, &job),
+                None => Refusal::JobUnreadable.into(),
             },
-            _ => Response::later("the state service does not answer"),
+            _ => Refusal::StoreUnavailable.into(),
         };
         self.response(request, response);
     }
 
     /// Takes the record of a job that was put away, if that is what came.
-    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StateAnswer) -> Option<ArchivedJob> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
+        let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
                 self.cache.remember_archived(id, record);
--- a/src/coordination/jobs/dependency_release/tests.rs
+++ b/src/coordination/jobs/dependency_release/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::Output;
+use crate::coordination::{Output, Response};
 use crate::protocol::state::Item;
 use crate::units::Revision;
 
@@ -15,7 +15,7 @@
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
     core.changed(changed);
     let told = |core: &mut Core| {
-        core.answer_job(RequestId(1), 200, &second, None);
+        core.answer_known_job(RequestId(1), &second);
         match core.out.pop() {
             Some(Output::Response(_, Response::Job { state, .. })) => Some(state),
             _ => None,
@@ -24,6 +24,6 @@
     assert_eq!(told(&mut core), None);
     let value = serde_json::json!({"end": "cancelled", "tasks": 1});
     let item = Item { key: "f/wk-000001".into(), value, version: Revision(3) };
-    core.dependency_looked_up(first, StateAnswer::Found(item));
+    core.dependency_looked_up(first, StoreResponse::Found(item));
     assert_eq!(told(&mut core), Some(crate::protocol::users::JobState::Cancelled));
 }
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -7,9 +7,10 @@
 //! often, users cost the state service no more reads than before, and take
 //! none from submissions, workers and fencing.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::coordination::Core;
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
@@ -53,11 +54,11 @@
         // A standstill of this node is nobody's silence.
         let heard = self.store.last_answer().map(|at| at.max(self.resumed_at));
         if self.store.is_loaded() && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
-            return self.response(request, Response::later("the state service does not answer"));
+            return self.refuse(request, Refusal::StoreUnavailable);
         }
         let status_queries = &mut self.status_queries;
         if !self.store.is_loaded() || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
-            return self.response(request, Response::later("busy"));
+            return self.refuse(request, Refusal::Busy);
         }
         status_queries.waiting.push_back(Question { request, job, at: self.now });
     }
@@ -88,17 +89,17 @@
             self.status_queries.probing = true;
             self.status_queries.next = now + PROBE_EVERY;
             let questions = self.status_queries.waiting.drain(..).collect();
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
+            self.call_state(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
         }
     }
 
     fn give_up(&mut self, question: Question) {
-        self.response(question.request, Response::later("the state service does not answer"));
+        self.refuse(question.request, Refusal::StoreUnavailable);
     }
 
-    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
+    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StoreResponse) {
         self.status_queries.probing = false;
-        let StateAnswer::Missing(revision) = answer else {
+        let StoreResponse::Missing(revision) = answer else {
             return questions.into_iter().for_each(|q| self.give_up(q));
         };
         self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -4,7 +4,6 @@
 use crate::coordination::Core;
 use crate::protocol::users::Priority;
 use crate::storage::cache::Job;
-use crate::storage::names::InternedName;
 use crate::units::JobId;
 use foldhash::fast::FixedState;
 use std::collections::HashSet;
@@ -29,7 +28,7 @@
         let mut queue: Vec<QueuedJob<Precedence, (&JobId, Place, bool)>> = vec![];
         let mut any_ours = false;
         for (place, (id, job)) in self.cache.jobs.iter().enumerate() {
-            if job.record.end.is_some() || job.record.waits() || self.held_back(id, job) {
+            if job.record.end.is_some() || job.record.waits() || self.in_retry_backoff(id, job) {
                 continue;
             }
             let ours = job.pending_tasks() > 0;
@@ -87,8 +86,7 @@
     /// Jobs that fit into their team's guarantee along with its earlier ones.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
         // A handful of teams: looked through faster than a map.
-        let mut left: Vec<(&InternedName, [f64; 2])> =
-            self.guarantees.iter().map(|(team, cpus, gpus)| (team, [*cpus, *gpus])).collect();
+        let mut left = self.guarantees.clone();
         if left.is_empty() {
             return JobSet::default();
         }
@@ -99,19 +97,20 @@
             .filter(|(id, j)| {
                 j.record.end.is_none()
                     && !j.record.waits()
-                    && left.iter().any(|(team, _)| **team == j.team)
-                    && !self.suspect(id)
+                    && left.iter().any(|guarantee| guarantee.team == j.team)
+                    && !self.fails_everywhere(id)
             })
             .collect();
         jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
         let mut within = JobSet::default();
         for (id, job) in jobs {
             let spec = &job.record.spec;
-            let Some((_, room)) = left.iter_mut().find(|(team, _)| **team == job.team) else { continue };
+            let Some(guarantee) = left.iter_mut().find(|guarantee| guarantee.team == job.team) else { continue };
+            let room = &mut guarantee.amount;
             let tasks = f64::from(spec.task_count);
-            room[0] -= spec.cpus * tasks;
-            room[1] -= spec.gpus * tasks;
-            if room[0] >= -1e-6 && room[1] >= -1e-6 {
+            room.cpus -= spec.cpus * tasks;
+            room.gpus -= spec.gpus * tasks;
+            if room.cpus >= -1e-6 && room.gpus >= -1e-6 {
                 within.insert(id.clone());
             }
         }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::jobs::status_query::Question;
 use crate::coordination::{CloudCall, Core, Output};
-use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
     /// Changes since the cache's revision.
     Watch,
     /// Whether anybody keeps machines of the shard.
-    Compare(ShardId),
+    ExpiryCheck(ShardId),
     /// A lease for this node.
     Grant,
     /// The renewal of this node's lease.
@@ -56,9 +56,9 @@
     /// The end of a job that is cancelled.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
     /// The record that names a rental request before it is made.
-    RentName { rent: crate::coordination::fleet::scale_out::Rent, transaction: Transaction },
+    RentName { rental: crate::coordination::fleet::scale_out::PendingRental, transaction: Transaction },
     /// A rental request to the cloud.
-    Rent(crate::coordination::fleet::scale_out::Rent),
+    Rent(crate::coordination::fleet::scale_out::PendingRental),
     /// Machines that are returned to the cloud.
     Return(Vec<MachineId>),
     /// A page of the machines that the cloud lists.
@@ -89,14 +89,14 @@
 /// The key that a change puts or deletes.
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
-        Change::Put { put, .. } => put,
-        Change::Delete { delete } => delete,
+        Change::Put { key, .. } => key,
+        Change::Delete { key } => key,
     }
 }
 
 impl Core {
     /// Sends a request to the store; `what` says what its answer is for.
-    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) -> CallId {
+    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
         let id = self.store.register(what, self.now);
         self.out.push(Output::State(id, call));
         id
@@ -109,23 +109,23 @@
     }
 
     /// Takes the store's answer to a request.
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
+    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
         let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
-        if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
+        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.store.last_answer = Some(self.now);
         }
-        if let StateAnswer::Rejected(reason) = &answer {
+        if let StoreResponse::Invalid(reason) = &answer {
             tracing::error!(request = ?what, reason, "store rejected request as invalid");
         }
         self.route_answer(what, sent, answer);
     }
 
     /// Hands an answer to the concern that sent the request at `sent`.
-    fn route_answer(&mut self, what: PendingRequest, sent: MonotonicTime, answer: StateAnswer) {
+    fn route_answer(&mut self, what: PendingRequest, sent: MonotonicTime, answer: StoreResponse) {
         match what {
             PendingRequest::Load(progress) => self.load_answer(progress, answer),
             PendingRequest::Watch => self.watch_answer(sent, answer),
-            PendingRequest::Compare(shard) => self.compared(shard, answer),
+            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, answer),
             PendingRequest::Grant => self.grant_answer(answer),
             PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
             PendingRequest::Transaction(transaction) => self.transaction_answer(transaction, answer),
@@ -147,7 +147,7 @@
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.cancel_written(request, job, transaction, tries, answer)
             }
-            PendingRequest::RentName { rent, transaction } => self.rent_named(rent, transaction, answer),
+            PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -9,7 +9,7 @@
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::Priority;
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records::{
@@ -284,7 +284,7 @@
             return;
         }
         self.store.charge_transaction(self.now, transaction.changes.len());
-        let request = StateCall::Transaction(transaction.clone());
+        let request = StoreRequest::Transaction(transaction.clone());
         let call = self.call_state(request, PendingRequest::ShardTransaction { shard, transaction });
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = Some(call);
@@ -294,13 +294,13 @@
     /// The change in a form that fits into one value, if any does: slices may
     /// have been cut when values were larger.
     fn fit_into_value(&self, change: Change, slice: &Slice) -> Option<Change> {
-        let Change::Put { put, value, lease } = change else { return Some(change) };
+        let Change::Put { key, value, lease } = change else { return Some(change) };
         let always_fits = slice.desired().is_some_and(|record| self.fits(record.tasks.len() * TASK_BYTES as usize));
         if always_fits || self.fits_value(&value) {
-            return Some(Change::Put { put, value, lease });
+            return Some(Change::Put { key, value, lease });
         }
         let compact = slice.desired().filter(|_| self.dependencies_enabled()).and_then(SliceRecord::compact);
-        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
+        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { key, value, lease })
     }
 
     /// Started tasks that a slice may have so that its record certainly fits into
@@ -326,24 +326,25 @@
             for (at, task) in slice.into_iter().flat_map(|record| record.tasks.iter().enumerate()) {
                 let TaskRecord::Placed(attempt, machine) = task else { continue };
                 let key = (id.clone(), first + at as u32);
-                let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.0 == *attempt);
-                if !owned_shard.machines.get(machine).is_some_and(listed) {
-                    self.deferred_responses.touch(machine);
+                let is_reported =
+                    |machine: &Machine| machine.reported_tasks.get(&key).is_some_and(|task| task.attempt == *attempt);
+                if !owned_shard.machines.get(machine).is_some_and(is_reported) {
+                    self.deferred_responses.mark_ready(machine);
                 }
             }
         }
     }
 
     /// Takes the answer to a transaction of a shard's slices.
-    pub(super) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
+    pub(super) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StoreResponse) {
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = None;
         }
-        if !matches!(answer, StateAnswer::Committed(_)) {
+        if !matches!(answer, StoreResponse::Committed(_)) {
             self.queue_again(shard, &transaction);
         }
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.wake_placed_machines(shard, &transaction);
                 // Other controllers need to know at once of ends of jobs only.
@@ -352,13 +353,13 @@
                     self.send_revision_hint(revision);
                 }
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.rereads += failed.len();
                 }
                 self.reread(failed, Some(shard));
             }
-            StateAnswer::Rejected(_) => {
+            StoreResponse::Invalid(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.retry_at = self.now + INVALID_PAUSE;
                 }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -8,7 +8,7 @@
 use crate::coordination::shards::shard_quota::is_quota_transfer;
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::storage::cache::CacheChange;
 use crate::storage::records::RecordKey;
 use crate::units::{Revision, ShardId};
@@ -36,37 +36,37 @@
         for change in &transaction.changes {
             self.store.reserve_key(change_key(change));
         }
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Transaction(transaction));
+        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::Transaction(transaction));
     }
 
     /// Takes the answer to a transaction that was sent for the first time.
-    pub(super) fn transaction_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) {
+    pub(super) fn transaction_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) {
             return self.store.unresolved.transfers.push(transaction);
         }
         self.end_transaction(transaction, answer);
     }
 
     /// Takes the answer to a quota transfer that was repeated.
-    pub(super) fn quota_transfer_retry_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
+    pub(super) fn quota_transfer_retry_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             return self.store.unresolved.transfers.push(transaction);
         }
         self.end_transaction(transaction, answer);
     }
 
-    fn end_transaction(&mut self, transaction: Transaction, answer: StateAnswer) {
+    fn end_transaction(&mut self, transaction: Transaction, answer: StoreResponse) {
         for change in &transaction.changes {
             self.store.release_key(change_key(change));
         }
         match answer {
-            StateAnswer::Committed(revision) => self.committed(&transaction, revision),
+            StoreResponse::Committed(revision) => self.committed(&transaction, revision),
             // The quota counts as transferred until all records that are named have been read.
-            StateAnswer::Conflict(_) if is_quota_transfer(&transaction) => {
+            StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
-            StateAnswer::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::LeaseGone => self.lease_gone_elsewhere(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match RecordKey::read(change_key(c)) {
@@ -86,7 +86,7 @@
         }
         for transaction in std::mem::take(&mut self.store.unresolved.transfers) {
             self.store.charge_transaction(self.now, transaction.changes.len());
-            let request = StateCall::Transaction(transaction.clone());
+            let request = StoreRequest::Transaction(transaction.clone());
             self.call_state(request, PendingRequest::QuotaTransferRetry(transaction));
         }
         for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
@@ -98,8 +98,8 @@
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             let changed = match change {
-                Change::Put { put, value, .. } => self.cache.apply(put, Some(value.clone()), revision),
-                Change::Delete { delete } => self.cache.apply(delete, None, revision),
+                Change::Put { key, value, .. } => self.cache.apply(key, Some(value.clone()), revision),
+                Change::Delete { key } => self.cache.apply(key, None, revision),
             };
             self.changed(changed);
         }
@@ -114,23 +114,23 @@
 
     fn read_again(&mut self, key: String, shard: Option<ShardId>) {
         self.store.charge_read(self.now);
-        self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+        self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
     }
 
     /// Takes a record that was read because of a conflict.
-    pub(super) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StateAnswer) {
+    pub(super) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
         let quota_of = match RecordKey::read(&key) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         };
-        let is_unanswered = matches!(answer, StateAnswer::Unknown | StateAnswer::Refused);
+        let is_unanswered = matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable);
         if quota_of.is_some() && is_unanswered {
             // The outcome of a transfer must be known before quota is used again.
             return self.store.unresolved.reads.push((key, shard));
         }
         let changed = match answer {
-            StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
-            StateAnswer::Missing(at) => self.cache.apply(&key, None, at),
+            StoreResponse::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
+            StoreResponse::Missing(at) => self.cache.apply(&key, None, at),
             _ => CacheChange::Nothing,
         };
         self.changed(changed);
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -8,7 +8,7 @@
 use crate::coordination::store_client::pending_requests::{LoadProgress, PendingRequest};
 use crate::coordination::store_client::CacheSync;
 use crate::coordination::Core;
-use crate::protocol::state::{StateAnswer, StateCall, WatchEvent, WatchEvents};
+use crate::protocol::state::{StoreRequest, StoreResponse, WatchEvent, WatchEvents};
 use crate::storage::cache::CacheChange;
 use crate::storage::records::ROOT;
 use crate::units::{Millis, MonotonicTime, Revision, ShardId};
@@ -40,20 +40,20 @@
     /// Asks for the page of records after the key `after`.
     fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
         self.store.charge_read(self.now);
-        self.call_state(StateCall::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
+        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
         self.store.charge_read(self.now);
         // A watch without events must end well before the last read is stale.
         let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
-        let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
+        let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
         self.call_state(call, PendingRequest::Watch);
     }
 
     /// Takes a page of records; the last one completes the load.
-    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StateAnswer) {
-        let StateAnswer::Page(page) = answer else {
+    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StoreResponse) {
+        let StoreResponse::Page(page) = answer else {
             self.store.sync = CacheSync::Unread;
             return self.store.pause(self.now);
         };
@@ -67,7 +67,7 @@
             self.changed(changed);
         }
         match last_key {
-            Some(after) if page.more => self.load_page(Some(after), progress),
+            Some(after) if page.truncated => self.load_page(Some(after), progress),
             _ => self.finish_load(&progress, revision),
         }
     }
@@ -84,15 +84,15 @@
         }
         self.activate_ready_shards();
         tracing::info!(records = progress.seen.len(), %revision, "loaded all records");
-        self.reached(Milestone::RecordsRead);
+        self.milestone_reached(Milestone::RecordsRead);
     }
 
     /// Takes what a watch that was sent at `sent` brought.
-    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
+    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
         match answer {
-            StateAnswer::WatchEvents(news) => self.take_watch_events(sent, news),
-            StateAnswer::TooOld => self.store.sync = CacheSync::Unread,
+            StoreResponse::WatchEvents(news) => self.take_watch_events(sent, news),
+            StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
             _ => self.store.pause(self.now),
         }
     }
@@ -103,8 +103,8 @@
         self.cache.revision = self.cache.revision.max(news.revision);
         for event in news.events {
             let changed = match event {
-                WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
-                WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
+                WatchEvent::Put { key, value, version } => self.cache.apply(&key, Some(value), version),
+                WatchEvent::Delete { key, version } => self.cache.apply(&key, None, version),
             };
             self.changed(changed);
         }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -15,7 +15,7 @@
 pub use slice::{RecordError, SliceRecord, TaskRecord};
 
 use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
-use crate::units::{JobId, LeaseId, MachineId, NodeName, ShardId};
+use crate::units::{ComputeAmount, JobId, LeaseId, MachineId, NodeName, ShardId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -173,8 +173,8 @@
 /// What a shard may use of each team's limit.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    /// Cores and GPUs by team.
-    pub teams: BTreeMap<String, (f64, f64)>,
+    /// By team.
+    pub teams: BTreeMap<String, ComputeAmount>,
 }
 
 /// What the leader has begun with machines.
