--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -33,7 +33,7 @@
     /// False if cut off from the records for too long: workers' leases must be
     /// allowed to run out.
     pub(crate) fn may_answer_workers(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
     }
 
     /// Takes in what a report says of its machine; false if it came late.
@@ -230,7 +230,7 @@
                 m.failed_jobs.insert(key.0.clone(), self.now);
                 tracing::info!("task {}/{} failed on {machine}", key.0, key.1);
                 self.note_error(&key, task.attempt);
-                self.estimates.failures.failed(&key.0, machine, self.now);
+                self.estimates.record_failure(&key.0, machine, self.now);
                 self.update_faulty_machine(shard, machine);
             }
             _ => {}
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -44,7 +44,7 @@
         let lately = |at: Option<MonotonicTime>| at.is_some_and(|at| self.now.since(at) < Millis(3000));
         let mut heard = self.peers.values().filter(|p| lately(p.heard)).peekable();
         let not_ours = self.peers.is_empty() || heard.peek().is_some() && heard.all(|p| !p.state_reachable);
-        self.loaded && !self.catalog.is_empty() && (lately(self.last_state_answer) || not_ours)
+        self.store.is_loaded() && !self.catalog.is_empty() && (lately(self.store.last_answer()) || not_ours)
     }
 
     fn known_final(&self, job: &JobId) -> Option<JobState> {
@@ -87,7 +87,7 @@
 
     /// Takes from the share of reads what a user's request needs.
     pub(crate) fn afford(&mut self, request: RequestId, cost: f64) -> bool {
-        if self.now >= self.retry_state_at && self.reads.take(self.now, cost) {
+        if self.store.may_send(self.now) && self.store.try_charge_reads(self.now, cost) {
             return true;
         }
         self.refuse(request, Refusal::Busy);
@@ -102,14 +102,14 @@
         if self.cache.jobs.contains_key(&spec.id) {
             return self.query_status(request, spec.id);
         }
-        if !self.loaded || self.catalog.is_empty() {
+        if !self.store.is_loaded() || self.catalog.is_empty() {
             return self.refuse(request, Refusal::Starting);
         }
         if let Some(reason) = self.impossible(&spec) {
             return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Acceptance goes first: on credit, as far as the share bears it.
-        if self.now < self.retry_state_at || self.reads.level(self.now) < -0.5 * self.reads.per_s() {
+        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -0.5) {
             return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
@@ -129,8 +129,7 @@
         if !self.fits(value.to_string().len() + plan + END_BYTES) {
             return self.refuse_unless_known(request, spec.id, InfeasibleJob::RecordTooLarge.into());
         }
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         let key = job_key(&spec.id);
         let transaction = Transaction {
             // A retry may come when the job is long over and put away.
@@ -197,14 +196,14 @@
             }
             // Known already, or our own transaction after all.
             StateAnswer::Conflict(_) => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: false },
                 );
             }
             StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
@@ -290,8 +289,7 @@
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
         };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         self.call_state(
             StateCall::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
@@ -313,7 +311,7 @@
                 self.answer_known_job(request, &job);
             }
             StateAnswer::Conflict(_) | StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+                self.store.charge_read(self.now);
                 self.call_state(
                     StateCall::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -13,14 +13,12 @@
 
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
-use crate::coordination::store_client::pending_requests::SentRequest;
-use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::protocol::cloud::MachineType;
+use crate::coordination::store_client::StoreClient;
 use crate::protocol::peer::PeerStatus;
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
 use crate::storage::names::InternedName;
-use crate::units::{CallId, JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use crate::units::{JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
 pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
@@ -82,28 +80,12 @@
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
     out: Vec<Output>,
-    last_call: u64,
-    pending_requests: BTreeMap<CallId, SentRequest>,
     cache: StateCache,
-    loaded: bool,
-    loading: bool,
-    watching: bool,
-    next_watch: MonotonicTime,
-    retry_state_at: MonotonicTime,
-    /// When the newest successful read of all records was sent.
-    last_read: Option<MonotonicTime>,
-    last_state_answer: Option<MonotonicTime>,
-    reads: RateLimiter,
-    writes: RateLimiter,
+    store: StoreClient,
     lease: Option<LeaseId>,
     granting: bool,
     renewing: bool,
     renew_at: MonotonicTime,
-    /// Keys whose values did not fit, each told once.
-    too_large: BTreeSet<String>,
-    /// Keys with a simple transaction on its way.
-    busy_keys: BTreeSet<String>,
-    unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
     target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
     finish: BTreeSet<JobId>,
@@ -114,9 +96,9 @@
     /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
     assign_soon: bool,
     next_assignment: MonotonicTime,
-    catalog: BTreeMap<String, MachineType>,
-    catalog_at: Option<MonotonicTime>,
-    fleet: crate::coordination::fleet::inventory::Fleet,
+    catalog: crate::coordination::fleet::catalog::MachineCatalog,
+    fleet: crate::coordination::fleet::Fleet,
+    unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
     /// Teams with a guarantee: cores and GPUs.
@@ -146,14 +128,14 @@
             &settings.cluster.objectives,
             &mut cache.names,
         );
+        let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
         let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
         let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
             timing: Timing::of(&settings),
-            reads: RateLimiter::new(state.rps * 0.9 / share),
-            writes: RateLimiter::new((state.write_rps * 0.9 / share).max(1.0)),
+            store: StoreClient::new(state.rps * 0.9 / share, (state.write_rps * 0.9 / share).max(1.0)),
             peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
             settings,
             tuning,
@@ -162,25 +144,13 @@
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
             out: vec![],
-            last_call: 0,
-            pending_requests: BTreeMap::new(),
             cache,
             objectives,
             guarantees,
-            loaded: false,
-            loading: false,
-            watching: false,
-            next_watch: MonotonicTime(0),
-            retry_state_at: MonotonicTime(0),
-            last_read: None,
-            last_state_answer: None,
             lease: None,
             granting: false,
             renewing: false,
             renew_at: MonotonicTime(0),
-            too_large: BTreeSet::new(),
-            busy_keys: BTreeSet::new(),
-            unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions::default(),
             owned_shards: BTreeMap::new(),
             target_since: BTreeMap::new(),
             finish: BTreeSet::new(),
@@ -189,9 +159,9 @@
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
             next_assignment: MonotonicTime(0),
-            catalog: BTreeMap::new(),
-            catalog_at: None,
-            fleet: crate::coordination::fleet::inventory::Fleet::default(),
+            catalog: crate::coordination::fleet::catalog::MachineCatalog::default(),
+            fleet,
+            unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
             estimates: crate::coordination::fleet::estimates::Estimates::default(),
             status_queries: StatusQueries::default(),
             dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
@@ -300,7 +270,7 @@
 
     /// True if the records were read lately enough to start new work on them.
     fn records_fresh(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.fresh)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.fresh)
     }
 }
 
