--- a/build.rs
+++ b/build.rs
@@ -1,8 +1,9 @@
-//! Compiles the peer protocol with protox, so that no `protoc` is needed.
+//! Generates the messages and the gRPC service between controllers from `proto/peer.proto`. Uses protox,
+//! so that no `protoc` has to be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
-    let files = protox::compile(["proto/peer.proto"], ["proto"])?;
-    tonic_prost_build::configure().compile_fds(files)?;
+    let descriptors = protox::compile(["proto/peer.proto"], ["proto"])?;
+    tonic_prost_build::configure().compile_fds(descriptors)?;
     Ok(())
 }
--- a/crates/connection-limits/src/connection_limiter.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -1,274 +1,217 @@
-//! The state machine that keeps connections within their budget.
+//! The state machine that keeps connections within their budget. Called by the listener for each connection
+//! that arrives and by each connection's thread; it never does I/O and never closes a connection itself.
+
+mod connection_table;
+mod worker_peak;
 
 use crate::ResourceBudget;
-use std::collections::{BTreeMap, BTreeSet};
+use connection_table::ConnectionTable;
 use std::net::IpAddr;
+use worker_peak::WorkerPeak;
+
+/// A connection that has been silent for so long after its arrival may be closed for another, in
+/// milliseconds: clients that mean to ask something do so at once.
+const UNIDENTIFIED_GRACE_MS: u64 = 500;
+
+/// Places kept for workers, as a multiple of their latest peak: they come back all at once.
+const PEAK_MARGIN: f64 = 1.25;
+
+/// The largest share of all connections that is kept for workers.
+const MAX_WORKER_SHARE: f64 = 0.75;
 
 /// A moment in milliseconds since any fixed one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Millis(pub u64);
 
+impl Millis {
+    /// Milliseconds since an earlier moment; 0 if that lies ahead.
+    fn since(self, earlier: Millis) -> u64 {
+        self.0.saturating_sub(earlier.0)
+    }
+}
+
 /// One connection for as long as it lives; never used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Who asks over a connection.
+/// Who makes requests over a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
+    /// A user or a health check.
     User,
+    /// The agent of a machine.
     Worker,
 }
 
-/// Why a connection is not taken, or a request not served.
+/// Why a connection is not accepted, or a request not served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The budget is used up, and nobody can be let go.
+    /// The budget is used up, and no connection may be closed for this one.
     Full,
-    /// Too many that have not asked anything yet.
-    Strangers,
-    /// Users hold all but what is kept for workers.
-    Users,
+    /// Too many connections have not made a request yet.
+    TooManyUnidentified,
+    /// Users hold all connections but those that are kept for workers.
+    ReservedForWorkers,
 }
 
-/// What becomes of a connection that has come.
+/// What becomes of a connection that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Admission {
-    /// Its name if it is taken; if not, it is to be answered at once that there
+    /// Its id if it is admitted; if not, it is to be answered at once that there
     /// is no room, and closed.
-    pub taken: Result<ConnectionId, RefusalReason>,
+    pub admitted: Result<ConnectionId, RefusalReason>,
     /// Another connection that is to be closed now.
-    pub leave: Option<ConnectionId>,
+    pub evict: Option<ConnectionId>,
 }
 
-/// What becomes of a connection when its request is there.
+/// What becomes of a connection when a request has arrived on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// Serve the request and wait for the next.
-    Open,
+    KeepOpen,
     /// Serve the request and close.
-    Last,
+    CloseAfter,
     /// Answer at once that there is no room, and close.
-    Refused(RefusalReason),
+    Refuse(RefusalReason),
 }
 
-/// A stranger that has said nothing for so long may be let go for another:
-/// those who mean to ask do so at once.
-const STRANGER_MS: u64 = 500;
-
-/// The peak of workers' connections halves in this time, unless reached again.
-const PEAK_HALVES_MS: u64 = 60_000;
-
-/// Kept for workers beyond their latest peak: they come back all at once.
-const PEAK_MARGIN: f64 = 1.25;
-
-/// The most that is kept for workers however many came.
-const MOST_KEPT: f64 = 0.75;
-
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// Has not asked anything yet.
-    Stranger,
-    /// Being answered.
+    /// Has not made a request yet.
+    Unidentified,
+    /// Its request is being served.
     Busy(Role),
     /// Between requests.
     Idle(Role),
-    /// Told to end.
-    Leaving(Option<Role>),
+    /// Is to be closed, and counts until it is.
+    Closing(Option<Role>),
 }
 
-/// One connection.
-#[derive(Debug, Clone, Copy)]
-struct Open {
-    state: State,
-    since: Millis,
-    from: IpAddr,
+impl State {
+    /// Who is behind the connection, as far as it is known.
+    fn role(self) -> Option<Role> {
+        match self {
+            State::Unidentified => None,
+            State::Busy(role) | State::Idle(role) => Some(role),
+            State::Closing(role) => role,
+        }
+    }
 }
 
-/// Connections that are open, and who must go first.
+/// Decides which connections are open.
 #[derive(Debug)]
 pub struct ConnectionLimiter {
-    resource_budget: ResourceBudget,
-    last: u64,
-    open: BTreeMap<ConnectionId, Open>,
-    /// Strangers and idle users, by how long they have been so.
-    unidentified: BTreeSet<(Millis, ConnectionId)>,
-    /// The same by where they come from: one address must not take the places
-    /// of all others.
-    by_address: BTreeMap<IpAddr, BTreeSet<(Millis, ConnectionId)>>,
-    idle_users: BTreeSet<(Millis, ConnectionId)>,
-    users: usize,
-    workers: usize,
-    /// The most workers' connections of late, and when that was.
-    peak: (f64, Millis),
+    budget: ResourceBudget,
+    connections: ConnectionTable,
+    last_id: u64,
+    worker_peak: WorkerPeak,
 }
 
 impl ConnectionLimiter {
-    pub fn new(resource_budget: ResourceBudget) -> ConnectionLimiter {
+    /// A limiter without connections.
+    pub fn new(budget: ResourceBudget) -> ConnectionLimiter {
         ConnectionLimiter {
-            resource_budget,
-            last: 0,
-            open: BTreeMap::new(),
-            unidentified: BTreeSet::new(),
-            by_address: BTreeMap::new(),
-            idle_users: BTreeSet::new(),
-            users: 0,
-            workers: 0,
-            peak: (0.0, Millis(0)),
+            budget,
+            connections: ConnectionTable::default(),
+            last_id: 0,
+            worker_peak: WorkerPeak::default(),
         }
     }
 
-    /// Connections that are open or ending; never more than the budget.
+    /// Connections that are open or closing; never more than the budget.
     pub fn open(&self) -> usize {
-        self.open.len()
+        self.connections.len()
     }
 
-    /// Connections kept for workers now: what they needed of late.
+    /// Connections kept for workers now: what they needed of late and a margin, at
+    /// least the budget's share and at most [`MAX_WORKER_SHARE`] of all.
     pub fn reserved_for_workers(&self, now: Millis) -> usize {
-        let halves = now.0.saturating_sub(self.peak.1 .0) as f64 / PEAK_HALVES_MS as f64;
-        let peak = self.peak.0 * 0.5f64.powf(halves);
-        let most = (self.resource_budget.connections as f64 * MOST_KEPT) as usize;
-        ((peak.max(self.workers as f64) * PEAK_MARGIN) as usize).max(self.resource_budget.workers).min(most)
+        let needed = self.worker_peak.decayed(now).max(self.connections.workers() as f64);
+        let most = (self.budget.connections as f64 * MAX_WORKER_SHARE) as usize;
+        ((needed * PEAK_MARGIN) as usize).max(self.budget.workers).min(most)
     }
 
-    fn users_may_have(&self, now: Millis) -> usize {
-        self.resource_budget.connections - self.reserved_for_workers(now)
+    /// A connection has arrived.
+    pub fn admit(&mut self, from: IpAddr, now: Millis) -> Admission {
+        let evict = match self.connection_to_evict(from, now) {
+            Ok(evict) => evict,
+            Err(reason) => return Admission { admitted: Err(reason), evict: None },
+        };
+        if let Some(id) = evict {
+            self.connections.update(id, |state| State::Closing(state.role()), now);
+        }
+        if self.connections.len() >= self.budget.connections {
+            // The evicted one makes room for the next that arrives.
+            return Admission { admitted: Err(RefusalReason::Full), evict };
+        }
+        self.last_id += 1;
+        let id = ConnectionId(self.last_id);
+        self.connections.insert(id, from, now);
+        Admission { admitted: Ok(id), evict }
     }
 
-    /// A connection has come.
-    pub fn admit(&mut self, from: IpAddr, now: Millis) -> Admission {
-        let of_it = self.by_address.get(&from);
-        let leave = if of_it.is_some_and(|s| s.len() >= (self.resource_budget.unidentified / 2).max(1)) {
-            let Some(id) = quiet(of_it, now) else {
-                return Admission { taken: Err(RefusalReason::Strangers), leave: None };
-            };
-            Some(id)
-        } else if self.unidentified.len() >= self.resource_budget.unidentified {
-            let quiet = quiet(Some(&self.unidentified), now);
-            let Some(id) = quiet else { return Admission { taken: Err(RefusalReason::Strangers), leave: None } };
-            Some(id)
-        } else if self.open.len() >= self.resource_budget.crowded {
-            quiet(Some(&self.unidentified), now).or_else(|| self.idle_users.first().map(|(_, id)| *id))
-        } else {
-            None
+    /// Which connection is to be closed for one that arrives from this address, if any must be.
+    fn connection_to_evict(&self, from: IpAddr, now: Millis) -> Result<Option<ConnectionId>, RefusalReason> {
+        let silent = |longest: Option<(Millis, ConnectionId)>| {
+            longest.filter(|(since, _)| now.since(*since) >= UNIDENTIFIED_GRACE_MS).map(|(_, id)| id)
         };
-        if let Some(id) = leave {
-            self.set(id, |state| State::Leaving(role(state)), now);
+        let required = |silent: Option<ConnectionId>| silent.map(Some).ok_or(RefusalReason::TooManyUnidentified);
+        // One address must not take the places of all others.
+        let most_from_address = (self.budget.unidentified / 2).max(1);
+        if self.connections.unidentified_from(from) >= most_from_address {
+            return required(silent(self.connections.longest_unidentified_from(from)));
+        }
+        if self.connections.unidentified() >= self.budget.unidentified {
+            return required(silent(self.connections.longest_unidentified()));
         }
-        if self.open.len() >= self.resource_budget.connections {
-            // The one that was told to go makes room for the next that comes.
-            return Admission { taken: Err(RefusalReason::Full), leave };
+        if self.connections.len() >= self.budget.crowded {
+            return Ok(silent(self.connections.longest_unidentified()).or(self.connections.longest_idle_user()));
         }
-        self.last += 1;
-        let id = ConnectionId(self.last);
-        self.open.insert(id, Open { state: State::Stranger, since: now, from });
-        self.count(id);
-        Admission { taken: Ok(id), leave }
+        Ok(None)
     }
 
-    /// A whole request is there.
-    pub fn request_started(&mut self, id: ConnectionId, by: Role, now: Millis) -> ConnectionAction {
-        if self.open.get(&id).is_none_or(|open| matches!(open.state, State::Leaving(_))) {
-            return ConnectionAction::Last;
+    /// A whole request has arrived.
+    pub fn request_started(&mut self, id: ConnectionId, role: Role, now: Millis) -> ConnectionAction {
+        if self.connections.state(id).is_none_or(|state| matches!(state, State::Closing(_))) {
+            return ConnectionAction::CloseAfter;
         }
-        self.set(id, |_| State::Busy(by), now);
-        match by {
+        self.connections.update(id, |_| State::Busy(role), now);
+        match role {
             Role::Worker => {
-                if self.workers as f64 >= self.peak.0 * 0.5f64.powf(self.peak_age(now)) {
-                    self.peak = (self.workers as f64, now);
-                }
-                ConnectionAction::Open
+                self.worker_peak.record(self.connections.workers(), now);
+                ConnectionAction::KeepOpen
             }
-            Role::User if self.users > self.users_may_have(now) => {
-                self.set(id, |state| State::Leaving(role(state)), now);
-                ConnectionAction::Refused(RefusalReason::Users)
-            }
-            // With few connections left, users' are not kept between requests.
-            Role::User if self.open.len() * 4 > self.resource_budget.connections * 3 => ConnectionAction::Last,
-            Role::User => ConnectionAction::Open,
+            Role::User => self.user_request_started(id, now),
         }
     }
 
-    /// The request was answered, and the connection stays.
-    pub fn response_sent(&mut self, id: ConnectionId, now: Millis) {
-        if let Some(State::Busy(by)) = self.open.get(&id).map(|open| open.state) {
-            self.set(id, |_| State::Idle(by), now);
+    fn user_request_started(&mut self, id: ConnectionId, now: Millis) -> ConnectionAction {
+        let most_users = self.budget.connections - self.reserved_for_workers(now);
+        if self.connections.users() > most_users {
+            self.connections.update(id, |state| State::Closing(state.role()), now);
+            return ConnectionAction::Refuse(RefusalReason::ReservedForWorkers);
         }
-    }
-
-    /// The connection has ended, and its thread with it.
-    pub fn closed(&mut self, id: ConnectionId) {
-        self.uncount(id);
-        self.open.remove(&id);
-    }
-
-    fn peak_age(&self, now: Millis) -> f64 {
-        now.0.saturating_sub(self.peak.1 .0) as f64 / PEAK_HALVES_MS as f64
-    }
-
-    fn set(&mut self, id: ConnectionId, next: impl FnOnce(State) -> State, now: Millis) {
-        self.uncount(id);
-        if let Some(open) = self.open.get_mut(&id) {
-            open.state = next(open.state);
-            open.since = now;
+        if self.is_nearly_full() {
+            return ConnectionAction::CloseAfter;
         }
-        self.count(id);
+        ConnectionAction::KeepOpen
     }
 
-    fn count(&mut self, id: ConnectionId) {
-        let Some(&Open { state, since, from }) = self.open.get(&id) else { return };
-        match role(state) {
-            Some(Role::User) => self.users += 1,
-            Some(Role::Worker) => self.workers += 1,
-            None => {}
-        }
-        match state {
-            State::Stranger => {
-                self.unidentified.insert((since, id));
-                self.by_address.entry(from).or_default().insert((since, id));
-            }
-            State::Idle(Role::User) => {
-                self.idle_users.insert((since, id));
-            }
-            _ => {}
-        }
+    /// With three quarters of all connections open, those of users are not kept between requests.
+    fn is_nearly_full(&self) -> bool {
+        self.connections.len() * 4 > self.budget.connections * 3
     }
 
-    fn uncount(&mut self, id: ConnectionId) {
-        let Some(&Open { state, since, from }) = self.open.get(&id) else { return };
-        match role(state) {
-            Some(Role::User) => self.users -= 1,
-            Some(Role::Worker) => self.workers -= 1,
-            None => {}
-        }
-        match state {
-            State::Stranger => {
-                self.unidentified.remove(&(since, id));
-                if let Some(of_it) = self.by_address.get_mut(&from) {
-                    of_it.remove(&(since, id));
-                    if of_it.is_empty() {
-                        self.by_address.remove(&from);
-                    }
-                }
-            }
-            State::Idle(Role::User) => {
-                self.idle_users.remove(&(since, id));
-            }
-            _ => {}
+    /// The request was answered, and the connection stays.
+    pub fn response_sent(&mut self, id: ConnectionId, now: Millis) {
+        if let Some(State::Busy(role)) = self.connections.state(id) {
+            self.connections.update(id, |_| State::Idle(role), now);
         }
     }
-}
-
-/// The stranger that has been quiet for longest, if for long enough.
-fn quiet(unidentified: Option<&BTreeSet<(Millis, ConnectionId)>>, now: Millis) -> Option<ConnectionId> {
-    let (since, id) = unidentified?.first()?;
-    (now.0.saturating_sub(since.0) >= STRANGER_MS).then_some(*id)
-}
 
-fn role(state: State) -> Option<Role> {
-    match state {
-        State::Stranger => None,
-        State::Busy(by) | State::Idle(by) => Some(by),
-        State::Leaving(by) => by,
+    /// The connection has ended, and its thread with it.
+    pub fn closed(&mut self, id: ConnectionId) {
+        self.connections.remove(id);
     }
 }
 
--- a/crates/connection-limits/src/connection_limiter/tests.rs
+++ b/crates/connection-limits/src/connection_limiter/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::{Limits, ReservedResources};
 use proptest::prelude::*;
+use std::collections::BTreeMap;
 
 fn resource_budget() -> ResourceBudget {
     let limits = Limits { threads: 60, sockets: 100, memory_mib: 100.0 };
@@ -39,39 +40,39 @@
         ..Default::default()
     })]
     /// The budget holds whatever comes; a worker's connection is never
-    /// closed or refused, and none is refused for want of room while a user
-    /// or a quiet stranger could go instead.
+    /// closed or refused, and none is refused for lack of room while a user's
+    /// or a silent unidentified one could be closed instead.
     #[test]
     fn the_budget_holds_and_users_go_before_workers(steps in proptest::collection::vec(step(), 1..400)) {
         let mut connection_limiter = ConnectionLimiter::new(resource_budget());
         let mut now = Millis(0);
-        // What the model knows of each: who asked, whether it is being
-        // answered, since when, and whether it was told to go.
+        // What the model knows of each: who made requests, whether one is being
+        // served, since when, and whether it is to be closed.
         let mut open: BTreeMap<ConnectionId, (Option<Role>, bool, Millis, bool)> = BTreeMap::new();
         for step in steps {
             let pick = |n: usize| open.keys().nth(n % open.len().max(1)).copied();
             match step {
                 Step::Arrive(from) => {
                     let arrival = connection_limiter.admit(address(from), now);
-                    if let Some(id) = arrival.leave {
+                    if let Some(id) = arrival.evict {
                         let one = open.get_mut(&id).expect("a connection that is open");
-                        prop_assert!(one.0 != Some(Role::Worker) && !one.1 && !one.3, "{one:?} told to go");
+                        prop_assert!(one.0 != Some(Role::Worker) && !one.1 && !one.3, "{one:?} evicted");
                         one.3 = true;
                     }
-                    match arrival.taken {
+                    match arrival.admitted {
                         Ok(id) => prop_assert!(open.insert(id, (None, false, now, false)).is_none()),
                         Err(RefusalReason::Full) => {
-                            let could_go = |c: &&(Option<Role>, bool, Millis, bool)| {
-                                let quiet = now.0 - c.2.0 >= STRANGER_MS;
+                            let may_be_closed = |c: &&(Option<Role>, bool, Millis, bool)| {
+                                let quiet = now.0 - c.2.0 >= UNIDENTIFIED_GRACE_MS;
                                 !c.3 && (c.0.is_none() && quiet || c.0 == Some(Role::User) && !c.1)
                             };
-                            prop_assert!(arrival.leave.is_some() || !open.values().any(|c| could_go(&c)));
+                            prop_assert!(arrival.evict.is_some() || !open.values().any(|c| may_be_closed(&c)));
                         }
-                        Err(RefusalReason::Strangers) => {
+                        Err(RefusalReason::TooManyUnidentified) => {
                             let silent = open.values().filter(|c| c.0.is_none() && !c.3).count();
                             prop_assert!(silent >= resource_budget().unidentified / 2);
                         }
-                        Err(RefusalReason::Users) => prop_assert!(false, "nobody has said to be a user"),
+                        Err(RefusalReason::ReservedForWorkers) => prop_assert!(false, "no request of a user has arrived"),
                     }
                 }
                 Step::Ask(n, by) => {
@@ -82,12 +83,12 @@
                     }
                     let users = open.values().filter(|c| c.0 == Some(Role::User)).count();
                     match connection_limiter.request_started(id, by, now) {
-                        ConnectionAction::Refused(_) => {
+                        ConnectionAction::Refuse(_) => {
                             prop_assert_eq!(by, Role::User);
                             open.insert(id, (Some(by), true, now, true));
                         }
-                        ConnectionAction::Last => prop_assert!(one.3 || by == Role::User),
-                        ConnectionAction::Open => {}
+                        ConnectionAction::CloseAfter => prop_assert!(one.3 || by == Role::User),
+                        ConnectionAction::KeepOpen => {}
                     }
                     if !open[&id].3 {
                         open.insert(id, (Some(by), true, now, false));
@@ -117,26 +118,26 @@
 
 /// Half-open connections took every thread, and workers found none.
 #[test]
-fn a_flood_from_one_address_leaves_room_for_all_others() {
+fn a_flood_of_connections_from_one_address_leaves_room_for_others() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
-    let flood = (0..1000).filter(|_| connection_limiter.admit(address(1), Millis(10)).taken.is_ok()).count();
+    let flood = (0..1000).filter(|_| connection_limiter.admit(address(1), Millis(10)).admitted.is_ok()).count();
     assert_eq!(flood, resource_budget().unidentified / 2);
-    let worker = connection_limiter.admit(address(2), Millis(11)).taken.unwrap();
-    assert_eq!(connection_limiter.request_started(worker, Role::Worker, Millis(12)), ConnectionAction::Open);
-    // Quiet for long enough, each makes way for the next.
+    let worker = connection_limiter.admit(address(2), Millis(11)).admitted.unwrap();
+    assert_eq!(connection_limiter.request_started(worker, Role::Worker, Millis(12)), ConnectionAction::KeepOpen);
+    // Silent for long enough, each is closed for the next.
     let later = connection_limiter.admit(address(1), Millis(600));
-    assert!(later.taken.is_ok() && later.leave.is_some());
+    assert!(later.admitted.is_ok() && later.evict.is_some());
 }
 
-/// A fleet that lost its owner comes back all at once: users must not have
-/// taken its places meanwhile.
+/// Workers that lost their shard's owner come back all at once: users must not have
+/// taken their places meanwhile.
 #[test]
-fn what_workers_needed_of_late_is_kept_for_them() {
+fn the_recent_peak_of_workers_stays_reserved_for_them() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
     let mut ids = vec![];
     for n in 0..20u8 {
-        let id = connection_limiter.admit(address(n), Millis(0)).taken.unwrap();
-        assert_eq!(connection_limiter.request_started(id, Role::Worker, Millis(0)), ConnectionAction::Open);
+        let id = connection_limiter.admit(address(n), Millis(0)).admitted.unwrap();
+        assert_eq!(connection_limiter.request_started(id, Role::Worker, Millis(0)), ConnectionAction::KeepOpen);
         ids.push(id);
     }
     assert_eq!(connection_limiter.reserved_for_workers(Millis(0)), 25);
--- a/crates/connection-limits/src/resource_budget.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -1,16 +1,18 @@
-//! One budget for all that takes threads, sockets and memory.
+//! One budget of connections, derived from the limits of threads, sockets and memory. A pure computation,
+//! made once at start and by `tillercleat check`.
 
+use std::fmt;
 use thiserror::Error;
 
-/// Memory that one connection is counted with, in KiB: the touched part of its
+/// Memory that one connection takes, in KiB: the touched part of its
 /// thread's stack, its buffers, and what the kernel keeps for it.
 const CONNECTION_KIB: u64 = 48;
 
 /// Share of the memory that connections may take in all.
 const MEMORY_SHARE: f64 = 0.5;
 
-/// Fewer connections than this serve nobody.
-const LEAST_CONNECTIONS: usize = 8;
+/// With fewer connections a process is of no use.
+const MIN_CONNECTIONS: usize = 8;
 
 /// What the process may have in all.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -23,65 +25,79 @@
     pub memory_mib: f64,
 }
 
-/// What the process needs for its own dealings, before it takes a connection.
+/// What the process needs for itself, before it accepts a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReservedResources {
+    /// Threads that do not serve connections.
     pub threads: usize,
+    /// Sockets and other descriptors that are not connections.
     pub sockets: usize,
 }
 
 /// Connections that users and workers may have, in all and in part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// All that may be open or ending at the same time.
+    /// The most that may be open or closing at the same time.
     pub connections: usize,
-    /// From so many on, one is let go for each that comes.
+    /// From so many on, one is closed for each that arrives.
     pub crowded: usize,
-    /// Of these, those that have not asked anything yet.
+    /// The most that may not have made a request yet.
     pub unidentified: usize,
-    /// The least that is kept for workers.
+    /// The least number that is kept for workers.
     pub workers: usize,
 }
 
+/// A resource whose limit counts.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Resource {
+    /// Threads of the process.
+    Threads,
+    /// Sockets and other descriptors.
+    Sockets,
+}
+
+impl fmt::Display for Resource {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Resource::Threads => "threads",
+            Resource::Sockets => "sockets",
+        })
+    }
+}
+
 /// Why no budget can be made.
-#[derive(Debug, Error, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, Error, PartialEq, Eq)]
 pub enum BudgetError {
     /// The limit named leaves too little beside the process's own needs.
     #[error(
-        "{what} for {have} leave no {LEAST_CONNECTIONS} connections beside the {own} that the process needs itself"
+        "the limit of {limit} {resource} is too low: the process needs {reserved} itself and at least \
+         {MIN_CONNECTIONS} for connections"
     )]
-    TooFew {
+    LimitTooLow {
         /// What there is too little of.
-        what: &'static str,
+        resource: Resource,
         /// The limit.
-        have: usize,
-        /// The process's own need.
-        own: usize,
+        limit: usize,
+        /// What the process needs for itself.
+        reserved: usize,
     },
 }
 
 impl ResourceBudget {
     /// The budget under these limits: each limit allows so many connections,
-    /// and the scarcest rules.
+    /// and the scarcest resource decides.
     ///
     /// # Errors
     ///
-    /// If a limit leaves room for fewer than a handful of connections.
-    pub fn new(limits: Limits, own: ReservedResources) -> Result<ResourceBudget, BudgetError> {
-        let left = |what, have: usize, own: usize| {
-            let left = have.saturating_sub(own);
-            if left < LEAST_CONNECTIONS {
-                return Err(BudgetError::TooFew { what, have, own });
-            }
-            Ok(left)
-        };
-        let threads = left("threads", limits.threads, own.threads)?;
-        let sockets = left("sockets", limits.sockets, own.sockets)?;
+    /// If threads or sockets leave room for fewer than [`MIN_CONNECTIONS`] connections.
+    pub fn new(limits: Limits, reserved: ReservedResources) -> Result<ResourceBudget, BudgetError> {
+        let threads = remaining(Resource::Threads, limits.threads, reserved.threads)?;
+        let sockets = remaining(Resource::Sockets, limits.sockets, reserved.sockets)?;
         let memory = (limits.memory_mib.max(0.0) * 1024.0 * MEMORY_SHARE / CONNECTION_KIB as f64) as usize;
-        let connections = threads.min(sockets).min(memory.max(LEAST_CONNECTIONS));
+        let connections = threads.min(sockets).min(memory.max(MIN_CONNECTIONS));
         Ok(ResourceBudget {
             connections,
-            // Room for those that are asked to end and have not ended yet.
+            // The difference is for those that are to be closed and have not ended yet.
             crowded: connections - (connections / 16).max(2),
             unidentified: (connections / 4).max(2),
             workers: connections / 4,
@@ -89,5 +105,14 @@
     }
 }
 
+/// What is left of a resource for connections.
+fn remaining(resource: Resource, limit: usize, reserved: usize) -> Result<usize, BudgetError> {
+    let remaining = limit.saturating_sub(reserved);
+    if remaining < MIN_CONNECTIONS {
+        return Err(BudgetError::LimitTooLow { resource, limit, reserved });
+    }
+    Ok(remaining)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/connection-limits/src/resource_budget/tests.rs
+++ b/crates/connection-limits/src/resource_budget/tests.rs
@@ -3,7 +3,7 @@
 /// Sockets and memory allowed 2,005 connections, a thread each, where a
 /// process may have 2,000 threads.
 #[test]
-fn threads_are_a_limit_of_their_own() {
+fn threads_limit_connections_too() {
     let limits = Limits { threads: 1800, sockets: 2382, memory_mib: 188.0 };
     let resource_budget = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap();
     assert_eq!(resource_budget.connections, 1784);
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn limits_that_serve_nobody_are_refused_with_the_reason() {
+fn limits_too_low_for_any_connection_are_refused_with_the_reason() {
     let limits = Limits { threads: 20, sockets: 800, memory_mib: 56.0 };
     let error = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap_err();
-    assert_eq!(error, BudgetError::TooFew { what: "threads", have: 20, own: 16 });
+    assert_eq!(error, BudgetError::LimitTooLow { resource: Resource::Threads, limit: 20, reserved: 16 });
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,22 +1,25 @@
-//! The command line.
+//! The command line: reads the settings files, then runs the controller or says what is wrong with them.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tillercleat::settings::{Settings, Tuning};
-use tillercleat::transport;
-use tillercleat_rollout::settings::Settings as Rollouts;
+use tillercleat::settings::{Settings, SettingsError, Tuning};
+use tillercleat::transport::{self, BudgetError, Resource};
+use tillercleat_rollout::settings::{Settings as RolloutSettings, SettingsError as RolloutSettingsError};
+
+/// Exit status if the settings cannot be used; 1 is for a controller that could not start.
+const BAD_SETTINGS: u8 = 2;
 
 /// A cluster scheduler that places tasks on machines likely to outlast them.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
 }
 
 #[derive(clap::Args)]
-struct Files {
+struct SettingsFiles {
     /// The operators' own settings (TOML).
     #[arg(long, value_name = "FILE")]
     tuning: Option<PathBuf>,
@@ -29,23 +32,56 @@
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Serve until killed; LOG_LEVEL (error, info, debug) sets what is logged.
-    Run(Files),
+enum Command {
+    /// Serve until killed; LOG_LEVEL (error, warn, info, debug) sets what is logged.
+    Run(SettingsFiles),
     /// Check the settings and end.
-    Check(Files),
+    Check(SettingsFiles),
+}
+
+/// All settings of a controller, read and checked.
+struct LoadedSettings {
+    platform: Settings,
+    operators: Tuning,
+    /// None: roll-outs are off.
+    rollouts: Option<RolloutSettings>,
 }
 
-impl Files {
-    fn load(&self) -> Result<(Settings, Tuning, Option<Rollouts>), Box<dyn std::error::Error>> {
-        let tuning = self.tuning.as_deref().map_or(Ok(Tuning::default()), Tuning::load)?;
-        let rollouts = self.rollout.as_deref().map(Rollouts::load).transpose()?;
-        Ok((Settings::load(&self.config)?, tuning, rollouts))
+/// Why the settings cannot be used.
+#[derive(Debug, thiserror::Error)]
+enum LoadError {
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Rollouts(#[from] RolloutSettingsError),
+    #[error("{place}: {source}")]
+    Budget { place: String, source: BudgetError },
+}
+
+impl SettingsFiles {
+    /// Reads and checks all files.
+    fn load(&self) -> Result<LoadedSettings, LoadError> {
+        let operators = self.tuning.as_deref().map_or(Ok(Tuning::default()), Tuning::load)?;
+        let rollouts = self.rollout.as_deref().map(RolloutSettings::load).transpose()?;
+        let platform = Settings::load(&self.config)?;
+        transport::resource_budget(&platform, &operators, rollouts.as_ref())
+            .map_err(|source| LoadError::Budget { place: self.place_of(source), source })?;
+        Ok(LoadedSettings { platform, operators, rollouts })
+    }
+
+    /// The file and field of the limit that is too low.
+    fn place_of(&self, error: BudgetError) -> String {
+        let BudgetError::LimitTooLow { resource, .. } = error;
+        match (resource, &self.tuning) {
+            (Resource::Sockets, _) => format!("{}: cluster.quota.fd_limit", self.config.display()),
+            (Resource::Threads, Some(tuning)) => format!("{}: threads", tuning.display()),
+            (Resource::Threads, None) => "default of the operators' setting threads".into(),
+        }
     }
 }
 
-/// Few arenas, given back early: the memory limit is tight.
-fn tame_allocator() {
+/// One arena, and memory given back early: the platform's memory limit is tight.
+fn limit_allocator_memory() {
     #[cfg(target_env = "gnu")]
     // SAFETY: called before any thread is started; mallopt only sets numbers.
     unsafe {
@@ -55,39 +91,45 @@
     }
 }
 
-fn start_log() {
-    let level = std::env::var("LOG_LEVEL").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::ERROR);
+/// Logs to standard error. An absent or unknown LOG_LEVEL means errors only.
+fn start_logging() {
+    let level = std::env::var("LOG_LEVEL").ok().and_then(|level| level.parse().ok()).unwrap_or(tracing::Level::ERROR);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).without_time().init();
 }
 
-fn main() -> ExitCode {
-    tame_allocator();
-    let cli = Cli::parse();
-    start_log();
-    let (files, run) = match &cli.verb {
-        Verb::Run(files) => (files, true),
-        Verb::Check(files) => (files, false),
-    };
-    let (settings, tuning, rollouts) = match files.load() {
-        Ok(loaded) => loaded,
-        Err(error) => {
-            eprintln!("tillercleat: {error}");
-            return ExitCode::from(2);
+fn check(files: &SettingsFiles) -> ExitCode {
+    match files.load() {
+        Ok(_) => {
+            println!("{}: settings are fine", files.config.display());
+            ExitCode::SUCCESS
         }
-    };
-    if let Err(error) = transport::resource_budget(&settings, &tuning, rollouts.as_ref()) {
-        eprintln!("tillercleat: {}: {error}", files.config.display());
-        return ExitCode::from(2);
+        Err(error) => report(&error, ExitCode::from(BAD_SETTINGS)),
     }
-    if !run {
-        println!("{}: settings are fine", files.config.display());
-        return ExitCode::SUCCESS;
-    }
-    match transport::run(settings, tuning, rollouts) {
+}
+
+fn run(files: &SettingsFiles) -> ExitCode {
+    let settings = match files.load() {
+        Ok(settings) => settings,
+        Err(error) => return report(&error, ExitCode::from(BAD_SETTINGS)),
+    };
+    match transport::run(settings.platform, settings.operators, settings.rollouts) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("tillercleat: {error}");
-            ExitCode::FAILURE
-        }
+        Err(error) => report(&error, ExitCode::FAILURE),
+    }
+}
+
+/// Ends the program with one line on standard error.
+fn report(error: &dyn std::error::Error, exit_code: ExitCode) -> ExitCode {
+    eprintln!("tillercleat: {error}");
+    exit_code
+}
+
+fn main() -> ExitCode {
+    limit_allocator_memory();
+    let cli = Cli::parse();
+    start_logging();
+    match &cli.command {
+        Command::Run(files) => run(files),
+        Command::Check(files) => check(files),
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,6 +2,7 @@
 //! ([`Tuning`]). Read and checked once, before anything starts; nothing here changes while the program runs.
 
 mod error;
+mod json_path;
 mod operators;
 mod platform;
 mod validation;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,5 +1,6 @@
-//! Why a settings file cannot be used, as one line that names the file and the field.
+//! Why a settings file cannot be used: one line that names the file, the field and the problem.
 
+use super::json_path::path_at;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -14,20 +15,32 @@
         /// What the system says.
         source: io::Error,
     },
+    /// The platform's file holds nothing but white space.
+    #[error("{}: the file is empty, it must hold a JSON object", path.display())]
+    Empty {
+        /// The file.
+        path: PathBuf,
+    },
     /// The platform's file is not JSON, lacks a field, or has one of a wrong type.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: {field}: {source}", path.display())]
     Json {
         /// The file.
         path: PathBuf,
-        /// Which field, and at which line and column.
+        /// The field, or the object that lacks one, such as `cluster.workers`.
+        field: String,
+        /// What is wrong, with line and column.
         source: serde_json::Error,
     },
     /// The operators' file is not TOML, has an unknown key, or one of a wrong type.
-    #[error("{}: {}", path.display(), one_line(source))]
+    #[error("{}: line {line}, `{line_text}`: {}", path.display(), source.message())]
     Toml {
         /// The file.
         path: PathBuf,
-        /// Which key, with the line it is in.
+        /// The number of the line, from 1.
+        line: usize,
+        /// The line itself.
+        line_text: String,
+        /// What is wrong with it.
         source: Box<toml::de::Error>,
     },
     /// A value is out of range.
@@ -42,6 +55,25 @@
     },
 }
 
+impl SettingsError {
+    /// An error in the text of a JSON file.
+    pub(super) fn json(path: &Path, text: &str, source: serde_json::Error) -> SettingsError {
+        if text.trim().is_empty() {
+            return SettingsError::Empty { path: path.into() };
+        }
+        let field = path_at(text, source.line(), source.column()).unwrap_or_else(|| "top level".into());
+        SettingsError::Json { path: path.into(), field, source }
+    }
+
+    /// An error in the text of a TOML file.
+    pub(super) fn toml(path: &Path, text: &str, source: toml::de::Error) -> SettingsError {
+        let start = source.span().map_or(0, |span| span.start);
+        let line = text.bytes().take(start).filter(|byte| *byte == b'\n').count();
+        let line_text = text.lines().nth(line).unwrap_or_default().trim().into();
+        SettingsError::Toml { path: path.into(), line: line + 1, line_text, source: Box::new(source) }
+    }
+}
+
 /// A field that is out of range, before the file is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct InvalidValue {
@@ -62,8 +94,3 @@
 pub(super) fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: path.into(), source })
 }
-
-/// The TOML library quotes the line in several lines; an error is reported as one.
-fn one_line(error: &toml::de::Error) -> String {
-    error.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
-}
--- a/src/settings/operators.rs
+++ b/src/settings/operators.rs
@@ -53,8 +53,8 @@
     ///
     /// If the file can't be read, is not TOML, has an unknown key, or a value of a wrong type or out of range.
     pub fn load(path: &Path) -> Result<Tuning, SettingsError> {
-        let tuning: Tuning = toml::from_str(&read(path)?)
-            .map_err(|source| SettingsError::Toml { path: path.into(), source: Box::new(source) })?;
+        let text = read(path)?;
+        let tuning: Tuning = toml::from_str(&text).map_err(|error| SettingsError::toml(path, &text, error))?;
         tuning.validate().map_err(|invalid| invalid.in_file(path))?;
         Ok(tuning)
     }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -221,8 +221,9 @@
     ///
     /// If the file can't be read, is not JSON, lacks a field, or a value is of a wrong type or out of range.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
+        let text = read(path)?;
         let settings: Settings =
-            serde_json::from_str(&read(path)?).map_err(|source| SettingsError::Json { path: path.into(), source })?;
+            serde_json::from_str(&text).map_err(|error| SettingsError::json(path, &text, error))?;
         settings.validate().map_err(|invalid| invalid.in_file(path))?;
         Ok(settings)
     }
--- a/src/transport/events.rs
+++ b/src/transport/events.rs
@@ -1,24 +1,40 @@
-//! What reaches the core, from whatever side: the one thing that listeners,
-//! callers and the engine all know.
+//! What other threads send to the event loop.
 
 use crate::coordination::{ClientRequest, Input, Replica, Response};
 use crate::protocol::workers::Heartbeat;
 use crate::units::JobId;
 use std::sync::mpsc::SyncSender;
 
-/// A request that wants an answer.
-pub enum Asked {
-    User(ClientRequest),
+/// The way into the event loop, bounded: whoever must not wait uses `try_send` and refuses if it is full.
+pub type EventSender = SyncSender<Event>;
+
+/// A request that came over HTTP and awaits a response of the core.
+pub enum IncomingRequest {
+    /// Of a user or a health check.
+    Client(ClientRequest),
+    /// Of a worker.
     Heartbeat(Box<Heartbeat>),
 }
 
-/// Something for the core, with the way back for its answer if it wants one.
+/// One event for the event loop.
 pub enum Event {
-    Asked(Asked, SyncSender<Response>),
+    /// A request, and where its response goes. The response is dropped if nobody awaits it any more.
+    Request {
+        /// The request.
+        request: IncomingRequest,
+        /// Holds one response; the event loop never waits for room in it.
+        response_sender: SyncSender<Response>,
+    },
+    /// An input that needs no response.
     Input(Input),
-    /// How the replicas of these jobs fare, as far as this node owns them.
-    Replicas(Vec<JobId>, ReplicasTo),
+    /// The state of the replicas of these jobs, as far as this controller owns their shards.
+    ReplicaQuery {
+        /// Ids of services' jobs.
+        jobs: Vec<JobId>,
+        /// Called once with the replicas, on the event loop's thread.
+        reply: ReplicaReply,
+    },
 }
 
-/// Where replicas are told to; must not block.
-pub type ReplicasTo = Box<dyn FnOnce(Vec<Replica>) + Send>;
+/// Takes the answer to a replica query; must not block.
+pub type ReplicaReply = Box<dyn FnOnce(Vec<Replica>) + Send>;
--- /dev/null
+++ b/src/transport/peers/service.rs
@@ -0,0 +1,123 @@
+//! What other controllers may ask of this one. Passes everything on to the event loop and never waits for
+//! room in its queue: a peer that comes at a bad time is refused.
+
+use super::{MESSAGE_LIMIT, MESSAGE_TIMEOUT};
+use crate::coordination::{Input, Replica, ReplicaState};
+use crate::protocol::peer::peer_server::{Peer, PeerServer};
+use crate::protocol::peer::replica::State;
+use crate::protocol::peer::{
+    PeerStatus, PeerStatusAck, ReachRequest, ReachResponse, Replica as ReplicaMessage, ReplicasRequest,
+    ReplicasResponse,
+};
+use crate::transport::events::{Event, EventSender};
+use crate::units::JobId;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tonic::transport::Server;
+use tonic::{Request, Response, Status};
+
+/// How long a reachability check on behalf of a peer may take to connect.
+const REACH_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// Requests of one peer that are served at the same time.
+const CONCURRENT_REQUESTS: usize = 4;
+
+/// Pause before an address that could not be listened on is tried again.
+const LISTEN_RETRY: Duration = Duration::from_millis(500);
+
+/// The gRPC service of this controller.
+#[derive(Clone)]
+pub struct PeerService {
+    events: EventSender,
+    rollouts_enabled: bool,
+}
+
+impl PeerService {
+    /// A service that hands requests to the event loop.
+    pub fn new(events: EventSender, rollouts_enabled: bool) -> PeerService {
+        PeerService { events, rollouts_enabled }
+    }
+
+    /// Listens for as long as the process lives, and again whenever that fails.
+    pub async fn serve(self, listen: SocketAddr) {
+        loop {
+            let service = PeerServer::new(self.clone()).max_decoding_message_size(MESSAGE_LIMIT);
+            let ended = Server::builder()
+                .concurrency_limit_per_connection(CONCURRENT_REQUESTS)
+                .timeout(MESSAGE_TIMEOUT)
+                .add_service(service)
+                .serve(listen)
+                .await;
+            tracing::error!(addr = %listen, result = ?ended, "listener for peers ended");
+            tokio::time::sleep(LISTEN_RETRY).await;
+        }
+    }
+
+    fn require_rollouts(&self) -> Result<(), Status> {
+        self.rollouts_enabled.then_some(()).ok_or_else(|| Status::unimplemented("roll-outs are off"))
+    }
+
+    /// Queues an event, unless there are too many already.
+    fn queue(&self, event: Event) -> Result<(), Status> {
+        self.events.try_send(event).map_err(|_| Status::resource_exhausted("too much to do"))
+    }
+}
+
+#[tonic::async_trait]
+impl Peer for PeerService {
+    async fn tell(&self, request: Request<PeerStatus>) -> Result<Response<PeerStatusAck>, Status> {
+        let status = request.into_inner();
+        let revision = status.revision;
+        self.queue(Event::Input(Input::PeerStatus(status)))?;
+        Ok(Response::new(PeerStatusAck { revision }))
+    }
+
+    async fn replicas(&self, request: Request<ReplicasRequest>) -> Result<Response<ReplicasResponse>, Status> {
+        self.require_rollouts()?;
+        let jobs = request.into_inner().jobs.iter().map(|job| JobId::new(job)).collect();
+        let (reply_sender, reply) = oneshot::channel();
+        // Fails only if the peer's deadline is over, and with it this request.
+        let reply_to = Box::new(move |replicas| drop(reply_sender.send(replicas)));
+        self.queue(Event::ReplicaQuery { jobs, reply: reply_to })?;
+        let replicas: Vec<Replica> = reply.await.map_err(|_| Status::unavailable("ending"))?;
+        Ok(Response::new(ReplicasResponse { replicas: replicas.iter().map(replica_message).collect() }))
+    }
+
+    async fn reach(&self, request: Request<ReachRequest>) -> Result<Response<ReachResponse>, Status> {
+        self.require_rollouts()?;
+        let addr: SocketAddr =
+            request.into_inner().addr.parse().map_err(|_| Status::invalid_argument("not an address"))?;
+        let reached = match tokio::time::timeout(REACH_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(_)) => true,
+            // A refusal comes from the other end: it is reached.
+            Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
+            Err(_) => false,
+        };
+        Ok(Response::new(ReachResponse { reached }))
+    }
+}
+
+/// A replica as controllers describe it to each other.
+pub fn replica_message(replica: &Replica) -> ReplicaMessage {
+    let state = match replica.state {
+        ReplicaState::Waiting => State::Waiting,
+        ReplicaState::Placed => State::Placed,
+        ReplicaState::Running => State::Running,
+        ReplicaState::Leaving => State::Leaving,
+        ReplicaState::Ended => State::Ended,
+    };
+    ReplicaMessage {
+        job: replica.job.to_string(),
+        index: replica.index,
+        attempt: replica.attempt.0,
+        state: state.into(),
+        addr: replica.addr.clone(),
+        zone: replica.zone.clone(),
+        error: replica.error.map_or(0, |attempt| attempt.0),
+        token: replica.token.0,
+        age_ms: replica.age.0,
+    }
+}
--- /dev/null
+++ b/src/transport/peers/status_broadcast/tests.rs
@@ -0,0 +1,17 @@
+use super::*;
+
+/// Each hint carried the ages of a whole fleet; a peer that missed the
+/// whole status must still get it, however many hints come between.
+#[test]
+fn a_revision_hint_is_short_but_never_replaces_a_whole_status() {
+    let (sender, mut receiver) = watch::channel(LatestStatus::default());
+    let broadcaster = StatusBroadcaster(sender);
+    let whole = PeerStatus { from: "n0".into(), revision: 5, faulty: vec!["i-000001".into()], ..PeerStatus::default() };
+    broadcaster.broadcast_status(whole.clone());
+    broadcaster.hint_revision(Revision(9));
+    let latest = receiver.borrow_and_update().clone();
+    assert_eq!(latest.message_after(0), PeerStatus { revision: 9, ..whole });
+    assert_eq!(latest.message_after(1), PeerStatus { from: "n0".into(), revision: 9, ..PeerStatus::default() });
+    broadcaster.hint_revision(Revision(7));
+    assert_eq!(receiver.borrow_and_update().message_after(1).revision, 9);
+}
--- /dev/null
+++ b/src/transport/responses.rs
@@ -0,0 +1,87 @@
+//! How responses are written: the core's as HTTP, and HTTP onto a connection.
+
+use super::http::{Connection, HttpError};
+use crate::coordination::Response;
+use crate::protocol::users::JobStatus;
+use crate::protocol::workers::{HeartbeatResponse, Redirect};
+use serde::Serialize;
+use std::time::Duration;
+
+/// A response as it goes over HTTP. The body is JSON.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HttpResponse {
+    status: u16,
+    body: String,
+    /// Seconds after which the request may be made again.
+    retry_after_s: Option<u32>,
+}
+
+impl HttpResponse {
+    fn new(status: u16, body: &impl Serialize) -> HttpResponse {
+        let body = serde_json::to_string(body).expect("a struct of strings and numbers always has a JSON form");
+        HttpResponse { status, body, retry_after_s: None }
+    }
+
+    /// A refusal with its reason.
+    pub fn error(status: u16, reason: &str) -> HttpResponse {
+        HttpResponse::new(status, &serde_json::json!({ "error": reason }))
+    }
+
+    /// A refusal for lack of room; the request may be made again in a second.
+    pub fn unavailable(reason: &str) -> HttpResponse {
+        HttpResponse { retry_after_s: Some(1), ..HttpResponse::error(503, reason) }
+    }
+
+    /// Writes the whole response; each piece may take `timeout`. With `close` it tells the other side
+    /// that the connection ends after it.
+    ///
+    /// # Errors
+    ///
+    /// If the other side takes nothing for that long, or is gone.
+    pub fn write(&self, connection: &mut Connection, close: bool, timeout: Duration) -> Result<(), HttpError> {
+        let retry_after = self.retry_after_s.map(|seconds| format!("Retry-After: {seconds}\r\n")).unwrap_or_default();
+        let close = if close { "Connection: close\r\n" } else { "" };
+        let HttpResponse { status, body, .. } = self;
+        let reason = reason_phrase(*status);
+        let length = body.len();
+        let text = format!(
+            "HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n{retry_after}{close}\
+             Content-Length: {length}\r\n\r\n{body}"
+        );
+        connection.write(text.as_bytes(), timeout)
+    }
+}
+
+impl From<&Response> for HttpResponse {
+    fn from(response: &Response) -> HttpResponse {
+        match response {
+            Response::Healthy => HttpResponse::new(200, &serde_json::json!({})),
+            Response::Job { status, id, state, counts } => {
+                let (done, running) = counts.unzip();
+                HttpResponse::new(*status, &JobStatus { id, state: *state, done, running })
+            }
+            Response::Error { status, reason, retry_after_s } => {
+                HttpResponse { retry_after_s: *retry_after_s, ..HttpResponse::error(*status, reason) }
+            }
+            Response::Commands { token, commands } => {
+                HttpResponse::new(200, &HeartbeatResponse { token: *token, commands })
+            }
+            Response::Redirect(node) => {
+                HttpResponse::new(421, &Redirect { report_to: node.as_ref().map(|node| node.as_str()) })
+            }
+        }
+    }
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        201 => "Created",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        421 => "Misdirected Request",
+        422 => "Unprocessable Content",
+        _ => "Service Unavailable",
+    }
+}
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -1,232 +1,118 @@
-//! What roll-outs need of a controller: the state service, users' calls on its
-//! own core, and what all owners know of replicas.
+//! What roll-outs need of a controller: the store, submissions and cancellations on this controller's own
+//! core, and what the owners of all shards know of replicas. Called by the threads of `tillercleat_rollout`,
+//! which wait for each answer; every call has a deadline.
 
-use super::events::{Asked, Event};
+mod conversions;
+
+use super::events::{Event, EventSender, IncomingRequest};
+use super::external_clients::send_store_call;
 use super::http::Client;
-use super::peers::{replica_told, Asker};
-use crate::coordination::{ClientRequest, Response};
-use crate::protocol::peer;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
-use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
-use crate::units::{JobId, LeaseId as OurLease, Revision};
+use super::peers::{replica_message, PeerQueries};
+use crate::coordination::{ClientRequest, Replica, Response};
+use crate::protocol::state::{StateAnswer, StateCall};
+use crate::units::{JobId, LeaseId, Revision};
+use conversions::{cancellation_answer, job_spec, observed_replica, store_answer, submission_answer, transaction};
 use std::net::SocketAddr;
-use std::sync::mpsc::{sync_channel, SyncSender};
-use std::sync::{Mutex, PoisonError};
+use std::sync::mpsc::sync_channel;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tillercleat_rollout::file;
-use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
+use tillercleat_rollout::ports::{Answer, Call, ReplicaSeen};
 use tillercleat_rollout::runtime::Site;
-use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId, Millis as RolloutMillis, Stamp};
+use tillercleat_rollout::units::JobId as RolloutJobId;
 
-const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How long this controller's core may take to answer.
 const CORE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections to the state service kept open between calls.
-const MOST_IDLE: usize = 6;
+/// Connections to the store that are kept open between calls.
+const MAX_IDLE_CLIENTS: usize = 6;
 
 /// This controller, as roll-outs see it.
-pub struct Controller {
-    engine: SyncSender<Event>,
-    peers: Asker,
-    state: SocketAddr,
-    idle: Mutex<Vec<Client>>,
+pub struct ControllerSite {
+    events: EventSender,
+    peers: PeerQueries,
+    store: SocketAddr,
+    idle_clients: Mutex<Vec<Client>>,
 }
 
-impl Controller {
-    pub fn new(engine: SyncSender<Event>, peers: Asker, state: SocketAddr) -> Controller {
-        Controller { engine, peers, state, idle: Mutex::new(vec![]) }
+impl ControllerSite {
+    /// A site that asks the event loop, the peers and the store at this address.
+    pub fn new(events: EventSender, peers: PeerQueries, store: SocketAddr) -> ControllerSite {
+        ControllerSite { events, peers, store, idle_clients: Mutex::new(vec![]) }
+    }
+
+    /// Locked only to take a client or put one back, never during a call.
+    fn idle_clients(&self) -> MutexGuard<'_, Vec<Client>> {
+        self.idle_clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn state_call(&self, call: &StateCall) -> StateAnswer {
-        let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
-        let mut client = kept.unwrap_or_else(|| Client::new(self.state));
-        let (method, path, body) = call.request();
-        let timeout = match call {
-            StateCall::Watch { wait_ms, .. } => STATE_TIMEOUT + Duration::from_millis(*wait_ms),
-            _ => STATE_TIMEOUT,
-        };
-        match client.call(method, &path, &body, timeout) {
-            Ok((status, body)) => {
-                let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-                if idle.len() < MOST_IDLE {
-                    idle.push(client);
-                }
-                call.answer(status, &body)
+    fn call_store(&self, call: &StateCall) -> Answer {
+        let idle = self.idle_clients().pop();
+        let mut client = idle.unwrap_or_else(|| Client::new(self.store));
+        match send_store_call(&mut client, call) {
+            Ok(answer) => {
+                self.keep(client);
+                store_answer(answer)
             }
             Err(error) => {
-                tracing::debug!("no answer from the state service: {error}");
-                StateAnswer::Unknown
+                tracing::debug!(%error, "no answer from the store to a call of roll-outs");
+                store_answer(StateAnswer::Unknown)
             }
         }
     }
 
-    fn ask_core(&self, ask: ClientRequest) -> Option<Response> {
-        let (to, told) = sync_channel(1);
-        self.engine.try_send(Event::Asked(Asked::User(ask), to)).ok()?;
-        told.recv_timeout(CORE_TIMEOUT).ok()
+    fn keep(&self, client: Client) {
+        let mut idle = self.idle_clients();
+        if idle.len() < MAX_IDLE_CLIENTS {
+            idle.push(client);
+        }
+    }
+
+    /// The core's response; none if it is overloaded or takes too long.
+    fn ask_core(&self, request: ClientRequest) -> Option<Response> {
+        let (response_sender, response) = sync_channel(1);
+        let event = Event::Request { request: IncomingRequest::Client(request), response_sender };
+        if self.events.try_send(event).is_err() {
+            tracing::debug!("the event loop has no room for a request of roll-outs");
+            return None;
+        }
+        let response = response.recv_timeout(CORE_TIMEOUT);
+        response.inspect_err(|error| tracing::debug!(%error, "no response to a request of roll-outs")).ok()
     }
 
+    /// What all owners know of the replicas of these jobs. Peers are asked while the core answers.
     fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ReplicaSeen> {
-        let ours: Vec<JobId> = jobs.iter().map(|job| JobId::new(&job.0)).collect();
-        let (to, told) = sync_channel(1);
-        let answer = Box::new(move |replicas| drop(to.try_send(replicas)));
-        let asked = self.engine.try_send(Event::Replicas(ours, answer)).is_ok();
-        let mut all = self.peers.replicas(jobs.iter().map(|job| job.0.clone()).collect());
-        if let Some(own) = asked.then(|| told.recv_timeout(CORE_TIMEOUT).ok()).flatten() {
-            all.extend(own.iter().map(replica_told));
+        let (reply_sender, reply) = sync_channel(1);
+        let reply_to = Box::new(move |replicas: Vec<Replica>| drop(reply_sender.try_send(replicas)));
+        let own_jobs = jobs.iter().map(|job| JobId::new(&job.0)).collect();
+        let asked = self.events.try_send(Event::ReplicaQuery { jobs: own_jobs, reply: reply_to }).is_ok();
+        let mut replicas = self.peers.replicas(jobs.iter().map(|job| job.0.clone()).collect());
+        match asked.then(|| reply.recv_timeout(CORE_TIMEOUT)) {
+            Some(Ok(own)) => replicas.extend(own.iter().map(replica_message)),
+            Some(Err(_)) | None => tracing::debug!("the event loop did not answer a query for replicas"),
         }
-        all.into_iter().map(seen).collect()
+        replicas.into_iter().map(observed_replica).collect()
     }
 }
 
-impl Site for Controller {
+impl Site for ControllerSite {
     fn call(&self, call: &Call) -> Answer {
         match call {
             Call::Submit { job, order } => {
-                submit_answer(self.ask_core(ClientRequest::Submit(Box::new(spec(job, order)))))
+                submission_answer(self.ask_core(ClientRequest::Submit(Box::new(job_spec(job, order)))))
             }
-            Call::Withdraw { job } => withdraw_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
+            Call::Withdraw { job } => cancellation_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
-            Call::Reach { addr } => Answer::Reached(self.peers.reach(addr.clone())),
-            Call::Get { key } => state_answer(self.state_call(&StateCall::Get { key: key.clone() })),
+            Call::Reach { addr } => Answer::Reached(self.peers.can_reach(addr.clone())),
+            Call::Get { key } => self.call_store(&StateCall::Get { key: key.clone() }),
             Call::List { prefix, after } => {
-                state_answer(self.state_call(&StateCall::List { prefix: prefix.clone(), after: after.clone() }))
+                self.call_store(&StateCall::List { prefix: prefix.clone(), after: after.clone() })
+            }
+            Call::Commit(commit) => self.call_store(&StateCall::Transaction(transaction(commit))),
+            Call::Grant { ttl } => self.call_store(&StateCall::Grant { ttl_ms: ttl.0 }),
+            Call::Renew { lease } => self.call_store(&StateCall::Renew { lease: LeaseId(lease.0) }),
+            Call::Watch { prefix, after, wait } => {
+                self.call_store(&StateCall::Watch { prefix: prefix.clone(), after: Revision(after.0), wait_ms: wait.0 })
             }
-            Call::Commit(commit) => state_answer(self.state_call(&StateCall::Transaction(transaction(commit)))),
-            Call::Grant { ttl } => state_answer(self.state_call(&StateCall::Grant { ttl_ms: ttl.0 })),
-            Call::Renew { lease } => state_answer(self.state_call(&StateCall::Renew { lease: OurLease(lease.0) })),
-            Call::Watch { prefix, after, wait } => state_answer(self.state_call(&StateCall::Watch {
-                prefix: prefix.clone(),
-                after: Revision(after.0),
-                wait_ms: wait.0,
-            })),
-        }
-    }
-}
-
-fn transaction(commit: &Commit) -> Transaction {
-    let conditions = commit.when.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
-    let (key, value) = (commit.key.clone(), commit.value.clone());
-    let change = match commit.lease {
-        Some(lease) => Change::put_leased(key, value, OurLease(lease.0)),
-        None => Change::put(key, value),
-    };
-    Transaction { conditions: conditions.collect(), changes: vec![change] }
-}
-
-fn state_answer(answer: StateAnswer) -> Answer {
-    let item =
-        |item: crate::protocol::state::Item| Item { key: item.key, value: item.value, stamp: Stamp(item.version.0) };
-    match answer {
-        StateAnswer::Found(found) => Answer::Found(item(found)),
-        StateAnswer::Missing(_) => Answer::Missing,
-        StateAnswer::Page(page) => Answer::Page {
-            items: page.items.into_iter().map(item).collect(),
-            more: page.more,
-            revision: Stamp(page.revision.0),
-        },
-        StateAnswer::Committed(at) => Answer::Committed(Stamp(at.0)),
-        StateAnswer::Conflict(_) => Answer::Conflict,
-        StateAnswer::Granted(lease) => Answer::Granted(LeaseId(lease.0)),
-        StateAnswer::Renewed => Answer::Renewed,
-        StateAnswer::LeaseGone => Answer::LeaseGone,
-        StateAnswer::WatchEvents(news) => Answer::Changes {
-            revision: Stamp(news.revision.0),
-            changed: news
-                .events
-                .into_iter()
-                .map(|event| match event {
-                    WatchEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
-                    WatchEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
-                })
-                .collect(),
-        },
-        StateAnswer::TooOld => Answer::TooOld,
-        StateAnswer::Rejected(why) => {
-            tracing::warn!("the state service rejects a call of roll-outs: {why}");
-            Answer::Refused
         }
-        StateAnswer::Refused => Answer::Refused,
-        StateAnswer::Unknown => Answer::Unknown,
-    }
-}
-
-/// A standing job as users submit it.
-fn spec(id: &RolloutJobId, order: &Order) -> JobSpec {
-    let job = &order.job;
-    JobSpec {
-        id: JobId::new(&id.0),
-        class: job.class.clone(),
-        team: job.team.clone(),
-        kind: JobKind::Standing,
-        priority: match job.priority {
-            file::Priority::Low => Priority::Low,
-            file::Priority::Normal => Priority::Normal,
-            file::Priority::High => Priority::High,
-            file::Priority::Critical => Priority::Critical,
-        },
-        task_count: order.replicas,
-        cpus: job.cpus,
-        gpus: job.gpus,
-        mem_gb: job.mem_gb,
-        image: job.image.clone(),
-        image_gb: job.image_gb,
-        types: job.types.clone(),
-        zone: order.zone.clone().or_else(|| job.zone.clone()),
-        one_zone: false,
-        apart: false,
-        spot_allowed: job.spot,
-        estimated_run_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-        dependencies: vec![],
-    }
-}
-
-fn fate(state: JobState) -> Answer {
-    Answer::Job(match state {
-        JobState::Queued | JobState::Running => JobFate::Known,
-        JobState::Done | JobState::Cancelled => JobFate::Over,
-    })
-}
-
-fn submit_answer(response: Option<Response>) -> Answer {
-    match response {
-        Some(Response::Job { state, .. }) => fate(state),
-        Some(Response::Error { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
-        Some(Response::Error { status: 429 | 503, .. }) => Answer::Refused,
-        _ => Answer::Unknown,
-    }
-}
-
-fn withdraw_answer(response: Option<Response>) -> Answer {
-    match response {
-        Some(Response::Job { state, .. }) => fate(state),
-        Some(Response::Error { status: 404, .. }) => Answer::Job(JobFate::Unknown),
-        Some(Response::Error { .. }) => Answer::Refused,
-        _ => Answer::Unknown,
-    }
-}
-
-/// A replica as roll-outs see it: its machine's address without a port.
-fn seen(told: peer::Replica) -> ReplicaSeen {
-    use peer::replica::State;
-    let standing = match told.state() {
-        State::Waiting => Standing::Waiting,
-        State::Placed => Standing::Placed,
-        State::Running => Standing::Running,
-        State::Leaving => Standing::Leaving,
-        State::Ended => Standing::Ended,
-    };
-    ReplicaSeen {
-        host: told.addr.parse::<SocketAddr>().map(|a| a.ip().to_string()).unwrap_or_default(),
-        replica: (RolloutJobId(told.job), told.index),
-        attempt: told.attempt,
-        standing,
-        zone: told.zone,
-        error: told.error,
-        age: RolloutMillis(told.age_ms),
-        token: told.token,
     }
 }
--- /dev/null
+++ b/src/transport/rollouts/conversions.rs
@@ -0,0 +1,146 @@
+//! Between the types of `tillercleat_rollout`, which depends on nothing of this crate, and ours. Pure functions.
+
+use crate::coordination::Response;
+use crate::protocol::peer;
+use crate::protocol::state::{self, Change, Condition, StateAnswer, Transaction, WatchEvent};
+use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
+use crate::units::{JobId, LeaseId, Revision};
+use serde_json::Value;
+use std::net::SocketAddr;
+use tillercleat_rollout::file;
+use tillercleat_rollout::ports::{Answer, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
+use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId as RolloutLeaseId, Millis as RolloutMillis, Stamp};
+
+/// A change of a roll-out's record that holds only if the named keys are unchanged.
+pub fn transaction(commit: &Commit) -> Transaction {
+    let conditions = commit.when.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
+    let (key, value) = (commit.key.clone(), commit.value.clone());
+    let change = match commit.lease {
+        Some(lease) => Change::put_leased(key, value, LeaseId(lease.0)),
+        None => Change::put(key, value),
+    };
+    Transaction { conditions: conditions.collect(), changes: vec![change] }
+}
+
+/// An answer of the store.
+pub fn store_answer(answer: StateAnswer) -> Answer {
+    match answer {
+        StateAnswer::Found(found) => Answer::Found(item(found)),
+        StateAnswer::Missing(_) => Answer::Missing,
+        StateAnswer::Page(page) => Answer::Page {
+            items: page.items.into_iter().map(item).collect(),
+            more: page.more,
+            revision: Stamp(page.revision.0),
+        },
+        StateAnswer::Committed(at) => Answer::Committed(Stamp(at.0)),
+        StateAnswer::Conflict(_) => Answer::Conflict,
+        StateAnswer::Granted(lease) => Answer::Granted(RolloutLeaseId(lease.0)),
+        StateAnswer::Renewed => Answer::Renewed,
+        StateAnswer::LeaseGone => Answer::LeaseGone,
+        StateAnswer::WatchEvents(changes) => Answer::Changes {
+            revision: Stamp(changes.revision.0),
+            changed: changes.events.into_iter().map(change).collect(),
+        },
+        StateAnswer::TooOld => Answer::TooOld,
+        StateAnswer::Rejected(reason) => {
+            tracing::warn!(%reason, "the store rejected a call of roll-outs");
+            Answer::Refused
+        }
+        StateAnswer::Refused => Answer::Refused,
+        StateAnswer::Unknown => Answer::Unknown,
+    }
+}
+
+fn item(item: state::Item) -> Item {
+    Item { key: item.key, value: item.value, stamp: Stamp(item.version.0) }
+}
+
+/// Key, value (none: deleted) and version of a change that a watch brought.
+fn change(event: WatchEvent) -> (String, Option<Value>, Stamp) {
+    match event {
+        WatchEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
+        WatchEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
+    }
+}
+
+/// The job of one group of replicas, as a user would submit it.
+pub fn job_spec(id: &RolloutJobId, order: &Order) -> JobSpec {
+    let job = &order.job;
+    JobSpec {
+        id: JobId::new(&id.0),
+        class: job.class.clone(),
+        team: job.team.clone(),
+        kind: JobKind::Standing,
+        priority: match job.priority {
+            file::Priority::Low => Priority::Low,
+            file::Priority::Normal => Priority::Normal,
+            file::Priority::High => Priority::High,
+            file::Priority::Critical => Priority::Critical,
+        },
+        task_count: order.replicas,
+        cpus: job.cpus,
+        gpus: job.gpus,
+        mem_gb: job.mem_gb,
+        image: job.image.clone(),
+        image_gb: job.image_gb,
+        types: job.types.clone(),
+        zone: order.zone.clone().or_else(|| job.zone.clone()),
+        one_zone: false,
+        apart: false,
+        spot_allowed: job.spot,
+        estimated_run_s: 0.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        dependencies: vec![],
+    }
+}
+
+fn job_fate(state: JobState) -> Answer {
+    Answer::Job(match state {
+        JobState::Queued | JobState::Running => JobFate::Known,
+        JobState::Done | JobState::Cancelled => JobFate::Over,
+    })
+}
+
+/// What came of a submission; no response: it may be accepted all the same.
+pub fn submission_answer(response: Option<Response>) -> Answer {
+    match response {
+        Some(Response::Job { state, .. }) => job_fate(state),
+        Some(Response::Error { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
+        Some(Response::Error { status: 429 | 503, .. }) => Answer::Refused,
+        _ => Answer::Unknown,
+    }
+}
+
+/// What came of a cancellation; no response: it may be carried out all the same.
+pub fn cancellation_answer(response: Option<Response>) -> Answer {
+    match response {
+        Some(Response::Job { state, .. }) => job_fate(state),
+        Some(Response::Error { status: 404, .. }) => Answer::Job(JobFate::Unknown),
+        Some(Response::Error { .. }) => Answer::Refused,
+        _ => Answer::Unknown,
+    }
+}
+
+/// A replica as roll-outs see it: its machine's address without a port; empty if the machine is not known.
+pub fn observed_replica(replica: peer::Replica) -> ReplicaSeen {
+    use peer::replica::State;
+    let standing = match replica.state() {
+        State::Waiting => Standing::Waiting,
+        State::Placed => Standing::Placed,
+        State::Running => Standing::Running,
+        State::Leaving => Standing::Leaving,
+        State::Ended => Standing::Ended,
+    };
+    ReplicaSeen {
+        host: replica.addr.parse::<SocketAddr>().map(|addr| addr.ip().to_string()).unwrap_or_default(),
+        replica: (RolloutJobId(replica.job), replica.index),
+        attempt: replica.attempt,
+        standing,
+        zone: replica.zone,
+        error: replica.error,
+        age: RolloutMillis(replica.age_ms),
+        token: replica.token,
+    }
+}
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -1,127 +1,118 @@
-//! What the requests of users and workers ask for, and how replies are written.
+//! Which request a method, path and body make: of users, workers or health checks. Pure functions, called
+//! by the threads of connections.
 
-use super::events::Asked;
-use super::http::{Connection, HttpError};
-use crate::coordination::{ClientRequest, Response};
-use crate::protocol::users::{is_valid_job_id, JobSpec, JobStatus, Malformed};
-use crate::protocol::workers::{Heartbeat, HeartbeatResponse, Redirect};
+use super::events::IncomingRequest;
+use super::responses::HttpResponse;
+use crate::coordination::ClientRequest;
+use crate::protocol::users::{is_valid_job_id, JobSpec, Malformed};
+use crate::protocol::workers::Heartbeat;
 use crate::units::JobId;
-use serde::Serialize;
-use std::time::Duration;
 
-/// Workers report here; everything else is asked by users.
-const REPORTS: &str = "/hello";
+/// Where workers send heartbeats; every other path is for users.
+const HEARTBEAT_PATH: &str = "/hello";
 
-/// What a request asks for, or the answer it gets at once.
+const HEALTH_PATH: &str = "/up";
+
+const JOBS_PATH: &str = "/v2/runs";
+
+/// The last part of the path of a cancellation.
+const CANCEL: &str = "withdraw";
+
+/// What becomes of a request.
 pub enum Routed {
-    ClientRequest(Asked),
-    Answer(u16, String),
+    /// The core decides.
+    ForCore(IncomingRequest),
+    /// It is answered at once.
+    Immediate(HttpResponse),
+}
+
+impl Routed {
+    fn client(request: ClientRequest) -> Routed {
+        Routed::ForCore(IncomingRequest::Client(request))
+    }
+
+    fn error(status: u16, reason: &str) -> Routed {
+        Routed::Immediate(HttpResponse::error(status, reason))
+    }
 }
 
-fn problem(status: u16, reason: &str) -> Routed {
-    Routed::Answer(status, serde_json::json!({ "error": reason }).to_string())
+/// What a path stands for; a job id in it is not checked yet.
+#[derive(Clone, Copy)]
+enum Endpoint<'a> {
+    Health,
+    Heartbeat,
+    Submission,
+    Job(&'a str),
+    Cancellation(&'a str),
 }
 
-/// Reads a request.
-pub fn route(method: &str, target: &str, body: &[u8]) -> Routed {
-    let path = target.split('?').next().unwrap_or("");
-    let allow = |wanted: &str, routed: &dyn Fn() -> Routed| {
-        if method == wanted {
-            routed()
-        } else {
-            problem(405, "method not allowed")
+impl<'a> Endpoint<'a> {
+    /// None if there is no such path.
+    fn from_path(path: &'a str) -> Option<Endpoint<'a>> {
+        match path {
+            HEALTH_PATH => return Some(Endpoint::Health),
+            HEARTBEAT_PATH => return Some(Endpoint::Heartbeat),
+            JOBS_PATH => return Some(Endpoint::Submission),
+            _ => {}
         }
-    };
-    match path {
-        "/up" => return allow("GET", &|| Routed::ClientRequest(Asked::User(ClientRequest::Health))),
-        REPORTS => {
-            return allow("POST", &|| match serde_json::from_slice::<Heartbeat>(body) {
-                Ok(heartbeat) => Routed::ClientRequest(Asked::Heartbeat(Box::new(heartbeat))),
-                Err(error) => {
-                    tracing::warn!("a report makes no sense: {error}");
-                    problem(400, "not a report")
-                }
-            })
+        let job = path.strip_prefix(JOBS_PATH)?.strip_prefix('/')?;
+        match job.split_once('/') {
+            None => Some(Endpoint::Job(job)),
+            Some((job, CANCEL)) => Some(Endpoint::Cancellation(job)),
+            Some(_) => None,
         }
-        "/v2/runs" => {
-            return allow("POST", &|| match JobSpec::parse(body) {
-                Ok(spec) => Routed::ClientRequest(Asked::User(ClientRequest::Submit(Box::new(spec)))),
-                Err(Malformed { id: Some(id), reason }) => {
-                    Routed::ClientRequest(Asked::User(ClientRequest::Malformed { id, reason }))
-                }
-                Err(Malformed { id: None, reason }) => problem(400, &reason),
-            })
+    }
+
+    /// The one method that is allowed.
+    fn method(self) -> &'static str {
+        match self {
+            Endpoint::Health | Endpoint::Job(_) => "GET",
+            Endpoint::Heartbeat | Endpoint::Submission | Endpoint::Cancellation(_) => "POST",
         }
-        _ => {}
     }
-    let Some(rest) = path.strip_prefix("/v2/runs/") else { return problem(404, "no such path") };
-    let (id, cancel) = match rest.split_once('/') {
-        None => (rest, false),
-        Some((id, "withdraw")) => (id, true),
-        Some(_) => return problem(404, "no such path"),
-    };
-    let known = is_valid_job_id(id);
-    allow(if cancel { "POST" } else { "GET" }, &|| match (known, cancel) {
-        (false, true) => problem(400, "not a job id"),
-        (false, false) => problem(404, "no such job"),
-        (true, true) => Routed::ClientRequest(Asked::User(ClientRequest::Cancel(JobId::new(id)))),
-        (true, false) => Routed::ClientRequest(Asked::User(ClientRequest::Query(JobId::new(id)))),
-    })
 }
 
-fn json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).unwrap_or_default()
+fn path_of(target: &str) -> &str {
+    target.split_once('?').map_or(target, |(path, _)| path)
 }
 
-/// Status, body and `Retry-After` of a reply.
-pub fn render(response: &Response) -> (u16, String, Option<u32>) {
-    match response {
-        Response::Healthy => (200, "{}".into(), None),
-        Response::Job { status, id, state, counts } => {
-            let (done, running) = counts.unzip();
-            (*status, json(&JobStatus { id, state: *state, done, running }), None)
-        }
-        Response::Error { status, reason, retry_after_s } => {
-            (*status, serde_json::json!({ "error": reason }).to_string(), *retry_after_s)
-        }
-        Response::Commands { token, commands } => (200, json(&HeartbeatResponse { token: *token, commands }), None),
-        Response::Redirect(node) => (421, json(&Redirect { report_to: node.as_ref().map(|n| n.as_str()) }), None),
+/// Reads a request; a query after the path is ignored.
+pub fn route(method: &str, target: &str, body: &[u8]) -> Routed {
+    let Some(endpoint) = Endpoint::from_path(path_of(target)) else { return Routed::error(404, "no such path") };
+    if method != endpoint.method() {
+        return Routed::error(405, "method not allowed");
+    }
+    match endpoint {
+        Endpoint::Health => Routed::client(ClientRequest::Health),
+        Endpoint::Heartbeat => heartbeat(body),
+        Endpoint::Submission => submission(body),
+        Endpoint::Job(id) if is_valid_job_id(id) => Routed::client(ClientRequest::Query(JobId::new(id))),
+        Endpoint::Job(_) => Routed::error(404, "no such job"),
+        Endpoint::Cancellation(id) if is_valid_job_id(id) => Routed::client(ClientRequest::Cancel(JobId::new(id))),
+        Endpoint::Cancellation(_) => Routed::error(400, "not a job id"),
     }
 }
 
-fn reason(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        201 => "Created",
-        400 => "Bad Request",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        421 => "Misdirected Request",
-        422 => "Unprocessable Content",
-        _ => "Service Unavailable",
+fn heartbeat(body: &[u8]) -> Routed {
+    match serde_json::from_slice::<Heartbeat>(body) {
+        Ok(heartbeat) => Routed::ForCore(IncomingRequest::Heartbeat(Box::new(heartbeat))),
+        Err(error) => {
+            tracing::warn!(%error, "cannot read a heartbeat");
+            Routed::error(400, "not a report")
+        }
     }
 }
 
-/// True for a request that only workers make.
-pub fn of_worker(target: &str) -> bool {
-    target.split('?').next() == Some(REPORTS)
+/// A submission that makes no sense still goes to the core if its job id can be read: the job may be known.
+fn submission(body: &[u8]) -> Routed {
+    match JobSpec::parse(body) {
+        Ok(spec) => Routed::client(ClientRequest::Submit(Box::new(spec))),
+        Err(Malformed { id: Some(id), reason }) => Routed::client(ClientRequest::Malformed { id, reason }),
+        Err(Malformed { id: None, reason }) => Routed::error(400, &reason),
+    }
 }
 
-/// Writes a whole response; with `close` the connection ends after it.
-pub fn write(
-    connection: &mut Connection,
-    status: u16,
-    body: &str,
-    retry: Option<u32>,
-    close: bool,
-    within: Duration,
-) -> Result<(), HttpError> {
-    let retry = retry.map(|s| format!("Retry-After: {s}\r\n")).unwrap_or_default();
-    let close = if close { "Connection: close\r\n" } else { "" };
-    let text = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\n{retry}{close}Content-Length: {}\r\n\r\n{body}",
-        reason(status),
-        body.len()
-    );
-    connection.write(text.as_bytes(), within)
+/// True for a request that only workers make.
+pub fn is_from_worker(target: &str) -> bool {
+    path_of(target) == HEARTBEAT_PATH
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,171 +1,174 @@
-//! The listener for users, workers and health checks: a thread a connection,
-//! as many as the gate lets in.
+//! The listener for users, workers and health checks: a thread for each connection, as many as the
+//! connection limiter admits. Every read and write has a deadline. A request is handed to the event loop
+//! without waiting for room, and its response is awaited for a bounded time.
 
-use super::events::Event;
-use super::http::{Connection, HttpError};
-use super::routes::{of_worker, render, route, write, Routed};
+mod connection_registry;
+
+use super::events::{Event, EventSender, IncomingRequest};
+use super::http::{Connection, Head, HttpError};
+use super::responses::HttpResponse;
+use super::routes::{is_from_worker, route, Routed};
+use crate::coordination::Response;
 use crate::protocol::BODY_LIMIT;
-use std::collections::HashMap;
-use std::net::{IpAddr, Ipv4Addr, Shutdown, TcpListener, TcpStream};
-use std::sync::mpsc::{sync_channel, SyncSender};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::{Duration, Instant};
-use tillercleat_connection_limits::{ConnectionAction, ConnectionId, ConnectionLimiter, Millis, ResourceBudget, Role};
+use connection_registry::ConnectionRegistry;
+use std::io;
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
+use std::sync::Arc;
+use std::time::Duration;
+use tillercleat_connection_limits::{ConnectionAction, ConnectionId, ResourceBudget, Role};
 
+/// Stack of a connection's thread in bytes.
 const STACK: usize = 128 * 1024;
-/// How long a new connection may take to ask something.
-const FIRST: Duration = Duration::from_secs(10);
-const IDLE: Duration = Duration::from_secs(60);
-const WHOLE: Duration = Duration::from_secs(5);
-const ANSWER_WITHIN: Duration = Duration::from_millis(4500);
-/// Refusals are written by the thread that accepts: it waits for nobody.
-const REFUSE_WITHIN: Duration = Duration::from_millis(5);
-
-/// The gate, and the sockets behind what it decides on.
-struct Door {
-    limiter: ConnectionLimiter,
-    streams: HashMap<ConnectionId, Arc<TcpStream>>,
-    begin: Instant,
-}
 
-impl Door {
-    fn now(&self) -> Millis {
-        Millis(self.begin.elapsed().as_millis() as u64)
-    }
-}
+/// How long a new connection may take to begin its first request.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Lets connections in, and keeps count of them until their threads end.
-#[derive(Clone)]
-struct Front(Arc<Mutex<Door>>);
+/// How long a connection may be idle between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-impl Front {
-    fn new(resource_budget: ResourceBudget) -> Front {
-        let door =
-            Door { limiter: ConnectionLimiter::new(resource_budget), streams: HashMap::new(), begin: Instant::now() };
-        Front(Arc::new(Mutex::new(door)))
-    }
+/// How long a request may take to arrive once it has begun, and a response to be taken.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-    /// A thread that panicked has changed nothing by halves.
-    fn door(&self) -> MutexGuard<'_, Door> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
-    }
+/// How long the core may take to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4500);
 
-    /// Takes a connection, if there is room, and closes another if need be.
-    fn arrived(&self, stream: &Arc<TcpStream>) -> Option<ConnectionId> {
-        let from = stream.peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |addr| addr.ip());
-        let mut door = self.door();
-        let now = door.now();
-        let arrival = door.limiter.admit(from, now);
-        if let Some(stream) = arrival.leave.and_then(|id| door.streams.get(&id)) {
-            // Its thread wakes with an end of file, and ends.
-            let _ = stream.shutdown(Shutdown::Both);
-        }
-        match arrival.taken {
-            Ok(id) => {
-                door.streams.insert(id, stream.clone());
-                Some(id)
-            }
-            Err(why) => {
-                tracing::debug!("a connection from {from} is refused: {why:?}");
-                None
+/// Deadline of a refusal that the accepting thread writes itself: it must not wait for anybody.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(5);
+
+/// Pause after a connection could not be accepted, for instance for lack of descriptors.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+
+/// Why a connection or a user's request is refused with 503.
+const TOO_MANY_CONNECTIONS: &str = "too many connections";
+
+/// Accepts connections for as long as the process lives.
+pub fn listen(listener: &TcpListener, budget: ResourceBudget, events: &EventSender) {
+    let registry = ConnectionRegistry::new(budget);
+    for stream in listener.incoming() {
+        match stream {
+            Ok(stream) => accept(Arc::new(stream), &registry, events),
+            Err(error) => {
+                tracing::warn!(%error, "cannot accept a connection");
+                std::thread::sleep(ACCEPT_RETRY);
             }
         }
     }
+}
 
-    fn asked(&self, id: ConnectionId, by: Role) -> ConnectionAction {
-        let mut door = self.door();
-        let now = door.now();
-        door.limiter.request_started(id, by, now)
-    }
-
-    fn answered(&self, id: ConnectionId) {
-        let mut door = self.door();
-        let now = door.now();
-        door.limiter.response_sent(id, now);
+/// Starts a thread for a connection, or refuses it.
+fn accept(stream: Arc<TcpStream>, registry: &ConnectionRegistry, events: &EventSender) {
+    let Some(id) = registry.admit(&stream) else {
+        refuse(stream);
+        return;
+    };
+    if let Err(error) = spawn_connection(Arc::clone(&stream), id, registry.clone(), events.clone()) {
+        tracing::warn!(%error, "no thread for a connection");
+        registry.closed(id);
+        refuse(stream);
     }
+}
 
-    fn ended(&self, id: ConnectionId) {
-        let mut door = self.door();
-        door.limiter.closed(id);
-        door.streams.remove(&id);
+/// Tells a client that there is no room, and when to come back.
+fn refuse(stream: Arc<TcpStream>) {
+    let response = HttpResponse::unavailable(TOO_MANY_CONNECTIONS);
+    if let Err(error) = response.write(&mut Connection::new(stream), true, REFUSAL_TIMEOUT) {
+        tracing::debug!(%error, "cannot write a refusal");
     }
 }
 
-/// Tells a peer that there is no room, and when to come back.
-fn refuse(stream: Arc<TcpStream>) {
-    let body = r#"{"error":"too many connections"}"#;
-    let _ = write(&mut Connection::new(stream), 503, body, Some(1), true, REFUSE_WITHIN);
+fn spawn_connection(
+    stream: Arc<TcpStream>,
+    id: ConnectionId,
+    registry: ConnectionRegistry,
+    events: EventSender,
+) -> io::Result<()> {
+    let serve_until_closed = move || {
+        if let Err(error) = serve(stream, id, &registry, &events) {
+            tracing::debug!(%error, "a connection ended");
+        }
+        registry.closed(id);
+    };
+    std::thread::Builder::new().name("connection".into()).stack_size(STACK).spawn(serve_until_closed).map(drop)
 }
 
-fn serve(stream: Arc<TcpStream>, id: ConnectionId, front: &Front, engine: &SyncSender<Event>) -> Result<(), HttpError> {
+/// Serves requests one after the other until the connection ends.
+fn serve(
+    stream: Arc<TcpStream>,
+    id: ConnectionId,
+    registry: &ConnectionRegistry,
+    events: &EventSender,
+) -> Result<(), HttpError> {
     let mut connection = Connection::new(stream);
-    let (answers, answered) = sync_channel(1);
-    let mut patience = FIRST;
+    let requests = RequestHandler::new(events.clone());
+    let mut idle_timeout = FIRST_REQUEST_TIMEOUT;
     loop {
-        let (head, body) = match connection.read(true, patience, WHOLE, BODY_LIMIT) {
+        let (head, body) = match connection.read(true, idle_timeout, MESSAGE_TIMEOUT, BODY_LIMIT) {
             Ok(message) => message,
             Err(error @ (HttpError::TooLarge | HttpError::Malformed(_))) => {
-                let body = serde_json::json!({ "error": error.to_string() }).to_string();
-                return write(&mut connection, 400, &body, None, true, WHOLE);
+                return HttpResponse::error(400, &error.to_string()).write(&mut connection, true, MESSAGE_TIMEOUT);
             }
             Err(error) => return Err(error),
         };
-        patience = IDLE;
-        let by = if of_worker(&head.path) { Role::Worker } else { Role::User };
-        let last = match front.asked(id, by) {
-            ConnectionAction::Open => false,
-            ConnectionAction::Last => true,
-            ConnectionAction::Refused(_) => {
-                let body = r#"{"error":"too many connections"}"#;
-                return write(&mut connection, 503, body, Some(1), true, WHOLE);
+        idle_timeout = IDLE_TIMEOUT;
+        let role = if is_from_worker(&head.path) { Role::Worker } else { Role::User };
+        let keep_open = match registry.request_started(id, role) {
+            ConnectionAction::KeepOpen => true,
+            ConnectionAction::CloseAfter => false,
+            ConnectionAction::Refuse(_) => {
+                return HttpResponse::unavailable(TOO_MANY_CONNECTIONS).write(&mut connection, true, MESSAGE_TIMEOUT);
             }
         };
-        let close = head.close || last;
-        match route(&head.method, &head.path, &body) {
-            Routed::Answer(status, body) => write(&mut connection, status, &body, None, close, WHOLE)?,
-            Routed::ClientRequest(asked) => {
-                let sent = engine.try_send(Event::Asked(asked, answers.clone())).is_ok();
-                let response = if sent { answered.recv_timeout(ANSWER_WITHIN).ok() } else { None };
-                let Some(response) = response else {
-                    // Overloaded; a late answer must not be taken for the next one.
-                    return write(&mut connection, 503, r#"{"error":"overloaded"}"#, Some(1), true, WHOLE);
-                };
-                let (status, body, retry) = render(&response);
-                write(&mut connection, status, &body, retry, close, WHOLE)?;
-            }
-        }
+        let reply = requests.reply(&head, &body);
+        let close = head.close || !keep_open || reply.must_close;
+        reply.response.write(&mut connection, close, MESSAGE_TIMEOUT)?;
         if close {
             return Ok(());
         }
-        front.answered(id);
+        registry.response_sent(id);
     }
 }
 
-/// Accepts connections for as long as the process lives.
-pub fn listen(listener: TcpListener, resource_budget: ResourceBudget, engine: SyncSender<Event>) {
-    let front = Front::new(resource_budget);
-    for stream in listener.incoming() {
-        let Ok(stream) = stream else {
-            std::thread::sleep(Duration::from_millis(20));
-            continue;
-        };
-        let stream = Arc::new(stream);
-        let Some(id) = front.arrived(&stream) else {
-            refuse(stream);
-            continue;
+/// What a request is answered with.
+struct Reply {
+    response: HttpResponse,
+    /// The core's own response may still come, and must not be taken for that of the next request.
+    must_close: bool,
+}
+
+/// Answers the requests of one connection, one at a time.
+struct RequestHandler {
+    events: EventSender,
+    response_sender: SyncSender<Response>,
+    responses: Receiver<Response>,
+}
+
+impl RequestHandler {
+    fn new(events: EventSender) -> RequestHandler {
+        let (response_sender, responses) = sync_channel(1);
+        RequestHandler { events, response_sender, responses }
+    }
+
+    fn reply(&self, head: &Head, body: &[u8]) -> Reply {
+        let response = match route(&head.method, &head.path, body) {
+            Routed::Immediate(response) => Some(response),
+            Routed::ForCore(request) => self.ask_core(request).map(|response| HttpResponse::from(&response)),
         };
-        let (its_front, its_stream, engine) = (front.clone(), stream.clone(), engine.clone());
-        let thread = std::thread::Builder::new().stack_size(STACK).spawn(move || {
-            if let Err(error) = serve(its_stream, id, &its_front, &engine) {
-                tracing::debug!("a connection ended: {error}");
-            }
-            its_front.ended(id);
-        });
-        if let Err(error) = thread {
-            tracing::warn!("no thread for a connection: {error}");
-            front.ended(id);
-            refuse(stream);
+        match response {
+            Some(response) => Reply { response, must_close: false },
+            None => Reply { response: HttpResponse::unavailable("overloaded"), must_close: true },
+        }
+    }
+
+    /// The core's response; none if the event loop has no room for the request or takes too long.
+    fn ask_core(&self, request: IncomingRequest) -> Option<Response> {
+        let event = Event::Request { request, response_sender: self.response_sender.clone() };
+        if self.events.try_send(event).is_err() {
+            tracing::debug!("refused a request: too many events wait for the event loop");
+            return None;
         }
+        let response = self.responses.recv_timeout(RESPONSE_TIMEOUT);
+        response.inspect_err(|error| tracing::debug!(%error, "no response of the core to a request")).ok()
     }
 }
 
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,5 @@
-//! Ids, versions and times as small types of their own.
+//! Ids, versions and times as small types of their own, so that one cannot be passed for another. Used by
+//! every layer; their serialized forms are part of the stored records and of every protocol.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::cmp::Ordering;
@@ -7,7 +8,8 @@
 use std::ops::{Add, Sub};
 use std::sync::Arc;
 
-macro_rules! number {
+/// Defines an id or version that is a number, both in memory and when serialized.
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident, $inner:ty) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -22,83 +24,90 @@
     };
 }
 
-/// A text that is compared, ordered and hashed by a number as far as it is short:
-/// reports and rounds look names up by the million, and a text elsewhere in
-/// memory costs far more to reach than to compare. The order is that of texts.
+/// The bytes of a text that its [`ComparableText::prefix`] holds.
+const PREFIX_BYTES: usize = 15;
+
+/// The last byte of a prefix of a longer text; no length of a short one is as large.
+const LONGER_THAN_PREFIX: u8 = u8::MAX;
+
+/// An immutable text that is cheap to clone, and cheap to compare, order and hash as long as it is short:
+/// heartbeats and scheduling cycles look ids up by the million, and reading a text elsewhere in memory
+/// costs far more than comparing it. The order is that of strings.
 #[derive(Clone)]
-struct Text {
+struct ComparableText {
     text: Arc<str>,
-    /// The first bytes, the first one highest, and in the lowest place the
-    /// length, or more than any that fits.
-    key: u128,
+    /// The first bytes, the first one in the highest place, and in the lowest place the
+    /// length or [`LONGER_THAN_PREFIX`]. Prefixes therefore have the order of their texts.
+    prefix: u128,
 }
 
-/// Bytes of a text that its number holds.
-const INLINE: usize = 15;
-
-impl Text {
-    fn new(text: Arc<str>) -> Text {
+impl ComparableText {
+    fn new(text: Arc<str>) -> ComparableText {
         let mut bytes = [0; 16];
-        let len = text.len().min(INLINE);
+        let len = text.len().min(PREFIX_BYTES);
         bytes[..len].copy_from_slice(&text.as_bytes()[..len]);
-        bytes[INLINE] = if text.len() > INLINE { u8::MAX } else { len as u8 };
-        Text { text, key: u128::from_be_bytes(bytes) }
+        bytes[PREFIX_BYTES] = if text.len() > PREFIX_BYTES { LONGER_THAN_PREFIX } else { len as u8 };
+        ComparableText { text, prefix: u128::from_be_bytes(bytes) }
     }
 
-    /// True if the number says all.
+    /// True if the prefix holds the whole text.
     fn is_short(&self) -> bool {
-        self.key as u8 != u8::MAX
+        self.prefix as u8 != LONGER_THAN_PREFIX
     }
 }
 
-impl fmt::Debug for Text {
+impl fmt::Debug for ComparableText {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.text.fmt(f)
     }
 }
 
-impl PartialEq for Text {
+impl PartialEq for ComparableText {
     fn eq(&self, other: &Self) -> bool {
-        self.key == other.key && (self.is_short() || self.text == other.text)
+        self.prefix == other.prefix && (self.is_short() || self.text == other.text)
     }
 }
 
-impl Eq for Text {}
+impl Eq for ComparableText {}
 
-impl Ord for Text {
+impl Ord for ComparableText {
     fn cmp(&self, other: &Self) -> Ordering {
-        match self.key.cmp(&other.key) {
+        match self.prefix.cmp(&other.prefix) {
             Ordering::Equal if !self.is_short() => self.text.cmp(&other.text),
             order => order,
         }
     }
 }
 
-impl PartialOrd for Text {
+impl PartialOrd for ComparableText {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Hash for Text {
+impl Hash for ComparableText {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.key.hash(state);
+        self.prefix.hash(state);
         if !self.is_short() {
             self.text.hash(state);
         }
     }
 }
 
-macro_rules! name {
+/// Defines an id that is a text, both in memory and when serialized. Ordered as strings are.
+macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(Text);
+        pub struct $name(ComparableText);
 
         impl $name {
+            /// The id of this text, which is not checked.
             pub fn new(text: &str) -> Self {
-                Self(Text::new(Arc::from(text)))
+                Self(ComparableText::new(Arc::from(text)))
             }
+
+            /// The text.
             pub fn as_str(&self) -> &str {
                 &self.0.text
             }
@@ -112,7 +121,7 @@
 
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-                Arc::<str>::deserialize(deserializer).map(|text| Self(Text::new(text)))
+                Arc::<str>::deserialize(deserializer).map(|text| Self(ComparableText::new(text)))
             }
         }
 
@@ -124,45 +133,48 @@
     };
 }
 
-number!(
-    /// One of as many shards as controllers are configured.
+numeric_id!(
+    /// A shard: a fixed share of the machines. There are as many as configured controllers, numbered from 0.
     ShardId, u32);
-number!(
-    /// Shows a worker who may command it: the revision of the ownership transaction.
+numeric_id!(
+    /// Shows a worker which controller may command it: the revision of the transaction that made the
+    /// controller the owner of the worker's shard. Only rises.
     FencingToken, u64);
-number!(
-    /// A change number of the state service; 0 stands for "no such key".
+numeric_id!(
+    /// The number of a change to the store, rising; as the version of a key that of its last change, 0 for
+    /// "no such key".
     Revision, u64);
-number!(
-    /// Counts the tries of a task.
+numeric_id!(
+    /// The number of an attempt to run a task.
     Attempt, u64);
-number!(
-    /// A worker's session: a new one begins whenever its lease ran out.
+numeric_id!(
+    /// One incarnation of a worker; a new one begins whenever its lease ran out.
     AgentEpoch, u64);
-number!(
-    /// Orders a worker's messages within a session.
+numeric_id!(
+    /// Orders the heartbeats of a worker within an agent epoch.
     HeartbeatNumber, u64);
-number!(
-    /// A lease of the state service.
+numeric_id!(
+    /// A lease in the store.
     LeaseId, u64);
-number!(
-    /// Matches an answer to a call the core asked for.
+numeric_id!(
+    /// A call that the core has made; its answer has the same id. Unique within a process.
     CallId, u64);
-number!(
-    /// A waiting request of a user or worker.
+numeric_id!(
+    /// A request of a user or worker that awaits a response. Unique within a process.
     RequestId, u64);
 
-name!(
+text_id!(
     /// A job's unique id, chosen by its user.
     JobId);
-name!(
+text_id!(
     /// A machine's name, which is also its worker's.
     MachineId);
-name!(
+text_id!(
     /// A controller's name.
     NodeName);
 
-/// A moment on this process's steady clock, in milliseconds.
+/// A moment on this process's monotonic clock, in milliseconds since the process started. Means nothing to
+/// other processes and is never stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MonotonicTime(pub u64);
 
@@ -171,16 +183,19 @@
 pub struct Millis(pub u64);
 
 impl Millis {
+    /// A length given in seconds, rounded down to milliseconds; 0 if it is negative or not a number.
     pub fn secs(seconds: f64) -> Self {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
+
+    /// The length in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 }
 
 impl MonotonicTime {
-    /// Time passed since `earlier`; nothing if that lies ahead.
+    /// Time passed since `earlier`; 0 if that lies ahead.
     pub fn since(self, earlier: MonotonicTime) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -188,24 +203,35 @@
 
 impl Add<Millis> for MonotonicTime {
     type Output = MonotonicTime;
-    fn add(self, span: Millis) -> MonotonicTime {
-        MonotonicTime(self.0 + span.0)
+
+    fn add(self, duration: Millis) -> MonotonicTime {
+        MonotonicTime(self.0 + duration.0)
     }
 }
 
 impl Sub<Millis> for MonotonicTime {
     type Output = MonotonicTime;
-    fn sub(self, span: Millis) -> MonotonicTime {
-        MonotonicTime(self.0.saturating_sub(span.0))
+
+    /// Not before the process started.
+    fn sub(self, duration: Millis) -> MonotonicTime {
+        MonotonicTime(self.0.saturating_sub(duration.0))
     }
 }
 
-/// A hash that is the same in every process and version (FNV-1a, then mixed).
+/// Parameters of the hash FNV-1a with 64 bits.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// Ends each piece of a hashed sequence; no UTF-8 text holds this byte.
+const PIECE_END: u8 = 0xff;
+
+/// A hash of a sequence of texts that is the same in every process and version: FNV-1a, whose bits are
+/// then mixed as in MurmurHash3.
 pub fn stable_hash(pieces: &[&str]) -> u64 {
-    let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
+    let mut hash = FNV_OFFSET;
     for piece in pieces {
-        for byte in piece.bytes().chain(std::iter::once(0xff)) {
-            hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        for byte in piece.bytes().chain(std::iter::once(PIECE_END)) {
+            hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
     }
     hash ^= hash >> 33;
@@ -215,10 +241,14 @@
     hash ^ (hash >> 33)
 }
 
+/// Goes into the hash that assigns names to shards. All versions have to agree on it, so it stays.
+const SHARD_HASH_DOMAIN: &str = "part";
+
 impl ShardId {
-    /// The shard that a name belongs to for life.
+    /// The shard, of so many, that the machine or job of this name belongs to for life.
     pub fn of(name: &str, shards: u32) -> ShardId {
-        ShardId((stable_hash(&["part", name]) % u64::from(shards.max(1))) as u32)
+        let hash = stable_hash(&[SHARD_HASH_DOMAIN, name]);
+        ShardId((hash % u64::from(shards.max(1))) as u32)
     }
 }
 
