--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -2,11 +2,12 @@
 //! durable before it is asked for.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::fleet::inventory::FleetMachine;
+use crate::coordination::fleet::inventory::RentedMachine;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
 use crate::units::{MachineId, Millis};
 use std::collections::{BTreeMap, HashMap};
@@ -14,26 +15,28 @@
 /// For how long a machine is paid for, usually.
 const PAID_FOR_S: f64 = 300.0;
 
-/// A rental on its way.
+/// A rental that is requested and not confirmed yet.
 #[derive(Debug, Clone)]
-pub struct Rent {
+pub struct PendingRental {
     pub request: RentRequest,
     pub(crate) tries: u32,
 }
 
 impl Core {
     /// Cores that a machine may be counted on for: a late boot may never end.
-    pub(crate) fn counted_cpus(&self, m: &FleetMachine) -> Option<f64> {
+    pub(crate) fn counted_cpus(&self, m: &RentedMachine) -> Option<f64> {
         let t = self.catalog.get(&m.kind)?;
-        let age_s = self.now.since(m.born).as_secs();
-        let share = if m.up { 1.0 } else { self.fleet.provisioning_times.coming(&m.kind, &m.zone, t.boot_s, age_s) };
+        let age_s = self.now.since(m.created_at).as_secs();
+        let share = if m.up {
+            1.0
+        } else {
+            self.fleet.provisioning_times.countable_share(&m.kind, &m.zone, t.provisioning_s, age_s)
+        };
         Some(t.cpus * share)
     }
 
     pub(crate) fn suits(&self, demand: &Demand, kind: &str, zone: &str, spot: bool) -> bool {
-        let big_enough = self.catalog.get(kind).is_some_and(|t| {
-            t.cpus + 1e-6 >= demand.shape[0] && t.gpus + 1e-6 >= demand.shape[1] && t.mem_gb + 1e-6 >= demand.shape[2]
-        });
+        let big_enough = self.catalog.get(kind).is_some_and(|t| demand.shape.fits_into(&Resources::of_machine(t)));
         big_enough
             && demand.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
             && demand.zone.as_ref().is_none_or(|z| z == zone)
@@ -41,15 +44,16 @@
     }
 
     /// True if the machine may do work of the group.
-    pub(crate) fn serves(&self, demand: &Demand, name: &MachineId, m: &FleetMachine) -> bool {
+    pub(crate) fn serves(&self, demand: &Demand, name: &MachineId, m: &RentedMachine) -> bool {
         demand.shard.is_none_or(|shard| self.shard_of(name) == shard) && self.suits(demand, &m.kind, &m.zone, m.spot)
     }
 
     /// True if a task that takes so much fits beside what is used of the machine.
-    fn has_room(&self, m: &FleetMachine, used: [f64; 3], need: &[f64; 3]) -> bool {
+    fn has_room(&self, m: &RentedMachine, used: Resources, need: &Resources) -> bool {
         let Some(t) = self.catalog.get(&m.kind) else { return false };
-        let all = [t.cpus, t.gpus, t.mem_gb];
-        all.iter().zip(used).zip(need).all(|((all, used), need)| used + need <= all + 1e-6)
+        let mut taken = used;
+        taken += *need;
+        taken.fits_into(&Resources::of_machine(t))
     }
 
     /// Cores missing per group, after each took what suits it, and cores spare.
@@ -66,7 +70,7 @@
             .filter_map(|(name, m)| Some((name.clone(), self.counted_cpus(m)?)))
             .collect();
         let by_shard = demand.iter().any(|group| group.shard.is_some());
-        let taken = if by_shard { self.taken() } else { HashMap::default() };
+        let taken = if by_shard { self.resources_in_use() } else { HashMap::default() };
         let mut lacks = vec![];
         for group in demand {
             // Whoever needs room in one shard needs it whole, and no more of it.
@@ -102,11 +106,11 @@
             }
             // Without any spot machines to be had, or any machine at all, work
             // that could wait for cheap room would wait for nothing.
-            let cheap = group.spot && self.catalog.values().any(|t| t.spot_price.is_some());
+            let cheap = group.spot && self.catalog.types().any(|t| t.spot_price.is_some());
             let nothing =
                 any >= group.cpus && self.fleet.refused.iter().any(|(slot, until)| slot.2 && self.now < until.0);
             let mut best: Option<(f64, RentRequest)> = None;
-            for t in self.catalog.values() {
+            for t in self.catalog.types() {
                 for zone in &t.zones {
                     for spot in [true, false] {
                         let lack = if spot || !cheap || nothing { any } else { urgent };
@@ -122,13 +126,14 @@
                         }
                         let price = if spot { t.spot_price.unwrap_or(t.price) } else { t.price };
                         // Cores that memory lets the tasks use.
-                        let each = (t.cpus / group.shape[0].max(1e-3)).min(t.mem_gb / group.shape[2].max(1e-3));
-                        let useful = (each.floor() * group.shape[0]).clamp(t.cpus * 0.3, t.cpus);
+                        let each = (t.cpus / group.shape.cpus.max(1e-3)).min(t.mem_gb / group.shape.mem_gb.max(1e-3));
+                        let useful = (each.floor() * group.shape.cpus).clamp(t.cpus * 0.3, t.cpus);
                         let count = (lack / useful).ceil().clamp(1.0, f64::from(RENT_LIMIT));
                         // Time lost to fetching images, some of which are shared.
                         let fetch = if t.fetch_gb_per_s > 0.0 { group.fetch_gb / t.fetch_gb_per_s } else { 0.0 };
                         // Boots that are slower than they should be are paid for.
-                        let late = self.fleet.provisioning_times.usual_s(&t.name, zone, t.boot_s) - t.boot_s;
+                        let late =
+                            self.fleet.provisioning_times.usual_s(&t.name, zone, t.provisioning_s) - t.provisioning_s;
                         let boot = late.max(0.0) / PAID_FOR_S;
                         let slow = 1.0 + 0.5 * fetch / group.run_s.max(1e-6) + boot;
                         let cost = count * price * slow / (count * useful).min(lack);
@@ -138,7 +143,7 @@
                         let cost = cost * (1.0 + 0.05 * here / total.max(1.0));
                         if best.as_ref().is_none_or(|b| cost < b.0) {
                             let request = RentRequest {
-                                request: String::new(),
+                                request_id: String::new(),
                                 kind: t.name.clone(),
                                 zone: zone.clone(),
                                 spot,
@@ -158,19 +163,21 @@
     /// Makes the rental's name durable before it is used; the count behind
     /// names only rises, so that none is ever used again.
     pub(crate) fn name_rental(&mut self, mut request: RentRequest) {
-        if self.busy_keys.contains(FLEET_KEY) {
+        if self.store.is_key_busy(FLEET_KEY) {
             return;
         }
         let mut record = self.fitted_fleet(self.cache.fleet.record.clone().unwrap_or_default());
         record.rentals += 1;
-        request.request = format!("r-{}", record.rentals);
+        request.request_id = format!("r-{}", record.rentals);
         let Some(transaction) = self.fleet_transaction(&record) else { return };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
-        self.busy_keys.insert(FLEET_KEY.into());
+        self.store.charge_transaction(self.now, 1);
+        self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
-        let rent = Rent { request, tries: 3 };
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rent, transaction });
+        let rental = PendingRental { request, tries: 3 };
+        self.call_state(
+            StoreRequest::Transaction(transaction.clone()),
+            PendingRequest::RentName { rental, transaction },
+        );
     }
 
     pub(crate) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
@@ -182,14 +189,14 @@
         Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
-    pub(crate) fn rent_named(&mut self, rent: Rent, transaction: Transaction, answer: StateAnswer) {
-        self.busy_keys.remove(FLEET_KEY);
+    pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StoreResponse) {
+        self.store.release_key(FLEET_KEY);
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
-                self.call_cloud(CloudCall::Rent(rent.request.clone()), PendingRequest::Rent(rent));
+                self.call_cloud(CloudCall::Rent(rental.request.clone()), PendingRequest::Rent(rental));
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 self.fleet.renting = false;
                 self.reread(failed, None);
             }
@@ -197,9 +204,9 @@
         }
     }
 
-    pub(crate) fn rent_answer(&mut self, rent: Rent, answer: CloudAnswer) {
+    pub(crate) fn rent_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
         self.fleet.renting = false;
-        let RentRequest { kind, zone, spot, count, .. } = rent.request.clone();
+        let RentRequest { kind, zone, spot, count, .. } = rental.request.clone();
         let slot = (kind.clone(), zone.clone(), spot);
         match answer {
             CloudAnswer::Rented(names) => {
@@ -211,7 +218,7 @@
                 }
                 for name in names.machines {
                     let fleet_machine =
-                        FleetMachine { rented_here: true, ..FleetMachine::new(&kind, &zone, spot, self.now) };
+                        RentedMachine { rented_here: true, ..RentedMachine::new(&kind, &zone, spot, self.now) };
                     self.fleet.machines.entry(name).or_insert(fleet_machine);
                 }
             }
@@ -221,9 +228,9 @@
                 self.fleet.refused.insert(slot, (self.now + pause, times));
             }
             // Perhaps carried out: the same name asks for the same machines.
-            _ if rent.tries > 0 && self.leading() => {
+            _ if rental.tries > 0 && self.is_leader() => {
                 self.fleet.renting = true;
-                let again = Rent { tries: rent.tries - 1, ..rent };
+                let again = PendingRental { tries: rental.tries - 1, ..rental };
                 self.call_cloud(CloudCall::Rent(again.request.clone()), PendingRequest::Rent(again));
             }
             _ => {
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -1,9 +1,10 @@
 //! Jobs that ended long ago: put away where no node reads or watches them,
 //! and looked up one by one when somebody asks.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::coordination::Core;
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
 use crate::units::{JobId, RequestId};
 
@@ -18,12 +19,12 @@
     /// The leader moves old ended jobs out of the watched records, with writes
     /// that nobody else has use for.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.writes.level(self.now) > 0.8 * self.writes.per_s();
-        if !self.leading() || !idle || !self.records_fresh() || self.now < self.retry_state_at {
+        let idle = self.store.writes_above(self.now, 0.8);
+        if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         // Two changes a job, and no more than is idle.
-        let spare = (0.5 * self.writes.per_s()) as usize;
+        let spare = (0.5 * self.store.writes_per_s()) as usize;
         let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops / 2).min(spare / 2);
         let mut transaction = Transaction {
             conditions: vec![Condition { key: LEADER_KEY.into(), version: self.cache.leader.version }],
@@ -32,7 +33,7 @@
         for (id, job) in &self.cache.jobs {
             let Some(end) = job.record.end.filter(|_| !self.cache.active.contains(id)) else { continue };
             if self.age_s(job) < PUT_AWAY_AFTER_S
-                || self.busy_keys.contains(&job_key(id))
+                || self.store.is_key_busy(&job_key(id))
                 || self.dependency_graph.is_needed(id)
             {
                 continue;
@@ -55,32 +56,32 @@
     /// Looks up a job that has no record among those put away.
     pub(crate) fn look_up_archived(&mut self, request: RequestId, job: JobId, known: bool) {
         if self.cache.archived(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.afford(request, 1.0) {
             self.call_state(
-                StateCall::Get { key: archived_job_key(&job) },
+                StoreRequest::Get { key: archived_job_key(&job) },
                 PendingRequest::Archived { request, job, known },
             );
         }
     }
 
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StateAnswer) {
+    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StoreResponse) {
         let response = match answer {
             // A submission whose outcome was unknown was not carried out.
-            StateAnswer::Missing(_) if !known => Response::problem(404, "no such job"),
-            StateAnswer::Found(_) => match self.take_archived(&job, answer) {
-                Some(_) => return self.answer_job(request, 200, &job, None),
-                None => Response::later("the job cannot be read"),
+            StoreResponse::Missing(_) if !known => Refusal::JobNotFound.into(),
+            StoreResponse::Found(_) => match self.take_archived(&job, answer) {
+                Some(_) => return self.answer_known_job(request, &job),
+                None => Refusal::JobUnreadable.into(),
             },
-            _ => Response::later("the state service does not answer"),
+            _ => Refusal::StoreUnavailable.into(),
         };
         self.response(request, response);
     }
 
     /// Takes the record of a job that was put away, if that is what came.
-    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StateAnswer) -> Option<ArchivedJob> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
+        let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
                 self.cache.remember_archived(id, record);
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -1,10 +1,10 @@
 //! Users: submissions, queries and cancellations.
 
-use crate::coordination::jobs::validation::Refusal;
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{ClientRequest, Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::coordination::{ClientRequest, Core, JobProgress, JobResponseStatus, Response};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::{JobSpec, JobState};
 use crate::storage::records::{archived_job_key, job_key, JobOutcome, JobRecord, SlicePlan};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision, ShardId};
@@ -25,11 +25,13 @@
     pub(crate) fn handle_client_request(&mut self, request: RequestId, ask: ClientRequest) {
         match ask {
             ClientRequest::Health => {
-                let response = if self.can_take() { Response::Healthy } else { Response::later("starting") };
+                let response = if self.can_take() { Response::Healthy } else { Refusal::Starting.into() };
                 self.response(request, response);
             }
             ClientRequest::Submit(spec) => self.submit(request, spec),
-            ClientRequest::Malformed { id, reason } => self.refuse(request, id, Refusal::malformed(reason)),
+            ClientRequest::Malformed { id, reason } => {
+                self.refuse_unless_known(request, id, Refusal::Malformed(reason))
+            }
             ClientRequest::Query(job) => self.query(request, job),
             ClientRequest::Cancel(job) => self.cancel(request, job),
         }
@@ -42,62 +44,73 @@
         let lately = |at: Option<MonotonicTime>| at.is_some_and(|at| self.now.since(at) < Millis(3000));
         let mut heard = self.peers.values().filter(|p| lately(p.heard)).peekable();
         let not_ours = self.peers.is_empty() || heard.peek().is_some() && heard.all(|p| !p.state_reachable);
-        self.loaded && !self.catalog.is_empty() && (lately(self.last_state_answer) || not_ours)
+        self.store.is_loaded() && !self.catalog.is_empty() && (lately(self.store.last_answer()) || not_ours)
     }
 
     fn known_final(&self, job: &JobId) -> Option<JobState> {
         self.final_state(job).map(state_of)
     }
 
-    pub(crate) fn answer_job(&mut self, request: RequestId, status: u16, id: &JobId, record: Option<&JobRecord>) {
+    /// Answers with the state of a job that was accepted before.
+    pub(crate) fn answer_known_job(&mut self, request: RequestId, id: &JobId) {
+        self.answer_job(request, JobResponseStatus::Known, id, None);
+    }
+
+    pub(crate) fn answer_job(
+        &mut self,
+        request: RequestId,
+        status: JobResponseStatus,
+        id: &JobId,
+        record: Option<&JobRecord>,
+    ) {
         // A wrong answer could not be taken back: not before those that it
         // follows are looked up.
         if self.dependency_graph.unsettled(id) {
-            return self.response(request, Response::later("a job before it is being looked up"));
+            return self.refuse(request, Refusal::DependencyUnresolved);
         }
         let ended = record.and_then(|r| r.end).map(state_of).or_else(|| self.known_final(id));
-        let counts = self.cache.jobs.get(id).map_or((0, 0), |j| j.counts());
-        let (state, counts) = match ended {
+        let (done, running) = self.cache.jobs.get(id).map_or((0, 0), |job| job.counts());
+        let (state, progress) = match ended {
             Some(JobState::Done) => {
                 let all = record
                     .map(|r| r.spec.task_count)
                     .or(self.cache.jobs.get(id).map(|j| j.record.spec.task_count))
                     .or(self.cache.archived(id).map(|p| p.tasks));
-                (JobState::Done, all.map(|tasks| (tasks, 0)))
+                (JobState::Done, all.map(|tasks| JobProgress { done: tasks, running: 0 }))
             }
-            Some(state) => (state, Some((counts.0, 0))),
-            None if counts.1 > 0 => (JobState::Running, Some(counts)),
-            None => (JobState::Queued, Some(counts)),
+            Some(state) => (state, Some(JobProgress { done, running: 0 })),
+            None if running > 0 => (JobState::Running, Some(JobProgress { done, running })),
+            None => (JobState::Queued, Some(JobProgress { done, running })),
         };
-        self.response(request, Response::Job { status, id: id.clone(), state, counts });
+        self.response(request, Response::Job { status, id: id.clone(), state, progress });
     }
 
     /// Takes from the share of reads what a user's request needs.
     pub(crate) fn afford(&mut self, request: RequestId, cost: f64) -> bool {
-        if self.now >= self.retry_state_at && self.reads.take(self.now, cost) {
+        if self.store.may_send(self.now) && self.store.try_charge_reads(self.now, cost) {
             return true;
         }
-        self.response(request, Response::Error { status: 503, reason: "busy".into(), retry_after_s: Some(1) });
+        self.refuse(request, Refusal::Busy);
         false
     }
 
     fn submit(&mut self, request: RequestId, spec: Box<JobSpec>) {
         if self.known_final(&spec.id).is_some() {
             let id = spec.id.clone();
-            return self.answer_job(request, 200, &id, None);
+            return self.answer_known_job(request, &id);
         }
         if self.cache.jobs.contains_key(&spec.id) {
             return self.query_status(request, spec.id);
         }
-        if !self.loaded || self.catalog.is_empty() {
-            return self.response(request, Response::later("starting"));
+        if !self.store.is_loaded() || self.catalog.is_empty() {
+            return self.refuse(request, Refusal::Starting);
         }
         if let Some(reason) = self.impossible(&spec) {
-            return self.refuse(request, spec.id, Refusal::impossible(reason));
+            return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Acceptance goes first: on credit, as far as the share bears it.
-        if self.now < self.retry_state_at || self.reads.level(self.now) < -0.5 * self.reads.per_s() {
-            return self.response(request, Response::later("busy"));
+        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -0.5) {
+            return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
             return self.submit_after(request, spec);
@@ -109,16 +122,14 @@
     /// Accepts a job with its record.
     pub(crate) fn write_submission(&mut self, request: RequestId, spec: Box<JobSpec>, record: JobRecord) {
         let Ok(value) = serde_json::to_value(&record) else {
-            return self.response(request, Response::problem(400, "not a job"));
+            return self.refuse(request, Refusal::NotSerializable);
         };
         // With room for its plan, if that comes later, and for its end.
         let plan = if record.plan.is_none() { self.plan_bytes(spec.task_count) } else { 0 };
         if !self.fits(value.to_string().len() + plan + END_BYTES) {
-            let reason = "the job and the names it awaits are too large to be kept";
-            return self.refuse(request, spec.id, Refusal::impossible(reason));
+            return self.refuse_unless_known(request, spec.id, InfeasibleJob::RecordTooLarge.into());
         }
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         let key = job_key(&spec.id);
         let transaction = Transaction {
             // A retry may come when the job is long over and put away.
@@ -129,7 +140,7 @@
             changes: vec![Change::put(key, value)],
         };
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::SubmitWrite { request, transaction, spec },
         );
     }
@@ -173,49 +184,52 @@
         request: RequestId,
         transaction: Transaction,
         spec: Box<JobSpec>,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         let key = job_key(&spec.id);
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
-                self.reached(Milestone::Accepted);
-                self.answer_job(request, 201, &spec.id, None);
+                self.milestone_reached(Milestone::SubmissionAccepted);
+                self.answer_job(request, JobResponseStatus::Accepted, &spec.id, None);
             }
             // Known already, or our own transaction after all.
-            StateAnswer::Conflict(_) => {
-                self.reads.force(self.now, 1.0);
+            StoreResponse::Conflict(_) => {
+                self.store.charge_read(self.now);
                 self.call_state(
-                    StateCall::Get { key },
+                    StoreRequest::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: false },
                 );
             }
-            StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+            StoreResponse::Unknown => {
+                self.store.charge_read(self.now);
                 self.call_state(
-                    StateCall::Get { key },
+                    StoreRequest::Get { key },
                     PendingRequest::SubmitRead { request, job: spec.id, fresh: true },
                 );
             }
-            StateAnswer::Rejected(_) => self.response(request, Response::problem(400, "too large to keep")),
-            _ => self.response(request, Response::later("the state service does not answer")),
+            StoreResponse::Invalid(_) => self.refuse(request, Refusal::RejectedByStore),
+            _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
-    pub(crate) fn submit_read(&mut self, request: RequestId, job: JobId, fresh: bool, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) {
+    pub(crate) fn submit_read(&mut self, request: RequestId, job: JobId, fresh: bool, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Missing(_)) {
             return self.look_up_archived(request, job, true);
         }
         match self.take_job(answer) {
-            Some((id, record)) => self.answer_job(request, if fresh { 201 } else { 200 }, &id, Some(&record)),
-            None => self.response(request, Response::later("the state service does not answer")),
+            Some((id, record)) => {
+                let status = if fresh { JobResponseStatus::Accepted } else { JobResponseStatus::Known };
+                self.answer_job(request, status, &id, Some(&record))
+            }
+            None => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
     /// Takes a job that was read into the cache.
-    pub(crate) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobId, JobRecord)> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_job(&mut self, answer: StoreResponse) -> Option<(JobId, JobRecord)> {
+        let StoreResponse::Found(item) = answer else { return None };
         let record: JobRecord = serde_json::from_value(item.value.clone()).ok()?;
         let changed = self.cache.apply(&item.key, Some(item.value), item.version);
         self.changed(changed);
@@ -224,7 +238,7 @@
 
     fn query(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         self.query_status(request, job);
     }
@@ -232,7 +246,7 @@
     /// Answers from the cache once it is provably as new as the question.
     pub(crate) fn answer_from_cache(&mut self, request: RequestId, job: &JobId) {
         if self.cache.jobs.contains_key(job) {
-            self.answer_job(request, 200, job, None);
+            self.answer_known_job(request, job);
         } else {
             self.look_up_archived(request, job.clone(), false);
         }
@@ -240,33 +254,33 @@
 
     fn cancel(&mut self, request: RequestId, job: JobId) {
         if self.known_final(&job).is_some() {
-            return self.answer_job(request, 200, &job, None);
+            return self.answer_known_job(request, &job);
         }
         if self.afford(request, 1.0) {
-            let call = StateCall::Get { key: job_key(&job) };
+            let call = StoreRequest::Get { key: job_key(&job) };
             self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
         }
     }
 
-    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) && !self.cache.jobs.contains_key(&job) {
+    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Missing(_)) && !self.cache.jobs.contains_key(&job) {
             return self.look_up_archived(request, job, false);
         }
         let version = match &answer {
-            StateAnswer::Found(item) => item.version,
+            StoreResponse::Found(item) => item.version,
             _ => Revision(0),
         };
         let Some((id, record)) = self.take_job(answer) else {
-            return self.response(request, Response::later("the state service does not answer"));
+            return self.refuse(request, Refusal::StoreUnavailable);
         };
         if self.final_state(&id).is_some() {
-            return self.answer_job(request, 200, &id, None);
+            return self.answer_known_job(request, &id);
         }
         if record.end.is_some() || tries == 0 {
             if record.end.is_none() {
-                return self.response(request, Response::later("the job is changing"));
+                return self.refuse(request, Refusal::JobChanging);
             }
-            return self.answer_job(request, 200, &id, Some(&record));
+            return self.answer_job(request, JobResponseStatus::Known, &id, Some(&record));
         }
         let record = JobRecord { end: Some(JobOutcome::Cancelled), ..record };
         let key = job_key(&id);
@@ -275,10 +289,9 @@
             conditions: vec![Condition { key: key.clone(), version }],
             changes: vec![Change::put(key, value)],
         };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
+        self.store.charge_transaction(self.now, 1);
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
         );
     }
@@ -289,22 +302,22 @@
         job: JobId,
         transaction: Transaction,
         tries: u32,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
-                self.answer_job(request, 200, &job, None);
+                self.answer_known_job(request, &job);
             }
-            StateAnswer::Conflict(_) | StateAnswer::Unknown => {
-                self.reads.force(self.now, 1.0);
+            StoreResponse::Conflict(_) | StoreResponse::Unknown => {
+                self.store.charge_read(self.now);
                 self.call_state(
-                    StateCall::Get { key: job_key(&job) },
+                    StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
                 );
             }
-            _ => self.response(request, Response::later("the state service does not answer")),
+            _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 }
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -1,14 +1,13 @@
-//! Who is alive, who owns which shard, who leads, and keeping the cache current.
+//! Who is alive, who owns which shard, and who leads.
 
-use crate::coordination::membership::startup::Milestone;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Output};
 use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction, WatchEvent};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records;
-use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY, ROOT};
-use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
+use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY};
+use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, NodeName, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Deals shards to live nodes: a shard whose own node (by order of names) is
@@ -51,132 +50,48 @@
 
 impl Core {
     pub(crate) fn tick_membership(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
-        if !self.loaded {
-            if !self.loading {
-                self.loading = true;
-                self.reads.force(self.now, 1.0);
-                let what = PendingRequest::Load { seen: BTreeSet::new(), first: None, since: self.now };
-                self.call_state(StateCall::List { prefix: ROOT.into(), after: None }, what);
-            }
-        } else if !self.watching && self.now >= self.next_watch {
-            self.watching = true;
-            self.reads.force(self.now, 1.0);
-            // A watch without news must end well before the last read is stale.
-            let wait_ms = (self.timing.fresh.0 * 2 / 5).min(1000);
-            let call = StateCall::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
-            self.call_state(call, PendingRequest::Watch);
-        }
+        self.keep_cache_current();
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
-                self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.store.charge_read(self.now);
+                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             Some(lease) if !self.renewing && self.now >= self.renew_at => {
                 self.renewing = true;
-                self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
+                self.store.charge_read(self.now);
+                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
             }
             _ => {}
         }
-        if let (true, Some(lease)) = (self.loaded, self.lease) {
+        if let (true, Some(lease)) = (self.store.is_loaded(), self.lease) {
             self.update_shard_release();
             self.announce(lease);
             self.claim_shards(lease);
-            self.claim_lead(lease);
-        }
-    }
-
-    /// Holds state calls back for a moment after a refusal.
-    fn pause_state(&mut self) {
-        self.retry_state_at = self.now + Millis(250);
-    }
-
-    pub(crate) fn load_answer(
-        &mut self,
-        mut seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-        answer: StateAnswer,
-    ) {
-        let StateAnswer::Page(page) = answer else {
-            self.loading = false;
-            return self.pause_state();
-        };
-        // Changes made while the pages were read come again by the watch,
-        // which begins at the first page's revision.
-        let first = first.unwrap_or(page.revision);
-        let last = page.items.last().map(|i| i.key.clone());
-        for item in page.items {
-            let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-            seen.insert(item.key);
-            self.changed(changed);
-        }
-        if let (true, Some(after)) = (page.more, last) {
-            self.reads.force(self.now, 1.0);
-            let what = PendingRequest::Load { seen, first: Some(first), since };
-            return self.call_state(StateCall::List { prefix: ROOT.into(), after: Some(after) }, what);
+            self.claim_leadership(lease);
         }
-        self.cache.forget_missing(&seen, first);
-        self.cache.revision = first;
-        self.loading = false;
-        self.loaded = true;
-        // The first page is as old as when it was asked for, however long the others took.
-        self.last_read = Some(since);
-        for shard in 0..self.shard_count {
-            self.owner_changed(ShardId(shard));
-        }
-        self.activate_ready_shards();
-        tracing::info!("read {} records up to revision {first}", seen.len());
-        self.reached(Milestone::RecordsRead);
     }
 
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StateAnswer) {
-        self.watching = false;
-        match answer {
-            StateAnswer::WatchEvents(news) => {
-                // A pause after news bounds the rate of watches under load;
-                // it grows when many changes come.
-                let pause = if news.events.is_empty() { 0 } else { 80 };
-                self.next_watch = self.now + Millis(pause);
-                self.cache.revision = self.cache.revision.max(news.revision);
-                for event in news.events {
-                    let changed = match event {
-                        WatchEvent::Put { put, value, version } => self.cache.apply(&put, Some(value), version),
-                        WatchEvent::Delete { delete, version } => self.cache.apply(&delete, None, version),
-                    };
-                    self.changed(changed);
-                }
-                // The answer shows the records as of when it was asked for, or later.
-                self.last_read = Some(self.last_read.map_or(sent, |at| at.max(sent)));
-                self.activate_ready_shards();
-                self.answer_ready_queries();
-            }
-            StateAnswer::TooOld => self.loaded = false,
-            _ => self.pause_state(),
-        }
-    }
-
-    pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
+    pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
         self.granting = false;
         match answer {
-            StateAnswer::Granted(lease) => {
+            StoreResponse::LeaseGranted(lease) => {
                 self.lease = Some(lease);
                 self.renew_at = self.now + self.timing.renew_every;
             }
-            _ => self.pause_state(),
+            _ => self.store.pause(self.now),
         }
     }
 
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StateAnswer) {
+    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.renewing = false;
         self.renew_at = self.now + self.timing.renew_every;
         match answer {
-            StateAnswer::Renewed => {}
-            StateAnswer::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
+            StoreResponse::LeaseRenewed => {}
+            StoreResponse::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
             _ => self.renew_at = self.now + Millis(300),
         }
     }
@@ -203,7 +118,7 @@
         let key = records::node_key(&self.node_name);
         let held = self.cache.nodes.get(&self.node_name);
         let current = held.and_then(|h| h.record.as_ref()).is_some_and(|r| r.lease == lease);
-        if current || self.has_released_shards() || self.busy_keys.contains(&key) {
+        if current || self.has_released_shards() || self.store.is_key_busy(&key) {
             return;
         }
         if let Ok(value) = serde_json::to_value(NodeRecord {
@@ -229,7 +144,7 @@
         }
         for (shard, target) in self.live_targets() {
             let key = records::owner_key(shard);
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
@@ -309,7 +224,7 @@
 
     fn drop_shard(&mut self, shard: ShardId) {
         if self.owned_shards.remove(&shard).is_some() {
-            self.drop_deferred_responses(shard);
+            self.expire_deferred_responses(shard);
             for id in self.cache.active.clone() {
                 let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
                 for index in 0..job.slices().len() {
@@ -321,15 +236,15 @@
         }
     }
 
-    pub(crate) fn leading(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         let held = self.cache.leader.record.as_ref();
         held.is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease)
     }
 
-    fn claim_lead(&mut self, lease: LeaseId) {
+    fn claim_leadership(&mut self, lease: LeaseId) {
         let held = &self.cache.leader;
         let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
-        if !free || self.busy_keys.contains(LEADER_KEY) {
+        if !free || self.store.is_key_busy(LEADER_KEY) {
             return;
         }
         // The first live node by name tries at once, so that not all do.
@@ -349,9 +264,9 @@
                 .iter()
                 .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
                 .collect(),
-            ages: vec![],
-            faulty: vec![],
-            failing: vec![],
+            machine_ages: vec![],
+            faulty_machines: vec![],
+            failing_jobs: vec![],
         }
     }
 
@@ -360,17 +275,17 @@
             shard: shard.0,
             token: owned_shard.token.0,
             teams: owned_shard
-                .wanted
+                .quota_shortages
                 .iter()
                 .map(|(team, want)| crate::protocol::peer::TeamDemand {
                     team: team.clone(),
-                    wanted_cpus: want.all.0,
-                    wanted_gpus: want.all.1,
+                    unmet_cpus: want.total.cpus,
+                    unmet_gpus: want.total.gpus,
                 })
                 .collect(),
-            up: vec![],
-            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
-            leaving: owned_shard
+            reporting_machines: vec![],
+            downlink_lost_machines: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
+            terminating_machines: owned_shard
                 .machines
                 .iter()
                 .filter(|(_, m)| m.notice.is_some())
@@ -381,28 +296,31 @@
 
     pub(crate) fn broadcast_status(&mut self) {
         let mut status = self.own_status();
-        if self.leading() {
+        if self.is_leader() {
             // All of them now and then, for owners that are new; in between
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
-            let ages = self.fleet.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
-            status.ages = ages
-                .map(|(name, m)| MachineAge { machine: name.to_string(), age_s: self.now.since(m.born).as_secs() })
+            let ages = self.fleet.machines().filter(|(_, m)| all || self.now.since(m.created_at) < YOUNG);
+            status.machine_ages = ages
+                .map(|(name, m)| MachineAge {
+                    machine: name.to_string(),
+                    age_s: self.now.since(m.created_at).as_secs(),
+                })
                 .collect();
         }
-        status.faulty = self
+        status.faulty_machines = self
             .owned_shards
             .values()
             .flat_map(|m| &m.machines)
             .filter(|(_, m)| m.faulty)
             .map(|(n, _)| n.to_string())
             .collect();
-        status.failing = self.failing_jobs();
+        status.failing_jobs = self.failing_jobs();
         let quiet = self.timing.worker_lease;
         for load in &mut status.shards {
             let machines = self.owned_shards.get(&ShardId(load.shard)).into_iter().flat_map(|m| &m.machines);
             let heard = machines.filter(|(_, m)| self.now.since(m.last_heartbeat) < quiet && !self.is_downlink_lost(m));
-            load.up = heard.map(|(name, _)| name.to_string()).collect();
+            load.reporting_machines = heard.map(|(name, _)| name.to_string()).collect();
         }
         self.told += 1;
         self.out.push(Output::BroadcastStatus(status));
@@ -414,13 +332,13 @@
         self.out.push(Output::RevisionHint(revision));
     }
 
-    pub(crate) fn status(&mut self, status: PeerStatus) {
+    pub(crate) fn receive_peer_status(&mut self, status: PeerStatus) {
         let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) else { return };
         peer.heard = Some(self.now);
         peer.state_reachable = status.state_reachable;
         if status.revision > self.cache.revision.0 {
-            self.next_watch = self.now;
-            if self.now >= self.retry_state_at {
+            self.store.watch_at_once(self.now);
+            if self.store.may_send(self.now) {
                 self.tick_membership();
             }
         }
@@ -436,7 +354,7 @@
                 }
             }
         }
-        for age in &status.ages {
+        for age in &status.machine_ages {
             let name = MachineId::new(&age.machine);
             let shard = self.shard_of(&name);
             if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&name)) {
@@ -444,7 +362,7 @@
             }
         }
         if let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) {
-            if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
+            if !status.machine_ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
                 peer.status = Some(status);
             }
         }
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -1,16 +1,16 @@
 //! Placement rounds: each waiting task goes where its expected completion is
 //! least, which may mean waiting for a busy machine.
 
-use crate::coordination::scheduling::candidates::{needs, Seat, Shapes, Spread};
-use crate::coordination::scheduling::capacity_timeline::{fits, Amounts};
+use crate::coordination::scheduling::candidates::{Seat, Shapes, Spread};
 use crate::coordination::scheduling::pending_queue::{JobSet, Place};
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::shards::owned_shard::{QuotaShortage, TaskKey};
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
 use crate::storage::names::InternedName;
 use crate::storage::records::TaskRecord;
-use crate::units::{Attempt, JobId, MachineId, Millis, ShardId};
+use crate::units::{Attempt, ComputeAmount, JobId, MachineId, Millis, ShardId};
 use std::collections::BTreeMap;
 
 /// Tasks of one job that a round looks at to find that they wait.
@@ -86,16 +86,16 @@
                 let Some(left) = machine.notice.map(|at| at.since(now).as_secs()).or(faulty.then_some(0.0)) else {
                     continue;
                 };
-                for key in owned_shard.on.get(name).into_iter().flatten() {
+                for key in owned_shard.placed_tasks.get(name).into_iter().flatten() {
                     let Some(job) = self.cache.jobs.get(&key.0) else { continue };
                     let spec = &job.record.spec;
-                    let rest = self.rest_of(owned_shard, job, key);
+                    let rest = self.remaining_s(owned_shard, job, key);
                     if !faulty && spec.kind != JobKind::Standing && rest + 0.5 < left {
                         continue;
                     }
-                    let saves = spec.checkpoint_s > 0.0;
-                    if !saves || faulty || left < spec.save_s * 1.5 + 3.0 {
-                        let grace = if saves { spec.save_s.max(1.0) } else { 0.0 };
+                    let saves = spec.checkpoint_interval_s > 0.0;
+                    if !saves || faulty || left < spec.checkpoint_save_s * 1.5 + 3.0 {
+                        let grace = if saves { spec.checkpoint_save_s.max(1.0) } else { 0.0 };
                         stops.push((*shard, key.clone(), grace));
                     }
                 }
@@ -116,7 +116,7 @@
             waiting.filter(|(_, job)| job.pending_tasks() > 0 && (only || waits_in(job, shard))).collect();
         if order.is_empty() {
             if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                owned_shard.wanted.clear();
+                owned_shard.quota_shortages.clear();
             }
             return;
         }
@@ -127,20 +127,20 @@
         let mut began = None;
         let mut places: Vec<(TaskKey, Attempt, MachineId)> = vec![];
         let mut wanted: BTreeMap<String, QuotaShortage> = BTreeMap::new();
-        let mut used = self.owned_shards.get(&shard).map(|m| m.used.clone()).unwrap_or_default();
+        let mut used = self.owned_shards.get(&shard).map(|m| m.usage.clone()).unwrap_or_default();
         let mut seats = self.seats(shard);
         let reserve = self.reserve(seats.iter().map(|s| s.type_.cpus).sum());
         // The reserve is kept where images come fastest, if the shard has such.
         let fastest = seats.iter().map(|s| s.type_.fetch_gb_per_s).fold(0.0, f64::max);
         let prime = |seat: &Seat| holds_reserve(seat.type_.fetch_gb_per_s, fastest);
-        let mut spare: f64 = seats.iter().filter(|s| prime(s)).map(|s| s.openings.free[0].max(0.0)).sum();
+        let mut spare: f64 = seats.iter().filter(|s| prime(s)).map(|s| s.openings.free.cpus.max(0.0)).sum();
         let mut short: Vec<Short> = vec![];
         let mut scored = 0;
         let most_scores = self.most_scores();
         let cores: f64 = seats.iter().map(|s| s.type_.cpus).sum();
         let mut promised = 0.0;
         let mut waiters = 0;
-        let boot_s = self.quickest_boot_s();
+        let provisioning_s = self.quickest_boot_s();
         let mut shapes = Shapes::default();
         let mut closed = Closed::default();
         let most_on = self.most_on();
@@ -148,13 +148,13 @@
             if places.len() >= self.tuning.max_placements_per_cycle || scored >= 3 * most_scores {
                 break;
             }
-            let need = needs(&job.record);
-            let quick = self.objectives.start_before(&job.class, boot_s);
+            let need = Resources::of_task(&job.record.spec);
+            let quick = self.objectives.start_before(&job.class, provisioning_s);
             // What is left there is for work that must start at once.
-            let kept = |spare: f64| !quick && reserve > 0.0 && spare - need[0] < reserve;
+            let kept = |spare: f64| !quick && reserve > 0.0 && spare - need.cpus < reserve;
             let at_once = !closed.to(&need, quick) && {
                 let kept = kept(spare);
-                let open = seats.iter().any(|s| fits(&s.openings.free, &need) && !(kept && prime(s)));
+                let open = seats.iter().any(|s| need.fits_into(&s.openings.free) && !(kept && prime(s)));
                 closed.learn(&need, quick, open);
                 open
             };
@@ -165,28 +165,26 @@
                 continue;
             }
             let claim = self.claim(job, quick, may_wait, &mut shapes);
-            let limits = self.quota(shard, &job.record.spec.team);
+            let quota = self.quota(shard, &job.record.spec.team);
             let gang = job.record.spec.kind == JobKind::Gang;
             if gang && job.has_placed_tasks() {
                 // What is left of an earlier try must be gone first.
                 continue;
             }
-            let over_limit = |used: (f64, f64)| {
-                let over = |limit: Option<f64>, used: f64, need: f64| limit.is_some_and(|l| used + need > l + 1e-9);
-                over(limits.0, used.0, need[0]) || over(limits.1, used.1, need[1])
-            };
+            let task_amount = ComputeAmount { cpus: need.cpus, gpus: need.gpus };
+            let over_limit = |used: ComputeAmount| !quota.has_room_for(used, task_amount);
             if over_limit(used.get(&job.record.spec.team).copied().unwrap_or_default()) {
                 // No task of it may start, wherever there is room. Only a shard
                 // with room for a task has use for more of its team's limit.
                 if at_once {
                     let tasks = idle_in(job, shard).min(if gang { 1 } else { MOST_WAITS }) as f64;
-                    wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), tasks);
+                    wanted.entry(job.record.spec.team.clone()).or_default().add_tasks(task_amount, tasks);
                 }
                 continue;
             }
             let before = (places.len(), gang.then(|| (seats.clone(), used.clone(), promised)));
             let mut spread = self.spread(shard, id, job);
-            let suspect = self.suspect(id);
+            let suspect = self.fails_everywhere(id);
             let failed = |seat: &Seat, within: Millis| {
                 let at = seat.machine.failed_jobs.get(id);
                 !suspect && at.is_some_and(|at| self.now.since(*at) < within)
@@ -235,7 +233,7 @@
                     let wait = best.wait_s;
                     if over_limit(*team) {
                         if wait <= 0.0 {
-                            wanted.entry(job.record.spec.team.clone()).or_default().add((need[0], need[1]), 1.0);
+                            wanted.entry(job.record.spec.team.clone()).or_default().add_tasks(task_amount, 1.0);
                         }
                         waits += 1;
                         full = gang || waits >= MOST_WAITS;
@@ -248,16 +246,16 @@
                     scored += 1;
                     if wait > 0.0 {
                         waits += 1;
-                        promised += need[0];
+                        promised += need.cpus;
                         lacking.tasks += 1;
                         lacking.wait_s = lacking.wait_s.min(wait);
                         full = gang || waits >= MOST_WAITS;
                         continue;
                     }
-                    team.0 += need[0];
-                    team.1 += need[1];
+                    team.cpus += need.cpus;
+                    team.gpus += need.gpus;
                     if prime(seat) {
-                        spare -= need[0];
+                        spare -= need.cpus;
                     }
                     if job.record.spec.whole() {
                         *spread.by_zone.entry(seat.machine.zone.clone()).or_default() += 1;
@@ -267,7 +265,7 @@
                     // One task at a time shows whether it still fails.
                     full |= suspect && !gang;
                     if starving_job == Some(id) {
-                        began = Some((need[0], best.hold_s));
+                        began = Some((need.cpus, best.hold_s));
                         full = true;
                     }
                     may_start = may_start.saturating_sub(usize::from(attempt.0 == 0));
@@ -299,7 +297,7 @@
             self.set_task(&key, TaskRecord::Placed(attempt, machine));
         }
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.wanted = wanted;
+            owned_shard.quota_shortages = wanted;
         }
         self.make_room(shard, &short, guaranteed);
     }
@@ -308,7 +306,7 @@
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        let idle: f64 = seats.iter().map(|s| s.openings.free[0].max(0.0)).sum();
+        let idle: f64 = seats.iter().map(|s| s.openings.free.cpus.max(0.0)).sum();
         let cores: f64 = seats.iter().map(|s| s.type_.cpus).sum();
         let cpus = |s: &Short| self.cache.jobs.get(&s.job).map_or(0.0, |j| j.record.spec.cpus * s.tasks as f64);
         let lacking: f64 = short.iter().map(cpus).sum();
@@ -325,7 +323,7 @@
     }
 
     fn quickest_boot_s(&self) -> f64 {
-        self.catalog.values().map(|t| t.boot_s).fold(f64::INFINITY, f64::min)
+        self.catalog.types().map(|t| t.provisioning_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Seats that a round of one shard scores before it looks only at jobs with
@@ -341,7 +339,7 @@
     /// Cores that a shard keeps free for work that must start at once: those
     /// of a usual job of each such class, of what has been seen.
     pub(crate) fn reserve(&self, cpus: f64) -> f64 {
-        self.estimates.quick_cpus().min(cpus * MOST_RESERVED)
+        self.estimates.quick_start_cpus().min(cpus * MOST_RESERVED)
     }
 }
 
@@ -362,15 +360,15 @@
 /// What is known to find no room in a round. Room only shrinks in it, but for
 /// a gang that gives back what it took itself.
 #[derive(Default)]
-struct Closed(Vec<(Amounts, bool)>);
+struct Closed(Vec<(Resources, bool)>);
 
 impl Closed {
     /// True if nothing that takes as much, quick or not, can start any more.
-    fn to(&self, need: &Amounts, quick: bool) -> bool {
+    fn to(&self, need: &Resources, quick: bool) -> bool {
         self.0.iter().any(|(n, q)| n == need && *q == quick)
     }
 
-    fn learn(&mut self, need: &Amounts, quick: bool, open: bool) {
+    fn learn(&mut self, need: &Resources, quick: bool, open: bool) {
         if !open && self.0.len() < MOST_CLOSED {
             self.0.push((*need, quick));
         }
--- a/src/settings/json_path.rs
+++ b/src/settings/json_path.rs
@@ -37,8 +37,7 @@
             // A bracket at the very end is the value that is wrong, not one that has begun.
             b'{' if position + 1 < end => containers.push(Container::Object { key: None }),
             b'[' if position + 1 < end => containers.push(Container::Array { index: 0 }),
-            b'}' => drop(containers.pop_if(|last| matches!(last, Container::Object { .. }))),
-            b']' => drop(containers.pop_if(|last| matches!(last, Container::Array { .. }))),
+            bracket @ (b'}' | b']') => close(&mut containers, bracket),
             _ => {}
         }
         position += 1;
@@ -55,6 +54,18 @@
     length.min(bytes.len())
 }
 
+/// Closes the innermost container, unless the bracket is that of another kind: then it is the error.
+fn close(containers: &mut Vec<Container>, bracket: u8) {
+    let matches = match containers.last() {
+        Some(Container::Object { .. }) => bracket == b'}',
+        Some(Container::Array { .. }) => bracket == b']',
+        None => false,
+    };
+    if matches {
+        containers.pop();
+    }
+}
+
 fn render(containers: &[Container]) -> Option<String> {
     let mut path = String::new();
     for container in containers {
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -5,8 +5,8 @@
 use super::events::{Event, EventSender};
 use super::http::{Client, HttpError};
 use crate::coordination::{CloudAnswer, CloudCall, Input};
-use crate::protocol::cloud::{MachineNames, LIST_LIMIT};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::cloud::{MachineIds, LIST_LIMIT};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::CallId;
 use serde::Serialize;
 use std::io;
@@ -93,9 +93,9 @@
 
 /// The store and the cloud, as the event loop calls them.
 pub struct ExternalClients {
-    watches: CallPool<StateCall>,
-    leases: CallPool<StateCall>,
-    store_calls: CallPool<StateCall>,
+    watches: CallPool<StoreRequest>,
+    leases: CallPool<StoreRequest>,
+    store_calls: CallPool<StoreRequest>,
     cloud_calls: CallPool<CloudCall>,
 }
 
@@ -116,13 +116,13 @@
 
     /// Queues a call on the store. Watches and leases have threads of their own, so
     /// that nothing holds them up. Returns an input if the call was refused.
-    pub fn call_store(&self, id: CallId, call: StateCall) -> Option<Input> {
+    pub fn call_store(&self, id: CallId, call: StoreRequest) -> Option<Input> {
         let pool = match call {
-            StateCall::Watch { .. } => &self.watches,
-            StateCall::Grant { .. } | StateCall::Renew { .. } => &self.leases,
+            StoreRequest::Watch { .. } => &self.watches,
+            StoreRequest::GrantLease { .. } | StoreRequest::RenewLease { .. } => &self.leases,
             _ => &self.store_calls,
         };
-        (!pool.call(id, call)).then_some(Input::State(id, StateAnswer::Refused))
+        (!pool.call(id, call)).then_some(Input::State(id, StoreResponse::Unavailable))
     }
 
     /// Queues a call on the cloud. Returns an input if the call was refused.
@@ -131,10 +131,10 @@
     }
 }
 
-fn call_store(client: &mut Client, id: CallId, call: &StateCall) -> Input {
+fn call_store(client: &mut Client, id: CallId, call: &StoreRequest) -> Input {
     let answer = send_store_call(client, call).unwrap_or_else(|error| {
         tracing::debug!(%error, "no answer from the store");
-        StateAnswer::Unknown
+        StoreResponse::Unknown
     });
     Input::State(id, answer)
 }
@@ -144,14 +144,14 @@
 /// # Errors
 ///
 /// If there is no answer in time; the call may be carried out all the same.
-pub fn send_store_call(client: &mut Client, call: &StateCall) -> Result<StateAnswer, HttpError> {
-    let (method, path, body) = call.request();
+pub fn send_store_call(client: &mut Client, call: &StoreRequest) -> Result<StoreResponse, HttpError> {
+    let (method, path, body) = call.to_http();
     let timeout = match call {
-        StateCall::Watch { wait_ms, .. } => STORE_TIMEOUT + Duration::from_millis(*wait_ms),
+        StoreRequest::Watch { wait_ms, .. } => STORE_TIMEOUT + Duration::from_millis(*wait_ms),
         _ => STORE_TIMEOUT,
     };
     let (status, body) = client.call(method, &path, &body, timeout)?;
-    Ok(call.answer(status, &body))
+    Ok(call.parse_response(status, &body))
 }
 
 fn call_cloud(client: &mut Client, id: CallId, call: &CloudCall) -> Input {
@@ -192,7 +192,7 @@
             CloudRequest::get(format!("/rentals?{from}limit={LIST_LIMIT}"))
         }
         CloudCall::Rent(request) => CloudRequest::post("/rentals", request),
-        CloudCall::Return(names) => CloudRequest::post("/rentals/return", &MachineNames { machines: names.clone() }),
+        CloudCall::Return(names) => CloudRequest::post("/rentals/return", &MachineIds { machines: names.clone() }),
     }
 }
 
--- a/src/transport/peers/status_broadcast/tests.rs
+++ b/src/transport/peers/status_broadcast/tests.rs
@@ -6,7 +6,12 @@
 fn a_revision_hint_is_short_but_never_replaces_a_whole_status() {
     let (sender, mut receiver) = watch::channel(LatestStatus::default());
     let broadcaster = StatusBroadcaster(sender);
-    let whole = PeerStatus { from: "n0".into(), revision: 5, faulty: vec!["i-000001".into()], ..PeerStatus::default() };
+    let whole = PeerStatus {
+        from: "n0".into(),
+        revision: 5,
+        faulty_machines: vec!["i-000001".into()],
+        ..PeerStatus::default()
+    };
     broadcaster.broadcast_status(whole.clone());
     broadcaster.hint_revision(Revision(9));
     let latest = receiver.borrow_and_update().clone();
--- a/src/transport/responses.rs
+++ b/src/transport/responses.rs
@@ -56,13 +56,14 @@
     fn from(response: &Response) -> HttpResponse {
         match response {
             Response::Healthy => HttpResponse::new(200, &serde_json::json!({})),
-            Response::Job { status, id, state, counts } => {
-                let (done, running) = counts.unzip();
-                HttpResponse::new(*status, &JobStatus { id, state: *state, done, running })
-            }
-            Response::Error { status, reason, retry_after_s } => {
-                HttpResponse { retry_after_s: *retry_after_s, ..HttpResponse::error(*status, reason) }
+            Response::Job { status, id, state, progress } => {
+                let (done, running) = progress.map(|tasks| (tasks.done, tasks.running)).unzip();
+                HttpResponse::new(status.http_status(), &JobStatus { id, state: *state, done, running })
             }
+            Response::Error(refusal) => HttpResponse {
+                retry_after_s: refusal.retry_after_s(),
+                ..HttpResponse::error(refusal.http_status(), &refusal.to_string())
+            },
             Response::Commands { token, commands } => {
                 HttpResponse::new(200, &HeartbeatResponse { token: *token, commands })
             }
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -9,7 +9,7 @@
 use super::http::Client;
 use super::peers::{replica_message, PeerQueries};
 use crate::coordination::{ClientRequest, Replica, Response};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::{JobId, LeaseId, Revision};
 use conversions::{cancellation_answer, job_spec, observed_replica, store_answer, submission_answer, transaction};
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
         self.idle_clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn call_store(&self, call: &StateCall) -> Answer {
+    fn call_store(&self, call: &StoreRequest) -> Answer {
         let idle = self.idle_clients().pop();
         let mut client = idle.unwrap_or_else(|| Client::new(self.store));
         match send_store_call(&mut client, call) {
@@ -55,7 +55,7 @@
             }
             Err(error) => {
                 tracing::debug!(%error, "no answer from the store to a call of roll-outs");
-                store_answer(StateAnswer::Unknown)
+                store_answer(StoreResponse::Unknown)
             }
         }
     }
@@ -103,16 +103,18 @@
             Call::Withdraw { job } => cancellation_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
             Call::Reach { addr } => Answer::Reached(self.peers.can_reach(addr.clone())),
-            Call::Get { key } => self.call_store(&StateCall::Get { key: key.clone() }),
+            Call::Get { key } => self.call_store(&StoreRequest::Get { key: key.clone() }),
             Call::List { prefix, after } => {
-                self.call_store(&StateCall::List { prefix: prefix.clone(), after: after.clone() })
-            }
-            Call::Commit(commit) => self.call_store(&StateCall::Transaction(transaction(commit))),
-            Call::Grant { ttl } => self.call_store(&StateCall::Grant { ttl_ms: ttl.0 }),
-            Call::Renew { lease } => self.call_store(&StateCall::Renew { lease: LeaseId(lease.0) }),
-            Call::Watch { prefix, after, wait } => {
-                self.call_store(&StateCall::Watch { prefix: prefix.clone(), after: Revision(after.0), wait_ms: wait.0 })
+                self.call_store(&StoreRequest::List { prefix: prefix.clone(), after: after.clone() })
             }
+            Call::Commit(commit) => self.call_store(&StoreRequest::Transaction(transaction(commit))),
+            Call::Grant { ttl } => self.call_store(&StoreRequest::GrantLease { ttl_ms: ttl.0 }),
+            Call::Renew { lease } => self.call_store(&StoreRequest::RenewLease { lease: LeaseId(lease.0) }),
+            Call::Watch { prefix, after, wait } => self.call_store(&StoreRequest::Watch {
+                prefix: prefix.clone(),
+                after: Revision(after.0),
+                wait_ms: wait.0,
+            }),
         }
     }
 }
--- a/src/transport/rollouts/conversions.rs
+++ b/src/transport/rollouts/conversions.rs
@@ -1,8 +1,8 @@
 //! Between the types of `tillercleat_rollout`, which depends on nothing of this crate, and ours. Pure functions.
 
-use crate::coordination::Response;
+use crate::coordination::{RefusalKind, Response};
 use crate::protocol::peer;
-use crate::protocol::state::{self, Change, Condition, StateAnswer, Transaction, WatchEvent};
+use crate::protocol::state::{self, Change, Condition, StoreResponse, Transaction, WatchEvent};
 use crate::protocol::users::{JobKind, JobSpec, JobState, Priority};
 use crate::units::{JobId, LeaseId, Revision};
 use serde_json::Value;
@@ -23,31 +23,31 @@
 }
 
 /// An answer of the store.
-pub fn store_answer(answer: StateAnswer) -> Answer {
+pub fn store_answer(answer: StoreResponse) -> Answer {
     match answer {
-        StateAnswer::Found(found) => Answer::Found(item(found)),
-        StateAnswer::Missing(_) => Answer::Missing,
-        StateAnswer::Page(page) => Answer::Page {
+        StoreResponse::Found(found) => Answer::Found(item(found)),
+        StoreResponse::Missing(_) => Answer::Missing,
+        StoreResponse::Page(page) => Answer::Page {
             items: page.items.into_iter().map(item).collect(),
-            more: page.more,
+            more: page.truncated,
             revision: Stamp(page.revision.0),
         },
-        StateAnswer::Committed(at) => Answer::Committed(Stamp(at.0)),
-        StateAnswer::Conflict(_) => Answer::Conflict,
-        StateAnswer::Granted(lease) => Answer::Granted(RolloutLeaseId(lease.0)),
-        StateAnswer::Renewed => Answer::Renewed,
-        StateAnswer::LeaseGone => Answer::LeaseGone,
-        StateAnswer::WatchEvents(changes) => Answer::Changes {
+        StoreResponse::Committed(at) => Answer::Committed(Stamp(at.0)),
+        StoreResponse::Conflict(_) => Answer::Conflict,
+        StoreResponse::LeaseGranted(lease) => Answer::Granted(RolloutLeaseId(lease.0)),
+        StoreResponse::LeaseRenewed => Answer::Renewed,
+        StoreResponse::LeaseGone => Answer::LeaseGone,
+        StoreResponse::WatchEvents(changes) => Answer::Changes {
             revision: Stamp(changes.revision.0),
             changed: changes.events.into_iter().map(change).collect(),
         },
-        StateAnswer::TooOld => Answer::TooOld,
-        StateAnswer::Rejected(reason) => {
+        StoreResponse::TooOld => Answer::TooOld,
+        StoreResponse::Invalid(reason) => {
             tracing::warn!(%reason, "the store rejected a call of roll-outs");
             Answer::Refused
         }
-        StateAnswer::Refused => Answer::Refused,
-        StateAnswer::Unknown => Answer::Unknown,
+        StoreResponse::Unavailable => Answer::Refused,
+        StoreResponse::Unknown => Answer::Unknown,
     }
 }
 
@@ -58,8 +58,8 @@
 /// Key, value (none: deleted) and version of a change that a watch brought.
 fn change(event: WatchEvent) -> (String, Option<Value>, Stamp) {
     match event {
-        WatchEvent::Put { put, value, version } => (put, Some(value), Stamp(version.0)),
-        WatchEvent::Delete { delete, version } => (delete, None, Stamp(version.0)),
+        WatchEvent::Put { key, value, version } => (key, Some(value), Stamp(version.0)),
+        WatchEvent::Delete { key, version } => (key, None, Stamp(version.0)),
     }
 }
 
@@ -89,8 +89,8 @@
         apart: false,
         spot_allowed: job.spot,
         estimated_run_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
         dependencies: vec![],
     }
@@ -107,8 +107,11 @@
 pub fn submission_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => job_fate(state),
-        Some(Response::Error { status: 400 | 422, reason, .. }) => Answer::Unacceptable(reason),
-        Some(Response::Error { status: 429 | 503, .. }) => Answer::Refused,
+        Some(Response::Error(refusal)) => match refusal.kind() {
+            RefusalKind::BadRequest | RefusalKind::Unprocessable => Answer::Unacceptable(refusal.to_string()),
+            RefusalKind::Unavailable => Answer::Refused,
+            RefusalKind::NotFound => Answer::Unknown,
+        },
         _ => Answer::Unknown,
     }
 }
@@ -117,8 +120,8 @@
 pub fn cancellation_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => job_fate(state),
-        Some(Response::Error { status: 404, .. }) => Answer::Job(JobFate::Unknown),
-        Some(Response::Error { .. }) => Answer::Refused,
+        Some(Response::Error(refusal)) if refusal.kind() == RefusalKind::NotFound => Answer::Job(JobFate::Unknown),
+        Some(Response::Error(_)) => Answer::Refused,
         _ => Answer::Unknown,
     }
 }
@@ -139,7 +142,7 @@
         attempt: replica.attempt,
         standing,
         zone: replica.zone,
-        error: replica.error,
+        error: replica.failed_attempt,
         age: RolloutMillis(replica.age_ms),
         token: replica.token,
     }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -103,7 +103,7 @@
     let requests = RequestHandler::new(events.clone());
     let mut idle_timeout = FIRST_REQUEST_TIMEOUT;
     loop {
-        let (head, body) = match connection.read(true, idle_timeout, MESSAGE_TIMEOUT, BODY_LIMIT) {
+        let (head, body) = match connection.read_request(idle_timeout, MESSAGE_TIMEOUT, BODY_LIMIT) {
             Ok(message) => message,
             Err(error @ (HttpError::TooLarge | HttpError::Malformed(_))) => {
                 return HttpResponse::error(400, &error.to_string()).write(&mut connection, true, MESSAGE_TIMEOUT);
--- a/src/units.rs
+++ b/src/units.rs
@@ -218,6 +218,28 @@
     }
 }
 
+/// Processor cores and GPUs that tasks use, lack or may use. Stored as the pair of both.
+#[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct ComputeAmount {
+    /// Processor cores, also fractions of one.
+    pub cpus: f64,
+    /// GPUs, also fractions of one.
+    pub gpus: f64,
+}
+
+impl From<(f64, f64)> for ComputeAmount {
+    fn from((cpus, gpus): (f64, f64)) -> ComputeAmount {
+        ComputeAmount { cpus, gpus }
+    }
+}
+
+impl From<ComputeAmount> for (f64, f64) {
+    fn from(amount: ComputeAmount) -> (f64, f64) {
+        (amount.cpus, amount.gpus)
+    }
+}
+
 /// Parameters of the hash FNV-1a with 64 bits.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
