--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -94,7 +94,7 @@
 fn serve(stream: TcpStream, events: &SyncSender<Event>, metrics: &Metrics) -> Result<(), HttpError> {
     let mut connection = Connection::new(stream);
     loop {
-        let (head, body): (Head, Vec<u8>) = match connection.read(true, IDLE, WHOLE, BODY_LIMIT) {
+        let (head, body): (Head, Vec<u8>) = match connection.read_request(IDLE, WHOLE, BODY_LIMIT) {
             Ok(message) => message,
             Err(error @ (HttpError::TooLarge | HttpError::Malformed(_))) => {
                 let body = json!({ "error": error.to_string() }).to_string();
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -30,7 +30,7 @@
             let answer = answer.clone();
             std::thread::spawn(move || {
                 let mut connection = Connection::new(stream);
-                while let Ok((head, body)) = connection.read(true, SECOND * 60, SECOND, 1 << 20) {
+                while let Ok((head, body)) = connection.read_request(SECOND * 60, SECOND, 1 << 20) {
                     let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
                     let (status, value) = answer(&head.method, &head.path, &body);
                     let text = value.to_string();
