--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -9,10 +9,10 @@
 //! it and answered from that at once; its own end is written behind.
 
 use crate::coordination::jobs::dependency_graph::Known;
-use crate::coordination::jobs::validation::Refusal;
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::coordination::Core;
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
 use crate::storage::effective_priority::EffectivePriority;
@@ -202,10 +202,10 @@
         self.dependency_release.asking = true;
         self.dependency_release.last = Some(id.clone());
         self.store.charge_read(self.now);
-        self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StateAnswer) {
+    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StoreResponse) {
         self.dependency_release.asking = false;
         let Some(record) = self.take_archived(&id, answer) else {
             self.dependency_release.next = self.now + LOOK_AGAIN;
@@ -218,13 +218,11 @@
     /// A submission that names others: they are looked at one by one.
     pub(crate) fn submit_after(&mut self, request: RequestId, spec: Box<JobSpec>) {
         if !self.dependencies_enabled() {
-            let reason = "jobs that await others are taken once all controllers know of them";
-            return self
-                .response(request, Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(2) });
+            return self.refuse(request, Refusal::DependenciesNotEnabled);
         }
         let to_check = spec.dependencies.clone();
         if to_check.contains(&spec.id) {
-            return self.refuse(request, spec.id, Refusal::impossible("a job cannot await itself"));
+            return self.refuse_unless_known(request, spec.id, InfeasibleJob::DependsOnItself.into());
         }
         self.check_dependencies(DependencyCheck {
             request,
@@ -241,8 +239,11 @@
         while let Some(name) = check.to_check.pop() {
             if let Some(job) = self.cache.jobs.get(&name) {
                 if job.record.spec.kind == JobKind::Standing {
-                    let reason = format!("{name} is a service, which is never done");
-                    return self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+                    return self.refuse_unless_known(
+                        check.request,
+                        check.spec.id,
+                        InfeasibleJob::DependsOnService(name).into(),
+                    );
                 }
             }
             match Core::known(&self.cache, &name) {
@@ -273,21 +274,20 @@
     fn look_up_dependency(&mut self, check: DependencyCheck) {
         let Some(id) = check.to_check.last().filter(|_| self.afford(check.request, 1.0)) else { return };
         let key = if check.archived { archived_job_key(id) } else { job_key(id) };
-        self.call_state(StateCall::Get { key }, PendingRequest::DependencyCheck(check));
+        self.call_state(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
     }
 
-    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StateAnswer) {
+    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
         let Some(id) = check.to_check.last().cloned() else { return };
         match answer {
-            StateAnswer::Missing(_) if !check.archived => {
+            StoreResponse::Missing(_) if !check.archived => {
                 check.archived = true;
                 self.look_up_dependency(check);
             }
-            StateAnswer::Missing(_) => {
-                let reason = format!("{id} was never accepted");
-                self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+            StoreResponse::Missing(_) => {
+                self.refuse_unless_known(check.request, check.spec.id, InfeasibleJob::DependencyNotFound(id).into());
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 let read = if check.archived {
                     self.take_archived(&id, answer).is_some()
                 } else {
@@ -295,10 +295,10 @@
                 };
                 match read {
                     true => self.check_dependencies(check),
-                    false => self.response(check.request, Response::later("a job it names cannot be read")),
+                    false => self.refuse(check.request, Refusal::DependencyUnreadable),
                 }
             }
-            _ => self.response(check.request, Response::later("the state service does not answer")),
+            _ => self.refuse(check.request, Refusal::StoreUnavailable),
         }
     }
 }
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -42,10 +42,10 @@
         self.0.iter().find(|a| a.class == *class)
     }
 
-    /// True if an aim wants tasks of the class to start within less than `boot_s`.
+    /// True if an aim wants tasks of the class to start within less than `provisioning_s`.
     /// An aim on longer waits is no claim on the reserve: such a class would eat it.
-    pub fn start_before(&self, class: &InternedName, boot_s: f64) -> bool {
-        self.of(class).is_some_and(|a| a.start_within_s < boot_s)
+    pub fn start_before(&self, class: &InternedName, provisioning_s: f64) -> bool {
+        self.of(class).is_some_and(|a| a.start_within_s < provisioning_s)
     }
 
     /// The least of the times for finishing that is not below `soonest_s`, else
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -3,7 +3,7 @@
 use crate::coordination::jobs::status_query::Question;
 use crate::coordination::shards::shard_quota::is_quota_transfer;
 use crate::coordination::{CloudCall, Core, Output};
-use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::cache::CacheChange;
 use crate::storage::records;
@@ -21,7 +21,7 @@
     },
     Watch,
     /// Whether anybody keeps machines of the shard.
-    Compare(ShardId),
+    ExpiryCheck(ShardId),
     Grant,
     Renew(LeaseId),
     /// A transaction whose outcome the watch or a conflict read shows.
@@ -98,14 +98,14 @@
 
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
-        Change::Put { put, .. } => put,
-        Change::Delete { delete } => delete,
+        Change::Put { key, .. } => key,
+        Change::Delete { key } => key,
     }
 }
 
 impl Core {
     /// Sends a request to the store; `what` says what its answer is for.
-    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) -> CallId {
+    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
         let id = self.store.register(what, self.now);
         self.out.push(Output::State(id, call));
         id
@@ -130,31 +130,31 @@
         for change in &transaction.changes {
             self.store.reserve_key(change_key(change));
         }
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
+        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
     }
 
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
+    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
         let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
-        if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
+        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.store.last_answer = Some(self.now);
         }
-        if let StateAnswer::Rejected(why) = &answer {
+        if let StoreResponse::Invalid(why) = &answer {
             tracing::error!("the state service rejects {what:?}: {why}");
         }
         match what {
             PendingRequest::Load { seen, first, since } => self.load_answer(seen, first, since, answer),
             PendingRequest::Watch => self.watch_answer(sent, answer),
-            PendingRequest::Compare(shard) => self.compared(shard, answer),
+            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, answer),
             PendingRequest::Grant => self.grant_answer(answer),
             PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
             PendingRequest::Simple(transaction)
-                if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) =>
+                if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) =>
             {
                 self.store.unresolved.transfers.push(transaction);
             }
             PendingRequest::Simple(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::QuotaTransferRetry(transaction)
-                if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) =>
+                if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) =>
             {
                 self.store.unresolved.transfers.push(transaction);
             }
@@ -184,18 +184,18 @@
         }
     }
 
-    fn simple_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
+    fn simple_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
         for change in &transaction.changes {
             self.store.release_key(change_key(change));
         }
         match answer {
-            StateAnswer::Committed(revision) => self.committed(&transaction, revision),
+            StoreResponse::Committed(revision) => self.committed(&transaction, revision),
             // It counts as given until all that it names has been read.
-            StateAnswer::Conflict(_) if is_quota_transfer(&transaction) => {
+            StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
-            StateAnswer::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::LeaseGone => self.lease_gone_elsewhere(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match records::RecordKey::read(change_key(c)) {
@@ -215,13 +215,13 @@
         for transaction in std::mem::take(&mut self.store.unresolved.transfers) {
             self.store.charge_transaction(self.now, transaction.changes.len());
             self.call_state(
-                StateCall::Transaction(transaction.clone()),
+                StoreRequest::Transaction(transaction.clone()),
                 PendingRequest::QuotaTransferRetry(transaction),
             );
         }
         for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
             self.store.charge_read(self.now);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
@@ -229,8 +229,8 @@
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             let changed = match change {
-                Change::Put { put, value, .. } => self.cache.apply(put, Some(value.clone()), revision),
-                Change::Delete { delete } => self.cache.apply(delete, None, revision),
+                Change::Put { key, value, .. } => self.cache.apply(key, Some(value.clone()), revision),
+                Change::Delete { key } => self.cache.apply(key, None, revision),
             };
             self.changed(changed);
         }
@@ -239,20 +239,20 @@
     pub(crate) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
             self.store.charge_read(self.now);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
-    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StateAnswer) {
+    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
         if let (Some(records::RecordKey::Quota(_)), true) =
-            (records::RecordKey::read(&key), matches!(answer, StateAnswer::Unknown | StateAnswer::Refused))
+            (records::RecordKey::read(&key), matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable))
         {
             // What became of a gift must be known before allowance is used again.
             return self.store.unresolved.reads.push((key, shard));
         }
         let changed = match answer {
-            StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
-            StateAnswer::Missing(at) => self.cache.apply(&key, None, at),
+            StoreResponse::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
+            StoreResponse::Missing(at) => self.cache.apply(&key, None, at),
             _ => CacheChange::Nothing,
         };
         self.changed(changed);
--- a/src/units.rs
+++ b/src/units.rs
@@ -200,6 +200,28 @@
     }
 }
 
+/// Processor cores and GPUs that tasks use, lack or may use. Stored as the pair of both.
+#[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct ComputeAmount {
+    /// Processor cores, also fractions of one.
+    pub cpus: f64,
+    /// GPUs, also fractions of one.
+    pub gpus: f64,
+}
+
+impl From<(f64, f64)> for ComputeAmount {
+    fn from((cpus, gpus): (f64, f64)) -> ComputeAmount {
+        ComputeAmount { cpus, gpus }
+    }
+}
+
+impl From<ComputeAmount> for (f64, f64) {
+    fn from(amount: ComputeAmount) -> (f64, f64) {
+        (amount.cpus, amount.gpus)
+    }
+}
+
 /// A hash that is the same in every process and version (FNV-1a, then mixed).
 pub fn stable_hash(pieces: &[&str]) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -8,7 +8,7 @@
 use simulator::{settings, ClusterConfig, SimulatedCluster, SimulatedStore};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
-use tillercleat::protocol::state::{StateAnswer, StateCall};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::{JobSpec, Malformed};
 use tillercleat::settings::Tuning;
 use tillercleat::units::{MonotonicTime, RequestId};
@@ -107,8 +107,10 @@
             for output in self.core.handle(MonotonicTime(self.now), 1_000_000, input) {
                 match output {
                     Output::Response(id, response) => responses.push((id, response)),
-                    Output::State(_, StateCall::Watch { .. }) if !self.watch_open => {}
-                    Output::State(id, _) if !self.store_reachable => next.push(Input::State(id, StateAnswer::Refused)),
+                    Output::State(_, StoreRequest::Watch { .. }) if !self.watch_open => {}
+                    Output::State(id, _) if !self.store_reachable => {
+                        next.push(Input::State(id, StoreResponse::Unavailable))
+                    }
                     Output::State(id, call) => next.push(Input::State(id, self.store.execute(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
                         let catalog = Catalog { types: config.machine_types.clone() };
@@ -135,7 +137,8 @@
         (0..8).for_each(|_| responses.extend(self.step(Input::Tick, config)));
         let response = responses.into_iter().find(|(answered, _)| *answered == id).expect("an answer").1;
         match response {
-            Response::Job { status, .. } | Response::Error { status, .. } => status,
+            Response::Job { status, .. } => status.http_status(),
+            Response::Error(refusal) => refusal.http_status(),
             other => panic!("{other:?}"),
         }
     }
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -3,9 +3,7 @@
 use super::SimulatedCluster;
 use std::collections::BTreeMap;
 use tillercleat::coordination::{CloudAnswer, CloudCall};
-use tillercleat::protocol::cloud::{
-    Catalog, ListedMachine, ListedMachineState, MachineNames, MachinePage, RentRequest,
-};
+use tillercleat::protocol::cloud::{Catalog, ListedMachine, ListedMachineState, MachineIds, MachinePage, RentRequest};
 use tillercleat::units::MachineId;
 
 /// How long a machine is rented before the list shows it (milliseconds).
@@ -80,12 +78,12 @@
             state: if self.now >= worker.up_at { ListedMachineState::Running } else { ListedMachineState::Booting },
             age_s: (self.now - worker.rented_at) as f64 / 1000.0,
         });
-        MachinePage { machines: machines.collect(), more: false }
+        MachinePage { machines: machines.collect(), truncated: false }
     }
 
     fn rent_machines(&mut self, request: RentRequest) -> CloudAnswer {
-        if let Some(machines) = self.cloud.rentals.get(&request.request) {
-            return CloudAnswer::Rented(MachineNames { machines: machines.clone() });
+        if let Some(machines) = self.cloud.rentals.get(&request.request_id) {
+            return CloudAnswer::Rented(MachineIds { machines: machines.clone() });
         }
         let room = self.config.machines.saturating_sub(self.running_machines());
         let count = (request.count as usize).min(room);
@@ -99,7 +97,7 @@
             let up_at = self.cloud.up_at(self.now, self.workers.len(), boot_ms);
             machines.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
         }
-        self.cloud.rentals.insert(request.request, machines.clone());
-        CloudAnswer::Rented(MachineNames { machines })
+        self.cloud.rentals.insert(request.request_id, machines.clone());
+        CloudAnswer::Rented(MachineIds { machines })
     }
 }
--- a/tests/simulator/configuration.rs
+++ b/tests/simulator/configuration.rs
@@ -50,7 +50,7 @@
         fetch_gb_per_s: 1.0,
         price: cpus / 8.0,
         spot_price: Some(cpus / 20.0),
-        boot_s: 5.0,
+        provisioning_s: 5.0,
         zones: zones.to_vec(),
     }
 }
--- a/tests/simulator/controllers.rs
+++ b/tests/simulator/controllers.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 use tillercleat::coordination::{CloudCall, Core, Input, Output};
 use tillercleat::protocol::peer::PeerStatus;
-use tillercleat::protocol::state::{Change, StateCall};
+use tillercleat::protocol::state::{Change, StoreRequest};
 use tillercleat::settings::Tuning;
 use tillercleat::units::{CallId, MonotonicTime, Revision};
 
@@ -51,8 +51,8 @@
 }
 
 /// Removes what the previous version would not have written.
-fn strip_to_previous_version(call: &mut StateCall) {
-    let StateCall::Transaction(transaction) = call else { return };
+fn strip_to_previous_version(call: &mut StoreRequest) {
+    let StoreRequest::Transaction(transaction) = call else { return };
     for change in &mut transaction.changes {
         if let Change::Put { value: serde_json::Value::Object(value), .. } = change {
             for field in FIELDS_OF_THIS_VERSION {
--- a/tests/simulator/crash_points.rs
+++ b/tests/simulator/crash_points.rs
@@ -6,7 +6,7 @@
 use super::Fault;
 use super::SimulatedCluster;
 use tillercleat::coordination::{CloudCall, Output};
-use tillercleat::protocol::state::{Change, StateCall, Transaction};
+use tillercleat::protocol::state::{Change, StoreRequest, Transaction};
 
 /// What a controller is in the middle of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,9 +51,9 @@
     /// The point that a node reaches by sending this, if it is any of these.
     fn of(node: &str, output: &Output) -> Option<CrashPoint> {
         match output {
-            Output::State(_, StateCall::List { .. }) => Some(CrashPoint::ReadRecords),
-            Output::State(_, StateCall::Grant { .. }) => Some(CrashPoint::GrantLease),
-            Output::State(_, StateCall::Transaction(transaction)) => CrashPoint::of_transaction(node, transaction),
+            Output::State(_, StoreRequest::List { .. }) => Some(CrashPoint::ReadRecords),
+            Output::State(_, StoreRequest::GrantLease { .. }) => Some(CrashPoint::GrantLease),
+            Output::State(_, StoreRequest::Transaction(transaction)) => CrashPoint::of_transaction(node, transaction),
             Output::Cloud(_, CloudCall::Rent(_)) => Some(CrashPoint::RentMachines),
             _ => None,
         }
@@ -62,8 +62,8 @@
     /// The point of the first change that has one.
     fn of_transaction(node: &str, transaction: &Transaction) -> Option<CrashPoint> {
         transaction.changes.iter().find_map(|change| {
-            let Change::Put { put, value, .. } = change else { return None };
-            Some(match put.split('/').nth(1)? {
+            let Change::Put { key, value, .. } = change else { return None };
+            Some(match key.split('/').nth(1)? {
                 "n" => CrashPoint::AnnounceNode,
                 "o" if value["node"] == node => CrashPoint::ClaimShard,
                 "o" => CrashPoint::HandOverShard,
--- a/tests/simulator/invariants.rs
+++ b/tests/simulator/invariants.rs
@@ -7,7 +7,7 @@
 use super::worker_heartbeats::SMALL_FLEET;
 use super::SimulatedCluster;
 use std::collections::{BTreeMap, VecDeque};
-use tillercleat::protocol::state::StateCall;
+use tillercleat::protocol::state::StoreRequest;
 use tillercleat::protocol::users::JobState;
 use tillercleat::protocol::workers::TaskName;
 use tillercleat::units::JobId;
@@ -120,8 +120,8 @@
     }
 
     /// A transaction without conditions would undo what is newer if it is carried out late.
-    pub(super) fn check_conditions(&mut self, call: &StateCall) {
-        let StateCall::Transaction(transaction) = call else { return };
+    pub(super) fn check_conditions(&mut self, call: &StoreRequest) {
+        let StoreRequest::Transaction(transaction) = call else { return };
         if !transaction.changes.is_empty() && transaction.conditions.is_empty() {
             self.violations.push(format!("unconditional: {:?} at {}", transaction.changes, self.now));
         }
--- a/tests/simulator/probes.rs
+++ b/tests/simulator/probes.rs
@@ -145,8 +145,9 @@
 
     pub(super) fn probe_answered(&mut self, probe: ProbeSubmission, response: Response) {
         match response {
-            Response::Error { status: 503, .. } => self.retry_probe(probe),
-            Response::Error { status, .. } | Response::Job { status, .. } => self.check_probe_status(&probe, status),
+            Response::Error(refusal) if refusal.http_status() == 503 => self.retry_probe(probe),
+            Response::Error(refusal) => self.check_probe_status(&probe, refusal.http_status()),
+            Response::Job { status, .. } => self.check_probe_status(&probe, status.http_status()),
             _ => {}
         }
     }
--- a/tests/simulator/statistics.rs
+++ b/tests/simulator/statistics.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tillercleat::coordination::Input;
-use tillercleat::protocol::state::StateAnswer;
+use tillercleat::protocol::state::StoreResponse;
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::units::JobId;
 
@@ -60,8 +60,8 @@
         Input::Tick => "tick",
         Input::ClientRequest(..) => "request",
         Input::Heartbeat(..) => "heartbeat",
-        Input::State(_, StateAnswer::WatchEvents(_)) => "watch",
-        Input::State(_, StateAnswer::Page(_)) => "page",
+        Input::State(_, StoreResponse::WatchEvents(_)) => "watch",
+        Input::State(_, StoreResponse::Page(_)) => "page",
         Input::State(..) => "store",
         Input::Cloud(..) => "cloud",
         Input::PeerStatus(_) => "peer",
--- a/tests/simulator/store.rs
+++ b/tests/simulator/store.rs
@@ -4,7 +4,9 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::ops::Bound;
-use tillercleat::protocol::state::{Change, Item, Page, StateAnswer, StateCall, Transaction, WatchEvent, WatchEvents};
+use tillercleat::protocol::state::{
+    Change, Item, Page, StoreRequest, StoreResponse, Transaction, WatchEvent, WatchEvents,
+};
 use tillercleat::units::{LeaseId, Revision};
 
 /// Changes that the store remembers for watches.
@@ -137,34 +139,34 @@
     }
 
     /// Carries a call out and answers it.
-    pub fn execute(&mut self, now: u64, call: StateCall) -> StateAnswer {
+    pub fn execute(&mut self, now: u64, call: StoreRequest) -> StoreResponse {
         self.expire_leases(now);
         *self.requests_by_second.entry(now / 1000).or_default() += 1;
-        let changes = if let StateCall::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
+        let changes = if let StoreRequest::Transaction(transaction) = &call { transaction.changes.len() } else { 0 };
         if !self.admit(now, changes) {
             self.rate_limited_calls += 1;
-            return StateAnswer::Refused;
+            return StoreResponse::Unavailable;
         }
         match call {
-            StateCall::Get { key } => self.get(key),
-            StateCall::List { prefix, after } => self.list(&prefix, after),
-            StateCall::Transaction(transaction) => {
+            StoreRequest::Get { key } => self.get(key),
+            StoreRequest::List { prefix, after } => self.list(&prefix, after),
+            StoreRequest::Transaction(transaction) => {
                 *self.changes_by_second.entry(now / 1000).or_default() += changes;
                 self.commit(transaction)
             }
-            StateCall::Grant { ttl_ms } => {
+            StoreRequest::GrantLease { ttl_ms } => {
                 self.last_lease += 1;
                 self.leases.insert(self.last_lease, Lease { ttl_ms, expires_at: now + ttl_ms });
-                StateAnswer::Granted(LeaseId(self.last_lease))
+                StoreResponse::LeaseGranted(LeaseId(self.last_lease))
             }
-            StateCall::Renew { lease } => match self.leases.get_mut(&lease.0) {
+            StoreRequest::RenewLease { lease } => match self.leases.get_mut(&lease.0) {
                 Some(lease) => {
                     lease.expires_at = now + lease.ttl_ms;
-                    StateAnswer::Renewed
+                    StoreResponse::LeaseRenewed
                 }
-                None => StateAnswer::LeaseGone,
+                None => StoreResponse::LeaseGone,
             },
-            StateCall::Watch { after, .. } => self.changes_after(after),
+            StoreRequest::Watch { after, .. } => self.changes_after(after),
         }
     }
 
@@ -174,14 +176,14 @@
         limits.requests.take(now, 1.0) && limits.changes.take(now, changes as f64)
     }
 
-    fn get(&self, key: String) -> StateAnswer {
+    fn get(&self, key: String) -> StoreResponse {
         match self.rows.get(&key) {
-            Some(row) => StateAnswer::Found(Item { key, value: row.value.clone(), version: Revision(row.version) }),
-            None => StateAnswer::Missing(Revision(self.revision)),
+            Some(row) => StoreResponse::Found(Item { key, value: row.value.clone(), version: Revision(row.version) }),
+            None => StoreResponse::Missing(Revision(self.revision)),
         }
     }
 
-    fn list(&self, prefix: &str, after: Option<String>) -> StateAnswer {
+    fn list(&self, prefix: &str, after: Option<String>) -> StoreResponse {
         let size = self.page_size.max(50);
         let rows = self.rows.range((Bound::Excluded(after.unwrap_or_default()), Bound::Unbounded));
         let mut items: Vec<Item> = rows
@@ -189,40 +191,40 @@
             .take(size + 1)
             .map(|(key, row)| Item { key: key.clone(), value: row.value.clone(), version: Revision(row.version) })
             .collect();
-        let more = items.len() > size;
+        let truncated = items.len() > size;
         items.truncate(size);
-        StateAnswer::Page(Page { items, more, revision: Revision(self.revision) })
+        StoreResponse::Page(Page { items, truncated, revision: Revision(self.revision) })
     }
 
-    fn changes_after(&self, after: Revision) -> StateAnswer {
+    fn changes_after(&self, after: Revision) -> StoreResponse {
         let from = self.log.partition_point(|change| change.revision <= after.0);
         if self.log.len() - from > MAX_LOGGED_CHANGES {
-            return StateAnswer::TooOld;
+            return StoreResponse::TooOld;
         }
         let events = self.log[from..].iter().map(|LoggedChange { revision, key, value }| match value {
-            Some(value) => WatchEvent::Put { put: key.clone(), value: value.clone(), version: Revision(*revision) },
-            None => WatchEvent::Delete { delete: key.clone(), version: Revision(*revision) },
+            Some(value) => WatchEvent::Put { key: key.clone(), value: value.clone(), version: Revision(*revision) },
+            None => WatchEvent::Delete { key: key.clone(), version: Revision(*revision) },
         });
-        StateAnswer::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
+        StoreResponse::WatchEvents(WatchEvents { events: events.collect(), revision: Revision(self.revision) })
     }
 
-    fn commit(&mut self, transaction: Transaction) -> StateAnswer {
+    fn commit(&mut self, transaction: Transaction) -> StoreResponse {
         if transaction.changes.iter().any(|change| self.has_expired_lease(change)) {
-            return StateAnswer::LeaseGone;
+            return StoreResponse::LeaseGone;
         }
         if self.rate_limits.is_some() && self.is_too_large(&transaction) {
             *self.rejected_transactions.entry(format!("{transaction:?}")).or_default() += 1;
-            return StateAnswer::Rejected("too large".into());
+            return StoreResponse::Invalid("too large".into());
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.version);
         let failed = transaction.conditions.iter().filter(|condition| version(&condition.key) != condition.version.0);
         let failed: Vec<String> = failed.map(|condition| condition.key.clone()).collect();
         if !failed.is_empty() {
-            return StateAnswer::Conflict(failed);
+            return StoreResponse::Conflict(failed);
         }
         self.revision += 1;
         transaction.changes.into_iter().for_each(|change| self.apply(change));
-        StateAnswer::Committed(Revision(self.revision))
+        StoreResponse::Committed(Revision(self.revision))
     }
 
     fn has_expired_lease(&self, change: &Change) -> bool {
@@ -238,14 +240,14 @@
 
     fn apply(&mut self, change: Change) {
         match change {
-            Change::Put { put, value, lease } => {
-                self.log_change(put.clone(), Some(value.clone()));
+            Change::Put { key, value, lease } => {
+                self.log_change(key.clone(), Some(value.clone()));
                 let lease = lease.map(|lease| lease.0);
-                self.rows.insert(put, Row { value, version: self.revision, lease });
+                self.rows.insert(key, Row { value, version: self.revision, lease });
             }
-            Change::Delete { delete } => {
-                self.rows.remove(&delete);
-                self.log_change(delete, None);
+            Change::Delete { key } => {
+                self.rows.remove(&key);
+                self.log_change(key, None);
             }
         }
     }
--- a/tests/simulator/store_calls.rs
+++ b/tests/simulator/store_calls.rs
@@ -4,7 +4,7 @@
 use super::faults::{FaultWindow, MIN_TRANSACTION_DELAY_MS, TRANSACTION_DELAY_SPREAD_MS};
 use super::SimulatedCluster;
 use tillercleat::coordination::Input;
-use tillercleat::protocol::state::{StateAnswer, StateCall};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::units::CallId;
 
 /// How long controllers wait for an answer of the store (milliseconds).
@@ -25,19 +25,19 @@
 pub(super) struct StoreCall {
     pub(super) caller: ProcessId,
     pub(super) id: CallId,
-    pub(super) call: StateCall,
+    pub(super) call: StoreRequest,
     /// Until then a watch without news is not answered.
     pub(super) watch_until: u64,
 }
 
 impl StoreCall {
     fn is_transaction(&self) -> bool {
-        matches!(self.call, StateCall::Transaction(_))
+        matches!(self.call, StoreRequest::Transaction(_))
     }
 
     /// A watch that may wait for news.
     fn may_wait(&self, now: u64) -> bool {
-        matches!(self.call, StateCall::Watch { .. }) && now < self.watch_until
+        matches!(self.call, StoreRequest::Watch { .. }) && now < self.watch_until
     }
 
     /// The same call, whose answer goes to nobody.
@@ -86,22 +86,22 @@
 
 impl SimulatedCluster {
     /// Sends a controller's call to the store.
-    pub(super) fn send_store_call(&mut self, caller: ProcessId, id: CallId, call: StateCall) {
+    pub(super) fn send_store_call(&mut self, caller: ProcessId, id: CallId, call: StoreRequest) {
         let now = self.now;
-        let wait = if let StateCall::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
+        let wait = if let StoreRequest::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
         let usual = MIN_CALL_MS + self.random.below(CALL_SPREAD_MS);
         let delay = usual + self.store_faults.slow.delay_at(now, &mut self.random);
         let call = StoreCall { caller, id, call, watch_until: now + wait };
         // The caller waits no longer; the call is carried out all the same.
         if delay + CALL_MARGIN_MS > TIMEOUT_MS {
-            self.answer_store_call(caller, id, StateAnswer::Unknown, TIMEOUT_MS);
+            self.answer_store_call(caller, id, StoreResponse::Unknown, TIMEOUT_MS);
             return self.schedule(now + delay, ScheduledEvent::StoreCall(call.without_caller()));
         }
         self.schedule(now + delay, ScheduledEvent::StoreCall(call));
     }
 
     /// Sends the store's answer, `after` as many milliseconds.
-    fn answer_store_call(&mut self, to: ProcessId, id: CallId, answer: StateAnswer, after: u64) {
+    fn answer_store_call(&mut self, to: ProcessId, id: CallId, answer: StoreResponse, after: u64) {
         let input = Input::State(id, answer);
         self.schedule(self.now + after, ScheduledEvent::DeliverInput { to, input });
     }
@@ -115,7 +115,7 @@
             if call.may_wait(now) {
                 return self.schedule(now + OUTAGE_WATCH_PAUSE_MS, ScheduledEvent::StoreCall(call));
             }
-            return self.answer_store_call(call.caller, call.id, StateAnswer::Refused, ANSWER_MS);
+            return self.answer_store_call(call.caller, call.id, StoreResponse::Unavailable, ANSWER_MS);
         }
         let lost = self.store_faults.lost_answers[node];
         if now < lost.until {
@@ -136,13 +136,13 @@
         if let Some(late) = carried_out_after {
             self.schedule(self.now + late, ScheduledEvent::StoreCall(call.without_caller()));
         }
-        self.answer_store_call(caller, id, StateAnswer::Unknown, TIMEOUT_MS);
+        self.answer_store_call(caller, id, StoreResponse::Unknown, TIMEOUT_MS);
     }
 
     fn carry_out(&mut self, call: StoreCall) {
         let now = self.now;
         self.check_conditions(&call.call);
-        if let StateCall::Watch { after, .. } = &call.call {
+        if let StoreRequest::Watch { after, .. } = &call.call {
             self.store.expire_leases(now);
             if self.store.revision <= after.0 && call.may_wait(now) {
                 return self.schedule(now + WATCH_PAUSE_MS, ScheduledEvent::StoreCall(call));
--- a/tests/simulator/users.rs
+++ b/tests/simulator/users.rs
@@ -176,8 +176,8 @@
             return;
         }
         match response {
-            Response::Job { status, state, .. } => self.job_reported(request, status, state),
-            Response::Error { status, .. } => self.request_refused(request, status),
+            Response::Job { status, state, .. } => self.job_reported(request, status.http_status(), state),
+            Response::Error(refusal) => self.request_refused(request, refusal.http_status()),
             _ => {}
         }
     }
--- a/tests/simulator/worker_heartbeats.rs
+++ b/tests/simulator/worker_heartbeats.rs
@@ -32,8 +32,8 @@
             task: name.clone(),
             attempt: task.attempt,
             state: task.state,
-            why: task.exit_reason,
-            saved: None,
+            exit_reason: task.exit_reason,
+            checkpoint_saved: None,
         });
         Heartbeat {
             machine: self.name.clone(),
@@ -44,7 +44,7 @@
             agent_epoch: AgentEpoch(self.agent_epoch),
             heartbeat_number: HeartbeatNumber(self.heartbeat_number),
             token: FencingToken(self.token),
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.collect(),
         }
     }
