--- a/tests/simulator/store.rs
+++ b/tests/simulator/store.rs
@@ -191,9 +191,9 @@
             .take(size + 1)
             .map(|(key, row)| Item { key: key.clone(), value: row.value.clone(), version: Revision(row.version) })
             .collect();
-        let more = items.len() > size;
+        let truncated = items.len() > size;
         items.truncate(size);
-        StoreResponse::Page(Page { items, truncated: more, revision: Revision(self.revision) })
+        StoreResponse::Page(Page { items, truncated, revision: Revision(self.revision) })
     }
 
     fn changes_after(&self, after: Revision) -> StoreResponse {
