--- /dev/null
+++ b/tests/simulator/workers.rs
@@ -0,0 +1,210 @@
+//! The workers: one on each rented machine, with a lease that it renews by heartbeats and tasks
+//! that run and end. Their heartbeats stand in `worker_heartbeats`.
+
+use super::events::ScheduledEvent;
+use super::faults::FaultWindow;
+use super::SimulatedCluster;
+use std::collections::BTreeMap;
+use tillercleat::coordination::Response;
+use tillercleat::protocol::workers::{Command, ExitReason, TaskName, TaskState};
+use tillercleat::units::{Attempt, JobId, MachineId};
+
+/// How long a task runs that fails (milliseconds).
+const FAILING_RUN_MS: u64 = 1000;
+/// How long a task of an unknown job runs (milliseconds).
+const UNKNOWN_RUN_MS: u64 = 1000;
+/// A task takes at least this much of its estimate, and up to so much more (percent).
+const MIN_RUN_PERCENT: u64 = 80;
+const RUN_SPREAD_PERCENT: u64 = 60;
+
+/// A task on a worker, until the worker is told to forget it.
+pub(super) struct WorkerTask {
+    pub(super) attempt: Attempt,
+    pub(super) state: TaskState,
+    pub(super) exit_reason: Option<ExitReason>,
+    /// When it ends by itself (milliseconds).
+    pub(super) ends_at: u64,
+}
+
+impl WorkerTask {
+    pub(super) fn is_running(&self) -> bool {
+        self.state != TaskState::Exited
+    }
+}
+
+/// A heartbeat that has got no answer yet.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct HeartbeatInFlight {
+    pub(super) number: u64,
+    pub(super) sent_at: u64,
+}
+
+/// A controller's answer on its way to a worker.
+pub(super) struct WorkerAnswer {
+    pub(super) worker: usize,
+    /// The number of the heartbeat that it answers.
+    pub(super) number: u64,
+    /// The worker's epoch when it was sent.
+    pub(super) agent_epoch: u64,
+    pub(super) response: Response,
+}
+
+/// A worker and its machine. Times are in milliseconds.
+pub(super) struct Worker {
+    pub(super) name: MachineId,
+    pub(super) kind: String,
+    pub(super) zone: usize,
+    pub(super) spot: bool,
+    pub(super) rented_at: u64,
+    pub(super) up_at: u64,
+    /// The machine is rented, and not lost.
+    pub(super) alive: bool,
+    pub(super) hung_until: u64,
+    /// Until then no answer reaches it.
+    pub(super) downlink_lost_until: u64,
+    /// Until then it reaches no controller.
+    pub(super) uplink_lost_until: u64,
+    pub(super) delayed_answers: FaultWindow,
+    /// Fails every task.
+    pub(super) faulty: bool,
+    pub(super) agent_epoch: u64,
+    pub(super) heartbeat_number: u64,
+    pub(super) token: u64,
+    /// The node that it sends its heartbeats to.
+    pub(super) node: usize,
+    /// Since when its lease counts.
+    pub(super) lease_from: u64,
+    pub(super) tasks: BTreeMap<TaskName, WorkerTask>,
+    pub(super) in_flight: Option<HeartbeatInFlight>,
+}
+
+impl Worker {
+    /// The machine is gone, with all that ran on it.
+    pub(super) fn die(&mut self) {
+        self.alive = false;
+        self.tasks.clear();
+    }
+
+    pub(super) fn runs(&self, task: &TaskName) -> bool {
+        self.tasks.get(task).is_some_and(WorkerTask::is_running)
+    }
+
+    /// How many tasks of a job run on it.
+    pub(super) fn running_tasks_of(&self, job: &JobId) -> usize {
+        self.tasks.iter().filter(|(name, task)| name.job == *job && task.is_running()).count()
+    }
+
+    fn has_attempt(&self, task: &TaskName, attempt: Attempt) -> bool {
+        self.tasks.get(task).is_some_and(|on_worker| on_worker.attempt == attempt)
+    }
+
+    /// The worker kills its tasks and begins a new epoch.
+    fn lose_lease(&mut self, now: u64) {
+        self.agent_epoch += 1;
+        self.lease_from = now;
+        self.tasks.clear();
+    }
+}
+
+impl SimulatedCluster {
+    pub(super) fn add_worker(&mut self, kind: String, zone: usize, spot: bool, up_at: u64) -> MachineId {
+        let index = self.workers.len();
+        let name = MachineId::new(&format!("i-{index:06}"));
+        let node = self.random_node();
+        self.workers.push(Worker {
+            name: name.clone(),
+            kind,
+            zone,
+            spot,
+            rented_at: self.now,
+            up_at,
+            alive: true,
+            hung_until: 0,
+            downlink_lost_until: 0,
+            uplink_lost_until: 0,
+            delayed_answers: FaultWindow::default(),
+            faulty: false,
+            agent_epoch: 1,
+            heartbeat_number: 0,
+            token: 0,
+            node,
+            lease_from: up_at,
+            tasks: BTreeMap::new(),
+            in_flight: None,
+        });
+        self.schedule(up_at, ScheduledEvent::HeartbeatDue { worker: index });
+        name
+    }
+
+    /// Lets a worker's time pass up to now: its lease may run out, and tasks end.
+    pub(super) fn advance_worker(&mut self, index: usize) {
+        let now = self.now;
+        let worker = &mut self.workers[index];
+        if now > worker.lease_from + self.config.lease_ms {
+            worker.lose_lease(now);
+        }
+        if now < worker.hung_until {
+            // A hanging worker carries out nothing, but its lease runs out.
+            return;
+        }
+        let faulty = worker.faulty;
+        for (name, task) in worker.tasks.iter_mut().filter(|(_, task)| task.is_running() && task.ends_at <= now) {
+            task.state = TaskState::Exited;
+            self.checks.note_ended_task(now, index, &name.job);
+            if faulty || self.failing_jobs.contains(&name.job) {
+                task.exit_reason = Some(ExitReason::Error);
+                continue;
+            }
+            task.exit_reason = Some(ExitReason::Done);
+            if let Some(job) = self.jobs.get_mut(&name.job) {
+                job.finished_tasks.insert(name.index);
+                self.statistics.last_completion = now;
+            }
+        }
+    }
+
+    /// Does what a controller tells a worker to do.
+    pub(super) fn execute_command(&mut self, index: usize, command: Command) {
+        let worker = &mut self.workers[index];
+        match command {
+            Command::Start { task, attempt } if worker.has_attempt(&task, attempt) => {}
+            Command::Start { task, attempt } => self.start_task(index, task, attempt),
+            Command::Stop { task, attempt, .. } => {
+                let stopped = worker.tasks.get_mut(&task).filter(|on_worker| on_worker.attempt == attempt);
+                if let Some(on_worker) = stopped.filter(|on_worker| on_worker.is_running()) {
+                    on_worker.state = TaskState::Exited;
+                    on_worker.exit_reason = Some(ExitReason::Stopped);
+                }
+            }
+            Command::Forget { task, attempt } => {
+                if worker.has_attempt(&task, attempt) {
+                    worker.tasks.remove(&task);
+                }
+            }
+        }
+    }
+
+    fn start_task(&mut self, index: usize, task: TaskName, attempt: Attempt) {
+        self.check_start(index, &task);
+        let ends_at = self.end_of_run(index, &task.job);
+        let started = WorkerTask { attempt, state: TaskState::Running, exit_reason: None, ends_at };
+        let job = task.job.clone();
+        self.workers[index].tasks.insert(task, started);
+        if self.cancel_at_completion.hits(self.now, &mut self.random) {
+            self.schedule_cancel_at_completion(&job);
+        }
+    }
+
+    /// When a task of a job ends that this worker starts now. Tasks of services never do.
+    fn end_of_run(&mut self, index: usize, job: &JobId) -> u64 {
+        let run_ms = self.jobs.get(job).map_or(UNKNOWN_RUN_MS, |job| (job.spec.estimated_run_s * 1000.0) as u64);
+        let percent = MIN_RUN_PERCENT + self.random.below(RUN_SPREAD_PERCENT);
+        if run_ms == 0 {
+            u64::MAX
+        } else if self.workers[index].faulty || self.failing_jobs.contains(job) {
+            self.now + FAILING_RUN_MS
+        } else {
+            self.now + run_ms * percent / 100
+        }
+    }
+}
