--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -38,7 +38,7 @@
         let waiting: Vec<(&JobId, &Job)> = jobs().filter(|(_, job)| waits(job)).collect();
         let mut unplaceable_services = BTreeMap::new();
         if !waiting.is_empty() {
-            let mut capacity = self.available_capacity();
+            let capacity = self.available_capacity();
             for (id, job) in waiting {
                 let Some(shard) = job.shard_of(0) else { continue };
                 let zones = self.open_zones(job);
