--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,4 +1,7 @@
-//! What users send and receive.
+//! Messages of users: submissions and the status of jobs.
+//!
+//! The protocol's words stand here only, as serde renames and in the reasons that users read. `transport` parses
+//! submissions with [`JobSpec::parse`]; `storage` keeps a [`JobSpec`] in each job's record.
 
 use crate::units::JobId;
 use serde::de::IgnoredAny;
@@ -107,6 +110,27 @@
     pub reason: String,
 }
 
+/// What is wrong with a submission, in the words of its fields on the wire.
+#[derive(Debug, thiserror::Error)]
+enum SubmissionError {
+    #[error("the body is not an object")]
+    NotAnObject,
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("ref is not a job id")]
+    NotAJobId,
+    #[error("awaits names what is not a job id")]
+    DependencyNotAJobId,
+    #[error("{0} is out of range")]
+    OutOfRange(&'static str),
+    #[error("{0} is empty or too long")]
+    EmptyOrTooLong(&'static str),
+    #[error("hulls or berth is too long")]
+    PlacementTooLong,
+    #[error("the tasks take nothing")]
+    NoResources,
+}
+
 /// A list of job ids or null.
 fn job_ids<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     let mut refs = Option::<Vec<JobId>>::deserialize(deserializer)?.unwrap_or_default();
@@ -139,56 +163,56 @@
 impl JobSpec {
     /// Reads and checks a submission; the error has a short reason for its user.
     pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
-        JobSpec::read(body).map_err(|mut reason| {
+        JobSpec::read(body).map_err(|error| {
+            let mut reason = error.to_string();
             reason.truncate(reason.char_indices().nth(160).map_or(reason.len(), |(at, _)| at));
             let named = serde_json::from_slice::<Named>(body).ok().map(|named| named.id);
             Malformed { id: named.filter(|id| is_valid_job_id(id.as_str())), reason }
         })
     }
 
-    fn read(body: &[u8]) -> Result<JobSpec, String> {
-        // A struct would be read from a list of its fields' values too.
+    fn read(body: &[u8]) -> Result<JobSpec, SubmissionError> {
+        // serde would read a struct from a list of its fields' values too.
         if body.iter().find(|byte| !byte.is_ascii_whitespace()) != Some(&b'{') {
-            return Err("the body is not an object".into());
+            return Err(SubmissionError::NotAnObject);
         }
-        let invalid = |error: serde_json::Error| error.to_string();
-        let spec: JobSpec = serde_json::from_slice(body).map_err(invalid)?;
-        serde_json::from_slice::<Required>(body).map_err(invalid)?;
+        let spec: JobSpec = serde_json::from_slice(body)?;
+        serde_json::from_slice::<Required>(body)?;
         spec.check()?;
         Ok(spec)
     }
 
-    fn check(&self) -> Result<(), String> {
-        let amount = |name: &str, value: f64, least: f64| {
+    fn check(&self) -> Result<(), SubmissionError> {
+        let amount = |name: &'static str, value: f64, least: f64| {
             if value.is_finite() && value >= least && value < 1e9 {
                 Ok(())
             } else {
-                Err(format!("{name} is out of range"))
+                Err(SubmissionError::OutOfRange(name))
             }
         };
         if !is_valid_job_id(self.id.as_str()) {
-            return Err("ref is not a job id".into());
+            return Err(SubmissionError::NotAJobId);
         }
         if self.dependencies.iter().any(|name| !is_valid_job_id(name.as_str())) {
-            return Err("awaits names what is not a job id".into());
+            return Err(SubmissionError::DependencyNotAJobId);
         }
         if self.task_count == 0 || self.task_count > MAX_TASKS {
-            return Err("loads is out of range".into());
+            return Err(SubmissionError::OutOfRange("loads"));
         }
         for (name, text) in [("haul", &self.class), ("crew", &self.team), ("kit", &self.image)] {
             if text.is_empty() || text.len() > 128 {
-                return Err(format!("{name} is empty or too long"));
+                return Err(SubmissionError::EmptyOrTooLong(name));
             }
         }
         let named = self.types.iter().flatten().chain(self.zone.iter());
         if named.clone().any(|n| n.len() > 128) || named.count() > 65 {
-            return Err("hulls or berth is too long".into());
+            return Err(SubmissionError::PlacementTooLong);
         }
         amount("cores", self.cpus, 0.0)?;
         amount("gpus", self.gpus, 0.0)?;
         amount("mem_gb", self.mem_gb, 0.0)?;
         if self.cpus + self.gpus + self.mem_gb <= 0.0 {
-            return Err("the tasks take nothing".into());
+            return Err(SubmissionError::NoResources);
         }
         amount("image_gb", self.image_gb, 0.0)?;
         amount("reckon_s", self.estimated_run_s, 0.0)?;
