--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -7,22 +7,30 @@
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Deserializer, Serialize};
 
+/// How much a job matters, the least first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// Runs on what is left over.
     #[serde(rename = "idle")]
     Low,
+    /// The usual priority.
     #[serde(rename = "normal")]
     Normal,
+    /// Before usual work.
     #[serde(rename = "high")]
     High,
+    /// Before all other work.
     #[serde(rename = "critical")]
     Critical,
 }
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
+    /// Tasks that are independent of one another.
     #[serde(rename = "array")]
     Array,
+    /// A service: replicas that never end by themselves.
     #[serde(rename = "standing")]
     Standing,
     /// Tasks that start together or not at all.
@@ -34,42 +42,62 @@
 /// earlier version left out has a default; see `JobSpec::parse` for submissions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Its unique id, chosen by its user.
     #[serde(rename = "ref")]
     pub id: JobId,
+    /// The class, which objectives and estimates go by.
     #[serde(rename = "haul")]
     pub class: String,
+    /// The team that it belongs to.
     #[serde(rename = "crew")]
     pub team: String,
+    /// How its tasks belong together.
     #[serde(rename = "rig")]
     pub kind: JobKind,
+    /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// How many tasks it has, at most [`MAX_TASKS`].
     #[serde(rename = "loads")]
     pub task_count: u32,
+    /// Processor cores of a task.
     #[serde(rename = "cores")]
     pub cpus: f64,
+    /// Graphics processors of a task.
     #[serde(default)]
     pub gpus: f64,
+    /// Memory of a task in gigabytes.
     pub mem_gb: f64,
+    /// The container image of its tasks.
     #[serde(rename = "kit")]
     pub image: String,
+    /// The size of the image in gigabytes.
     pub image_gb: f64,
+    /// The machine types that its tasks may run on; none: any.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The availability zone that its tasks must run in; none: any.
     #[serde(rename = "berth", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks must run in the same zone.
     #[serde(default)]
     pub one_zone: bool,
+    /// The tasks must be spread over zones, at most half of them in one.
     #[serde(default)]
     pub apart: bool,
+    /// Its tasks may run on spot machines.
     #[serde(rename = "driftwood", default)]
     pub spot_allowed: bool,
+    /// How long a task is estimated to run, in seconds.
     #[serde(rename = "reckon_s")]
     pub estimated_run_s: f64,
+    /// How often a task saves a checkpoint, in seconds; 0: never.
     #[serde(rename = "mark_s", default)]
     pub checkpoint_interval_s: f64,
+    /// How long saving a checkpoint takes when the task is stopped, in seconds.
     #[serde(rename = "stow_s", default)]
     pub checkpoint_save_s: f64,
+    /// By when it should be done, in seconds from its acceptance; none: no deadline.
     #[serde(rename = "tide_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each once.
@@ -95,18 +123,19 @@
     _save_s: IgnoredAny,
 }
 
-/// What of a submission that is no valid one tells which job it is about.
+/// The part of a malformed submission that names its job.
 #[derive(Deserialize)]
 struct Named {
     #[serde(rename = "ref")]
     id: JobId,
 }
 
-/// Why a submission is no valid one, and the job that it names if that can be
-/// read: one that was accepted before stays known, whatever its repeat says.
+/// A malformed submission. A job that was accepted before stays known, whatever its repeated submission says.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Malformed {
+    /// The job that it names, if that can be read and is a job id.
     pub id: Option<JobId>,
+    /// What is wrong with it, shortened, for its user.
     pub reason: String,
 }
 
@@ -139,33 +168,40 @@
     Ok(refs)
 }
 
+/// The longest reason that a user gets, in characters.
+const MAX_REASON_CHARS: usize = 160;
+
 /// The most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
 
 const JOB_ID_PREFIX: &str = "wk-";
 
-/// What a job's id has after the prefix that all of them share.
+/// The part of a job's id after the prefix that all ids share.
 pub fn job_id_suffix(id: &JobId) -> &str {
     id.as_str().strip_prefix(JOB_ID_PREFIX).unwrap_or(id.as_str())
 }
 
-/// The id that has this after its prefix.
+/// The job id with this part after the prefix.
 pub fn job_id_from_suffix(rest: &str) -> JobId {
     JobId::new(&format!("{JOB_ID_PREFIX}{rest}"))
 }
 
-/// Ids are `wk-` and digits; anything else was never accepted.
+/// True for a text that may be a job id: the prefix and up to 40 ASCII letters and digits.
 pub fn is_valid_job_id(text: &str) -> bool {
     text.strip_prefix(JOB_ID_PREFIX)
         .is_some_and(|rest| !rest.is_empty() && rest.len() <= 40 && rest.bytes().all(|b| b.is_ascii_alphanumeric()))
 }
 
 impl JobSpec {
-    /// Reads and checks a submission; the error has a short reason for its user.
+    /// Parses and checks a submission.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed`] if it is no JSON object, lacks a field, or has a value of the wrong type or out of range.
     pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
         JobSpec::read(body).map_err(|error| {
             let mut reason = error.to_string();
-            reason.truncate(reason.char_indices().nth(160).map_or(reason.len(), |(at, _)| at));
+            reason.truncate(reason.char_indices().nth(MAX_REASON_CHARS).map_or(reason.len(), |(at, _)| at));
             let named = serde_json::from_slice::<Named>(body).ok().map(|named| named.id);
             Malformed { id: named.filter(|id| is_valid_job_id(id.as_str())), reason }
         })
@@ -224,32 +260,42 @@
         Ok(())
     }
 
-    /// True if all tasks must be decided on in one place.
+    /// True if all tasks must be placed together, by the owner of one shard.
     pub fn whole(&self) -> bool {
         self.one_zone || self.apart || self.kind != JobKind::Array
     }
 }
 
+/// The state of a job, as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// No task runs.
     #[serde(rename = "queued")]
     Queued,
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done.
     #[serde(rename = "done")]
     Done,
+    /// It was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
+/// The answer to a submission, a query or a cancellation.
 #[derive(Debug, Serialize)]
 pub struct JobStatus<'a> {
+    /// The job.
     #[serde(rename = "ref")]
     pub id: &'a JobId,
+    /// Its state.
     #[serde(rename = "trim")]
     pub state: JobState,
+    /// How many of its tasks are done, if that is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// How many of its tasks run, if that is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
