--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -128,7 +128,7 @@
         // Headroom for what must start at once, in every shard.
         if let Some(group) = groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus)) {
             let each = group.cpus / f64::from(self.shard_count);
-            group.cpus += self.reserve(each) * f64::from(self.shard_count);
+            group.cpus += self.quick_start_reserve_cpus(each) * f64::from(self.shard_count);
         }
         let mut demand: Vec<Demand> = groups.into_values().filter(|d| d.cpus > 0.0).collect();
         demand.extend(self.unplaceable_demand());
--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -86,7 +86,7 @@
         }
         // The worker's next report may come a whole pause and a quarter after the
         // answer: it must not count as silent by then.
-        let before_silence = self.quiet().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
+        let before_silence = self.heartbeat_overdue_after().0 as f64 - 1.25 * report_ms - MARGIN.0 as f64;
         let within = |most: Millis| Millis(most.0.min((report_ms * SHARE).min(before_silence).max(0.0) as u64));
         let lives = heartbeat.tasks.iter().any(|t| t.state != TaskState::Exited);
         let usable = machine.acked
--- a/src/coordination/scheduling/capacity_timeline.rs
+++ b/src/coordination/scheduling/capacity_timeline.rs
@@ -1,70 +1,87 @@
-//! When a machine has room: what is free now, and what comes free when.
+//! What a machine has free now, and what comes free when.
+//!
+//! Each candidate machine of a scheduling cycle owns one timeline, filled from the tasks on
+//! the machine. The cycle reserves capacity on it for the tasks it places or lets wait. It
+//! is a plan that is forgotten with the cycle: nothing is started or stopped here.
 
 use crate::coordination::scheduling::resources::Resources;
 
+/// A change of the free capacity.
+#[derive(Debug, Clone)]
+struct CapacityChange {
+    /// When, in seconds from now.
+    at_s: f64,
+    /// What is freed, or, if negative, taken by a reservation.
+    freed: Resources,
+}
+
+/// The free capacity of one machine over time.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Openings {
+pub(crate) struct CapacityTimeline {
+    /// What is free now.
     pub free: Resources,
-    /// What is freed (or, if negative, booked) from when on; times rising.
-    steps: Vec<(f64, Resources)>,
-    /// Steps up to the last one that books: after it, room only grows.
-    booked: usize,
+    /// Later changes, in the order of time once `sort_changes` has run.
+    changes: Vec<CapacityChange>,
+    /// Number of changes up to the last one that takes capacity: after them, what is free
+    /// only grows.
+    changes_until_growth: usize,
 }
 
-impl Openings {
-    pub fn new(free: Resources) -> Openings {
-        Openings { free, steps: vec![], booked: 0 }
+impl CapacityTimeline {
+    /// The timeline of a machine that has so much and runs nothing.
+    pub fn new(free: Resources) -> CapacityTimeline {
+        CapacityTimeline { free, changes: vec![], changes_until_growth: 0 }
     }
 
-    /// Takes what a task on the machine holds, until it ends. After the last
-    /// of them comes `settle`.
-    pub fn hold(&mut self, need: &Resources, until: Option<f64>) {
+    /// Takes what a task on the machine holds, for `remaining_s` seconds or, if that is
+    /// none, for ever. After the last of these calls comes `sort_changes`.
+    pub fn add_task(&mut self, need: &Resources, remaining_s: Option<f64>) {
         self.free -= *need;
-        if let Some(at) = until {
-            self.steps.push((at, *need));
+        if let Some(at_s) = remaining_s {
+            self.changes.push(CapacityChange { at_s, freed: *need });
         }
     }
 
-    /// Puts what was held in the order of time, once for all of it.
-    pub fn settle(&mut self) {
-        self.steps.sort_by(|a, b| a.0.total_cmp(&b.0));
+    /// Sorts the changes by time, once for all tasks that were added.
+    pub fn sort_changes(&mut self) {
+        self.changes.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
 
-    /// Time from which there is room for good; none if never. Room that frees
-    /// but is booked is not room: promised to every waiting task, one core
-    /// would keep them all from machines that stand idle.
-    pub fn wait(&self, need: &Resources) -> Option<f64> {
+    /// Seconds until `need` is free and stays free; none if it never is.
+    ///
+    /// Capacity that comes free but is reserved does not count. When it did, one core was
+    /// promised to all waiting tasks, which kept them from machines that stood idle.
+    pub fn wait_s(&self, need: &Resources) -> Option<f64> {
         let mut free = self.free;
-        let mut since = need.fits_into(&free).then_some(0.0);
-        for (place, (at, freed)) in self.steps.iter().enumerate() {
-            if since.is_some() && place >= self.booked {
+        let mut free_since_s = need.fits_into(&free).then_some(0.0);
+        for (index, change) in self.changes.iter().enumerate() {
+            if free_since_s.is_some() && index >= self.changes_until_growth {
                 break;
             }
-            free += *freed;
-            since = if need.fits_into(&free) { since.or(Some(*at)) } else { None };
+            free += change.freed;
+            free_since_s = if need.fits_into(&free) { free_since_s.or(Some(change.at_s)) } else { None };
         }
-        since
+        free_since_s
     }
 
-    /// Books room from when there is some.
-    pub fn book(&mut self, need: &Resources, wait: f64, until: f64) {
-        if wait > 0.0 {
-            // Taken from when it is free: what is free now stays so.
-            self.step(wait, -*need);
+    /// Reserves `need` from `start_s` until `end_s`, both in seconds from now. A reservation
+    /// that starts later leaves what is free now as it is.
+    pub fn reserve(&mut self, need: &Resources, start_s: f64, end_s: f64) {
+        if start_s > 0.0 {
+            self.insert_change(start_s, -*need);
         } else {
             self.free -= *need;
         }
-        self.step(until, *need);
+        self.insert_change(end_s, *need);
     }
 
-    fn step(&mut self, at: f64, freed: Resources) {
-        let place = self.steps.partition_point(|(t, _)| *t <= at);
-        self.steps.insert(place, (at, freed));
+    fn insert_change(&mut self, at_s: f64, freed: Resources) {
+        let index = self.changes.partition_point(|change| change.at_s <= at_s);
+        self.changes.insert(index, CapacityChange { at_s, freed });
         if freed.any_negative() {
-            self.booked = self.booked.max(place);
-            self.booked += 1;
-        } else if place < self.booked {
-            self.booked += 1;
+            self.changes_until_growth = self.changes_until_growth.max(index) + 1;
+        } else if index < self.changes_until_growth {
+            self.changes_until_growth += 1;
         }
     }
 }
--- a/src/coordination/scheduling/lifetimes.rs
+++ b/src/coordination/scheduling/lifetimes.rs
@@ -1,39 +1,61 @@
-//! How long machines of a kind live: the history behind P_c.
+//! How long machines of one kind live: a survival curve estimated from those seen.
+//!
+//! The fleet's estimates keep one history for each machine type, zone and spot or not, and
+//! one for provisioning times; scoring asks them. Knows no single machine and no clock: ages
+//! come from the callers. See docs/DESIGN.md for why this estimate is used.
 
 use std::collections::VecDeque;
 
-/// Lifetimes kept per kind and zone.
+/// The most ended lives that a history keeps; the oldest is forgotten first.
 pub const WINDOW: usize = 200;
 
-/// One machine's life: its length, and whether its end was a loss. Machines
-/// still up or given back only show that they survived so long.
+/// Rounding errors by which a share of one half may be exceeded.
+const SHARE_TOLERANCE: f64 = 1e-9;
+
+/// The life of one machine, as far as it was seen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Lifetime {
+    /// Age in seconds at which it was lost or last seen.
     pub age_s: f64,
+    /// The machine was lost. If not, it was given back or is still up: the life is censored,
+    /// and shows only that it lasted so long.
     pub lost: bool,
 }
 
-/// Survival of machines, estimated as Kaplan and Meier do, so that censored
-/// lives count for as long as they were watched and no longer.
+/// The lives of similar machines and the Kaplan-Meier estimate of their survival, in which
+/// censored lives count for as long as they were seen and no longer.
 #[derive(Debug, Clone, Default)]
 pub struct LifetimeHistory {
     ended: VecDeque<Lifetime>,
-    /// Ages at which lives were lost, rising.
-    steps: Vec<Step>,
-    longest: f64,
+    /// The curve: one step for each lost life, by rising age.
+    steps: Vec<SurvivalStep>,
+    /// The highest age of any life, in seconds.
+    longest_s: f64,
 }
 
-/// The curve at an age at which a life was lost.
+/// The survival curve from the age at which one life was lost.
 #[derive(Debug, Clone, Copy)]
-struct Step {
+struct SurvivalStep {
     age_s: f64,
-    /// The share that survives beyond it.
+    survival: SurvivalPoint,
+}
+
+/// A point of the survival curve.
+#[derive(Debug, Clone, Copy)]
+struct SurvivalPoint {
+    /// The share of machines that survive it: P(X > age).
     share: f64,
-    /// Sum of the shares lost so far, each times the age at which it was.
-    lost_ages: f64,
+    /// The shares lost until then, each times the age of its loss, summed: E(X; X <= age).
+    lost_ages_s: f64,
+}
+
+impl SurvivalPoint {
+    /// Before the first loss.
+    const START: SurvivalPoint = SurvivalPoint { share: 1.0, lost_ages_s: 0.0 };
 }
 
 impl LifetimeHistory {
+    /// Adds a life that has ended. The curve follows with the next `rebuild`.
     pub fn add(&mut self, life: Lifetime) {
         if self.ended.len() == WINDOW {
             self.ended.pop_front();
@@ -41,66 +63,71 @@
         self.ended.push_back(life);
     }
 
-    /// Rebuilds the curve from the ended lives and the ages of machines still up.
-    pub fn rebuild(&mut self, still_up: &[f64]) {
+    /// Rebuilds the curve from the ended lives and the ages in seconds of machines still up.
+    pub fn rebuild(&mut self, ages_still_up_s: &[f64]) {
         let mut lives: Vec<Lifetime> = self.ended.iter().copied().collect();
-        lives.extend(still_up.iter().map(|&age_s| Lifetime { age_s, lost: false }));
+        lives.extend(ages_still_up_s.iter().map(|&age_s| Lifetime { age_s, lost: false }));
         lives.sort_by(|a, b| a.age_s.total_cmp(&b.age_s));
-        self.longest = lives.last().map_or(0.0, |l| l.age_s);
+        self.longest_s = lives.last().map_or(0.0, |life| life.age_s);
         self.steps.clear();
-        let (mut share, mut lost_ages) = (1.0, 0.0);
-        let total = lives.len();
-        for (before, life) in lives.iter().enumerate() {
-            if life.lost {
-                let left = share * (1.0 - 1.0 / (total - before) as f64);
-                lost_ages += (share - left) * life.age_s;
-                share = left;
-                self.steps.push(Step { age_s: life.age_s, share, lost_ages });
-            }
+        let SurvivalPoint { mut share, mut lost_ages_s } = SurvivalPoint::START;
+        for (index, life) in lives.iter().enumerate().filter(|(_, life)| life.lost) {
+            let at_risk = lives.len() - index;
+            let share_left = share * (1.0 - 1.0 / at_risk as f64);
+            lost_ages_s += (share - share_left) * life.age_s;
+            share = share_left;
+            self.steps.push(SurvivalStep { age_s: life.age_s, survival: SurvivalPoint { share, lost_ages_s } });
         }
     }
 
-    /// The age that half do not outlast, or, if more outlast all that ended,
-    /// the highest age at which one did; none if none did.
+    /// The age in seconds that half do not outlast, or, if more outlast all that were lost,
+    /// the highest age at which one was; none if none was.
     pub fn median(&self) -> Option<f64> {
-        let half = self.steps.iter().find(|step| step.share <= 0.5 + 1e-9);
+        let half = self.steps.iter().find(|step| step.survival.share <= 0.5 + SHARE_TOLERANCE);
         half.or(self.steps.last()).map(|step| step.age_s)
     }
 
-    /// Share surviving and sum of lost ages after so many steps.
-    fn after(&self, steps: usize) -> (f64, f64) {
-        steps.checked_sub(1).map_or((1.0, 0.0), |last| (self.steps[last].share, self.steps[last].lost_ages))
-    }
-
-    /// P(X > age).
-    fn survival(&self, age: f64) -> f64 {
-        self.after(self.steps.partition_point(|step| step.age_s <= age)).0
-    }
-
-    /// P(X > e + d | X > e); 1 with no history, or at an age past every lifetime.
-    pub fn outlasts(&self, e: f64, d: f64) -> f64 {
-        if self.steps.is_empty() || e >= self.longest {
+    /// P(X > e + d given X > e): the probability that a machine of the age `age_s` lives
+    /// `run_s` longer. 1 with no history, or at an age past every lifetime seen.
+    pub fn survival_probability(&self, age_s: f64, run_s: f64) -> f64 {
+        if self.steps.is_empty() || age_s >= self.longest_s {
             return 1.0;
         }
-        let now = self.survival(e);
-        if now <= 0.0 {
+        let share_now = self.point_at(age_s).share;
+        if share_now <= 0.0 {
             return 1.0;
         }
-        self.survival(e + d) / now
+        self.point_at(age_s + run_s).share / share_now
     }
 
-    /// E(X - e | e < X < e + d): the time a loss within the task's run wastes.
-    pub fn wasted(&self, e: f64, d: f64) -> f64 {
-        let (before, ages_before) = self.after(self.steps.partition_point(|step| step.age_s <= e));
-        let (beyond, ages_beyond) = self.after(self.steps.partition_point(|step| step.age_s < e + d));
-        let mass = before - beyond;
-        if mass > 0.0 {
+    /// E(X - e given e < X < e + d): the seconds that a task has run when its machine, of the
+    /// age `age_s` at its start, is lost within `run_s`. Half the run time if none was ever
+    /// lost at such an age.
+    pub fn expected_loss_s(&self, age_s: f64, run_s: f64) -> f64 {
+        let start = self.point_at(age_s);
+        let end = self.point_before(age_s + run_s);
+        let lost_share = start.share - end.share;
+        if lost_share > 0.0 {
             // Rounding must not lead beyond what the definition allows.
-            ((ages_beyond - ages_before) / mass - e).clamp(0.0, d)
+            ((end.lost_ages_s - start.lost_ages_s) / lost_share - age_s).clamp(0.0, run_s)
         } else {
-            d / 2.0
+            run_s / 2.0
         }
     }
+
+    /// The curve at an age, losses at that age included.
+    fn point_at(&self, age_s: f64) -> SurvivalPoint {
+        self.point_after(self.steps.partition_point(|step| step.age_s <= age_s))
+    }
+
+    /// The curve at an age, without losses at that age.
+    fn point_before(&self, age_s: f64) -> SurvivalPoint {
+        self.point_after(self.steps.partition_point(|step| step.age_s < age_s))
+    }
+
+    fn point_after(&self, steps: usize) -> SurvivalPoint {
+        steps.checked_sub(1).map_or(SurvivalPoint::START, |last| self.steps[last].survival)
+    }
 }
 
 #[cfg(test)]
--- a/src/coordination/scheduling/lifetimes/tests.rs
+++ b/src/coordination/scheduling/lifetimes/tests.rs
@@ -10,40 +10,40 @@
 }
 
 #[test]
-fn four_losses_by_hand() {
-    let h = history(&[10.0, 20.0, 30.0, 40.0], &[]);
-    assert!((h.outlasts(0.0, 25.0) - 0.5).abs() < 1e-9);
+fn four_losses_give_the_values_worked_out_by_hand() {
+    let history = history(&[10.0, 20.0, 30.0, 40.0], &[]);
+    assert!((history.survival_probability(0.0, 25.0) - 0.5).abs() < 1e-9);
     // Of the three that reach 10, two outlast 25.
-    assert!((h.outlasts(10.0, 15.0) - 2.0 / 3.0).abs() < 1e-9);
+    assert!((history.survival_probability(10.0, 15.0) - 2.0 / 3.0).abs() < 1e-9);
     // Losses at 10 and 20 waste 15 on average.
-    assert!((h.wasted(0.0, 25.0) - 15.0).abs() < 1e-9);
+    assert!((history.expected_loss_s(0.0, 25.0) - 15.0).abs() < 1e-9);
 }
 
 #[test]
-fn edges_give_certainty() {
-    assert_eq!(LifetimeHistory::default().outlasts(5.0, 100.0), 1.0);
-    assert_eq!(history(&[10.0], &[]).outlasts(11.0, 5.0), 1.0);
+fn without_history_or_past_every_lifetime_survival_is_certain() {
+    assert_eq!(LifetimeHistory::default().survival_probability(5.0, 100.0), 1.0);
+    assert_eq!(history(&[10.0], &[]).survival_probability(11.0, 5.0), 1.0);
 }
 
 #[test]
-fn machines_still_up_raise_the_odds() {
-    let without = history(&[10.0, 20.0], &[]).outlasts(0.0, 15.0);
-    let with = history(&[10.0, 20.0], &[50.0, 60.0]).outlasts(0.0, 15.0);
+fn machines_still_up_raise_the_survival_probability() {
+    let without = history(&[10.0, 20.0], &[]).survival_probability(0.0, 15.0);
+    let with = history(&[10.0, 20.0], &[50.0, 60.0]).survival_probability(0.0, 15.0);
     assert!(with > without);
 }
 
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn a_chance_is_a_chance_and_falls_with_length(
+    fn survival_is_a_probability_that_falls_with_run_time(
         lost in proptest::collection::vec(0.1f64..500.0, 0..300),
         up in proptest::collection::vec(0.1f64..500.0, 0..40),
         e in 0.0f64..600.0, d in 0.0f64..300.0, more in 0.0f64..100.0,
     ) {
-        let h = history(&lost, &up);
-        let p = h.outlasts(e, d);
+        let history = history(&lost, &up);
+        let p = history.survival_probability(e, d);
         proptest::prop_assert!((0.0..=1.0).contains(&p));
-        proptest::prop_assert!(h.outlasts(e, d + more) <= p + 1e-12);
-        proptest::prop_assert!(h.wasted(e, d) <= d + 1e-9);
+        proptest::prop_assert!(history.survival_probability(e, d + more) <= p + 1e-12);
+        proptest::prop_assert!(history.expected_loss_s(e, d) <= d + 1e-9);
     }
 }
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -1,4 +1,8 @@
-//! Which jobs wait, in what order they are served, and who is within a guarantee.
+//! Which jobs have pending tasks, in what order they are served, and which are within their
+//! team's guarantee.
+//!
+//! Worked out anew for each scheduling cycle from the state cache; the leader and the fleet
+//! ask for a job's age and allowed time. Nothing is stored here.
 
 use crate::coordination::scheduling::queue_order::{serve_order, QueuedJob};
 use crate::coordination::Core;
@@ -7,114 +11,177 @@
 use crate::storage::names::InternedName;
 use crate::units::JobId;
 use foldhash::fast::FixedState;
+use std::cmp::Reverse;
 use std::collections::HashSet;
 
-/// Where a job stands in the cache, until one is dropped from it: found without
-/// comparing names.
+/// Bounds of the time left that jobs are ordered by, in seconds either way.
+const MAX_TIME_LEFT_S: f64 = 1e6;
+
+/// The share of its work that a task on a machine still has to do, on average.
+const RUNNING_WORK_SHARE: f64 = 0.5;
+
+/// Time that a job without a deadline and without an objective is allowed: this much, and so
+/// many times its estimated run time.
+const DEFAULT_ALLOWED_S: f64 = 600.0;
+const DEFAULT_ALLOWED_RUNS: f64 = 3.0;
+
+/// Of a job's run time, the share after which its first tasks may be complete.
+const SOONEST_COMPLETION_SHARE: f64 = 0.5;
+
+/// Rounding errors by which a guarantee may be exceeded.
+const GUARANTEE_TOLERANCE: f64 = 1e-6;
+
+/// A job's index in the cache: found without comparing names, and valid until a job is
+/// dropped from the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place(pub usize);
+pub(crate) struct CacheIndex(pub usize);
 
-/// Jobs that are asked about often, in no order that means anything.
+/// A set of jobs that is asked often, in no order that means anything.
 pub(crate) type JobSet = HashSet<JobId, FixedState>;
 
-/// Not of a high priority, not within a guarantee, the priority: less first.
-type Precedence = (bool, bool, std::cmp::Reverse<Priority>);
+/// What goes before the time left in the queue's order. Less goes first, the fields compared
+/// in their order.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueRank {
+    below_high_priority: bool,
+    beyond_guarantee: bool,
+    priority: Reverse<Priority>,
+}
+
+/// What the queue knows a job by; jobs that are equal otherwise go by their names.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedJobRef<'a> {
+    id: &'a JobId,
+    index: CacheIndex,
+    /// Tasks of the job are pending in a shard of this node.
+    pending_here: bool,
+}
+
+/// What is left of a team's guarantee; below zero once it is exceeded.
+struct GuaranteeLeft<'a> {
+    team: &'a InternedName,
+    cpus: f64,
+    gpus: f64,
+}
+
+impl GuaranteeLeft<'_> {
+    /// Takes all tasks of a job; true if the guarantee covers them.
+    fn take(&mut self, job: &Job) -> bool {
+        let spec = &job.record.spec;
+        let tasks = f64::from(spec.task_count);
+        self.cpus -= spec.cpus * tasks;
+        self.gpus -= spec.gpus * tasks;
+        self.cpus >= -GUARANTEE_TOLERANCE && self.gpus >= -GUARANTEE_TOLERANCE
+    }
+}
 
 impl Core {
-    /// Jobs with work left, in the order they are served: priority first,
-    /// then work within a guarantee, then the least time to spare. What cannot
-    /// be in time with all that goes before it yields.
-    pub(crate) fn waiting_jobs(&self, guaranteed: &JobSet) -> Vec<Place> {
-        // With its place, and whether tasks of ours wait.
-        let mut queue: Vec<QueuedJob<Precedence, (&JobId, Place, bool)>> = vec![];
-        let mut any_ours = false;
-        for (place, (id, job)) in self.cache.jobs.iter().enumerate() {
+    /// Jobs with tasks pending in shards of this node, in the order they are served: high
+    /// priorities, then work within a guarantee, then the priority, then the least time to
+    /// spare. What cannot be in time with all that goes before it yields.
+    ///
+    /// The jobs of all shards are ordered together, so that all owners agree on what yields.
+    pub(crate) fn pending_queue(&self, guaranteed: &JobSet) -> Vec<CacheIndex> {
+        let mut queue = vec![];
+        let mut any_pending_here = false;
+        for (index, (id, job)) in self.cache.jobs.iter().enumerate() {
             if job.record.end.is_some() || job.record.waits() || self.held_back(id, job) {
                 continue;
             }
-            let ours = job.pending_tasks() > 0;
-            any_ours |= ours;
-            let spec = &job.record.spec;
-            let run_s = self.estimates.run_time(job);
-            let (done, on) = job.counts();
-            let left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * 0.5;
-            queue.push(QueuedJob {
-                rank: (job.priority() < Priority::High, !guaranteed.contains(id), std::cmp::Reverse(job.priority())),
-                left_s: (self.allowed_s(job) - self.age_s(job)).clamp(-1e6, 1e6),
-                run_s,
-                work: left * spec.cpus * run_s,
-                at: job.record.since(),
-                id: (id, Place(place), ours),
-            });
+            let pending_here = job.pending_tasks() > 0;
+            any_pending_here |= pending_here;
+            let job_ref = QueuedJobRef { id, index: CacheIndex(index), pending_here };
+            queue.push(self.queued_job(job_ref, job, guaranteed));
         }
-        if !any_ours {
+        if !any_pending_here {
             return vec![];
         }
         let order = serve_order(queue, self.cluster_cpus());
-        order.into_iter().filter(|(.., ours)| *ours).map(|(_, place, _)| place).collect()
+        order.into_iter().filter(|job| job.pending_here).map(|job| job.index).collect()
+    }
+
+    fn queued_job<'a>(
+        &self,
+        job_ref: QueuedJobRef<'a>,
+        job: &Job,
+        guaranteed: &JobSet,
+    ) -> QueuedJob<QueueRank, QueuedJobRef<'a>> {
+        let spec = &job.record.spec;
+        let run_s = self.estimates.run_time(job);
+        let (done, on) = job.counts();
+        let tasks_left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * RUNNING_WORK_SHARE;
+        QueuedJob {
+            rank: QueueRank {
+                below_high_priority: job.priority() < Priority::High,
+                beyond_guarantee: !guaranteed.contains(job_ref.id),
+                priority: Reverse(job.priority()),
+            },
+            time_left_s: (self.allowed_s(job) - self.age_s(job)).clamp(-MAX_TIME_LEFT_S, MAX_TIME_LEFT_S),
+            run_s,
+            work_cpu_s: tasks_left * spec.cpus * run_s,
+            accepted_at_ms: job.record.since(),
+            id: job_ref,
+        }
     }
 
-    /// Cores of all shards, judged by ours: machines hash to shards evenly.
+    /// Cores of all shards, estimated from those of this node's: machines hash to shards
+    /// evenly.
     fn cluster_cpus(&self) -> f64 {
-        let machines = self.owned_shards.values().flat_map(|m| m.machines.values());
-        let ours: f64 = machines.filter_map(|m| self.catalog.get(&m.kind)).map(|t| t.cpus).sum();
-        ours * f64::from(self.shard_count) / self.owned_shards.len().max(1) as f64
+        let machines = self.owned_shards.values().flat_map(|owned_shard| owned_shard.machines.values());
+        let types = machines.filter_map(|machine| self.catalog.get(&machine.kind));
+        let owned_cpus: f64 = types.map(|machine_type| machine_type.cpus).sum();
+        owned_cpus * f64::from(self.shard_count) / self.owned_shards.len().max(1) as f64
     }
 
-    /// Time since a job was accepted, or since it may start if it waited for
-    /// others, estimated by the time of day.
+    /// Seconds since a job was accepted, or since it may start if it waited for dependencies.
+    /// An estimate: it compares times of day of different machines.
     pub(crate) fn age_s(&self, job: &Job) -> f64 {
         self.time_of_day_ms.saturating_sub(job.record.since()) as f64 / 1000.0
     }
 
-    /// Time a job may take from then, as its user or those that need it say,
-    /// or the nearest of the aims that it can still meet.
+    /// Seconds from then within which a job is to be complete: by its deadline, or else by the
+    /// nearest objective that it can still meet, or by a default; sooner if a job that depends
+    /// on it needs that.
     pub(crate) fn allowed_s(&self, job: &Job) -> f64 {
         let spec = &job.record.spec;
-        let since = job.record.since();
-        let after = |due_ms: u64| (due_ms as f64 - since as f64) / 1000.0;
+        let since_ms = job.record.since();
+        let seconds_after = |due_ms: u64| (due_ms as f64 - since_ms as f64) / 1000.0;
         // A deadline counts from the submission, however long the job waited.
-        let own = spec.deadline_s.map(|deadline| deadline + after(job.record.at));
-        let own = own.unwrap_or_else(|| {
-            let soonest_s = self.age_s(job) + 0.5 * self.estimates.run_time(job);
-            self.objectives.finish_within_s(&job.class, soonest_s).unwrap_or(600.0 + spec.estimated_run_s * 3.0)
+        let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
+        let own_s = deadline_s.unwrap_or_else(|| {
+            let soonest_s = self.age_s(job) + SOONEST_COMPLETION_SHARE * self.estimates.run_time(job);
+            let objective_s = self.objectives.finish_within_s(&job.class, soonest_s);
+            objective_s.unwrap_or(DEFAULT_ALLOWED_S + spec.estimated_run_s * DEFAULT_ALLOWED_RUNS)
         });
-        job.effective_priority
-            .and_then(|effective_priority| effective_priority.due_ms)
-            .map_or(own, |due| own.min(after(due)))
+        let inherited_due_ms = job.effective_priority.and_then(|effective_priority| effective_priority.due_ms);
+        inherited_due_ms.map_or(own_s, |due_ms| own_s.min(seconds_after(due_ms)))
     }
 
-    /// Jobs that fit into their team's guarantee along with its earlier ones.
+    /// Jobs that their team's guarantee covers along with the team's earlier ones.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
-        // A handful of teams: looked through faster than a map.
-        let mut left: Vec<(&InternedName, [f64; 2])> =
-            self.guarantees.iter().map(|(team, cpus, gpus)| (team, [*cpus, *gpus])).collect();
+        let guarantees = self.guarantees.iter();
+        // There are few teams: a list is looked through faster than a map.
+        let mut left: Vec<GuaranteeLeft> =
+            guarantees.map(|(team, cpus, gpus)| GuaranteeLeft { team, cpus: *cpus, gpus: *gpus }).collect();
         if left.is_empty() {
             return JobSet::default();
         }
-        let mut jobs: Vec<(&JobId, &Job)> = self
-            .cache
-            .jobs
-            .iter()
-            .filter(|(id, j)| {
-                j.record.end.is_none()
-                    && !j.record.waits()
-                    && left.iter().any(|(team, _)| **team == j.team)
-                    && !self.suspect(id)
-            })
-            .collect();
+        let may_be_covered = |id: &JobId, job: &Job| {
+            job.record.end.is_none()
+                && !job.record.waits()
+                && left.iter().any(|guarantee| *guarantee.team == job.team)
+                && !self.suspect(id)
+        };
+        let mut jobs: Vec<(&JobId, &Job)> =
+            self.cache.jobs.iter().filter(|(id, job)| may_be_covered(id, job)).collect();
         jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
-        let mut within = JobSet::default();
+        let mut covered = JobSet::default();
         for (id, job) in jobs {
-            let spec = &job.record.spec;
-            let Some((_, room)) = left.iter_mut().find(|(team, _)| **team == job.team) else { continue };
-            let tasks = f64::from(spec.task_count);
-            room[0] -= spec.cpus * tasks;
-            room[1] -= spec.gpus * tasks;
-            if room[0] >= -1e-6 && room[1] >= -1e-6 {
-                within.insert(id.clone());
+            let guarantee = left.iter_mut().find(|guarantee| *guarantee.team == job.team);
+            if guarantee.is_some_and(|guarantee| guarantee.take(job)) {
+                covered.insert(id.clone());
             }
         }
-        within
+        covered
     }
 }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,181 +1,257 @@
-//! Stopping tasks to make room for others: for a higher priority, or so that
-//! a team gets its guarantee.
+//! Preemption: stopping tasks so that others may start, for a higher priority or so that a
+//! team gets its guarantee.
+//!
+//! Runs after a scheduling cycle, for the jobs that it could not place. A [`PreemptionPlan`]
+//! chooses the tasks whose stop loses the least work; they are then marked to be stopped, and
+//! the answers to their machines' heartbeats carry the commands. The capacity that this frees
+//! is not set aside: a later cycle places the jobs.
 
+use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::pending_queue::JobSet;
 use crate::coordination::scheduling::resources::Resources;
-use crate::coordination::scheduling::scheduling_cycle::Short;
-use crate::coordination::shards::owned_shard::TaskKey;
+use crate::coordination::scheduling::scheduling_cycle::UnplacedTasks;
+use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
+use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
 use crate::protocol::users::Priority;
 use crate::storage::cache::Job;
-use crate::units::{MachineId, ShardId};
+use crate::units::ShardId;
 
-/// Tasks stopped in one round at the most.
-const MOST_STOPS: usize = 24;
-/// Jobs that room is made for in one round at the most.
-const MOST_CLAIMS: usize = 32;
-/// A task that ends within this time is not worth stopping.
+/// The most tasks stopped after one cycle.
+const MAX_STOPS: usize = 24;
+
+/// The most jobs that room is made for after one cycle.
+const MAX_JOBS: usize = 32;
+
+/// A task that ends within this time, in seconds, is not worth stopping, and a wait as short
+/// is not worth stopping another for.
 const NEARLY_DONE_S: f64 = 5.0;
-/// How long a team within its guarantee waits for room before it is made.
-const TAKE_BACK_S: f64 = 20.0;
+
+/// Seconds that a team within its guarantee waits for capacity before tasks are stopped.
+const RECLAIM_WAIT_S: f64 = 20.0;
+
+/// A job that will be late by more than this, in seconds, stops nobody: it is late anyway.
+const LATE_TOLERANCE_S: f64 = 5.0;
+
+/// A job is in danger if its planned wait leaves it less than this of its spare time, in
+/// seconds.
+const SPARE_MARGIN_S: f64 = 15.0;
+
+/// A task that has run for less than this, in seconds, has no checkpoint to write yet.
+const MIN_CHECKPOINT_RUN_S: f64 = 1.0;
+
+/// Grace time of a task that writes a checkpoint: this many times what one takes, which
+/// counts as at least [`MIN_SAVE_S`] seconds.
+const GRACE_FACTOR: f64 = 1.5;
+const MIN_SAVE_S: f64 = 1.0;
+
+/// Loss in core seconds of any stop, beside the work.
+const STOP_LOSS: f64 = 1.0;
 
 /// A task that may be stopped for another.
-struct Victim<'a> {
+struct PreemptibleTask<'a> {
     key: &'a TaskKey,
     /// Work that stopping it loses, in core seconds.
     loss: f64,
     priority: Priority,
     team: &'a str,
-    /// Within its own team's guarantee.
+    /// Its job is within its own team's guarantee.
     guaranteed: bool,
+    /// Seconds that it gets to write a checkpoint.
     grace_s: f64,
+    /// What it takes of its machine.
     need: Resources,
-    /// Chosen for another job already.
-    taken: bool,
+    /// Chosen to be stopped already.
+    chosen: bool,
 }
 
-impl Victim<'_> {
-    /// True if it has to make room for a job, which is within its guarantee or not.
-    fn yields_to(&self, claimant: &Job, within: bool) -> bool {
-        let spec = &claimant.record.spec;
-        let lesser = self.priority < claimant.priority();
-        // Borrowed beyond the other team's own guarantee.
-        let borrowed = within && self.team != spec.team && !self.guaranteed;
-        !self.taken && (lesser || borrowed)
+/// A job that tasks may be stopped for.
+struct Preemptor<'a> {
+    job: &'a Job,
+    /// It is within its team's guarantee.
+    guaranteed: bool,
+    /// What one of its tasks takes.
+    need: Resources,
+    occupancy: ZoneOccupancy,
+}
+
+impl Preemptor<'_> {
+    /// True if the task may be stopped for this job: because its priority is lower, or because
+    /// it uses what its team borrowed beyond its own guarantee.
+    fn may_stop(&self, task: &PreemptibleTask) -> bool {
+        let lower_priority = task.priority < self.job.priority();
+        let borrowed = self.guaranteed && task.team != self.job.record.spec.team && !task.guaranteed;
+        !task.chosen && (lower_priority || borrowed)
     }
 }
 
-impl Core {
-    /// Stops lesser tasks where that lets waiting tasks start sooner.
-    pub(crate) fn make_room(&mut self, shard: ShardId, short: &[Short], guaranteed: &JobSet) {
-        let worth = |lack: &&Short| {
-            let job = self.cache.jobs.get(&lack.job);
-            job.is_some_and(|job| self.worth_stopping_for(job, lack.wait_s, guaranteed.contains(&lack.job)))
-        };
-        let short: Vec<&Short> = short.iter().filter(worth).take(MOST_CLAIMS).collect();
-        if short.is_empty() {
-            return;
+/// One machine with the tasks on it that may be stopped.
+struct PreemptionMachine<'a> {
+    candidate: CandidateMachine<'a>,
+    /// What is free once the tasks being stopped are gone, without what is planned to start.
+    free_soon: Resources,
+    /// The lowest priority first, then the least loss.
+    tasks: Vec<PreemptibleTask<'a>>,
+}
+
+impl PreemptionMachine<'_> {
+    /// The tasks whose stop makes room for one of the preemptor's, as indexes, in the order in
+    /// which they yield, and the loss in core seconds; none if all together do not.
+    fn cheapest_stops(&self, preemptor: &Preemptor) -> Option<(f64, Vec<usize>)> {
+        let mut free = self.free_soon;
+        let mut chosen = vec![];
+        let mut loss = 0.0;
+        for (index, task) in self.tasks.iter().enumerate().filter(|(_, task)| preemptor.may_stop(task)) {
+            if preemptor.need.fits_into(&free) {
+                break;
+            }
+            free += task.need;
+            loss += task.loss;
+            chosen.push(index);
         }
-        let mut stops: Vec<(TaskKey, f64)> = vec![];
-        let seats = self.seats(shard);
-        let mut coming: Vec<Resources> =
-            seats.iter().map(|seat| self.room_coming(shard, seat.name, seat.openings.free)).collect();
-        // Looked up once for all that claim room, not for each of them.
-        let mut victims: Vec<Vec<Victim>> = seats.iter().map(|s| self.victims(shard, s.name, guaranteed)).collect();
-        for lack in short {
-            let Some(job) = self.cache.jobs.get(&lack.job) else { continue };
-            let within = guaranteed.contains(&lack.job);
-            let need = Resources::of_task(&job.record.spec);
-            let spread = self.spread(shard, &lack.job, job);
-            for _ in 0..lack.tasks {
-                if stops.len() >= MOST_STOPS {
-                    break;
-                }
-                let allowed = |at: &usize| self.allowed(job, &seats[*at], &spread);
-                // Room that is free or on its way already serves first.
-                if let Some(at) = (0..seats.len()).filter(|at| need.fits_into(&coming[*at])).find(allowed) {
-                    coming[at] -= need;
-                    continue;
-                }
-                let best = (0..seats.len())
-                    .filter(allowed)
-                    .filter_map(|at| {
-                        let chosen = cheapest(&victims[at], coming[at], &need, |v| v.yields_to(job, within))?;
-                        Some((chosen.0, at, chosen.1))
-                    })
-                    .min_by(|a, b| a.0.total_cmp(&b.0));
-                let Some((_, at, chosen)) = best else { break };
-                for index in chosen {
-                    let victim = &mut victims[at][index];
-                    victim.taken = true;
-                    coming[at] += victim.need;
-                    stops.push((victim.key.clone(), victim.grace_s));
-                }
-                coming[at] -= need;
+        preemptor.need.fits_into(&free).then_some((loss, chosen))
+    }
+}
+
+/// The tasks to be stopped in one shard.
+struct PreemptionPlan<'a> {
+    machines: Vec<PreemptionMachine<'a>>,
+    /// The tasks, with their grace times in seconds.
+    stops: Vec<(TaskKey, f64)>,
+}
+
+impl PreemptionPlan<'_> {
+    /// Makes room for up to `tasks` tasks of a job, as far as other tasks may be stopped.
+    fn make_room_for(&mut self, preemptor: &Preemptor, tasks: usize) {
+        for _ in 0..tasks {
+            if self.stops.len() >= MAX_STOPS || !self.make_room_for_task(preemptor) {
+                break;
             }
         }
-        drop((victims, seats));
+    }
+
+    /// Makes room for one task; false if there is no way to.
+    fn make_room_for_task(&mut self, preemptor: &Preemptor) -> bool {
+        let spec = &preemptor.job.record.spec;
+        let suits = |machine: &PreemptionMachine| machine.candidate.satisfies(spec, &preemptor.occupancy);
+        // What is free or comes free already is used up first.
+        let free = |machine: &&mut PreemptionMachine| preemptor.need.fits_into(&machine.free_soon) && suits(machine);
+        if let Some(machine) = self.machines.iter_mut().find(free) {
+            machine.free_soon -= preemptor.need;
+            return true;
+        }
+        let best = self
+            .machines
+            .iter_mut()
+            .filter(|machine| suits(machine))
+            .filter_map(|machine| machine.cheapest_stops(preemptor).map(|(loss, chosen)| (loss, machine, chosen)))
+            .min_by(|a, b| a.0.total_cmp(&b.0));
+        let Some((_, machine, chosen)) = best else { return false };
+        for index in chosen {
+            let task = &mut machine.tasks[index];
+            task.chosen = true;
+            machine.free_soon += task.need;
+            self.stops.push((task.key.clone(), task.grace_s));
+        }
+        machine.free_soon -= preemptor.need;
+        true
+    }
+}
+
+impl Core {
+    /// Marks tasks to be stopped where that lets unplaced tasks start sooner, the jobs served
+    /// in the order in which the cycle left them.
+    pub(crate) fn make_room(&mut self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) {
+        let stops = self.plan_preemption(shard, unplaced, guaranteed);
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             for (key, grace_s) in stops {
-                tracing::debug!("stopping {}/{} to make room", key.0, key.1);
+                tracing::debug!(%shard, job = %key.0, task = key.1, grace_s, "preempting task");
                 owned_shard.stopping.entry(key).or_insert(grace_s);
             }
         }
     }
 
-    /// Work that would only be late anyway, or can still wait, stops nobody.
-    fn worth_stopping_for(&self, job: &Job, wait_s: f64, within: bool) -> bool {
-        if job.priority() >= Priority::High {
-            return wait_s > NEARLY_DONE_S;
+    /// The tasks to be stopped, with their grace times in seconds.
+    fn plan_preemption(&self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) -> Vec<(TaskKey, f64)> {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
+        let worth_it = |unplaced: &&UnplacedTasks| self.is_worth_preempting_for(unplaced, guaranteed);
+        let unplaced: Vec<&UnplacedTasks> = unplaced.iter().filter(worth_it).take(MAX_JOBS).collect();
+        if unplaced.is_empty() {
+            return vec![];
         }
-        // Taking back what others borrow costs their work: only where room
-        // does not come by itself.
-        if within {
-            return wait_s > TAKE_BACK_S;
+        // Looked up once for all jobs, not for each of them.
+        let candidates = self.candidate_machines(shard).into_iter();
+        let machines = candidates.map(|candidate| self.preemption_machine(owned_shard, candidate, guaranteed));
+        let mut plan = PreemptionPlan { machines: machines.collect(), stops: vec![] };
+        for UnplacedTasks { job: id, tasks, .. } in unplaced {
+            let Some(job) = self.cache.jobs.get(id) else { continue };
+            let preemptor = Preemptor {
+                job,
+                guaranteed: guaranteed.contains(id),
+                need: Resources::of_task(&job.record.spec),
+                occupancy: self.zone_occupancy(shard, id, job),
+            };
+            plan.make_room_for(&preemptor, *tasks);
         }
-        let run = self.estimates.run_time(job);
-        let spare = self.allowed_s(job) - self.age_s(job) - run;
-        spare > -5.0 && wait_s + 15.0 > spare && wait_s > NEARLY_DONE_S
+        plan.stops
     }
 
-    /// Room on a machine once the tasks being stopped are gone.
-    fn room_coming(&self, shard: ShardId, machine: &MachineId, mut free: Resources) -> Resources {
-        let Some(owned_shard) = self.owned_shards.get(&shard) else { return free };
-        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| owned_shard.stopping.contains_key(*k)) {
-            if let Some(job) = self.cache.jobs.get(&key.0) {
-                free += Resources::of_task(&job.record.spec);
-            }
+    /// True if tasks may be stopped for a job. For one that would only be late anyway, or that
+    /// can still wait, they may not.
+    fn is_worth_preempting_for(&self, unplaced: &UnplacedTasks, guaranteed: &JobSet) -> bool {
+        let Some(job) = self.cache.jobs.get(&unplaced.job) else { return false };
+        if job.priority() >= Priority::High {
+            return unplaced.wait_s > NEARLY_DONE_S;
         }
-        free
+        // Taking back what others borrow costs their work: only where capacity does not come
+        // free by itself.
+        if guaranteed.contains(&unplaced.job) {
+            return unplaced.wait_s > RECLAIM_WAIT_S;
+        }
+        let spare_s = self.allowed_s(job) - self.age_s(job) - self.estimates.run_time(job);
+        spare_s > -LATE_TOLERANCE_S && unplaced.wait_s + SPARE_MARGIN_S > spare_s && unplaced.wait_s > NEARLY_DONE_S
     }
 
-    /// Tasks of a machine that may be stopped at all: the lowest priority and
-    /// the least loss first.
-    fn victims(&self, shard: ShardId, machine: &MachineId, guaranteed: &JobSet) -> Vec<Victim<'_>> {
-        let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
-        let mut victims = vec![];
-        for key in owned_shard.on.get(machine).into_iter().flatten().filter(|k| !owned_shard.stopping.contains_key(*k))
-        {
+    fn preemption_machine<'a>(
+        &'a self,
+        owned_shard: &'a OwnedShard,
+        candidate: CandidateMachine<'a>,
+        guaranteed: &JobSet,
+    ) -> PreemptionMachine<'a> {
+        let mut free_soon = candidate.capacity.free;
+        let mut tasks = vec![];
+        for key in owned_shard.on.get(candidate.name).into_iter().flatten() {
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
-            let spec = &job.record.spec;
-            if self.rest_of(owned_shard, job, key) < NEARLY_DONE_S {
-                continue;
+            if owned_shard.stopping.contains_key(key) {
+                free_soon += Resources::of_task(&job.record.spec);
+            } else if self.rest_of(owned_shard, job, key) >= NEARLY_DONE_S {
+                tasks.push(self.preemptible_task(owned_shard, key, job, guaranteed));
             }
-            let ran = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
-            let saves = spec.checkpoint_s > 0.0 && ran > 1.0;
-            victims.push(Victim {
-                key,
-                loss: if saves { spec.save_s } else { ran } * spec.cpus + 1.0,
-                priority: job.priority(),
-                team: &spec.team,
-                guaranteed: guaranteed.contains(&key.0),
-                grace_s: if saves { spec.save_s.max(1.0) * 1.5 } else { 0.0 },
-                need: Resources::of_task(&job.record.spec),
-                taken: false,
-            });
         }
-        victims.sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss.total_cmp(&b.loss)));
-        victims
+        tasks.sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss.total_cmp(&b.loss)));
+        PreemptionMachine { candidate, free_soon, tasks }
     }
-}
 
-/// Of victims in their order, those whose end makes room, and what that loses;
-/// none if all of them together do not.
-fn cheapest(
-    victims: &[Victim],
-    mut room: Resources,
-    need: &Resources,
-    yields: impl Fn(&Victim) -> bool,
-) -> Option<(f64, Vec<usize>)> {
-    let mut chosen = vec![];
-    let mut loss = 0.0;
-    for (index, victim) in victims.iter().enumerate().filter(|(_, v)| yields(v)) {
-        if need.fits_into(&room) {
-            break;
+    fn preemptible_task<'a>(
+        &'a self,
+        owned_shard: &OwnedShard,
+        key: &'a TaskKey,
+        job: &'a Job,
+        guaranteed: &JobSet,
+    ) -> PreemptibleTask<'a> {
+        let spec = &job.record.spec;
+        let ran_s = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
+        let writes_checkpoint = spec.checkpoint_s > 0.0 && ran_s > MIN_CHECKPOINT_RUN_S;
+        let lost_s = if writes_checkpoint { spec.save_s } else { ran_s };
+        PreemptibleTask {
+            key,
+            loss: lost_s * spec.cpus + STOP_LOSS,
+            priority: job.priority(),
+            team: &spec.team,
+            guaranteed: guaranteed.contains(&key.0),
+            grace_s: if writes_checkpoint { spec.save_s.max(MIN_SAVE_S) * GRACE_FACTOR } else { 0.0 },
+            need: Resources::of_task(spec),
+            chosen: false,
         }
-        room += victim.need;
-        loss += victim.loss;
-        chosen.push(index);
     }
-    need.fits_into(&room).then_some((loss, chosen))
 }
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -1,86 +1,130 @@
-//! In which order jobs are served.
+//! The order in which queued jobs are served, as a pure function.
+//!
+//! Called by the pending queue once a scheduling cycle. Knows no machines, only how many
+//! cores there are in all.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
+use std::ops::Range;
 
-/// A job with work left, as the queue sees it.
-pub(crate) struct QueuedJob<R, I> {
-    /// Less goes first, whatever the time.
-    pub rank: R,
-    /// Time until it should be complete.
-    pub left_s: f64,
+/// Seconds by which a job may be late and count as in time: estimates are not that good.
+const LATE_TOLERANCE_S: f64 = 5.0;
+
+/// The last of a job's tasks begin when nearly all work before is done: of its run time, the
+/// share that then still counts.
+const LAST_TASK_SHARE: f64 = 0.25;
+
+/// A job with work left.
+pub(crate) struct QueuedJob<Rank, Id> {
+    /// The job of the lesser rank goes first, whatever the time.
+    pub rank: Rank,
+    /// Seconds until it should be complete; negative once it is late.
+    pub time_left_s: f64,
+    /// Estimated run time of a task in seconds.
     pub run_s: f64,
-    /// Core seconds still to be done.
-    pub work: f64,
-    /// When it was accepted.
-    pub at: u64,
-    pub id: I,
+    /// Work still to be done, in core seconds.
+    pub work_cpu_s: f64,
+    /// Time of day at which it was accepted, in milliseconds.
+    pub accepted_at_ms: u64,
+    pub id: Id,
+}
+
+impl<Rank, Id> QueuedJob<Rank, Id> {
+    /// Seconds by which its start may be put off.
+    fn spare_s(&self) -> f64 {
+        self.time_left_s - self.run_s
+    }
+
+    fn time_left_ms(&self) -> i64 {
+        (self.time_left_s * 1000.0) as i64
+    }
 }
 
 /// A job that can still be in time; the one with most work is the greatest.
 #[derive(PartialEq)]
-struct Kept {
-    work: f64,
-    at: usize,
+struct TimelyJob {
+    work_cpu_s: f64,
+    index: usize,
 }
 
-impl Eq for Kept {}
+impl Eq for TimelyJob {}
 
-impl Ord for Kept {
+impl Ord for TimelyJob {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.work.total_cmp(&other.work).then(self.at.cmp(&other.at))
+        self.work_cpu_s.total_cmp(&other.work_cpu_s).then(self.index.cmp(&other.index))
     }
 }
 
-impl PartialOrd for Kept {
+impl PartialOrd for TimelyJob {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// A little lateness is forgiven: estimates are not that good.
-const GRACE_S: f64 = 5.0;
+/// Orders jobs by rank, then those that can be in time by the time they have to spare, then
+/// the others by when they were accepted.
+///
+/// With more work than `cpus` cores can do in time, going by the time alone would make all
+/// jobs late by a little. So the largest jobs yield until the rest can be in time, as in the
+/// algorithm of Moore and Hodgson for one machine.
+pub(crate) fn serve_order<Rank: Ord, Id: Ord>(mut queue: Vec<QueuedJob<Rank, Id>>, cpus: f64) -> Vec<Id> {
+    queue.sort_by(|a, b| {
+        let key = |job: &QueuedJob<Rank, Id>| (job.time_left_ms(), job.accepted_at_ms);
+        a.rank.cmp(&b.rank).then_with(|| key(a).cmp(&key(b))).then_with(|| a.id.cmp(&b.id))
+    });
+    let late = late_jobs(&queue, cpus);
+    let mut order: Vec<(QueuedJob<Rank, Id>, bool)> = queue.into_iter().zip(late).collect();
+    order.sort_by(|(a, a_late), (b, b_late)| {
+        let key = |job: &QueuedJob<Rank, Id>, late: bool| {
+            (late, if late { 0 } else { job.spare_s() as i64 }, job.accepted_at_ms)
+        };
+        a.rank.cmp(&b.rank).then_with(|| key(a, *a_late).cmp(&key(b, *b_late))).then_with(|| a.id.cmp(&b.id))
+    });
+    order.into_iter().map(|(job, _)| job.id).collect()
+}
 
-/// Orders jobs by rank, then by what time they have to spare. With more work
-/// than `cpus` can do in time, going by that alone makes all jobs late a
-/// little each; so of what could not all be in time the largest jobs step
-/// back until the rest can (as Moore and Hodgson order one machine's jobs).
-pub(crate) fn serve_order<R: Ord, I: Ord>(mut queue: Vec<QueuedJob<R, I>>, cpus: f64) -> Vec<I> {
-    let due = |c: &QueuedJob<R, I>| (c.left_s * 1000.0) as i64;
-    queue.sort_by(|a, b| (&a.rank, due(a), a.at, &a.id).cmp(&(&b.rank, due(b), b.at, &b.id)));
-    let mut before = 0.0;
+/// For each job of the queue, sorted by rank and time left, whether it yields because it or
+/// others would be late.
+fn late_jobs<Rank: Ord, Id>(queue: &[QueuedJob<Rank, Id>], cpus: f64) -> Vec<bool> {
     let mut late = vec![false; queue.len()];
+    let mut work_before = 0.0;
     let mut start = 0;
     while start < queue.len() {
-        let end = start + queue[start..].iter().take_while(|c| c.rank == queue[start].rank).count();
-        let mut kept: BinaryHeap<Kept> = BinaryHeap::new();
-        let mut work = before;
-        for at in start..end {
-            let c = &queue[at];
-            if c.left_s - c.run_s < -GRACE_S {
-                late[at] = true;
-                continue;
-            }
-            kept.push(Kept { work: c.work, at });
-            work += c.work;
-            // The last of its tasks begin when nearly all before is done.
-            if cpus > 0.0 && work / cpus + 0.25 * c.run_s > c.left_s + GRACE_S {
-                if let Some(largest) = kept.pop() {
-                    work -= largest.work;
-                    late[largest.at] = true;
-                }
+        let same_rank = queue[start..].iter().take_while(|job| job.rank == queue[start].rank).count();
+        work_before = mark_late_jobs(queue, start..start + same_rank, cpus, work_before, &mut late);
+        start += same_rank;
+    }
+    late
+}
+
+/// Marks the jobs of one rank that yield, given the work in core seconds that goes before all
+/// of them; that work with the jobs that do not yield added.
+fn mark_late_jobs<Rank, Id>(
+    queue: &[QueuedJob<Rank, Id>],
+    range: Range<usize>,
+    cpus: f64,
+    work_before: f64,
+    late: &mut [bool],
+) -> f64 {
+    let mut timely: BinaryHeap<TimelyJob> = BinaryHeap::new();
+    let mut work = work_before;
+    for index in range {
+        let job = &queue[index];
+        if job.spare_s() < -LATE_TOLERANCE_S {
+            late[index] = true;
+            continue;
+        }
+        timely.push(TimelyJob { work_cpu_s: job.work_cpu_s, index });
+        work += job.work_cpu_s;
+        let completion_s = work / cpus + LAST_TASK_SHARE * job.run_s;
+        if cpus > 0.0 && completion_s > job.time_left_s + LATE_TOLERANCE_S {
+            if let Some(largest) = timely.pop() {
+                work -= largest.work_cpu_s;
+                late[largest.index] = true;
             }
         }
-        before = work;
-        start = end;
     }
-    let spare = |c: &QueuedJob<R, I>| (c.left_s - c.run_s) as i64;
-    let mut order: Vec<(QueuedJob<R, I>, bool)> = queue.into_iter().zip(late).collect();
-    order.sort_by(|(a, a_late), (b, b_late)| {
-        let time = |c: &QueuedJob<R, I>, late: bool| if late { 0 } else { spare(c) };
-        (&a.rank, a_late, time(a, *a_late), a.at, &a.id).cmp(&(&b.rank, b_late, time(b, *b_late), b.at, &b.id))
-    });
-    order.into_iter().map(|(c, _)| c.id).collect()
+    work
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -0,0 +1,123 @@
+//! The state of one job while a scheduling cycle places its tasks.
+//!
+//! Made by the shard's cycle for each job that may start or wait, and dropped when the job
+//! has been gone through. It reserves nothing itself.
+
+use crate::coordination::scheduling::candidate_machine::CandidateMachine;
+use crate::coordination::scheduling::candidates::RankedCandidate;
+use crate::coordination::scheduling::placement_request::PlacementRequest;
+use crate::coordination::scheduling::resources::Resources;
+use crate::coordination::scheduling::scheduling_cycle::UnplacedTasks;
+use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
+use crate::units::{JobId, Millis, MonotonicTime};
+use std::collections::BinaryHeap;
+
+/// The most tasks of one job that a cycle looks at to find that they wait.
+pub(super) const MAX_WAITING_TASKS: usize = 32;
+
+/// For how long a job goes to other machines after it failed on one, if there are any.
+const AVOID_AFTER_FAILURE: Millis = Millis(60_000);
+
+/// For how long it does not go there in any case. The machine counts as room meanwhile, for
+/// which none is rented: the job must not wait for ever.
+const MIN_AVOID_AFTER_FAILURE: Millis = Millis(10_000);
+
+/// Rounding errors by which a quota may be exceeded.
+const QUOTA_TOLERANCE: f64 = 1e-9;
+
+/// What a shard may use of a team's limits, and what the team's tasks use there so far.
+pub(super) struct TeamQuota {
+    /// Cores that may be used; none if the team has no limit.
+    pub max_cpus: Option<f64>,
+    /// GPUs that may be used; none if the team has no limit.
+    pub max_gpus: Option<f64>,
+    pub used_cpus: f64,
+    pub used_gpus: f64,
+}
+
+impl TeamQuota {
+    /// True if one more task that takes `need` is within the quota.
+    pub fn allows(&self, need: &Resources) -> bool {
+        let exceeds = |max: Option<f64>, sum: f64| max.is_some_and(|max| sum > max + QUOTA_TOLERANCE);
+        !exceeds(self.max_cpus, self.used_cpus + need.cpus) && !exceeds(self.max_gpus, self.used_gpus + need.gpus)
+    }
+
+    /// Counts a task that starts.
+    pub fn add(&mut self, need: &Resources) {
+        self.used_cpus += need.cpus;
+        self.used_gpus += need.gpus;
+    }
+}
+
+/// One job while its tasks are placed.
+pub(super) struct JobPlacement<'a> {
+    pub id: &'a JobId,
+    pub request: PlacementRequest<'a>,
+    pub quota: TeamQuota,
+    pub occupancy: ZoneOccupancy,
+    /// Machines for the next task, the best on top.
+    pub candidates: BinaryHeap<RankedCandidate>,
+    pub unplaced: UnplacedTasks,
+    /// The job failed wherever it ran: one task at a time shows whether it still does.
+    pub suspect: bool,
+    /// No further task of the job is looked at in this cycle. For a gang: not all of its
+    /// tasks can start now.
+    pub ended: bool,
+    /// For how long the job avoids a machine on which it failed.
+    avoid_after_failure: Millis,
+    waiting_tasks: usize,
+}
+
+impl<'a> JobPlacement<'a> {
+    pub fn new(
+        id: &'a JobId,
+        request: PlacementRequest<'a>,
+        quota: TeamQuota,
+        occupancy: ZoneOccupancy,
+        suspect: bool,
+    ) -> JobPlacement<'a> {
+        JobPlacement {
+            id,
+            request,
+            quota,
+            occupancy,
+            candidates: BinaryHeap::new(),
+            unplaced: UnplacedTasks { job: id.clone(), tasks: 0, wait_s: f64::INFINITY },
+            suspect,
+            ended: false,
+            avoid_after_failure: AVOID_AFTER_FAILURE,
+            waiting_tasks: 0,
+        }
+    }
+
+    /// True if the job failed on the machine so lately that it goes elsewhere. A suspect
+    /// job, which fails everywhere, avoids none.
+    pub fn avoids(&self, machine: &CandidateMachine, now: MonotonicTime) -> bool {
+        let failed_at = machine.machine.failed_jobs.get(self.id);
+        !self.suspect && failed_at.is_some_and(|at| now.since(*at) < self.avoid_after_failure)
+    }
+
+    /// Lets the job go to machines on which it failed, but for the latest of them.
+    pub fn avoid_fewer_machines(&mut self) {
+        self.avoid_after_failure = MIN_AVOID_AFTER_FAILURE;
+    }
+
+    /// Counts a task that has to wait. A gang ends there; other jobs after so many.
+    pub fn task_waits(&mut self) {
+        self.waiting_tasks += 1;
+        self.ended = self.request.is_gang() || self.waiting_tasks >= MAX_WAITING_TASKS;
+    }
+
+    /// Counts a task for which there is no machine, now or later.
+    pub fn task_has_no_machine(&mut self) {
+        self.unplaced.tasks += 1;
+        self.ended = true;
+    }
+
+    /// Counts a task that is planned to start in `wait_s` seconds.
+    pub fn task_is_planned(&mut self, wait_s: f64) {
+        self.unplaced.tasks += 1;
+        self.unplaced.wait_s = self.unplaced.wait_s.min(wait_s);
+        self.task_waits();
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -0,0 +1,340 @@
+//! One scheduling cycle of one shard: which pending tasks start now, and where.
+//!
+//! Jobs are gone through in the order of the queue, each by [`ShardCycle::place_job`]: may it
+//! start or wait at all, is it within its team's quota, which machines suit it, then task by
+//! task; a gang of which not all tasks can start now is rolled back. The cycle reads the core
+//! and changes only its own plan: its outcome is applied by the parent module.
+
+use crate::coordination::scheduling::candidate_machine::CandidateMachine;
+use crate::coordination::scheduling::candidates::{rank_candidate, ranked_candidates, RankedCandidate};
+use crate::coordination::scheduling::placement_request::{PlacementRequest, RequestShapes};
+use crate::coordination::scheduling::resources::Resources;
+use crate::coordination::scheduling::scheduling_cycle::exhausted_shapes::ExhaustedShapes;
+use crate::coordination::scheduling::scheduling_cycle::job_placement::{JobPlacement, TeamQuota, MAX_WAITING_TASKS};
+use crate::coordination::scheduling::scheduling_cycle::limits::{PromisedCapacity, ScoreBudget};
+use crate::coordination::scheduling::scheduling_cycle::quick_start_reserve::QuickStartReserve;
+use crate::coordination::scheduling::scheduling_cycle::{pending_tasks_in, CycleOutcome, Placement, StarvingStart};
+use crate::coordination::Core;
+use crate::storage::cache::Job;
+use crate::storage::records::TaskRecord;
+use crate::units::{Attempt, JobId, MachineId, ShardId};
+use std::collections::BTreeMap;
+
+/// The state of one cycle of one shard.
+pub(super) struct ShardCycle<'a> {
+    core: &'a Core,
+    shard: ShardId,
+    /// The machines that may get tasks, with the capacity that the cycle has left on them.
+    machines: Vec<CandidateMachine<'a>>,
+    /// Cores of all these machines.
+    shard_cpus: f64,
+    reserve: QuickStartReserve,
+    /// Cores and GPUs in use by team, the cycle's own placements included.
+    used_quota: BTreeMap<String, (f64, f64)>,
+    scores: ScoreBudget,
+    promised: PromisedCapacity,
+    shapes: RequestShapes,
+    exhausted: ExhaustedShapes,
+    /// The shortest boot time of any machine type, in seconds.
+    quickest_boot_s: f64,
+    /// Tasks of a slice that may be on machines or tried before, for its record to stay one
+    /// value of the store.
+    max_tried_per_slice: usize,
+    /// The job that goes first because it has waited too long.
+    starving_job: Option<&'a JobId>,
+    outcome: CycleOutcome,
+}
+
+/// The parts of a cycle's state that a gang gives back if not all its tasks can start.
+struct Checkpoint<'a> {
+    machines: Vec<CandidateMachine<'a>>,
+    placements: usize,
+    promised_cpus: f64,
+}
+
+impl<'a> ShardCycle<'a> {
+    pub fn new(core: &'a Core, shard: ShardId) -> ShardCycle<'a> {
+        let machines = core.candidate_machines(shard);
+        let shard_cpus: f64 = machines.iter().map(|machine| machine.machine_type.cpus).sum();
+        let used_quota = core.owned_shards.get(&shard).map(|owned_shard| owned_shard.used.clone());
+        ShardCycle {
+            core,
+            shard,
+            shard_cpus,
+            reserve: QuickStartReserve::new(core.quick_start_reserve_cpus(shard_cpus), &machines),
+            used_quota: used_quota.unwrap_or_default(),
+            scores: ScoreBudget::new(core.scores_per_cycle()),
+            promised: PromisedCapacity::new(shard_cpus),
+            shapes: RequestShapes::default(),
+            exhausted: ExhaustedShapes::default(),
+            quickest_boot_s: core.quickest_boot_s(),
+            max_tried_per_slice: core.most_on(),
+            starving_job: None,
+            outcome: CycleOutcome::default(),
+            machines,
+        }
+    }
+
+    /// Goes through the jobs, which have pending tasks in the shard, in their order.
+    pub fn run(mut self, mut jobs: Vec<(&'a JobId, &'a Job)>) -> CycleOutcome {
+        self.move_starving_job_to_front(&mut jobs);
+        for (id, job) in jobs {
+            if self.has_placed_enough() || self.scores.is_spent() {
+                break;
+            }
+            self.place_job(id, job);
+        }
+        self.core.log_cycle(self.shard, &self.machines, &self.outcome);
+        self.outcome
+    }
+
+    fn move_starving_job_to_front(&mut self, jobs: &mut [(&'a JobId, &'a Job)]) {
+        if let Some(index) = self.core.starving_job(self.shard, jobs) {
+            jobs[..=index].rotate_right(1);
+            self.starving_job = Some(jobs[0].0);
+        }
+    }
+
+    fn has_placed_enough(&self) -> bool {
+        self.outcome.placements.len() >= self.core.tuning.max_placements_per_cycle
+    }
+
+    /// Places the job's pending tasks of the shard as far as capacity and quota allow.
+    fn place_job(&mut self, id: &'a JobId, job: &'a Job) {
+        let need = Resources::of_task(&job.record.spec);
+        let quick_start = self.core.objectives.start_before(&job.class, self.quickest_boot_s);
+        let can_start = self.can_start_now(&need, quick_start);
+        let may_wait = self.may_wait();
+        if !can_start && !may_wait {
+            return;
+        }
+        let request = self.core.placement_request(job, quick_start, may_wait, &mut self.shapes);
+        if is_still_on_machines(&request) {
+            return;
+        }
+        let quota = self.team_quota(&job.record.spec.team);
+        if !quota.allows(&need) {
+            // Only a shard with capacity for a task has use for more of its team's quota.
+            if can_start {
+                let most = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
+                self.add_quota_shortage(&request, pending_tasks_in(job, self.shard).min(most));
+            }
+            return;
+        }
+        let checkpoint = request.is_gang().then(|| self.checkpoint());
+        let mut placement = self.begin_placement(id, request, quota, may_wait);
+        self.place_tasks(&mut placement);
+        match checkpoint {
+            Some(checkpoint) if placement.ended => self.roll_back(checkpoint),
+            _ => self.keep_used_quota(&placement),
+        }
+        if may_wait {
+            self.record_unplaced(placement);
+        }
+    }
+
+    /// True if any machine has capacity for a task now that it may take.
+    fn can_start_now(&mut self, need: &Resources, quick_start: bool) -> bool {
+        if self.exhausted.contains(need, quick_start) {
+            return false;
+        }
+        let closed = self.reserve.is_closed_to(need, quick_start);
+        let has_capacity = |machine: &CandidateMachine| {
+            need.fits_into(&machine.capacity.free) && !(closed && self.reserve.is_held_by(machine))
+        };
+        let found = self.machines.iter().any(has_capacity);
+        if !found {
+            self.exhausted.insert(need, quick_start);
+        }
+        found
+    }
+
+    /// True if a job may be planned on busy machines. Behind too many others it gains nothing
+    /// from that: the next cycle knows better.
+    fn may_wait(&self) -> bool {
+        self.promised.allows_waiting() && self.scores.allows_waiting()
+    }
+
+    fn team_quota(&self, team: &str) -> TeamQuota {
+        let (max_cpus, max_gpus) = self.core.quota(self.shard, team);
+        let (used_cpus, used_gpus) = self.used_quota.get(team).copied().unwrap_or_default();
+        TeamQuota { max_cpus, max_gpus, used_cpus, used_gpus }
+    }
+
+    fn keep_used_quota(&mut self, placement: &JobPlacement) {
+        let team = placement.request.job.record.spec.team.clone();
+        self.used_quota.insert(team, (placement.quota.used_cpus, placement.quota.used_gpus));
+    }
+
+    fn add_quota_shortage(&mut self, request: &PlacementRequest, tasks: usize) {
+        let team = request.job.record.spec.team.clone();
+        let shortage = self.outcome.quota_shortages.entry(team).or_default();
+        shortage.add((request.need.cpus, request.need.gpus), tasks as f64);
+    }
+
+    fn checkpoint(&self) -> Checkpoint<'a> {
+        Checkpoint {
+            machines: self.machines.clone(),
+            placements: self.outcome.placements.len(),
+            promised_cpus: self.promised.promised_cpus(),
+        }
+    }
+
+    /// Gives back what a gang took of which not all tasks can start now.
+    fn roll_back(&mut self, checkpoint: Checkpoint<'a>) {
+        self.machines = checkpoint.machines;
+        self.outcome.placements.truncate(checkpoint.placements);
+        self.promised.restore_promised_cpus(checkpoint.promised_cpus);
+    }
+
+    /// Ranks the machines for a job. If it may wait, but only machines on which it failed
+    /// lately would ever do, it may go there again.
+    fn begin_placement(
+        &mut self,
+        id: &'a JobId,
+        request: PlacementRequest<'a>,
+        quota: TeamQuota,
+        may_wait: bool,
+    ) -> JobPlacement<'a> {
+        let occupancy = self.core.zone_occupancy(self.shard, id, request.job);
+        let mut placement = JobPlacement::new(id, request, quota, occupancy, self.core.suspect(id));
+        self.rank_machines(&mut placement);
+        let now = self.core.now;
+        if may_wait
+            && placement.candidates.is_empty()
+            && self.machines.iter().any(|machine| placement.avoids(machine, now))
+        {
+            placement.avoid_fewer_machines();
+            self.rank_machines(&mut placement);
+        }
+        placement
+    }
+
+    fn rank_machines(&mut self, placement: &mut JobPlacement) {
+        let now = self.core.now;
+        let allowed = |machine: &CandidateMachine| !placement.avoids(machine, now);
+        let candidates = ranked_candidates(&mut self.machines, &placement.request, &placement.occupancy, allowed);
+        placement.candidates = candidates;
+        self.scores.spend(self.machines.len());
+    }
+
+    fn place_tasks(&mut self, placement: &mut JobPlacement) {
+        let job = placement.request.job;
+        for (index, slice) in job.slices().iter().enumerate() {
+            if placement.ended {
+                break;
+            }
+            if job.shard_of(index) == Some(self.shard) && slice.pending_tasks() > 0 {
+                self.place_slice(placement, index);
+            }
+        }
+    }
+
+    /// Places the pending tasks of one slice of the job.
+    fn place_slice(&mut self, placement: &mut JobPlacement, index: usize) {
+        let job = placement.request.job;
+        let slice = &job.slices()[index];
+        let Some(desired) = slice.desired() else { return };
+        let mut first_attempts_left = self.max_tried_per_slice.saturating_sub(slice.tried());
+        let first_task = job.record.plan.as_ref().map_or(0, |plan| plan.first_task(index));
+        for (offset, task) in desired.tasks.iter().enumerate() {
+            let TaskRecord::Pending(Attempt(attempts)) = *task else { continue };
+            let is_first_attempt = attempts == 0;
+            if is_first_attempt && first_attempts_left == 0 {
+                continue;
+            }
+            if placement.ended || (!placement.request.is_gang() && self.has_placed_enough()) {
+                break;
+            }
+            let Some(machine) = self.place_task(placement) else { continue };
+            first_attempts_left = first_attempts_left.saturating_sub(usize::from(is_first_attempt));
+            self.outcome.placements.push(Placement {
+                task: (placement.id.clone(), first_task + offset as u32),
+                attempt: Attempt(attempts + 1),
+                machine,
+            });
+        }
+    }
+
+    /// Reserves capacity for the job's next task; the machine, if the task starts now.
+    fn place_task(&mut self, placement: &mut JobPlacement) -> Option<MachineId> {
+        self.drop_reserved_candidates(placement);
+        let Some(best) = placement.candidates.peek().copied() else {
+            placement.task_has_no_machine();
+            return None;
+        };
+        let starts_now = best.wait_s <= 0.0;
+        if !placement.quota.allows(&placement.request.need) {
+            if starts_now {
+                self.add_quota_shortage(&placement.request, 1);
+            }
+            placement.task_waits();
+            return None;
+        }
+        placement.candidates.pop();
+        self.reserve_capacity(placement, &best);
+        if !starts_now {
+            self.promised.promise(placement.request.need.cpus);
+            placement.task_is_planned(best.wait_s);
+            return None;
+        }
+        self.start_task(placement, &best);
+        Some(self.machines[best.machine].name.clone())
+    }
+
+    /// Drops the best candidates for as long as they hold a reserve that is closed to the
+    /// job. It stays closed: free cores only shrink during a cycle.
+    fn drop_reserved_candidates(&self, placement: &mut JobPlacement) {
+        if !self.reserve.is_closed_to(&placement.request.need, placement.request.quick_start) {
+            return;
+        }
+        let is_reserved = |best: &RankedCandidate| self.reserve.is_held_by(&self.machines[best.machine]);
+        while placement.candidates.peek().is_some_and(is_reserved) {
+            placement.candidates.pop();
+        }
+    }
+
+    /// Reserves capacity on the machine and ranks it again for the job's next task.
+    fn reserve_capacity(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
+        let machine = &mut self.machines[best.machine];
+        machine.reserve(&placement.request.need, best.wait_s, best.wait_s + best.hold_s);
+        placement.candidates.extend(rank_candidate(best.machine, machine, &placement.request));
+        self.scores.spend(1);
+    }
+
+    /// Counts a task that starts now on a machine where its capacity is reserved.
+    fn start_task(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
+        let need = placement.request.need;
+        let machine = &self.machines[best.machine];
+        placement.quota.add(&need);
+        self.reserve.task_started(machine, &need);
+        if placement.request.job.record.spec.whole() {
+            placement.occupancy.add(&machine.machine.zone, 1);
+            self.rank_machines(placement);
+        }
+        placement.ended |= placement.suspect && !placement.request.is_gang();
+        if self.starving_job == Some(placement.id) {
+            // One task goes before others; the rest of the job waits in its place again.
+            let start = StarvingStart { cpus: need.cpus, hold_s: best.hold_s, shard_cpus: self.shard_cpus };
+            self.outcome.starving_start = Some(start);
+            placement.ended = true;
+        }
+    }
+
+    /// Notes tasks of a job that wait for capacity. Nothing is stopped for a suspect job.
+    fn record_unplaced(&mut self, placement: JobPlacement) {
+        if placement.unplaced.tasks == 0 {
+            return;
+        }
+        self.promised.add_waiting_job();
+        if !placement.suspect {
+            self.outcome.unplaced.push(placement.unplaced);
+        }
+    }
+}
+
+/// True for a gang of which tasks are still on machines: what is left of an earlier attempt
+/// must be gone before it starts again.
+fn is_still_on_machines(request: &PlacementRequest) -> bool {
+    request.is_gang() && request.job.has_placed_tasks()
+}
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -1,53 +1,78 @@
 //! The expected completion of a task on a machine, as pure functions.
+//!
+//! The method is that of docs/DESIGN.md ("Kept" and "Changed, and why"). With all times in
+//! seconds, and X the lifetime of machines like the one looked at:
+//!
+//! | symbol | what it is | here |
+//! |---|---|---|
+//! | a | wait until the task can run on the machine | `Prospect::wait_s` |
+//! | d | run time of the task | `Prospect::run_s` |
+//! | e | age of the machine when the task starts: its age now + a | `start_age_s` |
+//! | P_s | probability that a machine that ends takes the task with it: 1 | `LOSS_PROBABILITY` |
+//! | P_c | probability that the task completes: 1 - P_s (1 - P(X > e + d given X > e)) | [`completion_probability`] |
+//! | w | run time lost with the machine: E(X - e given e < X < e + d) | [`LifetimeHistory::expected_loss_s`] |
+//! | R | expected completion on a machine that has just come up | [`fresh_start_s`] |
+//! | E | expected completion: a + P_c d + (1 - P_c)(w + R) | [`expected_completion`] |
+//!
+//! The scheduling cycle ranks machines by E. No state is held here.
 
 use crate::coordination::scheduling::lifetimes::LifetimeHistory;
 
+/// P_s: machines here do not shrink, they end, and take their tasks with them.
+const LOSS_PROBABILITY: f64 = 1.0;
+
+/// The least P_c that R is computed with: it goes to infinity as P_c goes to 0.
+const MIN_FRESH_PROBABILITY: f64 = 0.02;
+
 /// What a task would meet on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prospect {
-    /// The machine's age now.
+    /// The machine's age now, in seconds.
     pub age_s: f64,
-    /// Estimated wait until the task can run there (room, image).
+    /// Seconds until the task can run there: until there is capacity and the image is
+    /// fetched.
     pub wait_s: f64,
-    /// Estimated run time.
+    /// Estimated run time in seconds.
     pub run_s: f64,
-    /// Progress between checkpoints; 0 if a loss costs everything.
+    /// Seconds of progress between checkpoints; 0 if a loss costs everything.
     pub checkpoint_s: f64,
 }
 
-/// P_c with P_s = 1: the chance that the machine outlasts the task.
-pub fn completion_chance(history: &LifetimeHistory, age_s: f64, run_s: f64) -> f64 {
-    const SHRINK_CHANCE: f64 = 1.0;
-    1.0 - SHRINK_CHANCE * (1.0 - history.outlasts(age_s, run_s))
+/// P_c: the probability that a machine of the age `start_age_s` outlasts a task that runs for
+/// `run_s`, between 0 and 1.
+pub fn completion_probability(history: &LifetimeHistory, start_age_s: f64, run_s: f64) -> f64 {
+    1.0 - LOSS_PROBABILITY * (1.0 - history.survival_probability(start_age_s, run_s))
 }
 
-/// R: expected completion on a machine that has just come up, restarts on
-/// machines like it included.
-pub fn fresh_start(history: &LifetimeHistory, run_s: f64) -> f64 {
-    let p = completion_chance(history, 0.0, run_s).max(0.02);
-    run_s + (1.0 - p) / p * history.wasted(0.0, run_s)
+/// R: expected seconds until a task is complete on a machine that has just come up, restarts
+/// on further such machines included.
+///
+/// Each start is lost with probability 1 - P_c and then costs w, so R = d + w (1 - P_c) / P_c
+/// (the sum of a geometric series).
+pub fn fresh_start_s(history: &LifetimeHistory, run_s: f64) -> f64 {
+    let p = completion_probability(history, 0.0, run_s).max(MIN_FRESH_PROBABILITY);
+    run_s + (1.0 - p) / p * history.expected_loss_s(0.0, run_s)
 }
 
-/// E = a + p·d + (1 − p)·(w + R).
+/// E: expected seconds until a task is complete on a machine, which it may have to wait for
+/// and which may be lost.
+///
+/// After a loss, the task starts again on a fresh machine, where it needs to run only for
+/// what no checkpoint holds: progress beyond one checkpoint interval counts as saved.
 pub fn expected_completion(history: &LifetimeHistory, prospect: Prospect) -> f64 {
     let Prospect { age_s, wait_s, run_s, checkpoint_s } = prospect;
-    let age_then = age_s + wait_s;
-    let p = completion_chance(history, age_then, run_s);
+    let start_age_s = age_s + wait_s;
+    let p = completion_probability(history, start_age_s, run_s);
     if p >= 1.0 {
         return wait_s + run_s;
     }
-    let wasted = history.wasted(age_then, run_s);
-    let (lost, again) = if checkpoint_s > 0.0 {
-        // What was saved need not run again.
-        (wasted, run_s - (wasted - checkpoint_s).max(0.0))
-    } else {
-        (wasted, run_s)
-    };
-    wait_s + p * run_s + (1.0 - p) * (lost + fresh_start(history, again))
+    let lost_s = history.expected_loss_s(start_age_s, run_s);
+    let saved_s = if checkpoint_s > 0.0 { (lost_s - checkpoint_s).max(0.0) } else { 0.0 };
+    wait_s + p * run_s + (1.0 - p) * (lost_s + fresh_start_s(history, run_s - saved_s))
 }
 
-/// Time a running task still needs: past its estimate it is taken to end at
-/// twice its elapsed time.
+/// Seconds that a running task still needs: what is left of its estimate, or, past that, as
+/// long as it has run already.
 pub fn remaining(estimated_run_s: f64, elapsed_s: f64) -> f64 {
     if elapsed_s < estimated_run_s {
         estimated_run_s - elapsed_s
--- a/src/coordination/scheduling/scoring/tests.rs
+++ b/src/coordination/scheduling/scoring/tests.rs
@@ -2,18 +2,18 @@
 use crate::coordination::scheduling::lifetimes::Lifetime;
 
 fn history() -> LifetimeHistory {
-    let mut h = LifetimeHistory::default();
+    let mut history = LifetimeHistory::default();
     for age_s in [10.0, 20.0, 30.0, 40.0] {
-        h.add(Lifetime { age_s, lost: true });
+        history.add(Lifetime { age_s, lost: true });
     }
-    h.rebuild(&[]);
-    h
+    history.rebuild(&[]);
+    history
 }
 
 #[test]
-fn worked_by_hand() {
+fn expected_completion_is_that_worked_out_by_hand() {
     // Fresh machine, d = 15: p = 3/4, w = 10; R = 15 + (1/4)/(3/4)·10 = 18.333.
-    let r = fresh_start(&history(), 15.0);
+    let r = fresh_start_s(&history(), 15.0);
     assert!((r - (15.0 + 10.0 / 3.0)).abs() < 1e-9);
     // E = 0 + 0.75·15 + 0.25·(10 + 18.333).
     let e = expected_completion(&history(), Prospect { age_s: 0.0, wait_s: 0.0, run_s: 15.0, checkpoint_s: 0.0 });
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn no_history_leaves_wait_and_run() {
+fn without_history_completion_is_wait_and_run_time() {
     let e = expected_completion(
         &LifetimeHistory::default(),
         Prospect { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_s: 0.0 },
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn overdue_tasks_end_at_twice_elapsed() {
+fn overdue_tasks_end_at_twice_their_elapsed_time() {
     assert_eq!(remaining(50.0, 20.0), 30.0);
     assert_eq!(remaining(50.0, 60.0), 60.0);
 }
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -1,13 +1,14 @@
-//! Services some of whose replicas run while their part has no room for the rest.
+//! Services some of whose replicas run while their shard has no capacity for the rest.
 //!
-//! All replicas of a service are placed by one owner, that of its shard, and while one
-//! of them runs the service can't move. If machines of a zone are lost, the shard may
-//! have none left where the others may go, though other shards have: those replicas
-//! would wait for ever beside room. So the leader rents for them until a machine of
-//! that shard has come. Names, and so shards, are the cloud's choice; a machine of another shard
-//! is used there or given back.
+//! All replicas of a service are placed by one owner, that of its shard, and the service
+//! cannot move to another shard while one of them runs. If machines of a zone are lost, the
+//! shard may have none left where the others may go, though other shards have: those replicas
+//! would wait for ever. So the leader rents for them until a machine of that shard has come.
+//! The names of machines, and so their shards, are the cloud's choice; a machine of another
+//! shard is used there or given back. The leader alone calls this module.
 
 use crate::coordination::fleet::demand::Demand;
+use crate::coordination::leader::array_assignment::Room;
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
@@ -16,85 +17,118 @@
 use crate::units::{JobId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Room that comes free by itself within this time needs no machine.
-const PATIENCE: Millis = Millis(10_000);
+/// Capacity that comes free by itself within this time needs no machine.
+const MIN_WAIT: Millis = Millis(10_000);
 
-/// Services rented for at the same time.
-const MOST: usize = 8;
+/// The most services that are rented for at the same time.
+const MAX_SERVICES: usize = 8;
 
-/// Since when, as seen by this leader, and in which zone each needs room.
+/// A service that lacks capacity.
+#[derive(Debug)]
+struct UnplaceableService {
+    /// When this leader first saw that it lacks capacity.
+    since: MonotonicTime,
+    /// The zone to rent in, if the service may be in any.
+    zone: Option<String>,
+}
+
+/// The services that lack capacity, as this leader has seen them.
 #[derive(Debug, Default)]
-pub(crate) struct UnplaceableServices(BTreeMap<JobId, (MonotonicTime, Option<String>)>);
+pub(crate) struct UnplaceableServices(BTreeMap<JobId, UnplaceableService>);
 
 impl Core {
-    /// Looks at services that wait beside replicas that run.
+    /// Looks at the services of which some replicas run and others are pending, and remembers
+    /// since when their shards have no capacity for one more.
     pub(crate) fn record_unplaceable_services(&mut self) {
-        let waits = |job: &Job| {
-            let (done, on) = job.counts();
-            let service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
-            service && on > 0 && done + on < job.record.spec.task_count
-        };
-        let jobs = || self.cache.active.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?)));
-        let waiting: Vec<(&JobId, &Job)> = jobs().filter(|(_, job)| waits(job)).collect();
-        let mut unplaceable_services = BTreeMap::new();
-        if !waiting.is_empty() {
+        let active = self.cache.active.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?)));
+        let incomplete: Vec<(&JobId, &Job)> = active.filter(|(_, job)| is_incomplete_service(job)).collect();
+        let mut unplaceable = BTreeMap::new();
+        if !incomplete.is_empty() {
             let mut room = self.room();
-            for (id, job) in waiting {
-                let Some(shard) = job.shard_of(0) else { continue };
-                let zones = self.open_zones(job);
-                let record = &job.record;
-                if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, record, 1, false) > 0) {
-                    continue;
+            for (id, job) in incomplete {
+                if let Some(service) = self.unplaceable_service(id, job, &mut room) {
+                    unplaceable.insert(id.clone(), service);
                 }
-                let since = self.fleet.unplaceable_services.0.get(id).map_or(self.now, |(since, _)| *since);
-                unplaceable_services.insert(id.clone(), (since, zones.into_iter().next()));
             }
         }
-        self.fleet.unplaceable_services.0 = unplaceable_services;
+        self.fleet.unplaceable_services.0 = unplaceable;
+    }
+
+    /// None if a machine of the service's shard has capacity for one more replica.
+    fn unplaceable_service(&self, id: &JobId, job: &Job, room: &mut Room) -> Option<UnplaceableService> {
+        let shard = job.shard_of(0)?;
+        let zones = self.open_zones(job);
+        if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, &job.record, 1, false) > 0) {
+            return None;
+        }
+        let known = self.fleet.unplaceable_services.0.get(id);
+        Some(UnplaceableService {
+            since: known.map_or(self.now, |service| service.since),
+            zone: zones.into_iter().next(),
+        })
     }
 
     /// Zones in which one more replica may be beside those that run, the emptiest first.
     fn open_zones(&self, job: &Job) -> Vec<String> {
         let spec = &job.record.spec;
-        let mut on: BTreeMap<&str, usize> = BTreeMap::new();
-        for task in job.slices().iter().filter_map(|s| s.newest()).flat_map(|r| &r.tasks) {
-            let TaskRecord::Placed(_, machine) = task else { continue };
-            if let Some(fleet_machine) = self.fleet.machines.get(machine) {
-                *on.entry(&fleet_machine.zone).or_default() += 1;
-            }
-        }
+        let replicas = self.replicas_by_zone(job);
+        let replicas_in = |zone: &str| replicas.get(zone).copied().unwrap_or(0);
         let half = spec.task_count.div_ceil(2) as usize;
-        let at = |zone: &str| on.get(zone).copied().unwrap_or(0);
-        let sold: BTreeSet<&String> = self.catalog.values().flat_map(|t| &t.zones).collect();
+        let sold: BTreeSet<&String> = self.catalog.values().flat_map(|machine_type| &machine_type.zones).collect();
         let mut open: Vec<String> = sold
             .into_iter()
-            .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone))
-            .filter(|zone| !spec.one_zone || on.keys().all(|used| used == zone))
-            .filter(|zone| !spec.apart || at(zone) < half)
+            .filter(|zone| spec.zone.as_ref().is_none_or(|required| required == *zone))
+            .filter(|zone| !spec.one_zone || replicas.keys().all(|used| used == zone))
+            .filter(|zone| !spec.apart || replicas_in(zone) < half)
             .cloned()
             .collect();
-        open.sort_by_key(|zone| at(zone));
+        open.sort_by_key(|zone| replicas_in(zone));
         open
     }
 
-    /// What they want: room for one replica each, in their part.
+    /// The number of a service's replicas on machines that the leader knows, by zone.
+    fn replicas_by_zone(&self, job: &Job) -> BTreeMap<&str, usize> {
+        let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
+        for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
+            let TaskRecord::Placed(_, name) = task else { continue };
+            if let Some(machine) = self.fleet.machines.get(name) {
+                *replicas.entry(&machine.zone).or_default() += 1;
+            }
+        }
+        replicas
+    }
+
+    /// What the services demand that have lacked capacity for long: capacity for one replica
+    /// each, in their shard.
     pub(crate) fn unplaceable_demand(&self) -> Vec<Demand> {
-        let long = self.fleet.unplaceable_services.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
-        let demand = long.filter_map(|(id, (_, zone))| {
-            let job = self.cache.jobs.get(id)?;
-            let spec = &job.record.spec;
-            Some(Demand {
-                cpus: spec.cpus,
-                urgent: spec.cpus,
-                shape: Resources::of_task(spec),
-                fetch_gb: spec.cpus * spec.image_gb,
-                run_s: spec.cpus,
-                types: spec.types.clone(),
-                zone: zone.clone(),
-                spot: spec.spot_allowed,
-                shard: Some(job.shard_of(0)?),
-            })
-        });
-        demand.take(MOST).collect()
+        let services = self.fleet.unplaceable_services.0.iter();
+        services
+            .filter(|(_, service)| self.now.since(service.since) > MIN_WAIT)
+            .filter_map(|(id, service)| self.replica_demand(id, service))
+            .take(MAX_SERVICES)
+            .collect()
+    }
+
+    fn replica_demand(&self, id: &JobId, service: &UnplaceableService) -> Option<Demand> {
+        let job = self.cache.jobs.get(id)?;
+        let spec = &job.record.spec;
+        Some(Demand {
+            cpus: spec.cpus,
+            urgent: spec.cpus,
+            shape: Resources::of_task(spec),
+            fetch_gb: spec.cpus * spec.image_gb,
+            run_s: spec.cpus,
+            types: spec.types.clone(),
+            zone: service.zone.clone(),
+            spot: spec.spot_allowed,
+            shard: Some(job.shard_of(0)?),
+        })
     }
 }
+
+/// True for a service that runs with fewer replicas than it should.
+fn is_incomplete_service(job: &Job) -> bool {
+    let (done, on) = job.counts();
+    let is_service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
+    is_service && on > 0 && done + on < job.record.spec.task_count
+}
--- /dev/null
+++ b/src/coordination/scheduling/zone_occupancy.rs
@@ -0,0 +1,55 @@
+//! In which zones a job's tasks are, for jobs whose tasks must be in one zone or apart.
+//!
+//! Asked by the scheduling cycle and by preemption before a task goes to a machine. The
+//! cycle counts the tasks it places itself.
+
+use crate::coordination::Core;
+use crate::protocol::users::JobSpec;
+use crate::storage::cache::Job;
+use crate::units::{JobId, ShardId};
+use std::collections::BTreeMap;
+
+/// The tasks of one job on machines, by zone. Empty for jobs without such a constraint.
+#[derive(Default)]
+pub(crate) struct ZoneOccupancy {
+    tasks_by_zone: BTreeMap<String, usize>,
+    /// Some tasks are on machines whose zone is not known yet: nothing more of the job may
+    /// be placed until it is.
+    pub incomplete: bool,
+}
+
+impl ZoneOccupancy {
+    /// Counts tasks that are placed in a zone.
+    pub fn add(&mut self, zone: &str, tasks: usize) {
+        *self.tasks_by_zone.entry(zone.to_string()).or_default() += tasks;
+    }
+
+    /// True if one more task of the job may go to the zone.
+    pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
+        let half = spec.task_count.div_ceil(2) as usize;
+        (!spec.one_zone || self.tasks_by_zone.keys().all(|used| used == zone))
+            && (!spec.apart || self.tasks_by_zone.get(zone).copied().unwrap_or(0) < half)
+    }
+}
+
+impl Core {
+    /// Where the tasks of a job are in the shard, as this owner desires them.
+    pub(crate) fn zone_occupancy(&self, shard: ShardId, id: &JobId, job: &Job) -> ZoneOccupancy {
+        let mut occupancy = ZoneOccupancy::default();
+        if !job.record.spec.one_zone && !job.record.spec.apart {
+            return occupancy;
+        }
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return occupancy };
+        for (name, tasks) in &owned_shard.on {
+            let tasks_here = tasks.iter().filter(|task| task.0 == *id).count();
+            if tasks_here == 0 {
+                continue;
+            }
+            match owned_shard.machines.get(name) {
+                Some(machine) => occupancy.add(&machine.zone, tasks_here),
+                None => occupancy.incomplete = true,
+            }
+        }
+        occupancy
+    }
+}
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -110,7 +110,7 @@
                 job.record.plan
             );
             // Once a job: its record changes with each deal.
-            if news == JobChange::First && self.wants_quick_start(&job.class) {
+            if news == JobChange::First && self.needs_quick_start(&job.class) {
                 let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
                 self.estimates.saw_job(&class, cpus);
             }
