--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -93,7 +93,7 @@
 
 impl Core {
     pub(crate) fn lead(&mut self) {
-        if !self.leading() || !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.leading() || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         self.deal(true);
@@ -102,7 +102,7 @@
 
     /// Deals jobs as they come, between two housekeepings.
     pub(crate) fn assign_new_slices(&mut self) {
-        if self.leading() && self.records_fresh() && self.now >= self.retry_state_at {
+        if self.leading() && self.records_fresh() && self.store.may_send(self.now) {
             self.deal(false);
         }
     }
@@ -111,7 +111,7 @@
         // Our own shards' wishes are newer than what is durable.
         let used = self.taken();
         let mut shards: Vec<Vec<RoomAt>> = (0..self.shard_count).map(|_| vec![]).collect();
-        for (name, m) in &self.fleet.machines {
+        for (name, m) in self.fleet.machines() {
             let Some(t) = self.catalog.get(&m.kind) else { continue };
             if !m.up || m.leaving || m.downlink_lost || self.draining(name) {
                 continue;
@@ -175,7 +175,7 @@
             };
             looked += plan.shards.len();
             let (Some(moved), key) = (moved, job_key(&id)) else { continue };
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let mut conditions = vec![
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -85,7 +85,7 @@
         let mut queue = vec![];
         let mut any_pending_here = false;
         for (index, (id, job)) in self.cache.jobs.iter().enumerate() {
-            if job.record.end.is_some() || job.record.waits() || self.held_back(id, job) {
+            if job.record.end.is_some() || job.record.waits() || self.in_retry_backoff(id, job) {
                 continue;
             }
             let pending_here = job.pending_tasks() > 0;
@@ -170,7 +170,7 @@
             job.record.end.is_none()
                 && !job.record.waits()
                 && left.iter().any(|guarantee| *guarantee.team == job.team)
-                && !self.suspect(id)
+                && !self.fails_everywhere(id)
         };
         let mut jobs: Vec<(&JobId, &Job)> =
             self.cache.jobs.iter().filter(|(id, job)| may_be_covered(id, job)).collect();
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -224,7 +224,7 @@
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             if owned_shard.stopping.contains_key(key) {
                 free_soon += Resources::of_task(&job.record.spec);
-            } else if self.rest_of(owned_shard, job, key) >= NEARLY_DONE_S {
+            } else if self.remaining_s(owned_shard, job, key) >= NEARLY_DONE_S {
                 tasks.push(self.preemptible_task(owned_shard, key, job, guaranteed));
             }
         }
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -53,7 +53,7 @@
     ) -> Option<f64> {
         let job = self.cache.jobs.get(&key.0)?;
         let spec = &job.record.spec;
-        let remaining_s = self.rest_of(owned_shard, job, key);
+        let remaining_s = self.remaining_s(owned_shard, job, key);
         let ends_in_time = spec.kind != JobKind::Standing && remaining_s + COMPLETION_MARGIN_S < left_s;
         if ends_in_time && !machine.faulty {
             return None;
--- a/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
+++ b/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
@@ -63,13 +63,13 @@
 
     /// The shortest boot time of any machine type, in seconds; infinite without a catalog.
     pub(super) fn quickest_boot_s(&self) -> f64 {
-        self.catalog.values().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
+        self.catalog.types().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Cores that a shard of `shard_cpus` cores keeps free for work that must start at once:
     /// those of a usual job of each such class.
     pub(crate) fn quick_start_reserve_cpus(&self, shard_cpus: f64) -> f64 {
-        self.estimates.quick_cpus().min(shard_cpus * MAX_RESERVED_SHARE)
+        self.estimates.quick_start_cpus().min(shard_cpus * MAX_RESERVED_SHARE)
     }
 }
 
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -197,7 +197,7 @@
         may_wait: bool,
     ) -> JobPlacement<'a> {
         let occupancy = self.core.zone_occupancy(self.shard, id, request.job);
-        let mut placement = JobPlacement::new(id, request, quota, occupancy, self.core.suspect(id));
+        let mut placement = JobPlacement::new(id, request, quota, occupancy, self.core.fails_everywhere(id));
         self.rank_machines(&mut placement);
         let now = self.core.now;
         if may_wait
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -51,7 +51,7 @@
                 }
             }
         }
-        self.fleet.unplaceable_services.0 = unplaceable;
+        self.unplaceable_services.0 = unplaceable;
     }
 
     /// None if a machine of the service's shard has capacity for one more replica.
@@ -61,7 +61,7 @@
         if zones.iter().any(|zone| room.tasks_in(Some(zone), shard, &job.record, 1, false) > 0) {
             return None;
         }
-        let known = self.fleet.unplaceable_services.0.get(id);
+        let known = self.unplaceable_services.0.get(id);
         Some(UnplaceableService {
             since: known.map_or(self.now, |service| service.since),
             zone: zones.into_iter().next(),
@@ -74,7 +74,7 @@
         let replicas = self.replicas_by_zone(job);
         let replicas_in = |zone: &str| replicas.get(zone).copied().unwrap_or(0);
         let half = spec.task_count.div_ceil(2) as usize;
-        let sold: BTreeSet<&String> = self.catalog.values().flat_map(|machine_type| &machine_type.zones).collect();
+        let sold: BTreeSet<&String> = self.catalog.types().flat_map(|machine_type| &machine_type.zones).collect();
         let mut open: Vec<String> = sold
             .into_iter()
             .filter(|zone| spec.zone.as_ref().is_none_or(|required| required == *zone))
@@ -91,7 +91,7 @@
         let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
         for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
             let TaskRecord::Placed(_, name) = task else { continue };
-            if let Some(machine) = self.fleet.machines.get(name) {
+            if let Some(machine) = self.fleet.machine(name) {
                 *replicas.entry(&machine.zone).or_default() += 1;
             }
         }
@@ -101,7 +101,7 @@
     /// What the services demand that have lacked capacity for long: capacity for one replica
     /// each, in their shard.
     pub(crate) fn unplaceable_demand(&self) -> Vec<Demand> {
-        let services = self.fleet.unplaceable_services.0.iter();
+        let services = self.unplaceable_services.0.iter();
         services
             .filter(|(_, service)| self.now.since(service.since) > MIN_WAIT)
             .filter_map(|(id, service)| self.replica_demand(id, service))
