--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -24,8 +24,10 @@
 /// A machine that may get new tasks, with its capacity as planned so far.
 #[derive(Clone)]
 pub(crate) struct CandidateMachine<'a> {
+    /// The name under which the shard knows it.
     pub name: &'a MachineId,
-    pub machine: &'a Machine,
+    /// What its heartbeats told, and what the shard's owner remembers of it.
+    pub reported: &'a Machine,
     pub machine_type: &'a MachineType,
     /// Lifetimes of machines like this one, if any ended and they are to be regarded.
     pub history: Option<&'a LifetimeHistory>,
@@ -33,6 +35,7 @@
     pub age_s: f64,
     /// Price per core, in the cloud's unit of price.
     pub price_per_cpu: f64,
+    /// What is free now and later, the cycle's reservations included.
     pub capacity: CapacityTimeline,
     /// Waits worked out so far, by number of the request's shape; dropped with each
     /// reservation.
@@ -57,7 +60,7 @@
 
     /// Seconds that fetching the job's image takes here: none if the machine has it.
     pub fn image_fetch_s(&self, job: &Job) -> f64 {
-        let has_image = self.machine.images.iter().any(|(name, _)| *name == job.image);
+        let has_image = self.reported.images.iter().any(|(name, _)| *name == job.image);
         if has_image || self.machine_type.fetch_gb_per_s <= 0.0 {
             0.0
         } else {
@@ -68,11 +71,9 @@
     /// True if the job's constraints on machine type, zone and spot machines allow one more
     /// of its tasks here. Capacity is another matter.
     pub fn satisfies(&self, spec: &JobSpec, occupancy: &ZoneOccupancy) -> bool {
-        let zone = &self.machine.zone;
-        spec.types.as_ref().is_none_or(|types| types.contains(&self.machine.kind))
-            && spec.zone.as_ref().is_none_or(|required| required == zone)
-            && (spec.spot_allowed || !self.machine.spot)
-            && occupancy.allows(spec, zone)
+        spec.types.as_ref().is_none_or(|types| types.contains(&self.reported.kind))
+            && (spec.spot_allowed || !self.reported.spot)
+            && occupancy.allows(spec, &self.reported.zone)
     }
 }
 
@@ -96,6 +97,7 @@
         candidates
     }
 
+    /// False for machines that are faulty, about to go, silent, unreachable, or to be drained.
     fn may_get_tasks(&self, name: &MachineId, machine: &Machine) -> bool {
         !machine.faulty
             && !self.is_downlink_lost(machine)
@@ -105,6 +107,7 @@
             && !self.draining(name)
     }
 
+    /// A snapshot of one machine.
     fn candidate_machine<'a>(
         &'a self,
         owned_shard: &'a OwnedShard,
@@ -120,7 +123,7 @@
         let spot_price = machine_type.spot_price.filter(|_| machine.spot);
         CandidateMachine {
             name,
-            machine,
+            reported: machine,
             machine_type,
             history: self.estimates.history(machine).filter(|_| self.tuning.use_lifetimes),
             age_s: self.now.since(machine.born).as_secs(),
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -47,12 +47,13 @@
     }
 }
 
-/// A machine that a job's task may go to. The greatest is the best, as a heap wants it.
+/// A machine that a job's task may go to. The greatest is the best, so that it is on
+/// top of a `BinaryHeap`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RankedCandidate {
     rank: CandidateRank,
     /// The machine's index among those of the cycle.
-    pub machine: usize,
+    pub machine_index: usize,
     /// Seconds until there is capacity; 0 if there is now.
     pub wait_s: f64,
     /// Seconds for which the task will hold its capacity, the fetch of its image included.
@@ -61,7 +62,7 @@
 
 impl Ord for RankedCandidate {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.rank.compare(&self.rank).then(other.machine.cmp(&self.machine))
+        other.rank.compare(&self.rank).then(other.machine_index.cmp(&self.machine_index))
     }
 }
 
@@ -116,7 +117,7 @@
     }
     if request.job.record.spec.kind == JobKind::Standing {
         let rank = CandidateRank::FIRST_FIT;
-        return Some(RankedCandidate { rank, machine: index, wait_s, hold_s: SERVICE_HOLD_S });
+        return Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: SERVICE_HOLD_S });
     }
     let fetch_s = machine.image_fetch_s(request.job);
     let completion_s = completion_s(machine, request, wait_s + fetch_s);
@@ -128,7 +129,7 @@
         price: (machine.price_per_cpu * 1000.0).round(),
         free_cpus: machine.capacity.free.cpus,
     };
-    Some(RankedCandidate { rank, machine: index, wait_s, hold_s: request.run_s + fetch_s })
+    Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: request.run_s + fetch_s })
 }
 
 /// Expected seconds until a task is complete on the machine if it may start in `wait_s`.
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -18,5 +18,6 @@
 pub(crate) mod scheduling_cycle;
 pub(crate) mod scoring;
 pub(crate) mod starvation;
+pub(crate) mod task_stop;
 pub(crate) mod unplaceable_services;
 pub(crate) mod zone_occupancy;
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -56,7 +56,9 @@
             });
             by_class[index].add(&objective.kind, within_s);
         }
-        by_class.iter_mut().for_each(|class| class.finish_within_s.sort_by(f64::total_cmp));
+        for class in &mut by_class {
+            class.finish_within_s.sort_by(f64::total_cmp);
+        }
         Objectives(by_class)
     }
 
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -20,9 +20,11 @@
 /// The share of its work that a task on a machine still has to do, on average.
 const RUNNING_WORK_SHARE: f64 = 0.5;
 
-/// Time that a job without a deadline and without an objective is allowed: this much, and so
-/// many times its estimated run time.
+/// Seconds that a job without a deadline and without an objective is allowed, beside
+/// [`DEFAULT_ALLOWED_RUNS`].
 const DEFAULT_ALLOWED_S: f64 = 600.0;
+
+/// How many times its estimated run time such a job is allowed.
 const DEFAULT_ALLOWED_RUNS: f64 = 3.0;
 
 /// Of a job's run time, the share after which its first tasks may be complete.
@@ -43,8 +45,11 @@
 /// in their order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
+    /// False for high priorities, which go before guarantees.
     below_high_priority: bool,
+    /// False for jobs that their team's guarantee covers.
     beyond_guarantee: bool,
+    /// The job's priority, or that of any job that depends on it; the highest first.
     priority: Reverse<Priority>,
 }
 
@@ -80,7 +85,8 @@
     /// priorities, then work within a guarantee, then the priority, then the least time to
     /// spare. What cannot be in time with all that goes before it yields.
     ///
-    /// The jobs of all shards are ordered together, so that all owners agree on what yields.
+    /// Jobs that are pending in other shards are ordered too: with their work, others may be
+    /// late and yield.
     pub(crate) fn pending_queue(&self, guaranteed: &JobSet) -> Vec<CacheIndex> {
         let mut queue = vec![];
         let mut any_pending_here = false;
@@ -100,6 +106,7 @@
         order.into_iter().filter(|job| job.pending_here).map(|job| job.index).collect()
     }
 
+    /// A job as the queue's order sees it.
     fn queued_job<'a>(
         &self,
         job_ref: QueuedJobRef<'a>,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -2,14 +2,14 @@
 //! team gets its guarantee.
 //!
 //! Runs after a scheduling cycle, for the jobs that it could not place. A [`PreemptionPlan`]
-//! chooses the tasks whose stop loses the least work; they are then marked to be stopped, and
-//! the answers to their machines' heartbeats carry the commands. The capacity that this frees
-//! is not set aside: a later cycle places the jobs.
+//! chooses the tasks whose stop loses the least work; they are then marked to be stopped. The
+//! capacity that this frees is not reserved: a later cycle places the jobs.
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::pending_queue::JobSet;
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::scheduling_cycle::UnplacedTasks;
+use crate::coordination::scheduling::task_stop::TaskStop;
 use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
 use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
@@ -40,9 +40,10 @@
 /// A task that has run for less than this, in seconds, has no checkpoint to write yet.
 const MIN_CHECKPOINT_RUN_S: f64 = 1.0;
 
-/// Grace time of a task that writes a checkpoint: this many times what one takes, which
-/// counts as at least [`MIN_SAVE_S`] seconds.
+/// Grace time of a task that writes a checkpoint: this many times what one takes.
 const GRACE_FACTOR: f64 = 1.5;
+
+/// Seconds that a checkpoint is taken to need at least.
 const MIN_SAVE_S: f64 = 1.0;
 
 /// Loss in core seconds of any stop, beside the work.
@@ -113,11 +114,10 @@
     }
 }
 
-/// The tasks to be stopped in one shard.
+/// The tasks to be stopped in one shard, and the machines they are on.
 struct PreemptionPlan<'a> {
     machines: Vec<PreemptionMachine<'a>>,
-    /// The tasks, with their grace times in seconds.
-    stops: Vec<(TaskKey, f64)>,
+    stops: Vec<TaskStop>,
 }
 
 impl PreemptionPlan<'_> {
@@ -151,7 +151,7 @@
             let task = &mut machine.tasks[index];
             task.chosen = true;
             machine.free_soon += task.need;
-            self.stops.push((task.key.clone(), task.grace_s));
+            self.stops.push(TaskStop { task: task.key.clone(), grace_s: task.grace_s });
         }
         machine.free_soon -= preemptor.need;
         true
@@ -163,16 +163,13 @@
     /// in the order in which the cycle left them.
     pub(crate) fn make_room(&mut self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) {
         let stops = self.plan_preemption(shard, unplaced, guaranteed);
-        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            for (key, grace_s) in stops {
-                tracing::debug!(%shard, job = %key.0, task = key.1, grace_s, "preempting task");
-                owned_shard.stopping.entry(key).or_insert(grace_s);
-            }
+        for TaskStop { task, grace_s } in &stops {
+            tracing::debug!(%shard, job = %task.0, task = task.1, grace_s, "preempting task");
         }
+        self.mark_tasks_to_stop(shard, stops);
     }
 
-    /// The tasks to be stopped, with their grace times in seconds.
-    fn plan_preemption(&self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) -> Vec<(TaskKey, f64)> {
+    fn plan_preemption(&self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) -> Vec<TaskStop> {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let worth_it = |unplaced: &&UnplacedTasks| self.is_worth_preempting_for(unplaced, guaranteed);
         let unplaced: Vec<&UnplacedTasks> = unplaced.iter().filter(worth_it).take(MAX_JOBS).collect();
@@ -212,6 +209,7 @@
         spare_s > -LATE_TOLERANCE_S && unplaced.wait_s + SPARE_MARGIN_S > spare_s && unplaced.wait_s > NEARLY_DONE_S
     }
 
+    /// The machine with the tasks on it that may be stopped at all.
     fn preemption_machine<'a>(
         &'a self,
         owned_shard: &'a OwnedShard,
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -35,6 +35,7 @@
         self.time_left_s - self.run_s
     }
 
+    /// The time left in whole milliseconds, which jobs are compared by.
     fn time_left_ms(&self) -> i64 {
         (self.time_left_s * 1000.0) as i64
     }
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -1,6 +1,6 @@
 //! The scheduling cycle: one pass over the pending queue for each owned shard.
 //!
-//! The core's tick calls `run_scheduling_cycles`. For each shard, a [`ShardCycle`] decides on
+//! Begin to read here, then in `shard_cycle`. The core's tick calls `run_scheduling_cycles`. For each shard, a [`ShardCycle`] decides on
 //! a snapshot of the shard's machines which pending tasks start now and which wait for a busy
 //! machine; its [`CycleOutcome`] is then applied here. Placements become durable with the
 //! shard's next transaction: nothing is sent to a worker from here.
@@ -16,7 +16,7 @@
 use crate::coordination::scheduling::pending_queue::{CacheIndex, JobSet};
 use crate::coordination::shards::owned_shard::{QuotaShortage, TaskKey};
 use crate::coordination::Core;
-use crate::storage::cache::Job;
+use crate::storage::cache::{Job, Slice};
 use crate::storage::records::TaskRecord;
 use crate::units::{Attempt, JobId, MachineId, ShardId};
 use shard_cycle::ShardCycle;
@@ -52,10 +52,13 @@
 /// What one cycle of one shard decided.
 #[derive(Default)]
 struct CycleOutcome {
+    /// Tasks that start now.
     placements: Vec<Placement>,
+    /// Jobs with tasks that wait for capacity, in the order of the queue.
     unplaced: Vec<UnplacedTasks>,
     /// What the shard lacks of each team's quota for tasks that have a machine to go to.
     quota_shortages: BTreeMap<String, QuotaShortage>,
+    /// Set if the job that went first because it had waited too long got its task.
     starving_start: Option<StarvingStart>,
 }
 
@@ -81,6 +84,7 @@
         self.owned_shards.get(&shard).is_some_and(|owned_shard| owned_shard.ready && !owned_shard.releasing)
     }
 
+    /// Plans and applies one cycle of one shard.
     fn run_scheduling_cycle(&mut self, shard: ShardId, queue: &[CacheIndex], guaranteed: &JobSet) {
         let jobs = self.jobs_pending_in(shard, queue);
         if jobs.is_empty() {
@@ -95,8 +99,9 @@
     fn jobs_pending_in(&self, shard: ShardId, queue: &[CacheIndex]) -> Vec<(&JobId, &Job)> {
         // If this is the only shard owned, whatever is pending here is pending in it.
         let only_shard = self.owned_shards.len() == 1;
+        let is_pending_in = |job: &Job| pending_slices_in(job, shard).next().is_some();
         let jobs = queue.iter().filter_map(|index| self.cache.jobs.get_index(index.0));
-        jobs.filter(|(_, job)| job.pending_tasks() > 0 && (only_shard || is_pending_in(job, shard))).collect()
+        jobs.filter(|(_, job)| job.pending_tasks() > 0 && (only_shard || is_pending_in(job))).collect()
     }
 
     /// Carries out what a cycle decided; then makes room for what it could not place.
@@ -118,6 +123,7 @@
         }
     }
 
+    /// Logs at `debug` how much of the shard is idle and what its jobs lack.
     fn log_cycle(&self, shard: ShardId, machines: &[CandidateMachine], outcome: &CycleOutcome) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -143,16 +149,13 @@
     }
 }
 
-/// True if tasks of the job are pending in the shard.
-fn is_pending_in(job: &Job, shard: ShardId) -> bool {
-    job.slices()
-        .iter()
-        .enumerate()
-        .any(|(index, slice)| slice.pending_tasks() > 0 && job.shard_of(index) == Some(shard))
+/// The job's slices that have pending tasks in the shard, with their indexes.
+fn pending_slices_in(job: &Job, shard: ShardId) -> impl Iterator<Item = (usize, &Slice)> {
+    let slices = job.slices().iter().enumerate();
+    slices.filter(move |(index, slice)| slice.pending_tasks() > 0 && job.shard_of(*index) == Some(shard))
 }
 
 /// The number of the job's tasks that are pending in the shard.
 fn pending_tasks_in(job: &Job, shard: ShardId) -> usize {
-    let slices = job.slices().iter().enumerate().filter(|(index, _)| job.shard_of(*index) == Some(shard));
-    slices.map(|(_, slice)| slice.pending_tasks() as usize).sum()
+    pending_slices_in(job, shard).map(|(_, slice)| slice.pending_tasks() as usize).sum()
 }
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -1,19 +1,23 @@
 //! Stops tasks on machines that are about to be taken away, in time for a checkpoint.
 //!
-//! Runs before the cycles of the shards. It only marks tasks to be stopped: the answers to
-//! the machines' heartbeats carry the commands.
+//! Runs before the cycles of the shards, and marks tasks to be stopped for machines that are
+//! faulty or of which the cloud has given notice. Where the tasks go then is decided by a
+//! later cycle.
 
+use crate::coordination::scheduling::task_stop::TaskStop;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard, TaskKey};
 use crate::coordination::Core;
 use crate::protocol::users::{JobKind, JobSpec};
-use crate::units::MonotonicTime;
+use crate::units::{MonotonicTime, ShardId};
 
 /// A task that will end at least so many seconds before its machine does is left to run.
 const COMPLETION_MARGIN_S: f64 = 0.5;
 
-/// The last moment for a checkpoint: this many times what one takes before the machine's
-/// end, and a margin in seconds for the command to arrive.
+/// A checkpoint begins this many times what one takes before the machine's end, and
+/// [`COMMAND_MARGIN_S`] earlier.
 const CHECKPOINT_TIME_FACTOR: f64 = 1.5;
+
+/// Seconds for the command to reach the machine.
 const COMMAND_MARGIN_S: f64 = 3.0;
 
 /// The least grace time of a task that writes checkpoints, in seconds.
@@ -24,22 +28,24 @@
     /// moment for a checkpoint has come, or at once if they write none and will not end by
     /// themselves before.
     pub(super) fn stop_tasks_on_leaving_machines(&mut self) {
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            let stops = self.plan_evacuation(shard);
+            self.mark_tasks_to_stop(shard, stops);
+        }
+    }
+
+    fn plan_evacuation(&self, shard: ShardId) -> Vec<TaskStop> {
+        let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let mut stops = vec![];
-        for (shard, owned_shard) in &self.owned_shards {
-            for (name, machine) in &owned_shard.machines {
-                let Some(left_s) = time_left_s(machine, self.now) else { continue };
-                for key in owned_shard.on.get(name).into_iter().flatten() {
-                    if let Some(grace_s) = self.evacuation_grace_s(owned_shard, machine, left_s, key) {
-                        stops.push((*shard, key.clone(), grace_s));
-                    }
+        for (name, machine) in &owned_shard.machines {
+            let Some(left_s) = time_left_s(machine, self.now) else { continue };
+            for task in owned_shard.on.get(name).into_iter().flatten() {
+                if let Some(grace_s) = self.evacuation_grace_s(owned_shard, machine, left_s, task) {
+                    stops.push(TaskStop { task: task.clone(), grace_s });
                 }
             }
         }
-        for (shard, key, grace_s) in stops {
-            if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                owned_shard.stopping.entry(key).or_insert(grace_s);
-            }
-        }
+        stops
     }
 
     /// The grace time in seconds with which a task is to be stopped now; none if it may run
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -54,9 +54,11 @@
     pub id: &'a JobId,
     pub request: PlacementRequest<'a>,
     pub quota: TeamQuota,
+    /// Where its tasks are, those placed in this cycle included.
     pub occupancy: ZoneOccupancy,
     /// Machines for the next task, the best on top.
     pub candidates: BinaryHeap<RankedCandidate>,
+    /// Its tasks that do not start now for want of capacity.
     pub unplaced: UnplacedTasks,
     /// The job failed wherever it ran: one task at a time shows whether it still does.
     pub suspect: bool,
@@ -65,10 +67,12 @@
     pub ended: bool,
     /// For how long the job avoids a machine on which it failed.
     avoid_after_failure: Millis,
+    /// Tasks that were looked at and have to wait.
     waiting_tasks: usize,
 }
 
 impl<'a> JobPlacement<'a> {
+    /// A job of which no task is looked at yet and no machine ranked.
     pub fn new(
         id: &'a JobId,
         request: PlacementRequest<'a>,
@@ -93,7 +97,7 @@
     /// True if the job failed on the machine so lately that it goes elsewhere. A suspect
     /// job, which fails everywhere, avoids none.
     pub fn avoids(&self, machine: &CandidateMachine, now: MonotonicTime) -> bool {
-        let failed_at = machine.machine.failed_jobs.get(self.id);
+        let failed_at = machine.reported.failed_jobs.get(self.id);
         !self.suspect && failed_at.is_some_and(|at| now.since(*at) < self.avoid_after_failure)
     }
 
--- a/src/coordination/scheduling/scheduling_cycle/limits.rs
+++ b/src/coordination/scheduling/scheduling_cycle/limits.rs
@@ -23,10 +23,13 @@
 /// After so many times the scores at which jobs may no longer wait, the cycle ends.
 const HARD_LIMIT_FACTOR: usize = 3;
 
-/// Jobs that a cycle lets wait for busy machines at least, and the share of the shard's
-/// cores that it promises to such jobs, before all others may only start at once: the
-/// capacity that comes free soon belongs to the jobs before them.
+/// Jobs that a cycle lets wait for busy machines at least, however much they are promised.
+/// Further jobs may only start at once: the capacity that comes free soon belongs to the jobs
+/// before them.
 const MIN_WAITING_JOBS: usize = 32;
+
+/// The share of a shard's cores that a cycle promises to waiting jobs, beyond those of the
+/// first [`MIN_WAITING_JOBS`].
 const MAX_PROMISED_SHARE: f64 = 0.25;
 
 /// How many machines a cycle may still score.
@@ -37,6 +40,7 @@
 }
 
 impl ScoreBudget {
+    /// A budget of which nothing is spent; `soft_limit` is in machines scored.
     pub fn new(soft_limit: usize) -> ScoreBudget {
         ScoreBudget { scored: 0, soft_limit }
     }
@@ -66,6 +70,7 @@
 }
 
 impl PromisedCapacity {
+    /// Nothing promised yet of a shard with so many cores.
     pub fn new(shard_cpus: f64) -> PromisedCapacity {
         PromisedCapacity { shard_cpus, promised_cpus: 0.0, waiting_jobs: 0 }
     }
@@ -85,6 +90,7 @@
         self.waiting_jobs += 1;
     }
 
+    /// Cores promised so far.
     pub fn promised_cpus(&self) -> f64 {
         self.promised_cpus
     }
--- a/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
+++ b/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
@@ -26,6 +26,7 @@
 }
 
 impl QuickStartReserve {
+    /// The reserve on a shard's machines, as they are before anything is placed.
     pub fn new(reserved_cpus: f64, machines: &[CandidateMachine]) -> QuickStartReserve {
         let fastest = machines.iter().map(|machine| machine.machine_type.fetch_gb_per_s).fold(0.0, f64::max);
         let mut reserve = QuickStartReserve { reserved_cpus, free_cpus: 0.0, fastest_fetch_gb_per_s: fastest };
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -13,15 +13,18 @@
 use crate::coordination::scheduling::scheduling_cycle::job_placement::{JobPlacement, TeamQuota, MAX_WAITING_TASKS};
 use crate::coordination::scheduling::scheduling_cycle::limits::{PromisedCapacity, ScoreBudget};
 use crate::coordination::scheduling::scheduling_cycle::quick_start_reserve::QuickStartReserve;
-use crate::coordination::scheduling::scheduling_cycle::{pending_tasks_in, CycleOutcome, Placement, StarvingStart};
+use crate::coordination::scheduling::scheduling_cycle::{
+    pending_slices_in, pending_tasks_in, CycleOutcome, Placement, StarvingStart,
+};
 use crate::coordination::Core;
-use crate::storage::cache::Job;
+use crate::storage::cache::{Job, Slice};
 use crate::storage::records::TaskRecord;
 use crate::units::{Attempt, JobId, MachineId, ShardId};
 use std::collections::BTreeMap;
 
 /// The state of one cycle of one shard.
 pub(super) struct ShardCycle<'a> {
+    /// Read only: the cycle changes nothing of it.
     core: &'a Core,
     shard: ShardId,
     /// The machines that may get tasks, with the capacity that the cycle has left on them.
@@ -31,7 +34,9 @@
     reserve: QuickStartReserve,
     /// Cores and GPUs in use by team, the cycle's own placements included.
     used_quota: BTreeMap<String, (f64, f64)>,
+    /// Machines scored so far.
     scores: ScoreBudget,
+    /// Capacity that tasks wait for.
     promised: PromisedCapacity,
     shapes: RequestShapes,
     exhausted: ExhaustedShapes,
@@ -45,14 +50,16 @@
     outcome: CycleOutcome,
 }
 
-/// The parts of a cycle's state that a gang gives back if not all its tasks can start.
-struct Checkpoint<'a> {
+/// The state that a cycle returns to if not all tasks of a gang can start now.
+struct GangSavepoint<'a> {
     machines: Vec<CandidateMachine<'a>>,
+    /// How many tasks were placed before.
     placements: usize,
     promised_cpus: f64,
 }
 
 impl<'a> ShardCycle<'a> {
+    /// A cycle that has decided nothing yet, with a snapshot of the shard's machines.
     pub fn new(core: &'a Core, shard: ShardId) -> ShardCycle<'a> {
         let machines = core.candidate_machines(shard);
         let shard_cpus: f64 = machines.iter().map(|machine| machine.machine_type.cpus).sum();
@@ -88,6 +95,7 @@
         self.outcome
     }
 
+    /// A job that has waited too long goes before all others.
     fn move_starving_job_to_front(&mut self, jobs: &mut [(&'a JobId, &'a Job)]) {
         if let Some(index) = self.core.starving_job(self.shard, jobs) {
             jobs[..=index].rotate_right(1);
@@ -121,11 +129,11 @@
             }
             return;
         }
-        let checkpoint = request.is_gang().then(|| self.checkpoint());
+        let savepoint = request.is_gang().then(|| self.savepoint());
         let mut placement = self.begin_placement(id, request, quota, may_wait);
         self.place_tasks(&mut placement);
-        match checkpoint {
-            Some(checkpoint) if placement.ended => self.roll_back(checkpoint),
+        match savepoint {
+            Some(savepoint) if placement.ended => self.roll_back(savepoint),
             _ => self.keep_used_quota(&placement),
         }
         if may_wait {
@@ -155,25 +163,29 @@
         self.promised.allows_waiting() && self.scores.allows_waiting()
     }
 
+    /// What the team may use in the shard, and uses with this cycle's placements.
     fn team_quota(&self, team: &str) -> TeamQuota {
         let (max_cpus, max_gpus) = self.core.quota(self.shard, team);
         let (used_cpus, used_gpus) = self.used_quota.get(team).copied().unwrap_or_default();
         TeamQuota { max_cpus, max_gpus, used_cpus, used_gpus }
     }
 
+    /// Takes over what a job's tasks use of the quota that start now.
     fn keep_used_quota(&mut self, placement: &JobPlacement) {
         let team = placement.request.job.record.spec.team.clone();
         self.used_quota.insert(team, (placement.quota.used_cpus, placement.quota.used_gpus));
     }
 
+    /// Notes that tasks could start if the shard had more of the team's quota.
     fn add_quota_shortage(&mut self, request: &PlacementRequest, tasks: usize) {
         let team = request.job.record.spec.team.clone();
         let shortage = self.outcome.quota_shortages.entry(team).or_default();
         shortage.add((request.need.cpus, request.need.gpus), tasks as f64);
     }
 
-    fn checkpoint(&self) -> Checkpoint<'a> {
-        Checkpoint {
+    /// What a gang changes, as it is before its first task is placed.
+    fn savepoint(&self) -> GangSavepoint<'a> {
+        GangSavepoint {
             machines: self.machines.clone(),
             placements: self.outcome.placements.len(),
             promised_cpus: self.promised.promised_cpus(),
@@ -181,10 +193,10 @@
     }
 
     /// Gives back what a gang took of which not all tasks can start now.
-    fn roll_back(&mut self, checkpoint: Checkpoint<'a>) {
-        self.machines = checkpoint.machines;
-        self.outcome.placements.truncate(checkpoint.placements);
-        self.promised.restore_promised_cpus(checkpoint.promised_cpus);
+    fn roll_back(&mut self, savepoint: GangSavepoint<'a>) {
+        self.machines = savepoint.machines;
+        self.outcome.placements.truncate(savepoint.placements);
+        self.promised.restore_promised_cpus(savepoint.promised_cpus);
     }
 
     /// Ranks the machines for a job. If it may wait, but only machines on which it failed
@@ -210,6 +222,7 @@
         placement
     }
 
+    /// Ranks all machines for the job's next task.
     fn rank_machines(&mut self, placement: &mut JobPlacement) {
         let now = self.core.now;
         let allowed = |machine: &CandidateMachine| !placement.avoids(machine, now);
@@ -218,25 +231,21 @@
         self.scores.spend(self.machines.len());
     }
 
+    /// Places the job's pending tasks, slice by slice.
     fn place_tasks(&mut self, placement: &mut JobPlacement) {
-        let job = placement.request.job;
-        for (index, slice) in job.slices().iter().enumerate() {
+        for (index, slice) in pending_slices_in(placement.request.job, self.shard) {
             if placement.ended {
                 break;
             }
-            if job.shard_of(index) == Some(self.shard) && slice.pending_tasks() > 0 {
-                self.place_slice(placement, index);
-            }
+            self.place_slice(placement, index, slice);
         }
     }
 
     /// Places the pending tasks of one slice of the job.
-    fn place_slice(&mut self, placement: &mut JobPlacement, index: usize) {
-        let job = placement.request.job;
-        let slice = &job.slices()[index];
+    fn place_slice(&mut self, placement: &mut JobPlacement, index: usize, slice: &Slice) {
         let Some(desired) = slice.desired() else { return };
         let mut first_attempts_left = self.max_tried_per_slice.saturating_sub(slice.tried());
-        let first_task = job.record.plan.as_ref().map_or(0, |plan| plan.first_task(index));
+        let first_task = placement.request.job.record.plan.as_ref().map_or(0, |plan| plan.first_task(index));
         for (offset, task) in desired.tasks.iter().enumerate() {
             let TaskRecord::Pending(Attempt(attempts)) = *task else { continue };
             let is_first_attempt = attempts == 0;
@@ -279,7 +288,7 @@
             return None;
         }
         self.start_task(placement, &best);
-        Some(self.machines[best.machine].name.clone())
+        Some(self.machines[best.machine_index].name.clone())
     }
 
     /// Drops the best candidates for as long as they hold a reserve that is closed to the
@@ -288,7 +297,7 @@
         if !self.reserve.is_closed_to(&placement.request.need, placement.request.quick_start) {
             return;
         }
-        let is_reserved = |best: &RankedCandidate| self.reserve.is_held_by(&self.machines[best.machine]);
+        let is_reserved = |best: &RankedCandidate| self.reserve.is_held_by(&self.machines[best.machine_index]);
         while placement.candidates.peek().is_some_and(is_reserved) {
             placement.candidates.pop();
         }
@@ -296,20 +305,20 @@
 
     /// Reserves capacity on the machine and ranks it again for the job's next task.
     fn reserve_capacity(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
-        let machine = &mut self.machines[best.machine];
+        let machine = &mut self.machines[best.machine_index];
         machine.reserve(&placement.request.need, best.wait_s, best.wait_s + best.hold_s);
-        placement.candidates.extend(rank_candidate(best.machine, machine, &placement.request));
+        placement.candidates.extend(rank_candidate(best.machine_index, machine, &placement.request));
         self.scores.spend(1);
     }
 
     /// Counts a task that starts now on a machine where its capacity is reserved.
     fn start_task(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
         let need = placement.request.need;
-        let machine = &self.machines[best.machine];
+        let machine = &self.machines[best.machine_index];
         placement.quota.add(&need);
         self.reserve.task_started(machine, &need);
         if placement.request.job.record.spec.whole() {
-            placement.occupancy.add(&machine.machine.zone, 1);
+            placement.occupancy.add(&machine.reported.zone, 1);
             self.rank_machines(placement);
         }
         placement.ended |= placement.suspect && !placement.request.is_gang();
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -4,8 +4,8 @@
 //! for as long as other work comes. A job of which nothing has begun within the operators'
 //! `starvation_limit_s` therefore gets its first task before others. One task only, on the
 //! next capacity that comes free (nothing is stopped for it), the longest wait first, and
-//! within a share of the shard's cores, so that a flood of such jobs does not turn the order
-//! round. The rest of the job waits in its place again. Called by the scheduling cycle.
+//! within a share of the shard's cores, so that a flood of such jobs does not invert the
+//! order. The rest of the job waits in its place again. Called by the scheduling cycle.
 
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -10,6 +10,7 @@
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::leader::array_assignment::Room;
 use crate::coordination::scheduling::resources::Resources;
+use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
@@ -70,29 +71,21 @@
 
     /// Zones in which one more replica may be beside those that run, the emptiest first.
     fn open_zones(&self, job: &Job) -> Vec<String> {
-        let spec = &job.record.spec;
-        let replicas = self.replicas_by_zone(job);
-        let replicas_in = |zone: &str| replicas.get(zone).copied().unwrap_or(0);
-        let half = spec.task_count.div_ceil(2) as usize;
+        let replicas = self.replica_zones(job);
         let sold: BTreeSet<&String> = self.catalog.types().flat_map(|machine_type| &machine_type.zones).collect();
-        let mut open: Vec<String> = sold
-            .into_iter()
-            .filter(|zone| spec.zone.as_ref().is_none_or(|required| required == *zone))
-            .filter(|zone| !spec.one_zone || replicas.keys().all(|used| used == zone))
-            .filter(|zone| !spec.apart || replicas_in(zone) < half)
-            .cloned()
-            .collect();
-        open.sort_by_key(|zone| replicas_in(zone));
+        let mut open: Vec<String> =
+            sold.into_iter().filter(|zone| replicas.allows(&job.record.spec, zone)).cloned().collect();
+        open.sort_by_key(|zone| replicas.tasks_in(zone));
         open
     }
 
-    /// The number of a service's replicas on machines that the leader knows, by zone.
-    fn replicas_by_zone(&self, job: &Job) -> BTreeMap<&str, usize> {
-        let mut replicas: BTreeMap<&str, usize> = BTreeMap::new();
+    /// Where a service's replicas are, as far as the leader knows the machines.
+    fn replica_zones(&self, job: &Job) -> ZoneOccupancy {
+        let mut replicas = ZoneOccupancy::default();
         for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
             let TaskRecord::Placed(_, name) = task else { continue };
             if let Some(machine) = self.fleet.machine(name) {
-                *replicas.entry(&machine.zone).or_default() += 1;
+                replicas.add(&machine.zone, 1);
             }
         }
         replicas
--- a/src/coordination/scheduling/zone_occupancy.rs
+++ b/src/coordination/scheduling/zone_occupancy.rs
@@ -1,7 +1,7 @@
-//! In which zones a job's tasks are, for jobs whose tasks must be in one zone or apart.
+//! In which zones a job's tasks are, and in which further ones may go.
 //!
-//! Asked by the scheduling cycle and by preemption before a task goes to a machine. The
-//! cycle counts the tasks it places itself.
+//! Asked by the scheduling cycle and by preemption before a task goes to a machine, and by the
+//! leader before it rents for a service. Whoever places a task counts it here.
 
 use crate::coordination::Core;
 use crate::protocol::users::JobSpec;
@@ -9,7 +9,7 @@
 use crate::units::{JobId, ShardId};
 use std::collections::BTreeMap;
 
-/// The tasks of one job on machines, by zone. Empty for jobs without such a constraint.
+/// The tasks of one job on machines, by zone.
 #[derive(Default)]
 pub(crate) struct ZoneOccupancy {
     tasks_by_zone: BTreeMap<String, usize>,
@@ -24,16 +24,25 @@
         *self.tasks_by_zone.entry(zone.to_string()).or_default() += tasks;
     }
 
-    /// True if one more task of the job may go to the zone.
+    /// The number of tasks in the zone.
+    pub fn tasks_in(&self, zone: &str) -> usize {
+        self.tasks_by_zone.get(zone).copied().unwrap_or(0)
+    }
+
+    /// True if one more task of the job may go to the zone: it is the one that the job names,
+    /// if it names one; the one that its other tasks are in, if all must be in one; and holds
+    /// less than half of the tasks, if they must be apart.
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         let half = spec.task_count.div_ceil(2) as usize;
-        (!spec.one_zone || self.tasks_by_zone.keys().all(|used| used == zone))
-            && (!spec.apart || self.tasks_by_zone.get(zone).copied().unwrap_or(0) < half)
+        spec.zone.as_ref().is_none_or(|required| required == zone)
+            && (!spec.one_zone || self.tasks_by_zone.keys().all(|used| used == zone))
+            && (!spec.apart || self.tasks_in(zone) < half)
     }
 }
 
 impl Core {
-    /// Where the tasks of a job are in the shard, as this owner desires them.
+    /// Where the tasks of a job are in the shard, as its owner desires them. Empty for jobs
+    /// whose tasks need be neither in one zone nor apart: where they are means nothing.
     pub(crate) fn zone_occupancy(&self, shard: ShardId, id: &JobId, job: &Job) -> ZoneOccupancy {
         let mut occupancy = ZoneOccupancy::default();
         if !job.record.spec.one_zone && !job.record.spec.apart {
