--- /dev/null
+++ b/crates/http/src/head/tests.rs
@@ -0,0 +1,20 @@
+use super::*;
+use proptest::prelude::*;
+
+#[test]
+fn request_heads_are_parsed() {
+    let bytes = b"POST /hello HTTP/1.1\r\nContent-Length: 2\r\nConnection: close\r\n\r\n{}";
+    let (head, used) = parse_request_head(bytes).unwrap().unwrap();
+    assert_eq!((head.method.as_str(), head.path.as_str()), ("POST", "/hello"));
+    assert_eq!((head.length, head.close, bytes.len() - used), (Some(2), true, 2));
+    assert!(parse_request_head(&bytes[..20]).unwrap().is_none());
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(13), failure_persistence: None, ..Default::default() })]
+    #[test]
+    fn no_bytes_make_the_parser_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let _ = parse_request_head(&bytes);
+        let _ = parse_response_head(&bytes);
+    }
+}
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -86,7 +86,7 @@
 
     /// True if the job failed wherever it ran, as far as this node or another knows.
     pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
-        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
+        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing_jobs.iter().any(|f| f == job.as_str()));
         (self.estimates.failures.failed_on_several(job) || self.peers.values().any(told)) && !self.has_succeeded(job)
     }
 
@@ -118,7 +118,7 @@
         if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(name)) {
             machine.faulty = faulty;
             if rests {
-                machine.rests_until = until;
+                machine.cordoned_until = until;
             }
         }
         if faulty {
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -4,7 +4,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Output};
 use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records;
 use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY};
 use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, NodeName, Revision, ShardId};
@@ -58,12 +58,12 @@
             None if !self.granting => {
                 self.granting = true;
                 self.store.charge_read(self.now);
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             Some(lease) if !self.renewing && self.now >= self.renew_at => {
                 self.renewing = true;
                 self.store.charge_read(self.now);
-                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
+                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
             }
             _ => {}
         }
@@ -71,14 +71,14 @@
             self.update_shard_release();
             self.announce(lease);
             self.claim_shards(lease);
-            self.claim_lead(lease);
+            self.claim_leadership(lease);
         }
     }
 
-    pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
+    pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
         self.granting = false;
         match answer {
-            StateAnswer::Granted(lease) => {
+            StoreResponse::LeaseGranted(lease) => {
                 self.lease = Some(lease);
                 self.renew_at = self.now + self.timing.renew_every;
             }
@@ -86,12 +86,12 @@
         }
     }
 
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StateAnswer) {
+    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.renewing = false;
         self.renew_at = self.now + self.timing.renew_every;
         match answer {
-            StateAnswer::Renewed => {}
-            StateAnswer::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
+            StoreResponse::LeaseRenewed => {}
+            StoreResponse::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
             _ => self.renew_at = self.now + Millis(300),
         }
     }
@@ -224,7 +224,7 @@
 
     fn drop_shard(&mut self, shard: ShardId) {
         if self.owned_shards.remove(&shard).is_some() {
-            self.drop_deferred_responses(shard);
+            self.expire_deferred_responses(shard);
             for id in self.cache.active.clone() {
                 let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
                 for index in 0..job.slices().len() {
@@ -236,12 +236,12 @@
         }
     }
 
-    pub(crate) fn leading(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         let held = self.cache.leader.record.as_ref();
         held.is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease)
     }
 
-    fn claim_lead(&mut self, lease: LeaseId) {
+    fn claim_leadership(&mut self, lease: LeaseId) {
         let held = &self.cache.leader;
         let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
         if !free || self.store.is_key_busy(LEADER_KEY) {
@@ -264,9 +264,9 @@
                 .iter()
                 .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
                 .collect(),
-            ages: vec![],
-            faulty: vec![],
-            failing: vec![],
+            machine_ages: vec![],
+            faulty_machines: vec![],
+            failing_jobs: vec![],
         }
     }
 
@@ -275,17 +275,17 @@
             shard: shard.0,
             token: owned_shard.token.0,
             teams: owned_shard
-                .wanted
+                .quota_shortages
                 .iter()
                 .map(|(team, want)| crate::protocol::peer::TeamDemand {
                     team: team.clone(),
-                    wanted_cpus: want.all.0,
-                    wanted_gpus: want.all.1,
+                    unmet_cpus: want.total.cpus,
+                    unmet_gpus: want.total.gpus,
                 })
                 .collect(),
-            up: vec![],
-            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
-            leaving: owned_shard
+            reporting_machines: vec![],
+            downlink_lost_machines: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
+            terminating_machines: owned_shard
                 .machines
                 .iter()
                 .filter(|(_, m)| m.notice.is_some())
@@ -296,31 +296,31 @@
 
     pub(crate) fn broadcast_status(&mut self) {
         let mut status = self.own_status();
-        if self.leading() {
+        if self.is_leader() {
             // All of them now and then, for owners that are new; in between
             // only young machines', which others may not know yet.
             let all = self.told % ALL_AGES_EVERY == 0;
             let ages = self.fleet.machines().filter(|(_, m)| all || self.now.since(m.created_at) < YOUNG);
-            status.ages = ages
+            status.machine_ages = ages
                 .map(|(name, m)| MachineAge {
                     machine: name.to_string(),
                     age_s: self.now.since(m.created_at).as_secs(),
                 })
                 .collect();
         }
-        status.faulty = self
+        status.faulty_machines = self
             .owned_shards
             .values()
             .flat_map(|m| &m.machines)
             .filter(|(_, m)| m.faulty)
             .map(|(n, _)| n.to_string())
             .collect();
-        status.failing = self.failing_jobs();
+        status.failing_jobs = self.failing_jobs();
         let quiet = self.timing.worker_lease;
         for load in &mut status.shards {
             let machines = self.owned_shards.get(&ShardId(load.shard)).into_iter().flat_map(|m| &m.machines);
             let heard = machines.filter(|(_, m)| self.now.since(m.last_heartbeat) < quiet && !self.is_downlink_lost(m));
-            load.up = heard.map(|(name, _)| name.to_string()).collect();
+            load.reporting_machines = heard.map(|(name, _)| name.to_string()).collect();
         }
         self.told += 1;
         self.out.push(Output::BroadcastStatus(status));
@@ -332,7 +332,7 @@
         self.out.push(Output::RevisionHint(revision));
     }
 
-    pub(crate) fn status(&mut self, status: PeerStatus) {
+    pub(crate) fn receive_peer_status(&mut self, status: PeerStatus) {
         let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) else { return };
         peer.heard = Some(self.now);
         peer.state_reachable = status.state_reachable;
@@ -354,7 +354,7 @@
                 }
             }
         }
-        for age in &status.ages {
+        for age in &status.machine_ages {
             let name = MachineId::new(&age.machine);
             let shard = self.shard_of(&name);
             if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&name)) {
@@ -362,7 +362,7 @@
             }
         }
         if let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) {
-            if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
+            if !status.machine_ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
                 peer.status = Some(status);
             }
         }
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -60,7 +60,7 @@
 
     /// Seconds that fetching the job's image takes here: none if the machine has it.
     pub fn image_fetch_s(&self, job: &Job) -> f64 {
-        let has_image = self.reported.images.iter().any(|(name, _)| *name == job.image);
+        let has_image = self.reported.images.iter().any(|image| image.name == job.image);
         if has_image || self.machine_type.fetch_gb_per_s <= 0.0 {
             0.0
         } else {
@@ -102,7 +102,7 @@
         !machine.faulty
             && !self.is_downlink_lost(machine)
             && machine.notice.is_none()
-            && self.now >= machine.rests_until
+            && self.now >= machine.cordoned_until
             && self.now.since(machine.last_heartbeat) < self.heartbeat_overdue_after()
             && !self.draining(name)
     }
@@ -115,7 +115,7 @@
         machine: &'a Machine,
         machine_type: &'a MachineType,
     ) -> CandidateMachine<'a> {
-        let desired_tasks = owned_shard.on.get(name);
+        let desired_tasks = owned_shard.placed_tasks.get(name);
         let mut capacity = CapacityTimeline::new(Resources::of_machine(machine_type));
         self.add_desired_tasks(&mut capacity, owned_shard, desired_tasks);
         self.add_other_tasks(&mut capacity, machine, desired_tasks);
@@ -169,9 +169,9 @@
     ) {
         // Both lists are sorted, so one pass over both finds the difference.
         let mut desired = desired_tasks.into_iter().flatten().peekable();
-        for (key, (_, state, _)) in &machine.listed {
+        for (key, reported) in &machine.reported_tasks {
             while desired.next_if(|task| *task < key).is_some() {}
-            if *state == TaskState::Exited || desired.peek() == Some(&key) {
+            if reported.state == TaskState::Exited || desired.peek() == Some(&key) {
                 continue;
             }
             if let Some(job) = self.cache.jobs.get(&key.0) {
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -138,7 +138,7 @@
         age_s: machine.age_s,
         wait_s,
         run_s: request.run_s,
-        checkpoint_s: request.job.record.spec.checkpoint_s,
+        checkpoint_interval_s: request.job.record.spec.checkpoint_interval_s,
     };
     match machine.history {
         Some(history) => expected_completion(history, prospect),
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -66,11 +66,11 @@
         self.0.iter().find(|objectives| objectives.class == *class)
     }
 
-    /// True if an objective asks that tasks of the class start within less than `boot_s`
+    /// True if an objective asks that tasks of the class start within less than `provisioning_s`
     /// seconds. An objective on longer waits is no claim on the reserve for quick starts:
     /// such a class would use it up.
-    pub fn start_before(&self, class: &InternedName, boot_s: f64) -> bool {
-        self.of(class).is_some_and(|objectives| objectives.start_within_s < boot_s)
+    pub fn start_before(&self, class: &InternedName, provisioning_s: f64) -> bool {
+        self.of(class).is_some_and(|objectives| objectives.start_within_s < provisioning_s)
     }
 
     /// The shortest of the times for completion, in seconds, that is not below `soonest_s`,
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -8,8 +8,7 @@
 use crate::coordination::Core;
 use crate::protocol::users::Priority;
 use crate::storage::cache::Job;
-use crate::storage::names::InternedName;
-use crate::units::JobId;
+use crate::units::{ComputeAmount, JobId};
 use foldhash::fast::FixedState;
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -62,24 +61,6 @@
     pending_here: bool,
 }
 
-/// What is left of a team's guarantee; below zero once it is exceeded.
-struct GuaranteeLeft<'a> {
-    team: &'a InternedName,
-    cpus: f64,
-    gpus: f64,
-}
-
-impl GuaranteeLeft<'_> {
-    /// Takes all tasks of a job; true if the guarantee covers them.
-    fn take(&mut self, job: &Job) -> bool {
-        let spec = &job.record.spec;
-        let tasks = f64::from(spec.task_count);
-        self.cpus -= spec.cpus * tasks;
-        self.gpus -= spec.gpus * tasks;
-        self.cpus >= -GUARANTEE_TOLERANCE && self.gpus >= -GUARANTEE_TOLERANCE
-    }
-}
-
 impl Core {
     /// Jobs with tasks pending in shards of this node, in the order they are served: high
     /// priorities, then work within a guarantee, then the priority, then the least time to
@@ -166,17 +147,15 @@
 
     /// Jobs that their team's guarantee covers along with the team's earlier ones.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
-        let guarantees = self.guarantees.iter();
         // There are few teams: a list is looked through faster than a map.
-        let mut left: Vec<GuaranteeLeft> =
-            guarantees.map(|(team, cpus, gpus)| GuaranteeLeft { team, cpus: *cpus, gpus: *gpus }).collect();
+        let mut left = self.guarantees.clone();
         if left.is_empty() {
             return JobSet::default();
         }
         let may_be_covered = |id: &JobId, job: &Job| {
             job.record.end.is_none()
                 && !job.record.waits()
-                && left.iter().any(|guarantee| *guarantee.team == job.team)
+                && left.iter().any(|guarantee| guarantee.team == job.team)
                 && !self.fails_everywhere(id)
         };
         let mut jobs: Vec<(&JobId, &Job)> =
@@ -184,11 +163,21 @@
         jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
         let mut covered = JobSet::default();
         for (id, job) in jobs {
-            let guarantee = left.iter_mut().find(|guarantee| *guarantee.team == job.team);
-            if guarantee.is_some_and(|guarantee| guarantee.take(job)) {
+            let guarantee = left.iter_mut().find(|guarantee| guarantee.team == job.team);
+            if guarantee.is_some_and(|guarantee| take_from_guarantee(&mut guarantee.amount, job)) {
                 covered.insert(id.clone());
             }
         }
         covered
     }
 }
+
+/// Takes all tasks of a job from what is left of its team's guarantee, which may go below
+/// zero; true if the guarantee covers them.
+fn take_from_guarantee(left: &mut ComputeAmount, job: &Job) -> bool {
+    let spec = &job.record.spec;
+    let tasks = f64::from(spec.task_count);
+    left.cpus -= spec.cpus * tasks;
+    left.gpus -= spec.gpus * tasks;
+    left.cpus >= -GUARANTEE_TOLERANCE && left.gpus >= -GUARANTEE_TOLERANCE
+}
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -218,7 +218,7 @@
     ) -> PreemptionMachine<'a> {
         let mut free_soon = candidate.capacity.free;
         let mut tasks = vec![];
-        for key in owned_shard.on.get(candidate.name).into_iter().flatten() {
+        for key in owned_shard.placed_tasks.get(candidate.name).into_iter().flatten() {
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             if owned_shard.stopping.contains_key(key) {
                 free_soon += Resources::of_task(&job.record.spec);
@@ -239,15 +239,15 @@
     ) -> PreemptibleTask<'a> {
         let spec = &job.record.spec;
         let ran_s = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
-        let writes_checkpoint = spec.checkpoint_s > 0.0 && ran_s > MIN_CHECKPOINT_RUN_S;
-        let lost_s = if writes_checkpoint { spec.save_s } else { ran_s };
+        let writes_checkpoint = spec.checkpoint_interval_s > 0.0 && ran_s > MIN_CHECKPOINT_RUN_S;
+        let lost_s = if writes_checkpoint { spec.checkpoint_save_s } else { ran_s };
         PreemptibleTask {
             key,
             loss: lost_s * spec.cpus + STOP_LOSS,
             priority: job.priority(),
             team: &spec.team,
             guaranteed: guaranteed.contains(&key.0),
-            grace_s: if writes_checkpoint { spec.save_s.max(MIN_SAVE_S) * GRACE_FACTOR } else { 0.0 },
+            grace_s: if writes_checkpoint { spec.checkpoint_save_s.max(MIN_SAVE_S) * GRACE_FACTOR } else { 0.0 },
             need: Resources::of_task(spec),
             chosen: false,
         }
--- a/src/coordination/scheduling/resources.rs
+++ b/src/coordination/scheduling/resources.rs
@@ -6,6 +6,7 @@
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
+use crate::units::ComputeAmount;
 use std::ops::{AddAssign, Neg, SubAssign};
 
 /// By how much a request may exceed what is free and still fit, for sums of amounts that
@@ -34,6 +35,11 @@
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, mem_gb: machine_type.mem_gb }
     }
 
+    /// What of this counts towards a team's quota.
+    pub fn compute(&self) -> ComputeAmount {
+        ComputeAmount { cpus: self.cpus, gpus: self.gpus }
+    }
+
     /// True if so much can be taken of what is free.
     pub fn fits_into(&self, free: &Resources) -> bool {
         free.cpus + TOLERANCE >= self.cpus
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -119,7 +119,7 @@
 
     fn set_quota_shortages(&mut self, shard: ShardId, shortages: BTreeMap<String, QuotaShortage>) {
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.wanted = shortages;
+            owned_shard.quota_shortages = shortages;
         }
     }
 
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -39,7 +39,7 @@
         let mut stops = vec![];
         for (name, machine) in &owned_shard.machines {
             let Some(left_s) = time_left_s(machine, self.now) else { continue };
-            for task in owned_shard.on.get(name).into_iter().flatten() {
+            for task in owned_shard.placed_tasks.get(name).into_iter().flatten() {
                 if let Some(grace_s) = self.evacuation_grace_s(owned_shard, machine, left_s, task) {
                     stops.push(TaskStop { task: task.clone(), grace_s });
                 }
@@ -64,11 +64,11 @@
         if ends_in_time && !machine.faulty {
             return None;
         }
-        let has_checkpoints = spec.checkpoint_s > 0.0;
+        let has_checkpoints = spec.checkpoint_interval_s > 0.0;
         if has_checkpoints && !machine.faulty && left_s >= last_checkpoint_s(spec) {
             return None;
         }
-        Some(if has_checkpoints { spec.save_s.max(MIN_GRACE_S) } else { 0.0 })
+        Some(if has_checkpoints { spec.checkpoint_save_s.max(MIN_GRACE_S) } else { 0.0 })
     }
 }
 
@@ -80,5 +80,5 @@
 
 /// Seconds before a machine's end at which a checkpoint has to begin.
 fn last_checkpoint_s(spec: &JobSpec) -> f64 {
-    spec.save_s * CHECKPOINT_TIME_FACTOR + COMMAND_MARGIN_S
+    spec.checkpoint_save_s * CHECKPOINT_TIME_FACTOR + COMMAND_MARGIN_S
 }
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -6,10 +6,10 @@
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::candidates::RankedCandidate;
 use crate::coordination::scheduling::placement_request::PlacementRequest;
-use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::scheduling_cycle::UnplacedTasks;
 use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
-use crate::units::{JobId, Millis, MonotonicTime};
+use crate::coordination::shards::shard_quota::TeamQuota;
+use crate::units::{ComputeAmount, JobId, Millis, MonotonicTime};
 use std::collections::BinaryHeap;
 
 /// The most tasks of one job that a cycle looks at to find that they wait.
@@ -22,38 +22,14 @@
 /// which none is rented: the job must not wait for ever.
 const MIN_AVOID_AFTER_FAILURE: Millis = Millis(10_000);
 
-/// Rounding errors by which a quota may be exceeded.
-const QUOTA_TOLERANCE: f64 = 1e-9;
-
-/// What a shard may use of a team's limits, and what the team's tasks use there so far.
-pub(super) struct TeamQuota {
-    /// Cores that may be used; none if the team has no limit.
-    pub max_cpus: Option<f64>,
-    /// GPUs that may be used; none if the team has no limit.
-    pub max_gpus: Option<f64>,
-    pub used_cpus: f64,
-    pub used_gpus: f64,
-}
-
-impl TeamQuota {
-    /// True if one more task that takes `need` is within the quota.
-    pub fn allows(&self, need: &Resources) -> bool {
-        let exceeds = |max: Option<f64>, sum: f64| max.is_some_and(|max| sum > max + QUOTA_TOLERANCE);
-        !exceeds(self.max_cpus, self.used_cpus + need.cpus) && !exceeds(self.max_gpus, self.used_gpus + need.gpus)
-    }
-
-    /// Counts a task that starts.
-    pub fn add(&mut self, need: &Resources) {
-        self.used_cpus += need.cpus;
-        self.used_gpus += need.gpus;
-    }
-}
-
 /// One job while its tasks are placed.
 pub(super) struct JobPlacement<'a> {
     pub id: &'a JobId,
     pub request: PlacementRequest<'a>,
-    pub quota: TeamQuota,
+    /// What the shard may use of the team's limit.
+    quota: TeamQuota,
+    /// What the team uses in the shard, with the job's tasks that start now.
+    pub used: ComputeAmount,
     /// Where its tasks are, those placed in this cycle included.
     pub occupancy: ZoneOccupancy,
     /// Machines for the next task, the best on top.
@@ -77,6 +53,7 @@
         id: &'a JobId,
         request: PlacementRequest<'a>,
         quota: TeamQuota,
+        used: ComputeAmount,
         occupancy: ZoneOccupancy,
         suspect: bool,
     ) -> JobPlacement<'a> {
@@ -84,6 +61,7 @@
             id,
             request,
             quota,
+            used,
             occupancy,
             candidates: BinaryHeap::new(),
             unplaced: UnplacedTasks { job: id.clone(), tasks: 0, wait_s: f64::INFINITY },
@@ -94,6 +72,17 @@
         }
     }
 
+    /// True if one more task is within the team's quota.
+    pub fn is_within_quota(&self) -> bool {
+        self.quota.has_room_for(self.used, self.request.need.compute())
+    }
+
+    /// Counts a task that starts now towards the quota.
+    pub fn use_quota(&mut self) {
+        self.used.cpus += self.request.need.cpus;
+        self.used.gpus += self.request.need.gpus;
+    }
+
     /// True if the job failed on the machine so lately that it goes elsewhere. A suspect
     /// job, which fails everywhere, avoids none.
     pub fn avoids(&self, machine: &CandidateMachine, now: MonotonicTime) -> bool {
--- a/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
+++ b/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
@@ -59,12 +59,12 @@
     /// True if tasks of the class must start sooner than a machine rented for them would be
     /// up.
     pub(crate) fn needs_quick_start(&self, class: &InternedName) -> bool {
-        self.objectives.start_before(class, self.quickest_boot_s())
+        self.objectives.start_before(class, self.shortest_provisioning_s())
     }
 
-    /// The shortest boot time of any machine type, in seconds; infinite without a catalog.
-    pub(super) fn quickest_boot_s(&self) -> f64 {
-        self.catalog.types().map(|machine_type| machine_type.boot_s).fold(f64::INFINITY, f64::min)
+    /// The shortest provisioning time of any machine type, in seconds; infinite without a catalog.
+    pub(super) fn shortest_provisioning_s(&self) -> f64 {
+        self.catalog.types().map(|machine_type| machine_type.provisioning_s).fold(f64::INFINITY, f64::min)
     }
 
     /// Cores that a shard of `shard_cpus` cores keeps free for work that must start at once:
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -10,16 +10,17 @@
 use crate::coordination::scheduling::placement_request::{PlacementRequest, RequestShapes};
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::scheduling_cycle::exhausted_shapes::ExhaustedShapes;
-use crate::coordination::scheduling::scheduling_cycle::job_placement::{JobPlacement, TeamQuota, MAX_WAITING_TASKS};
+use crate::coordination::scheduling::scheduling_cycle::job_placement::{JobPlacement, MAX_WAITING_TASKS};
 use crate::coordination::scheduling::scheduling_cycle::limits::{PromisedCapacity, ScoreBudget};
 use crate::coordination::scheduling::scheduling_cycle::quick_start_reserve::QuickStartReserve;
 use crate::coordination::scheduling::scheduling_cycle::{
     pending_slices_in, pending_tasks_in, CycleOutcome, Placement, StarvingStart,
 };
+use crate::coordination::shards::shard_quota::TeamQuota;
 use crate::coordination::Core;
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records::TaskRecord;
-use crate::units::{Attempt, JobId, MachineId, ShardId};
+use crate::units::{Attempt, ComputeAmount, JobId, MachineId, ShardId};
 use std::collections::BTreeMap;
 
 /// The state of one cycle of one shard.
@@ -33,15 +34,15 @@
     shard_cpus: f64,
     reserve: QuickStartReserve,
     /// Cores and GPUs in use by team, the cycle's own placements included.
-    used_quota: BTreeMap<String, (f64, f64)>,
+    usage: BTreeMap<String, ComputeAmount>,
     /// Machines scored so far.
     scores: ScoreBudget,
     /// Capacity that tasks wait for.
     promised: PromisedCapacity,
     shapes: RequestShapes,
     exhausted: ExhaustedShapes,
-    /// The shortest boot time of any machine type, in seconds.
-    quickest_boot_s: f64,
+    /// The shortest provisioning time of any machine type, in seconds.
+    shortest_provisioning_s: f64,
     /// Tasks of a slice that may be on machines or tried before, for its record to stay one
     /// value of the store.
     max_tried_per_slice: usize,
@@ -63,19 +64,19 @@
     pub fn new(core: &'a Core, shard: ShardId) -> ShardCycle<'a> {
         let machines = core.candidate_machines(shard);
         let shard_cpus: f64 = machines.iter().map(|machine| machine.machine_type.cpus).sum();
-        let used_quota = core.owned_shards.get(&shard).map(|owned_shard| owned_shard.used.clone());
+        let usage = core.owned_shards.get(&shard).map(|owned_shard| owned_shard.usage.clone());
         ShardCycle {
             core,
             shard,
             shard_cpus,
             reserve: QuickStartReserve::new(core.quick_start_reserve_cpus(shard_cpus), &machines),
-            used_quota: used_quota.unwrap_or_default(),
+            usage: usage.unwrap_or_default(),
             scores: ScoreBudget::new(core.scores_per_cycle()),
             promised: PromisedCapacity::new(shard_cpus),
             shapes: RequestShapes::default(),
             exhausted: ExhaustedShapes::default(),
-            quickest_boot_s: core.quickest_boot_s(),
-            max_tried_per_slice: core.most_on(),
+            shortest_provisioning_s: core.shortest_provisioning_s(),
+            max_tried_per_slice: core.max_started_tasks(),
             starving_job: None,
             outcome: CycleOutcome::default(),
             machines,
@@ -110,7 +111,7 @@
     /// Places the job's pending tasks of the shard as far as capacity and quota allow.
     fn place_job(&mut self, id: &'a JobId, job: &'a Job) {
         let need = Resources::of_task(&job.record.spec);
-        let quick_start = self.core.objectives.start_before(&job.class, self.quickest_boot_s);
+        let quick_start = self.core.objectives.start_before(&job.class, self.shortest_provisioning_s);
         let can_start = self.can_start_now(&need, quick_start);
         let may_wait = self.may_wait();
         if !can_start && !may_wait {
@@ -120,8 +121,9 @@
         if is_still_on_machines(&request) {
             return;
         }
-        let quota = self.team_quota(&job.record.spec.team);
-        if !quota.allows(&need) {
+        let team = &job.record.spec.team;
+        let (quota, used) = (self.core.quota(self.shard, team), self.used_by(team));
+        if !quota.has_room_for(used, need.compute()) {
             // Only a shard with capacity for a task has use for more of its team's quota.
             if can_start {
                 let most = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
@@ -130,11 +132,13 @@
             return;
         }
         let savepoint = request.is_gang().then(|| self.savepoint());
-        let mut placement = self.begin_placement(id, request, quota, may_wait);
+        let mut placement = self.begin_placement(id, request, quota, used, may_wait);
         self.place_tasks(&mut placement);
         match savepoint {
             Some(savepoint) if placement.ended => self.roll_back(savepoint),
-            _ => self.keep_used_quota(&placement),
+            _ => {
+                self.usage.insert(team.clone(), placement.used);
+            }
         }
         if may_wait {
             self.record_unplaced(placement);
@@ -163,24 +167,16 @@
         self.promised.allows_waiting() && self.scores.allows_waiting()
     }
 
-    /// What the team may use in the shard, and uses with this cycle's placements.
-    fn team_quota(&self, team: &str) -> TeamQuota {
-        let (max_cpus, max_gpus) = self.core.quota(self.shard, team);
-        let (used_cpus, used_gpus) = self.used_quota.get(team).copied().unwrap_or_default();
-        TeamQuota { max_cpus, max_gpus, used_cpus, used_gpus }
-    }
-
-    /// Takes over what a job's tasks use of the quota that start now.
-    fn keep_used_quota(&mut self, placement: &JobPlacement) {
-        let team = placement.request.job.record.spec.team.clone();
-        self.used_quota.insert(team, (placement.quota.used_cpus, placement.quota.used_gpus));
+    /// What the team uses in the shard, this cycle's placements included.
+    fn used_by(&self, team: &str) -> ComputeAmount {
+        self.usage.get(team).copied().unwrap_or_default()
     }
 
     /// Notes that tasks could start if the shard had more of the team's quota.
     fn add_quota_shortage(&mut self, request: &PlacementRequest, tasks: usize) {
         let team = request.job.record.spec.team.clone();
         let shortage = self.outcome.quota_shortages.entry(team).or_default();
-        shortage.add((request.need.cpus, request.need.gpus), tasks as f64);
+        shortage.add_tasks(request.need.compute(), tasks as f64);
     }
 
     /// What a gang changes, as it is before its first task is placed.
@@ -206,10 +202,12 @@
         id: &'a JobId,
         request: PlacementRequest<'a>,
         quota: TeamQuota,
+        used: ComputeAmount,
         may_wait: bool,
     ) -> JobPlacement<'a> {
         let occupancy = self.core.zone_occupancy(self.shard, id, request.job);
-        let mut placement = JobPlacement::new(id, request, quota, occupancy, self.core.fails_everywhere(id));
+        let suspect = self.core.fails_everywhere(id);
+        let mut placement = JobPlacement::new(id, request, quota, used, occupancy, suspect);
         self.rank_machines(&mut placement);
         let now = self.core.now;
         if may_wait
@@ -273,7 +271,7 @@
             return None;
         };
         let starts_now = best.wait_s <= 0.0;
-        if !placement.quota.allows(&placement.request.need) {
+        if !placement.is_within_quota() {
             if starts_now {
                 self.add_quota_shortage(&placement.request, 1);
             }
@@ -315,7 +313,7 @@
     fn start_task(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
         let need = placement.request.need;
         let machine = &self.machines[best.machine_index];
-        placement.quota.add(&need);
+        placement.use_quota();
         self.reserve.task_started(machine, &need);
         if placement.request.job.record.spec.whole() {
             placement.occupancy.add(&machine.reported.zone, 1);
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -35,7 +35,7 @@
     /// Estimated run time in seconds.
     pub run_s: f64,
     /// Seconds of progress between checkpoints; 0 if a loss costs everything.
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
 }
 
 /// P_c: the probability that a machine of the age `start_age_s` outlasts a task that runs for
@@ -60,14 +60,14 @@
 /// After a loss, the task starts again on a fresh machine, where it needs to run only for
 /// what no checkpoint holds: progress beyond one checkpoint interval counts as saved.
 pub fn expected_completion(history: &LifetimeHistory, prospect: Prospect) -> f64 {
-    let Prospect { age_s, wait_s, run_s, checkpoint_s } = prospect;
+    let Prospect { age_s, wait_s, run_s, checkpoint_interval_s } = prospect;
     let start_age_s = age_s + wait_s;
     let p = completion_probability(history, start_age_s, run_s);
     if p >= 1.0 {
         return wait_s + run_s;
     }
     let lost_s = history.expected_loss_s(start_age_s, run_s);
-    let saved_s = if checkpoint_s > 0.0 { (lost_s - checkpoint_s).max(0.0) } else { 0.0 };
+    let saved_s = if checkpoint_interval_s > 0.0 { (lost_s - checkpoint_interval_s).max(0.0) } else { 0.0 };
     wait_s + p * run_s + (1.0 - p) * (lost_s + fresh_start_s(history, run_s - saved_s))
 }
 
--- a/src/coordination/scheduling/zone_occupancy.rs
+++ b/src/coordination/scheduling/zone_occupancy.rs
@@ -49,7 +49,7 @@
             return occupancy;
         }
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return occupancy };
-        for (name, tasks) in &owned_shard.on {
+        for (name, tasks) in &owned_shard.placed_tasks {
             let tasks_here = tasks.iter().filter(|task| task.0 == *id).count();
             if tasks_here == 0 {
                 continue;
