--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -7,7 +7,8 @@
 //! its tasks was ever done is suspect: it is tried with one task at a time,
 //! less and less often, claims no guarantee and makes nobody rent.
 
-use crate::coordination::{Core, Peer};
+use crate::coordination::Core;
+use crate::protocol::peer::PeerStatus;
 use crate::units::{JobId, MachineId, Millis, MonotonicTime, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -86,8 +87,8 @@
 
     /// True if the job failed wherever it ran, as far as this node or another knows.
     pub(crate) fn suspect(&self, job: &JobId) -> bool {
-        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
-        (self.estimates.failures.several(job) || self.peers.values().any(told)) && !self.sound(job)
+        let told = |status: &PeerStatus| status.failing.iter().any(|f| f == job.as_str());
+        (self.estimates.failures.several(job) || self.membership.peers().statuses().any(told)) && !self.sound(job)
     }
 
     /// A suspect job waits between tries, and for the end of the one it has.
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -202,7 +202,7 @@
                 }
             }
         }
-        for status in self.peers.values().filter_map(|p| p.status.as_ref()) {
+        for status in self.membership.peers().statuses() {
             faulty.extend(status.faulty.iter().map(|n| MachineId::new(n)));
             for load in &status.shards {
                 up.extend(load.up.iter().map(|n| MachineId::new(n)));
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -18,7 +18,7 @@
 impl Core {
     pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let shard = self.shard_of(&heartbeat.machine);
-        self.shard_release.heard(self.now);
+        self.membership.heartbeat_arrived(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
             let response = self.answer_foreign_heartbeat(shard, &heartbeat);
             return self.response(request, response);
@@ -74,9 +74,9 @@
         }
         // The answer we are about to give renews the worker's lease.
         machine.last_heartbeat = now;
-        let others = !self.peers.is_empty();
+        let others = !self.membership.peers().is_empty();
         let hears = machine.reachability.reported(now, last, number, others, self.timing.worker_lease);
-        self.shard_release.reported(now, &heartbeat.machine, hears);
+        self.membership.heartbeat_accepted(now, &heartbeat.machine, hears);
         if heartbeat.agent_epoch > machine.agent_epoch {
             machine.listed.clear();
             machine.start_sent_at.clear();
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -51,7 +51,8 @@
             let standing = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
             for index in 0..job.record.spec.task_count * u32::from(standing) {
                 let key = (id.clone(), index);
-                if let Some((_, shard, ..)) = self.task(&key) {
+                if let Some(location) = self.locate_task(&key) {
+                    let shard = location.shard;
                     found.extend(self.replica(key, shard));
                 }
             }
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -40,8 +40,7 @@
     /// One that hears no other at all is left alone, as far as it can tell.
     pub(crate) fn can_take(&self) -> bool {
         let lately = |at: Option<MonotonicTime>| at.is_some_and(|at| self.now.since(at) < Millis(3000));
-        let mut heard = self.peers.values().filter(|p| lately(p.heard)).peekable();
-        let not_ours = self.peers.is_empty() || heard.peek().is_some() && heard.all(|p| !p.state_reachable);
+        let not_ours = self.membership.peers().none_reaches_store(self.now);
         self.loaded && !self.catalog.is_empty() && (lately(self.last_state_answer) || not_ours)
     }
 
--- a/src/coordination/jobs/submission/tests.rs
+++ b/src/coordination/jobs/submission/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::Peer;
+use crate::coordination::membership::peers::Peer;
 use crate::units::NodeName;
 
 /// A controller that had lost the state service and the others went on saying that
@@ -18,13 +18,13 @@
             state_reachable,
             status: None,
         });
-        core.peers.insert(NodeName::new("n1"), peer.unwrap_or_default());
+        core.membership.set_peer(NodeName::new("n1"), peer.unwrap_or_default());
         core.can_take()
     };
     assert!(up(59_000, None), "the records are reached");
     assert!(up(50_000, Some((59_000, false))), "nobody reaches the records");
     assert!(!up(50_000, Some((59_000, true))), "only this node does not");
     assert!(!up(50_000, Some((50_000, false))), "nobody is heard either");
-    core.peers.clear();
+    core.membership.remove_peers();
     assert!(core.can_take(), "there is nobody else");
 }
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -1,219 +1,136 @@
-//! Who is alive, who owns which shard, and who leads.
+//! Which shards this controller owns: claims those assigned to it, hands over those assigned to others, and takes up
+//! or drops a shard as its owner record changes. Called on each membership tick and when an owner record changes in
+//! the cache. Never takes a shard from a live owner: that one hands it over.
 
+use crate::coordination::membership::shard_assignment::assign_shards;
 use crate::coordination::shards::owned_shard::OwnedShard;
-use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Output};
-use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
-use crate::storage::records;
-use crate::storage::records::{LeaseHolderRecord, NodeRecord, LEADER_KEY};
-use crate::units::{stable_hash, FencingToken, LeaseId, MachineId, Millis, NodeName, Revision, ShardId};
+use crate::coordination::Core;
+use crate::storage::records::owner_key;
+use crate::units::{FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Deals shards to live nodes: a shard whose own node (by order of names) is
-/// alive goes there; the others by rendezvous, evenly.
-pub fn assign_shards(shards: u32, all: &[String], live: &BTreeSet<&str>) -> BTreeMap<ShardId, String> {
-    let mut dealt = BTreeMap::new();
-    if live.is_empty() {
-        return dealt;
-    }
-    let most = (shards as usize).div_ceil(live.len());
-    let mut load: BTreeMap<&str, usize> = BTreeMap::new();
-    for shard in 0..shards {
-        if let Some(own) = all.get(shard as usize).filter(|n| live.contains(n.as_str())) {
-            *load.entry(own).or_default() += 1;
-            dealt.insert(ShardId(shard), own.clone());
-        }
-    }
-    for shard in 0..shards {
-        if dealt.contains_key(&ShardId(shard)) {
-            continue;
-        }
-        let name = shard.to_string();
-        let best = live
-            .iter()
-            .filter(|n| load.get(**n).copied().unwrap_or(0) < most)
-            .max_by_key(|n| stable_hash(&["owner", &name, n]));
-        if let Some(node) = best {
-            *load.entry(node).or_default() += 1;
-            dealt.insert(ShardId(shard), node.to_string());
-        }
-    }
-    dealt
-}
+/// A shard is handed over to a controller only after it was assigned to it for so long: one that has just come up
+/// may be gone again.
+const SETTLING_TIME: Millis = Millis(1500);
 
-/// Notes after which the leader tells the ages of all machines again.
-const ALL_AGES_EVERY: u64 = 4;
+/// For so long a hand-over waits for the shard's changes to be written first.
+const WRITE_OUT_TIME: Millis = Millis(4000);
 
-/// Machines whose ages every note of the leader tells.
-const YOUNG: Millis = Millis(60_000);
+/// Shards of ours that are assigned to other controllers, and are to be handed over.
+#[derive(Debug, Default)]
+pub(super) struct Handovers {
+    by_shard: BTreeMap<ShardId, Handover>,
+}
 
-impl Core {
-    pub(crate) fn tick_membership(&mut self) {
-        if self.now < self.retry_state_at {
-            return;
-        }
-        self.keep_cache_current();
-        match self.lease {
-            None if !self.granting => {
-                self.granting = true;
-                self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
-            }
-            Some(lease) if !self.renewing && self.now >= self.renew_at => {
-                self.renewing = true;
-                self.reads.force(self.now, 1.0);
-                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
-            }
-            _ => {}
-        }
-        if let (true, Some(lease)) = (self.loaded, self.lease) {
-            self.update_shard_release();
-            self.announce(lease);
-            self.claim_shards(lease);
-            self.claim_leadership(lease);
-        }
-    }
+/// The controller that a shard is to be handed over to.
+#[derive(Debug)]
+struct Handover {
+    to: NodeName,
+    /// When the shard was first seen to be assigned to it.
+    since: MonotonicTime,
+}
 
-    pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
-        self.granting = false;
-        match answer {
-            StateAnswer::Granted(lease) => {
-                self.lease = Some(lease);
-                self.renew_at = self.now + self.timing.renew_every;
+impl Handovers {
+    /// Since when the shard is assigned to this controller; none if it is news, and then counted from now.
+    fn assigned_since(&mut self, shard: ShardId, to: &NodeName, now: MonotonicTime) -> Option<MonotonicTime> {
+        match self.by_shard.get(&shard) {
+            Some(handover) if handover.to == *to => Some(handover.since),
+            _ => {
+                self.by_shard.insert(shard, Handover { to: to.clone(), since: now });
+                None
             }
-            _ => self.pause_state(),
         }
     }
 
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StateAnswer) {
-        self.renewing = false;
-        self.renew_at = self.now + self.timing.renew_every;
-        match answer {
-            StateAnswer::Renewed => {}
-            StateAnswer::LeaseGone if self.lease == Some(lease) => self.lease_lost(),
-            _ => self.renew_at = self.now + Millis(300),
-        }
-    }
-
-    /// The lease ended: everything held by it is gone.
-    fn lease_lost(&mut self) {
-        tracing::info!("the lease is gone, and with it all parts");
-        self.lease = None;
-        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
-            self.drop_shard(shard);
-        }
-    }
-
-    /// A put named a lease that is gone: ours, or that of a node we meant to
-    /// hand a shard to.
-    pub(crate) fn lease_gone_elsewhere(&mut self, transaction: &Transaction) {
-        let ours = |c: &Change| matches!(c, Change::Put { lease, .. } if lease.is_some() && *lease == self.lease);
-        if transaction.changes.iter().any(ours) {
-            self.lease_lost();
-        }
-    }
-
-    fn announce(&mut self, lease: LeaseId) {
-        let key = records::node_key(&self.node_name);
-        let held = self.cache.nodes.get(&self.node_name);
-        let current = held.and_then(|h| h.record.as_ref()).is_some_and(|r| r.lease == lease);
-        if current || self.has_released_shards() || self.busy_keys.contains(&key) {
-            return;
-        }
-        if let Ok(value) = serde_json::to_value(NodeRecord {
-            lease,
-            level: crate::coordination::membership::feature_level::SUPPORTED_LEVEL,
-        }) {
-            // Carried out late it must not undo what this node said later.
-            let conditions = vec![Condition { key: key.clone(), version: held.map_or(Revision(0), |h| h.version) }];
-            self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
-        }
+    fn forget(&mut self, shard: ShardId) {
+        self.by_shard.remove(&shard);
     }
+}
 
-    fn live_targets(&self) -> BTreeMap<ShardId, String> {
-        let all = self.settings.node_names();
-        let live: BTreeSet<&str> = self.cache.live().map(|(n, _)| n.as_str()).collect();
-        assign_shards(self.shard_count, &all, &live)
+impl Core {
+    /// The shard that a machine belongs to.
+    pub(crate) fn shard_of(&self, machine: &MachineId) -> ShardId {
+        ShardId::of(machine.as_str(), self.shard_count)
     }
 
-    fn claim_shards(&mut self, lease: LeaseId) {
-        let announced = self.cache.nodes.get(&self.node_name).is_some_and(|h| h.record.is_some());
+    /// Claims the free shards that are assigned to this controller and hands over those that are assigned to others.
+    pub(super) fn claim_shards(&mut self, lease: LeaseId) {
+        let announced = self.cache.nodes.get(&self.node_name).is_some_and(|held| held.record.is_some());
         if !announced && !self.has_released_shards() {
             return;
         }
-        for (shard, target) in self.live_targets() {
-            let key = records::owner_key(shard);
-            if self.busy_keys.contains(&key) {
+        for (shard, node) in self.assigned_shards() {
+            if self.busy_keys.contains(&owner_key(shard)) {
                 continue;
             }
-            let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
-            let holder = held.record.as_ref();
-            if target == self.node_name.as_str() {
-                // It was on its way to a node that is gone again: it stays, and is served.
-                self.target_since.remove(&shard);
-                if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                    owned_shard.releasing = false;
-                }
-                // Free, or held by an earlier life of this very node.
-                let free = holder.is_none_or(|h| h.node == self.node_name && h.lease != lease);
-                if free {
-                    self.hold(key, held.version, self.node_name.clone(), lease);
-                }
-            } else if holder.is_some_and(|h| h.node == self.node_name) && self.owned_shards.contains_key(&shard) {
-                self.hand_over(shard, NodeName::new(&target));
+            if node == self.node_name {
+                self.claim_shard(shard, lease);
+            } else if self.cache.owner(shard) == Some(&self.node_name) && self.owned_shards.contains_key(&shard) {
+                self.hand_over(shard, node);
             }
         }
     }
 
-    fn hold(&mut self, key: String, version: Revision, node: NodeName, lease: LeaseId) {
-        let Ok(value) = serde_json::to_value(LeaseHolderRecord { node, lease }) else { return };
-        let conditions = vec![Condition { key: key.clone(), version }];
-        self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
+    fn assigned_shards(&self) -> BTreeMap<ShardId, NodeName> {
+        let live: BTreeSet<&str> = self.cache.live().map(|(node, _)| node.as_str()).collect();
+        let assigned = assign_shards(self.shard_count, &self.settings.node_names(), &live);
+        assigned.into_iter().map(|(shard, node)| (shard, NodeName::new(&node))).collect()
     }
 
-    /// Gives a shard back to its node in one transaction, once nothing of it
-    /// is on its way; the new owner's token is that transaction's revision.
+    fn claim_shard(&mut self, shard: ShardId, lease: LeaseId) {
+        // The controller that it was to be handed over to is gone again: it stays, and is served.
+        self.membership.handovers.forget(shard);
+        if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
+            owned_shard.releasing = false;
+        }
+        let held = self.cache.owners.get(&shard);
+        let holder = held.and_then(|held| held.record.as_ref());
+        // An earlier process of this controller may hold it still.
+        let is_free = holder.is_none_or(|holder| holder.node == self.node_name && holder.lease != lease);
+        if is_free {
+            let version = held.map_or(Revision(0), |held| held.version);
+            self.write_lease_holder(owner_key(shard), version, self.node_name.clone(), lease);
+        }
+    }
+
+    /// Hands an owned shard over in one transaction, once nothing of it is on its way; the new owner's fencing token
+    /// is that transaction's revision.
     fn hand_over(&mut self, shard: ShardId, to: NodeName) {
-        let now = self.now;
-        let since = match self.target_since.get(&shard) {
-            Some((target, since)) if *target == to => *since,
-            _ => {
-                self.target_since.insert(shard, (to, now));
-                return;
-            }
-        };
-        // A node that has just come up is given a moment to settle; workers that
-        // we cannot reach have none to lose.
-        let has_released_shards = self.has_released_shards();
-        if now.since(since) < Millis(1500) && !has_released_shards {
+        let Some(since) = self.membership.handovers.assigned_since(shard, &to, self.now) else { return };
+        let assigned_for = self.now.since(since);
+        // Workers that we can't reach lose nothing if the new owner goes away again.
+        let released = self.has_released_shards();
+        if assigned_for < SETTLING_TIME && !released {
             return;
         }
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         owned_shard.releasing = true;
-        let idle = owned_shard.inflight.is_none() && owned_shard.rereads == 0;
-        if !idle || (!owned_shard.dirty.is_empty() && !has_released_shards && now.since(since) < Millis(4000)) {
+        let waits_for_writes = !owned_shard.dirty.is_empty() && !released && assigned_for < WRITE_OUT_TIME;
+        if !owned_shard.is_idle() || waits_for_writes {
             return;
         }
         let token = owned_shard.token;
-        let Some(lease) = self.cache.nodes.get(&to).and_then(|h| h.record.as_ref()).map(|r| r.lease) else { return };
-        self.target_since.remove(&shard);
-        self.hold(records::owner_key(shard), Revision(token.0), to, lease);
+        let record = self.cache.nodes.get(&to).and_then(|held| held.record.as_ref());
+        let Some(lease) = record.map(|record| record.lease) else { return };
+        self.membership.handovers.forget(shard);
+        self.write_lease_holder(owner_key(shard), Revision(token.0), to, lease);
     }
 
-    /// Takes up or drops a shard according to its ownership key.
+    /// Takes up or drops a shard according to its owner record in the cache.
     pub(crate) fn owner_changed(&mut self, shard: ShardId) {
         let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
-        let ours = held.record.as_ref().is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease);
+        let own_lease = self.membership.lease();
+        let is_ours =
+            held.record.is_some_and(|holder| holder.node == self.node_name && Some(holder.lease) == own_lease);
         let token = FencingToken(held.version.0);
         match self.owned_shards.get(&shard) {
-            Some(owned_shard) if ours && owned_shard.token == token => {}
-            Some(_) if !ours => {
-                tracing::info!("part {shard} is no longer ours");
+            Some(owned_shard) if is_ours && owned_shard.token == token => {}
+            Some(_) if !is_ours => {
+                tracing::info!(shard = %shard, "lost shard");
                 self.drop_shard(shard);
             }
-            _ if ours => {
-                tracing::info!("part {shard} is ours with token {token}");
+            _ if is_ours => {
+                tracing::info!(shard = %shard, token = %token, "acquired shard");
                 self.drop_shard(shard);
                 self.owned_shards.insert(shard, OwnedShard::new(token, self.now));
                 self.activate_ready_shards();
@@ -222,153 +139,19 @@
         }
     }
 
-    fn drop_shard(&mut self, shard: ShardId) {
-        if self.owned_shards.remove(&shard).is_some() {
-            self.drop_deferred_responses(shard);
-            for id in self.cache.active.clone() {
-                let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
-                for index in 0..job.slices().len() {
-                    if job.shard_of(index) == Some(shard) {
-                        job.set_desired(index, None);
-                    }
-                }
-            }
-        }
-    }
-
-    pub(crate) fn is_leader(&self) -> bool {
-        let held = self.cache.leader.record.as_ref();
-        held.is_some_and(|h| h.node == self.node_name && Some(h.lease) == self.lease)
-    }
-
-    fn claim_leadership(&mut self, lease: LeaseId) {
-        let held = &self.cache.leader;
-        let free = held.record.as_ref().is_none_or(|h| h.node == self.node_name && h.lease != lease);
-        if !free || self.busy_keys.contains(LEADER_KEY) {
+    /// Forgets all that an owner knows of a shard, and what it wanted of the shard's slices.
+    pub(super) fn drop_shard(&mut self, shard: ShardId) {
+        if self.owned_shards.remove(&shard).is_none() {
             return;
         }
-        // The first live node by name tries at once, so that not all do.
-        let first = self.cache.live().map(|(n, _)| n).min();
-        if first == Some(&self.node_name) {
-            self.hold(LEADER_KEY.into(), held.version, self.node_name.clone(), lease);
-        }
-    }
-
-    fn own_status(&self) -> PeerStatus {
-        PeerStatus {
-            from: self.node_name.to_string(),
-            revision: self.cache.revision.0,
-            state_reachable: self.records_fresh(),
-            shards: self
-                .owned_shards
-                .iter()
-                .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
-                .collect(),
-            ages: vec![],
-            faulty: vec![],
-            failing: vec![],
-        }
-    }
-
-    fn shard_status(&self, shard: ShardId, owned_shard: &OwnedShard) -> ShardStatus {
-        ShardStatus {
-            shard: shard.0,
-            token: owned_shard.token.0,
-            teams: owned_shard
-                .quota_shortages
-                .iter()
-                .map(|(team, want)| crate::protocol::peer::TeamDemand {
-                    team: team.clone(),
-                    wanted_cpus: want.total.cpus,
-                    wanted_gpus: want.total.gpus,
-                })
-                .collect(),
-            up: vec![],
-            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
-            leaving: owned_shard
-                .machines
-                .iter()
-                .filter(|(_, m)| m.notice.is_some())
-                .map(|(n, _)| n.to_string())
-                .collect(),
-        }
-    }
-
-    pub(crate) fn broadcast_status(&mut self) {
-        let mut status = self.own_status();
-        if self.is_leader() {
-            // All of them now and then, for owners that are new; in between
-            // only young machines', which others may not know yet.
-            let all = self.told % ALL_AGES_EVERY == 0;
-            let ages = self.fleet.machines.iter().filter(|(_, m)| all || self.now.since(m.born) < YOUNG);
-            status.ages = ages
-                .map(|(name, m)| MachineAge { machine: name.to_string(), age_s: self.now.since(m.born).as_secs() })
-                .collect();
-        }
-        status.faulty = self
-            .owned_shards
-            .values()
-            .flat_map(|m| &m.machines)
-            .filter(|(_, m)| m.faulty)
-            .map(|(n, _)| n.to_string())
-            .collect();
-        status.failing = self.failing_jobs();
-        let quiet = self.timing.worker_lease;
-        for load in &mut status.shards {
-            let machines = self.owned_shards.get(&ShardId(load.shard)).into_iter().flat_map(|m| &m.machines);
-            let heard = machines.filter(|(_, m)| self.now.since(m.last_heartbeat) < quiet && !self.is_downlink_lost(m));
-            load.up = heard.map(|(name, _)| name.to_string()).collect();
-        }
-        self.told += 1;
-        self.out.push(Output::BroadcastStatus(status));
-    }
-
-    /// Tells the others at once that there is something new to read, without
-    /// saying all of a note again.
-    pub(crate) fn send_revision_hint(&mut self, revision: Revision) {
-        self.out.push(Output::RevisionHint(revision));
-    }
-
-    pub(crate) fn receive_peer_status(&mut self, status: PeerStatus) {
-        let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) else { return };
-        peer.heard = Some(self.now);
-        peer.state_reachable = status.state_reachable;
-        if status.revision > self.cache.revision.0 {
-            self.next_watch = self.now;
-            if self.now >= self.retry_state_at {
-                self.tick_membership();
-            }
-        }
-        // Only an owner with a higher token can tell us so: ours has ended.
-        for load in &status.shards {
-            let shard = ShardId(load.shard);
-            if self.owned_shards.get(&shard).is_some_and(|m| m.token.0 < load.token) {
-                tracing::info!("{} owns part {shard} now", status.from);
-                self.drop_shard(shard);
-                let holder = LeaseHolderRecord { node: NodeName::new(&status.from), lease: LeaseId(0) };
-                if let Ok(value) = serde_json::to_value(holder) {
-                    self.cache.apply(&records::owner_key(shard), Some(value), Revision(load.token));
+        self.drop_deferred_responses(shard);
+        for id in self.cache.active.clone() {
+            let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
+            for index in 0..job.slices().len() {
+                if job.shard_of(index) == Some(shard) {
+                    job.set_desired(index, None);
                 }
             }
         }
-        for age in &status.ages {
-            let name = MachineId::new(&age.machine);
-            let shard = self.shard_of(&name);
-            if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&name)) {
-                machine.born = machine.born.min(self.now - Millis::secs(age.age_s));
-            }
-        }
-        if let Some(peer) = self.peers.get_mut(&NodeName::new(&status.from)) {
-            if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
-                peer.status = Some(status);
-            }
-        }
-    }
-
-    pub(crate) fn shard_of(&self, machine: &MachineId) -> ShardId {
-        ShardId::of(machine.as_str(), self.shard_count)
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -75,12 +75,12 @@
 impl Core {
     /// Records that a milestone is reached; only its first time counts.
     pub(crate) fn milestone_reached(&mut self, milestone: Milestone) {
-        self.start.reach(milestone, self.now);
+        self.membership.startup.reach(milestone, self.now);
     }
 
     /// Looks for the milestones that no event reports.
     pub(crate) fn check_milestones(&mut self) {
-        self.start.begin(self.now);
+        self.membership.startup.begin(self.now);
         if self.is_missing(Milestone::AcceptingSubmissions) && self.can_take() {
             self.milestone_reached(Milestone::AcceptingSubmissions);
         }
@@ -93,7 +93,7 @@
     }
 
     fn is_missing(&self, milestone: Milestone) -> bool {
-        !self.start.has_reached(milestone)
+        !self.membership.startup.has_reached(milestone)
     }
 
     /// True if most machines with placed tasks in our ready shards have sent a heartbeat.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -11,6 +11,7 @@
 pub(crate) mod store_client;
 
 use crate::coordination::jobs::status_query::StatusQueries;
+use crate::coordination::membership::Membership;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::pending_requests::SentRequest;
@@ -23,7 +24,7 @@
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
 use crate::units::{
-    CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
+    CallId, FencingToken, JobId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
 };
 pub use jobs::replicas::{Replica, ReplicaState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -150,14 +151,6 @@
     }
 }
 
-/// What another controller told last.
-#[derive(Debug, Default)]
-struct Peer {
-    heard: Option<MonotonicTime>,
-    state_reachable: bool,
-    status: Option<PeerStatus>,
-}
-
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
@@ -184,20 +177,14 @@
     last_state_answer: Option<MonotonicTime>,
     reads: RateLimiter,
     writes: RateLimiter,
-    lease: Option<LeaseId>,
-    granting: bool,
-    renewing: bool,
-    renew_at: MonotonicTime,
     /// Keys whose values did not fit, each told once.
     too_large: BTreeSet<String>,
     /// Keys with a simple transaction on its way.
     busy_keys: BTreeSet<String>,
     unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
-    target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
     finish: BTreeSet<JobId>,
-    peers: BTreeMap<NodeName, Peer>,
-    next_status: MonotonicTime,
+    membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
     /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
@@ -214,12 +201,7 @@
     /// A waiting job may start: that must not wait for the next housekeeping.
     release_soon: bool,
     dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
-    announced: crate::coordination::membership::feature_level::Announced,
-    shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::StartupProgress,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
-    /// Notes told so far.
-    told: u64,
 }
 
 impl Core {
@@ -241,7 +223,7 @@
             timing: Timing::of(&settings),
             reads: RateLimiter::new(state.rps * 0.9 / share),
             writes: RateLimiter::new((state.write_rps * 0.9 / share).max(1.0)),
-            peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
+            membership: Membership::new(settings.peers.iter().map(|peer| NodeName::new(&peer.node))),
             settings,
             tuning,
             now: MonotonicTime(0),
@@ -261,17 +243,11 @@
             retry_state_at: MonotonicTime(0),
             last_read: None,
             last_state_answer: None,
-            lease: None,
-            granting: false,
-            renewing: false,
-            renew_at: MonotonicTime(0),
             too_large: BTreeSet::new(),
             busy_keys: BTreeSet::new(),
             unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions::default(),
             owned_shards: BTreeMap::new(),
-            target_since: BTreeMap::new(),
             finish: BTreeSet::new(),
-            next_status: MonotonicTime(0),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
@@ -284,11 +260,7 @@
             dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
             release_soon: false,
             dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
-            announced: crate::coordination::membership::feature_level::Announced::default(),
-            shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::StartupProgress::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
-            told: 0,
         }
     }
 
@@ -322,9 +294,7 @@
     fn clock_jumped(&mut self, gap: Millis) {
         tracing::info!("stood still for {:.1} s", gap.as_secs());
         self.resumed_at = self.now;
-        for peer in self.peers.values_mut() {
-            peer.heard = peer.heard.map(|at| at + gap);
-        }
+        self.membership.clock_jumped(gap);
         self.fleet.clock_jumped(gap);
     }
 
@@ -353,10 +323,7 @@
             self.next_cycle = self.now + Millis(self.tuning.cycle_interval_ms);
             self.run_scheduling_cycles();
         }
-        if self.now >= self.next_status {
-            self.next_status = self.now + STATUS_INTERVAL;
-            self.broadcast_status();
-        }
+        self.broadcast_due_status();
     }
 
     fn housekeeping(&mut self) {
--- /dev/null
+++ b/src/coordination/shards/machine_expiry.rs
@@ -0,0 +1,104 @@
+//! Decides that a machine is lost: its worker's lease must have expired, and with it the worker has killed its tasks,
+//! so that they may start elsewhere. Called in housekeeping and with the answer of the check that proves it. A machine
+//! is never lost on silence alone: see the rules of `lease_proxy`.
+
+use crate::coordination::shards::owned_shard::{ExpiryCheck, Machine, OwnedShard};
+use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::Core;
+use crate::protocol::state::{Condition, StateAnswer, StateCall, Transaction};
+use crate::storage::records::{lease_proxy_key, owner_key};
+use crate::units::{MachineId, MonotonicTime, Revision, ShardId};
+use std::collections::BTreeSet;
+
+impl Core {
+    /// Removes machines of owned shards whose leases have provably expired, and those that were returned.
+    pub(crate) fn expire_machines(&mut self) {
+        for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
+            let Some(owned_shard) = self.owned_shards.get_mut(&shard).filter(|shard| shard.ready) else { continue };
+            match std::mem::take(&mut owned_shard.expiry_check) {
+                ExpiryCheck::Confirmed { revision, machines } if self.cache.revision >= revision => {
+                    self.remove_expired_machines(shard, &machines);
+                }
+                under_way @ (ExpiryCheck::Confirmed { .. } | ExpiryCheck::Sent(_)) => {
+                    owned_shard.expiry_check = under_way;
+                }
+                ExpiryCheck::None => self.send_expiry_check(shard),
+            }
+            self.remove_returned_machines(shard);
+        }
+    }
+
+    fn remove_expired_machines(&mut self, shard: ShardId, checked: &[MachineId]) {
+        // A proxy that came and went since the check has put the time off.
+        let expired = self.expired_machines(shard);
+        for name in checked.iter().filter(|name| expired.contains(*name)) {
+            tracing::info!(shard = %shard, machine = %name, "machine lost: its worker's lease has expired");
+            self.clear_machine(shard, name);
+        }
+    }
+
+    fn remove_returned_machines(&mut self, shard: ShardId) {
+        let names = self.owned_shards.get(&shard).into_iter().flat_map(OwnedShard::machine_names);
+        let returned: BTreeSet<MachineId> = names.filter(|name| self.returned(name)).cloned().collect();
+        for name in returned {
+            tracing::info!(shard = %shard, machine = %name, "machine was returned");
+            self.clear_machine(shard, &name);
+        }
+    }
+
+    /// Machines whose leases must have expired, unless a proxy that we don't know of renews them.
+    fn expired_machines(&self, shard: ShardId) -> BTreeSet<MachineId> {
+        let Some(owned_shard) = self.owned_shards.get(&shard).filter(|_| !self.has_lease_proxy(shard)) else {
+            return BTreeSet::new();
+        };
+        let proxied_until = owned_shard.last_proxied + self.lease_after_proxy();
+        let has_expired = |name: &&MachineId| {
+            let machine = owned_shard.machines.get(*name);
+            self.now > self.leased_until(owned_shard, machine).max(proxied_until)
+        };
+        owned_shard.machine_names().filter(has_expired).cloned().collect()
+    }
+
+    /// Until when owners may have renewed a machine's lease; `machine` is none if it sent us no heartbeat.
+    fn leased_until(&self, owned_shard: &OwnedShard, machine: Option<&Machine>) -> MonotonicTime {
+        let lease = self.timing.worker_lease;
+        // Until the worker has seen our token, an owner before us that is cut off from the store may have renewed its
+        // lease for as long as its store isolation limit lets it.
+        let earlier_owner = owned_shard.owned_since + (self.timing.store_isolation_limit + lease);
+        match machine {
+            Some(machine) if machine.token_acknowledged => machine.last_heartbeat + lease,
+            Some(machine) => (machine.last_heartbeat + lease).max(earlier_owner),
+            None => earlier_owner,
+        }
+    }
+
+    /// Asks the store whether a proxy is registered for the shard, if machines seem to be lost.
+    fn send_expiry_check(&mut self, shard: ShardId) {
+        let machines: Vec<MachineId> = self.expired_machines(shard).into_iter().collect();
+        if machines.is_empty() || self.now < self.retry_state_at {
+            return;
+        }
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        owned_shard.expiry_check = ExpiryCheck::Sent(machines);
+        let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
+        let absent = |node| Condition { key: lease_proxy_key(shard, node), version: Revision(0) };
+        conditions.extend(self.membership.peers().names().map(absent));
+        self.reads.force(self.now, 1.0);
+        let check = Transaction { conditions, changes: vec![] };
+        self.call_state(StateCall::Transaction(check), PendingRequest::ExpiryCheck(shard));
+    }
+
+    /// The store's answer to the check.
+    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StateAnswer) {
+        let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
+        let ExpiryCheck::Sent(machines) = std::mem::take(&mut owned_shard.expiry_check) else { return };
+        match answer {
+            StateAnswer::Committed(revision) => {
+                owned_shard.expiry_check = ExpiryCheck::Confirmed { revision, machines };
+            }
+            StateAnswer::Conflict(failed) => self.reread(failed, None),
+            // Without an answer that counts, the next housekeeping sends the check again.
+            _ => {}
+        }
+    }
+}
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -9,7 +9,7 @@
 use crate::settings::Team;
 use crate::storage::names::{InternedName, NameInterner};
 use crate::storage::records::{owner_key, quota_key, QuotaRecord, RecordKey};
-use crate::units::{ComputeAmount, JobId, Millis, Revision, ShardId};
+use crate::units::{ComputeAmount, JobId, Revision, ShardId};
 use std::collections::BTreeMap;
 
 /// What rounding of binary fractions may add when a few amounts are summed, in cores or GPUs.
@@ -18,9 +18,6 @@
 /// What rounding may add when usage is summed over a shard's whole life, in cores or GPUs.
 const USAGE_ROUNDING: f64 = 1e-6;
 
-/// A peer's statement of what its shards lack is used for so long.
-const PEER_DEMAND_VALID: Millis = Millis(3000);
-
 /// What a shard may use of a team's limit; none: the team has no limit.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamQuota {
@@ -169,15 +166,13 @@
             let teams = owned_shard.quota_shortages.iter();
             shortages.insert(*shard, teams.map(|(team, shortage)| (team.clone(), shortage.total)).collect());
         }
-        for peer in self.peers.values() {
-            let recent = peer.heard.is_some_and(|at| self.now.since(at) < PEER_DEMAND_VALID);
-            for status in peer.status.iter().filter(|_| recent).flat_map(|status| &status.shards) {
-                let teams = status.teams.iter().map(|demand| {
-                    let lacking = ComputeAmount { cpus: demand.wanted_cpus, gpus: demand.wanted_gpus };
-                    (demand.team.clone(), lacking)
-                });
-                shortages.entry(ShardId(status.shard)).or_insert_with(|| teams.collect());
-            }
+        let peer_statuses = self.membership.peers().recent_statuses(self.now);
+        for status in peer_statuses.flat_map(|status| &status.shards) {
+            let teams = status.teams.iter().map(|demand| {
+                let lacking = ComputeAmount { cpus: demand.wanted_cpus, gpus: demand.wanted_gpus };
+                (demand.team.clone(), lacking)
+            });
+            shortages.entry(ShardId(status.shard)).or_insert_with(|| teams.collect());
         }
         shortages
     }
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -1,62 +1,68 @@
-//! The slices of shards that this node owns: taking them up, letting go of
-//! them, and changing what is wanted of their tasks.
+//! The tasks of owned shards: takes up their slices from the durable records, releases those that moved to another
+//! shard, and changes the desired state of tasks together with the shard's indexes. Called when ownership, jobs or
+//! heartbeats change. Nothing here is durable until the shard's next transaction.
 
 use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, Transaction};
-use crate::storage::cache::{Job, JobChange, Slice};
-use crate::storage::records::{job_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::{JobId, MachineId, Revision, ShardId};
+use crate::storage::cache::Job;
+use crate::storage::records::{SliceRecord, TaskRecord};
+use crate::units::{JobId, MachineId, MonotonicTime, ShardId};
+
+/// Where a task stands in the records.
+pub(crate) struct TaskLocation<'a> {
+    /// Its job.
+    pub job: &'a Job,
+    /// The shard that its slice is assigned to.
+    pub shard: ShardId,
+    /// The index of the slice within the job.
+    pub slice: usize,
+    /// The index of the task within the slice.
+    pub offset: usize,
+}
+
+/// A task that a slice's desired state places on a machine of another shard than the slice's.
+struct MovedTask {
+    key: TaskKey,
+    machine: MachineId,
+    /// The shard of the machine.
+    from: ShardId,
+}
 
 impl Core {
-    /// Parts whose ownership the cache has caught up with are taken to work.
+    /// Begins to work on owned shards whose ownership the cache has caught up with.
     pub(crate) fn activate_ready_shards(&mut self) {
-        let caught_up =
-            |owned_shard: &OwnedShard, revision: Revision| !owned_shard.ready && revision.0 >= owned_shard.token.0;
-        let ready: Vec<ShardId> =
-            self.owned_shards.iter().filter(|(_, m)| caught_up(m, self.cache.revision)).map(|(p, _)| *p).collect();
+        let revision = self.cache.revision;
+        let caught_up = |shard: &OwnedShard| !shard.ready && revision.0 >= shard.token.0;
+        let shards = self.owned_shards.iter();
+        let ready: Vec<ShardId> = shards.filter(|(_, shard)| caught_up(shard)).map(|(id, _)| *id).collect();
         for shard in ready {
             for id in self.cache.active.clone() {
                 self.adopt_slices(&id, Some(shard));
             }
             if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                 owned_shard.ready = true;
-                // What earlier owners left may be cut off behind them: see `keeping`.
+                // Earlier owners and proxies may act on until they know: see `machine_expiry`.
                 owned_shard.owned_since = self.now;
                 owned_shard.last_proxied = self.now;
             }
-            // The last slices of a job may have been done while nobody owned
-            // its first: no change would ever bring that up again.
+            // The last slices of a job may have been done while nobody owned its first: no change would ever bring
+            // that up again.
             for id in self.cache.active.clone() {
                 self.check_finished(&id);
             }
         }
     }
 
-    /// Begins to work on a job's slices that belong to our shards, from their
-    /// durable state, and lets go of those that moved away.
+    /// Begins to work on a job's slices that belong to owned shards, or to `only` this one that is about to be ready,
+    /// and drops the desired state of slices that belong to others.
     pub(crate) fn adopt_slices(&mut self, id: &JobId, only: Option<ShardId>) {
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
         for index in 0..job.slices().len() {
             let Some(shard) = job.shard_of(index) else { continue };
-            let wanted = only.is_none_or(|p| p == shard);
+            let is_meant = only.is_none_or(|only| only == shard);
             match self.owned_shards.get_mut(&shard) {
-                Some(owned_shard) if wanted && (owned_shard.ready || only.is_some()) => {
-                    if job.slices()[index].desired().is_none() {
-                        let first = job.record.plan.as_ref().map_or(0, |p| p.first_task(index));
-                        if let Some(held) = job.slices()[index].record().cloned() {
-                            for (at, task) in held.tasks.iter().enumerate() {
-                                if let TaskRecord::Placed(_, machine) = task {
-                                    owned_shard.place((id.clone(), first + at as u32), machine, &job.record);
-                                }
-                            }
-                            job.set_desired(index, Some(held));
-                        } else if job.record.end.is_none() {
-                            let len = job.record.plan.as_ref().map_or(0, |p| p.len(index, job.record.spec.task_count));
-                            job.set_desired(index, Some(SliceRecord::fresh(len)));
-                        }
-                    }
-                    owned_shard.dirty.entry((id.clone(), index)).or_insert(self.now);
+                Some(owned_shard) if is_meant && (owned_shard.ready || only.is_some()) => {
+                    adopt_slice(owned_shard, job, id, index, self.now);
                 }
                 None => job.set_desired(index, None),
                 _ => {}
@@ -64,132 +70,95 @@
         }
     }
 
-    /// Takes back wishes for tasks whose slice was dealt to another shard
-    /// before any of them was durable.
+    /// Takes back placements in slices that were assigned to another shard before any of them was durable.
     pub(crate) fn release_moved_slices(&mut self, id: &JobId) {
         let shards = self.shard_count;
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
-        let Some(plan) = job.record.plan.clone() else { return };
         for index in 0..job.slices().len() {
-            let first = plan.first_task(index);
-            let mut moved: Vec<(ShardId, MachineId, TaskKey)> = vec![];
-            for (at, task) in job.slices()[index].desired().into_iter().flat_map(|w| w.tasks.iter().enumerate()) {
-                let TaskRecord::Placed(_, machine) = task else { continue };
-                let from = ShardId::of(machine.as_str(), shards);
-                if plan.shards.get(index) != Some(&from) {
-                    moved.push((from, machine.clone(), (id.clone(), first + at as u32)));
-                }
-            }
+            let moved = moved_tasks(job, id, index, shards);
             if !moved.is_empty() {
                 job.set_desired(index, None);
             }
-            for (from, machine, key) in moved {
-                let Some(owned_shard) = self.owned_shards.get_mut(&from) else { continue };
-                if owned_shard.placed_tasks.get_mut(&machine).is_some_and(|tasks| tasks.remove(&key)) {
+            for task in moved {
+                let Some(owned_shard) = self.owned_shards.get_mut(&task.from) else { continue };
+                let tasks = owned_shard.placed_tasks.get_mut(&task.machine);
+                if tasks.is_some_and(|tasks| tasks.remove(&task.key)) {
                     owned_shard.subtract_usage(&job.record);
                 }
             }
         }
     }
 
-    pub(crate) fn job_changed(&mut self, id: &JobId, news: JobChange) {
-        self.track_dependencies(id);
-        if let Some(job) = self.cache.jobs.get(id).filter(|j| j.record.end.is_none()) {
-            self.assign_soon |= job.record.plan.is_none();
-            let spec = &job.record.spec;
-            tracing::debug!(
-                "job {id}: {} tasks of {} cpus, {} s, plan {:?}",
-                spec.task_count,
-                spec.cpus,
-                spec.estimated_run_s,
-                job.record.plan
-            );
-            // Once a job: its record changes with each deal.
-            if news == JobChange::First && self.wants_quick_start(&job.class) {
-                let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
-                self.estimates.saw_job(&class, cpus);
-            }
-        }
-        if let Some(job) = self.cache.jobs.get(id).filter(|_| news == JobChange::Ended) {
-            let (age, allowed) = (self.age_s(job), self.allowed_s(job));
-            tracing::info!("job {id} of {} ended at {age:.0} s of {allowed:.0} s", job.record.spec.class);
-        }
-        self.release_moved_slices(id);
-        self.adopt_slices(id, None);
-        self.check_finished(id);
-    }
-
-    pub(crate) fn slice_changed(&mut self, id: &JobId, _slice: usize) {
-        self.check_finished(id);
-    }
-
-    /// A job all of whose slices are durably done is to be called done, by
-    /// the owner of its first slice.
-    pub(crate) fn check_finished(&mut self, id: &JobId) {
-        let Some(job) = self.cache.jobs.get(id) else { return };
-        if job.record.end.is_some() || job.slices().is_empty() {
-            return;
-        }
-        let ours = job.shard_of(0).is_some_and(|p| self.owned_shards.contains_key(&p));
-        if ours && job.slices().iter().all(Slice::is_done) {
-            self.finish.insert(id.clone());
-        }
-    }
-
-    pub(crate) fn finish_jobs(&mut self) {
-        for id in std::mem::take(&mut self.finish) {
-            let Some(job) = self.cache.jobs.get(&id) else { continue };
-            let key = job_key(&id);
-            if job.record.end.is_some() {
-                continue;
-            }
-            if self.busy_keys.contains(&key) || self.now < self.retry_state_at {
-                self.finish.insert(id);
-                continue;
-            }
-            let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
-            let Ok(value) = serde_json::to_value(record) else { continue };
-            let conditions = vec![Condition { key: key.clone(), version: job.version }];
-            self.submit_transaction(Transaction { conditions, changes: vec![Change::put(key, value)] });
-            self.finish.insert(id);
-        }
-    }
-
-    /// The record and wanted state of a task of ours.
-    pub(crate) fn task(&self, key: &TaskKey) -> Option<(&Job, ShardId, usize, usize)> {
+    /// Where a task of an owned shard stands; none if there is no such task or its shard isn't worked on here.
+    pub(crate) fn locate_task(&self, key: &TaskKey) -> Option<TaskLocation<'_>> {
         let job = self.cache.jobs.get(&key.0)?;
         if key.1 >= job.record.spec.task_count {
             return None;
         }
-        let (index, at) = job.record.plan.as_ref()?.slice_of(key.1);
-        let shard = job.shard_of(index)?;
-        job.slices()[index].desired()?.tasks.get(at)?;
-        Some((job, shard, index, at))
+        let (slice, offset) = job.record.plan.as_ref()?.slice_of(key.1);
+        let shard = job.shard_of(slice)?;
+        job.slices()[slice].desired()?.tasks.get(offset)?;
+        Some(TaskLocation { job, shard, slice, offset })
     }
 
+    /// The desired state of a task of an owned shard.
     pub(crate) fn desired_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
-        let (job, _, index, at) = self.task(key)?;
-        job.slices()[index].desired()?.tasks.get(at)
+        let location = self.locate_task(key)?;
+        location.job.slices()[location.slice].desired()?.tasks.get(location.offset)
     }
 
+    /// What the stored record says of a task of an owned shard.
     pub(crate) fn durable_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
-        let (job, _, index, at) = self.task(key)?;
-        job.slices()[index].record()?.tasks.get(at)
+        let location = self.locate_task(key)?;
+        location.job.slices()[location.slice].record()?.tasks.get(location.offset)
     }
 
-    /// Changes what is wanted of a task, keeping the shard's indexes; the next
-    /// transaction makes it durable.
+    /// Changes the desired state of a task, with the shard's indexes; the shard's next transaction makes it durable.
     pub(crate) fn set_task(&mut self, key: &TaskKey, to: TaskRecord) {
-        let Some((_, shard, index, at)) = self.task(key) else { return };
+        let Some(TaskLocation { shard, slice, offset, .. }) = self.locate_task(key) else { return };
         let Some(job) = self.cache.jobs.get_mut(&key.0) else { return };
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        let Some(from) = job.set_task(index, at, to.clone()) else { return };
+        let Some(from) = job.set_task(slice, offset, to.clone()) else { return };
         if let TaskRecord::Placed(_, machine) = &from {
             owned_shard.unplace(key, machine, &job.record);
         }
         if let TaskRecord::Placed(_, machine) = &to {
             owned_shard.place(key.clone(), machine, &job.record);
         }
-        owned_shard.dirty.entry((key.0.clone(), index)).or_insert(self.now);
+        owned_shard.dirty.entry((key.0.clone(), slice)).or_insert(self.now);
     }
 }
+
+/// Begins to work on a slice of an owned shard: its desired state begins as the durable one, or as a new slice.
+fn adopt_slice(owned_shard: &mut OwnedShard, job: &mut Job, id: &JobId, index: usize, now: MonotonicTime) {
+    if job.slices()[index].desired().is_none() {
+        let plan = job.record.plan.as_ref();
+        if let Some(durable) = job.slices()[index].record().cloned() {
+            let first = plan.map_or(0, |plan| plan.first_task(index));
+            for (offset, task) in durable.tasks.iter().enumerate() {
+                if let TaskRecord::Placed(_, machine) = task {
+                    owned_shard.place((id.clone(), first + offset as u32), machine, &job.record);
+                }
+            }
+            job.set_desired(index, Some(durable));
+        } else if job.record.end.is_none() {
+            let len = plan.map_or(0, |plan| plan.len(index, job.record.spec.task_count));
+            job.set_desired(index, Some(SliceRecord::fresh(len)));
+        }
+    }
+    owned_shard.dirty.entry((id.clone(), index)).or_insert(now);
+}
+
+/// The tasks that a slice's desired state places on machines of another shard than the one that it is assigned to.
+fn moved_tasks(job: &Job, id: &JobId, index: usize, shards: u32) -> Vec<MovedTask> {
+    let Some(plan) = job.record.plan.as_ref() else { return vec![] };
+    let Some(desired) = job.slices()[index].desired() else { return vec![] };
+    let first = plan.first_task(index);
+    let moved = |(offset, task): (usize, &TaskRecord)| {
+        let TaskRecord::Placed(_, machine) = task else { return None };
+        let from = ShardId::of(machine.as_str(), shards);
+        let key = (id.clone(), first + offset as u32);
+        (plan.shards.get(index) != Some(&from)).then(|| MovedTask { key, machine: machine.clone(), from })
+    };
+    desired.tasks.iter().enumerate().filter_map(moved).collect()
+}
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -202,7 +202,7 @@
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
             StateAnswer::Conflict(failed) => self.reread(failed, None),
-            StateAnswer::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            StateAnswer::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match records::RecordKey::read(change_key(c)) {
@@ -277,7 +277,7 @@
         match what {
             CacheChange::Owner(shard) => self.owner_changed(shard),
             CacheChange::Job(job, news) => self.job_changed(&job, news),
-            CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
+            CacheChange::Slice(job, _) => self.slice_changed(&job),
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(core.resumed_at, MonotonicTime(0));
     core.handle(MonotonicTime(21_050), 20_000, Input::Tick);
     assert_eq!(core.resumed_at, MonotonicTime(21_050));
-    let heard = core.peers[&NodeName::new("n1")].heard;
+    let heard = core.membership.peers().last_heard(&NodeName::new("n1"));
     assert_eq!(heard, Some(MonotonicTime(21_000)));
 }
 
