--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,6 +1,7 @@
 //! Cores that work wants: of the jobs there are, and of those that will come
 //! as they have come of late.
 
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobKind;
@@ -29,7 +30,7 @@
     pub(crate) cpus: f64,
     /// Of these, what cannot wait for cheap room: worth ordinary prices.
     pub(crate) urgent: f64,
-    pub(crate) shape: [f64; 3],
+    pub(crate) shape: Resources,
     /// Image size and run time, weighted by cores.
     pub(crate) fetch_gb: f64,
     pub(crate) run_s: f64,
@@ -55,10 +56,14 @@
     pub(crate) fn demand(&self) -> Vec<Demand> {
         let provisioning_times = &self.fleet.provisioning_times;
         let usual_s = |t: &MachineType| {
-            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max)
+            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.provisioning_s)).fold(0.0, f64::max)
         };
         // Quick spells are not relied on, and slow ones not planned for without bound.
-        let boot = self.catalog.values().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
+        let boot = self
+            .catalog
+            .types()
+            .map(|t| usual_s(t).clamp(t.provisioning_s, 4.0 * t.provisioning_s))
+            .fold(0.0, f64::max);
         let ahead = boot + 10.0;
         let mut groups: BTreeMap<Constraints, Demand> = BTreeMap::new();
         for id in &self.cache.active {
@@ -66,7 +71,7 @@
             let spec = &job.record.spec;
             let (done, on) = job.counts();
             // Work that fails wherever it runs has no use for more machines.
-            if on == 0 && self.suspect(id) {
+            if on == 0 && self.fails_everywhere(id) {
                 continue;
             }
             let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + on) };
@@ -95,7 +100,7 @@
             let group = groups.entry(key).or_insert(Demand {
                 cpus: 0.0,
                 urgent: 0.0,
-                shape: [0.0; 3],
+                shape: Resources::default(),
                 fetch_gb: 0.0,
                 run_s: 0.0,
                 types: spec.types.clone(),
@@ -104,14 +109,12 @@
                 shard: None,
             });
             group.cpus += cpus;
-            if !spec.spot_allowed || self.pressing(job, left, ahead) {
+            if !spec.spot_allowed || self.cannot_wait_for_room(job, left, ahead) {
                 group.urgent += cpus;
             }
             group.fetch_gb += cpus * spec.image_gb;
             group.run_s += cpus * run;
-            for (most, need) in group.shape.iter_mut().zip([spec.cpus, spec.gpus, spec.mem_gb]) {
-                *most = most.max(need);
-            }
+            group.shape = group.shape.max(Resources::of_task(spec));
         }
         // What the work of late has kept busy on average is likely to be
         // wanted again: buying for it ahead saves late starts and churn.
@@ -140,7 +143,7 @@
 
     /// True if a job with so much time left could not wait for a machine to
     /// come free and still be in time.
-    pub(crate) fn pressing(&self, job: &Job, left: f64, ahead: f64) -> bool {
+    pub(crate) fn cannot_wait_for_room(&self, job: &Job, left: f64, ahead: f64) -> bool {
         let spec = &job.record.spec;
         let run = self.estimates.run_time(job);
         spec.kind != JobKind::Array || left < run * 2.2 + ahead
@@ -155,13 +158,13 @@
         for (id, job) in &self.cache.jobs {
             let (spec, age) = (&job.record.spec, self.age_s(job));
             // What failed wherever it ran, or was cancelled, keeps nothing busy.
-            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.suspect(id) {
+            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.fails_everywhere(id) {
                 continue;
             }
             if age < USUAL_S && spec.kind == JobKind::Array {
                 let (cpus, run) = (spec.cpus * f64::from(spec.task_count), self.estimates.run_time(job));
                 all += cpus * run;
-                if self.pressing(job, self.allowed_s(job), ahead) {
+                if self.cannot_wait_for_room(job, self.allowed_s(job), ahead) {
                     pressing.push((cpus, run));
                 }
                 oldest = oldest.max(age);
--- a/src/coordination/leader/array_assignment.rs
+++ b/src/coordination/leader/array_assignment.rs
@@ -1,6 +1,7 @@
 //! What the leader does for all shards: cut large arrays into slices, deal
 //! them by room, and move slices that no task of has started.
 
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::Job;
@@ -13,20 +14,20 @@
 const MOST_SLICES: usize = 400;
 
 /// What is free on each machine, by part.
-pub(crate) struct Room<'a> {
-    shards: Vec<Vec<RoomAt<'a>>>,
+pub(crate) struct ShardCapacity<'a> {
+    shards: Vec<Vec<MachineCapacity<'a>>>,
 }
 
-struct RoomAt<'a> {
+struct MachineCapacity<'a> {
     kind: &'a str,
     zone: &'a str,
     spot: bool,
-    free: [f64; 3],
+    free: Resources,
     cpus: f64,
 }
 
-impl Room<'_> {
-    fn suits(at: &RoomAt, record: &JobRecord) -> bool {
+impl ShardCapacity<'_> {
+    fn suits(at: &MachineCapacity, record: &JobRecord) -> bool {
         let spec = &record.spec;
         spec.types.as_ref().is_none_or(|types| types.iter().any(|t| t == at.kind))
             && spec.zone.as_ref().is_none_or(|z| z == at.zone)
@@ -53,27 +54,26 @@
             .fold(0, |sum, zone| sum + self.tasks_in(Some(zone), shard, record, each.min(most - sum), take))
     }
 
+    /// Tasks of the job, up to `most`, that the shard could start now in this zone.
+    pub(crate) fn startable_in_zone(&mut self, zone: &str, shard: ShardId, record: &JobRecord, most: usize) -> usize {
+        self.tasks_in(Some(zone), shard, record, most, false)
+    }
+
     /// The same, in this zone if one is named.
-    pub(crate) fn tasks_in(
-        &mut self,
-        zone: Option<&str>,
-        shard: ShardId,
-        record: &JobRecord,
-        most: usize,
-        take: bool,
-    ) -> usize {
+    fn tasks_in(&mut self, zone: Option<&str>, shard: ShardId, record: &JobRecord, most: usize, take: bool) -> usize {
         let spec = &record.spec;
-        let need = [spec.cpus, spec.gpus, spec.mem_gb];
+        let need = Resources::of_task(spec);
         let mut count = 0;
         let Some(machines) = self.shards.get_mut(shard.0 as usize) else { return 0 };
-        let there = |at: &&mut RoomAt| Room::suits(at, record) && zone.is_none_or(|zone| zone == at.zone);
+        let there =
+            |at: &&mut MachineCapacity| ShardCapacity::suits(at, record) && zone.is_none_or(|zone| zone == at.zone);
         for at in machines.iter_mut().filter(there) {
             if count >= most {
                 break;
             }
             let mut free = at.free;
-            while count < most && free.iter().zip(&need).all(|(f, n)| *f + 1e-6 >= *n) {
-                free.iter_mut().zip(&need).for_each(|(f, n)| *f -= n);
+            while count < most && need.fits_into(&free) {
+                free -= need;
                 count += 1;
             }
             if take {
@@ -86,13 +86,13 @@
     /// Cores of the shard that may ever run the job.
     fn cpus(&self, shard: ShardId, record: &JobRecord) -> f64 {
         let machines = self.shards.get(shard.0 as usize).into_iter().flatten();
-        machines.filter(|m| Room::suits(m, record)).map(|m| m.cpus).sum()
+        machines.filter(|m| ShardCapacity::suits(m, record)).map(|m| m.cpus).sum()
     }
 }
 
 impl Core {
-    pub(crate) fn lead(&mut self) {
-        if !self.is_leader() || !self.records_fresh() || self.now < self.retry_state_at {
+    pub(crate) fn run_leader_cycle(&mut self) {
+        if !self.is_leader() || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         self.deal(true);
@@ -101,45 +101,43 @@
 
     /// Deals jobs as they come, between two housekeepings.
     pub(crate) fn assign_new_slices(&mut self) {
-        if self.is_leader() && self.records_fresh() && self.now >= self.retry_state_at {
+        if self.is_leader() && self.records_fresh() && self.store.may_send(self.now) {
             self.deal(false);
         }
     }
 
-    pub(crate) fn room(&self) -> Room<'_> {
+    pub(crate) fn available_capacity(&self) -> ShardCapacity<'_> {
         // Our own shards' wishes are newer than what is durable.
-        let used = self.taken();
-        let mut shards: Vec<Vec<RoomAt>> = (0..self.shard_count).map(|_| vec![]).collect();
-        for (name, m) in &self.fleet.machines {
+        let used = self.resources_in_use();
+        let mut shards: Vec<Vec<MachineCapacity>> = (0..self.shard_count).map(|_| vec![]).collect();
+        for (name, m) in self.fleet.machines() {
             let Some(t) = self.catalog.get(&m.kind) else { continue };
             if !m.up || m.leaving || m.downlink_lost || self.draining(name) {
                 continue;
             }
-            let u = used.get(name).copied().unwrap_or_default();
-            shards[self.shard_of(name).0 as usize].push(RoomAt {
+            let mut free = Resources::of_machine(t);
+            free -= used.get(name).copied().unwrap_or_default();
+            shards[self.shard_of(name).0 as usize].push(MachineCapacity {
                 kind: &m.kind,
                 zone: &m.zone,
                 spot: m.spot,
-                free: [t.cpus - u[0], t.gpus - u[1], t.mem_gb - u[2]],
+                free,
                 cpus: t.cpus,
             });
         }
-        Room { shards }
+        ShardCapacity { shards }
     }
 
     /// What tasks take of each machine: cores, GPUs and memory, as wanted or
     /// else as is durable.
-    pub(crate) fn taken(&self) -> HashMap<&MachineId, [f64; 3], FixedState> {
-        let mut taken: HashMap<&MachineId, [f64; 3], FixedState> = HashMap::default();
+    pub(crate) fn resources_in_use(&self) -> HashMap<&MachineId, Resources, FixedState> {
+        let mut taken: HashMap<&MachineId, Resources, FixedState> = HashMap::default();
         for job in self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id)).filter(|j| j.holds_machines()) {
             let spec = &job.record.spec;
             let on = job.slices().iter().filter(|s| s.has_placed_task()).filter_map(|s| s.newest());
             for task in on.flat_map(|r| &r.tasks) {
                 if let TaskRecord::Placed(_, machine) = task {
-                    let sum = taken.entry(machine).or_default();
-                    sum[0] += spec.cpus;
-                    sum[1] += spec.gpus;
-                    sum[2] += spec.mem_gb;
+                    *taken.entry(machine).or_default() += Resources::of_task(spec);
                 }
             }
         }
@@ -161,7 +159,7 @@
             return;
         }
         jobs.sort();
-        let mut room = self.room();
+        let mut room = self.available_capacity();
         let mut queued: BTreeMap<ShardId, f64> = BTreeMap::new();
         let mut looked = 0;
         let mut writes: Vec<Transaction> = vec![];
@@ -176,7 +174,7 @@
             };
             looked += plan.shards.len();
             let (Some(moved), key) = (moved, job_key(&id)) else { continue };
-            if self.busy_keys.contains(&key) {
+            if self.store.is_key_busy(&key) {
                 continue;
             }
             let mut conditions = vec![
@@ -200,7 +198,7 @@
     fn new_plan(
         &self,
         job: &Job,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> (SlicePlan, Option<Vec<usize>>) {
         let size = self.slice_size(job.record.spec.task_count);
@@ -220,7 +218,7 @@
         &self,
         record: &JobRecord,
         tasks: usize,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> ShardId {
         let shards = (0..self.shard_count).map(ShardId);
@@ -243,7 +241,7 @@
         &self,
         job: &Job,
         plan: &SlicePlan,
-        room: &mut Room,
+        room: &mut ShardCapacity,
         queued: &mut BTreeMap<ShardId, f64>,
     ) -> (SlicePlan, Option<Vec<usize>>) {
         let mut better = plan.clone();
@@ -286,7 +284,7 @@
 
     /// A job that must stay whole moves only while nothing of it has started,
     /// to a shard that could start more of it.
-    fn move_whole(&self, job: &Job, mut plan: SlicePlan, room: &mut Room) -> (SlicePlan, Option<Vec<usize>>) {
+    fn move_whole(&self, job: &Job, mut plan: SlicePlan, room: &mut ShardCapacity) -> (SlicePlan, Option<Vec<usize>>) {
         let tasks = job.record.spec.task_count as usize;
         let all: Vec<usize> = (0..plan.shards.len()).collect();
         let is_reassignable = job.slices().iter().all(|s| s.is_reassignable())
--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -99,8 +99,8 @@
     fn can_raise_feature_level(&self) -> bool {
         self.is_leader()
             && self.records_fresh()
-            && self.now >= self.retry_state_at
-            && !self.busy_keys.contains(FEATURE_LEVEL_KEY)
+            && self.store.may_send(self.now)
+            && !self.store.is_key_busy(FEATURE_LEVEL_KEY)
     }
 
     /// Conditions under which the level may be raised: leadership, the level, and all node records are as judged by.
--- a/src/coordination/membership/leader_election.rs
+++ b/src/coordination/membership/leader_election.rs
@@ -17,7 +17,7 @@
     pub(super) fn claim_leadership(&mut self, lease: LeaseId) {
         let held = &self.cache.leader;
         let is_free = held.record.as_ref().is_none_or(|holder| holder.node == self.node_name && holder.lease != lease);
-        if !is_free || self.busy_keys.contains(LEADER_KEY) {
+        if !is_free || self.store.is_key_busy(LEADER_KEY) {
             return;
         }
         // Only the first live controller by name tries, so that they don't all conflict.
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -5,7 +5,7 @@
 use crate::coordination::membership::feature_level::SUPPORTED_LEVEL;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{node_key, LeaseHolderRecord, NodeRecord};
 use crate::units::{LeaseId, Millis, MonotonicTime, NodeName, Revision};
 
@@ -60,12 +60,12 @@
 impl Core {
     /// Renews the lease, and claims what this controller should hold.
     pub(crate) fn tick_membership(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
         self.keep_cache_current();
         self.request_lease();
-        if let (true, Some(lease)) = (self.loaded, self.membership.lease()) {
+        if let (true, Some(lease)) = (self.store.is_loaded(), self.membership.lease()) {
             self.update_shard_release();
             self.announce(lease);
             self.claim_shards(lease);
@@ -75,35 +75,35 @@
 
     fn request_lease(&mut self) {
         let Some(request) = self.membership.node_lease.next_request(self.now) else { return };
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         match request {
             LeaseRequest::Grant => {
-                self.call_state(StateCall::Grant { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             LeaseRequest::Renew(lease) => {
-                self.call_state(StateCall::Renew { lease }, PendingRequest::Renew(lease));
+                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
             }
         }
     }
 
     /// The answer to a request for a lease.
-    pub(crate) fn grant_answer(&mut self, answer: StateAnswer) {
+    pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
         self.membership.node_lease.granting = false;
         match answer {
-            StateAnswer::Granted(lease) => {
+            StoreResponse::LeaseGranted(lease) => {
                 self.membership.node_lease.granted(lease, self.now + self.timing.renew_every);
             }
-            _ => self.pause_state(),
+            _ => self.store.pause(self.now),
         }
     }
 
     /// The answer to a renewal of `lease`, which may not be the current one any more.
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StateAnswer) {
+    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.membership.node_lease.renewing = false;
         self.membership.node_lease.renew_at = self.now + self.timing.renew_every;
         match answer {
-            StateAnswer::Renewed => {}
-            StateAnswer::LeaseGone if self.membership.lease() == Some(lease) => self.lease_lost(),
+            StoreResponse::LeaseRenewed => {}
+            StoreResponse::LeaseGone if self.membership.lease() == Some(lease) => self.lease_lost(),
             _ => self.membership.node_lease.renew_at = self.now + RENEW_RETRY,
         }
     }
@@ -132,7 +132,7 @@
         let key = node_key(&self.node_name);
         let held = self.cache.nodes.get(&self.node_name);
         let announced = held.and_then(|held| held.record.as_ref()).is_some_and(|record| record.lease == lease);
-        if announced || self.has_released_shards() || self.busy_keys.contains(&key) {
+        if announced || self.has_released_shards() || self.store.is_key_busy(&key) {
             return;
         }
         let Ok(value) = serde_json::to_value(NodeRecord { lease, level: SUPPORTED_LEVEL }) else { return };
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -60,7 +60,7 @@
             return;
         }
         for (shard, node) in self.assigned_shards() {
-            if self.busy_keys.contains(&owner_key(shard)) {
+            if self.store.is_key_busy(&owner_key(shard)) {
                 continue;
             }
             if node == self.node_name {
@@ -144,7 +144,7 @@
         if self.owned_shards.remove(&shard).is_none() {
             return;
         }
-        self.drop_deferred_responses(shard);
+        self.expire_deferred_responses(shard);
         for id in self.cache.active.clone() {
             let Some(job) = self.cache.jobs.get_mut(&id) else { continue };
             for index in 0..job.slices().len() {
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -51,9 +51,9 @@
                 .iter()
                 .map(|(shard, owned_shard)| self.shard_status(*shard, owned_shard))
                 .collect(),
-            ages: self.machine_ages(),
-            faulty: self.faulty_machines(),
-            failing: self.failing_jobs(),
+            machine_ages: self.machine_ages(),
+            faulty_machines: self.faulty_machines(),
+            failing_jobs: self.failing_jobs(),
         };
         self.membership.status_schedule.sent += 1;
         self.out.push(Output::BroadcastStatus(status));
@@ -75,19 +75,19 @@
                 .iter()
                 .map(|(team, shortage)| TeamDemand {
                     team: team.clone(),
-                    wanted_cpus: shortage.total.cpus,
-                    wanted_gpus: shortage.total.gpus,
+                    unmet_cpus: shortage.total.cpus,
+                    unmet_gpus: shortage.total.gpus,
                 })
                 .collect(),
-            up: machines
+            reporting_machines: machines
                 .clone()
                 .filter(|(_, machine)| {
                     self.now.since(machine.last_heartbeat) < lease && !self.is_downlink_lost(machine)
                 })
                 .map(|(name, _)| name.to_string())
                 .collect(),
-            downlink_lost: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
-            leaving: machines
+            downlink_lost_machines: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
+            terminating_machines: machines
                 .filter(|(_, machine)| machine.notice.is_some())
                 .map(|(name, _)| name.to_string())
                 .collect(),
@@ -101,9 +101,9 @@
             return vec![];
         }
         let all = self.membership.status_schedule.sent % ALL_AGES_EVERY == 0;
-        let machines = self.fleet.machines.iter();
+        let machines = self.fleet.machines();
         machines
-            .map(|(name, machine)| (name, self.now.since(machine.born)))
+            .map(|(name, machine)| (name, self.now.since(machine.created_at)))
             .filter(|(_, age)| all || *age < YOUNG)
             .map(|(name, age)| MachineAge { machine: name.to_string(), age_s: age.as_secs() })
             .collect()
@@ -121,15 +121,15 @@
             return;
         }
         if status.revision > self.cache.revision.0 {
-            self.next_watch = self.now;
-            if self.now >= self.retry_state_at {
+            self.store.watch_at_once(self.now);
+            if self.store.may_send(self.now) {
                 self.tick_membership();
             }
         }
         for shard in &status.shards {
             self.yield_to_newer_owner(&from, shard);
         }
-        self.apply_machine_ages(&status.ages);
+        self.apply_machine_ages(&status.machine_ages);
         self.membership.peers.keep_status(&from, status);
     }
 
--- a/src/coordination/membership/peers.rs
+++ b/src/coordination/membership/peers.rs
@@ -80,7 +80,7 @@
     /// Keeps a status for later questions. One without shards and machine ages doesn't replace one that has them.
     pub(super) fn keep_status(&mut self, node: &NodeName, status: PeerStatus) {
         let Some(peer) = self.by_name.get_mut(node) else { return };
-        if !status.ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
+        if !status.machine_ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
             peer.status = Some(status);
         }
     }
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -141,7 +141,7 @@
     fn withdraw_node_record(&mut self) {
         let key = records::node_key(&self.node_name);
         let Some(held) = self.cache.nodes.get(&self.node_name).filter(|held| held.record.is_some()) else { return };
-        if !self.busy_keys.contains(&key) {
+        if !self.store.is_key_busy(&key) {
             let conditions = vec![Condition { key: key.clone(), version: held.version }];
             self.submit_transaction(Transaction { conditions, changes: vec![Change::delete(key)] });
         }
--- a/src/coordination/scheduling/scoring/tests.rs
+++ b/src/coordination/scheduling/scoring/tests.rs
@@ -16,7 +16,8 @@
     let r = fresh_start(&history(), 15.0);
     assert!((r - (15.0 + 10.0 / 3.0)).abs() < 1e-9);
     // E = 0 + 0.75·15 + 0.25·(10 + 18.333).
-    let e = expected_completion(&history(), Prospect { age_s: 0.0, wait_s: 0.0, run_s: 15.0, checkpoint_s: 0.0 });
+    let e =
+        expected_completion(&history(), Prospect { age_s: 0.0, wait_s: 0.0, run_s: 15.0, checkpoint_interval_s: 0.0 });
     assert!((e - (11.25 + 0.25 * (10.0 + r))).abs() < 1e-9);
 }
 
@@ -24,7 +25,7 @@
 fn no_history_leaves_wait_and_run() {
     let e = expected_completion(
         &LifetimeHistory::default(),
-        Prospect { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_s: 0.0 },
+        Prospect { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_interval_s: 0.0 },
     );
     assert_eq!(e, 10.0);
 }
--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -18,7 +18,7 @@
             if change == JobChange::First && self.wants_quick_start(&job.class) {
                 let spec = &job.record.spec;
                 let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
-                self.estimates.saw_job(&class, cpus);
+                self.estimates.record_quick_start_job(&class, cpus);
             }
         }
         if change == JobChange::Ended {
@@ -60,7 +60,7 @@
             if job.record.end.is_some() {
                 continue;
             }
-            if !self.busy_keys.contains(&key) && self.now >= self.retry_state_at {
+            if !self.store.is_key_busy(&key) && self.store.may_send(self.now) {
                 let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
                 let Ok(value) = serde_json::to_value(record) else { continue };
                 let conditions = vec![Condition { key: key.clone(), version: job.version }];
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -14,7 +14,7 @@
 //!
 //! Called in housekeeping and for heartbeats of machines whose shard another controller owns.
 
-use crate::coordination::heartbeats::handling::MOST_COMMANDS;
+use crate::coordination::heartbeats::handling::MAX_COMMANDS;
 use crate::coordination::membership::feature_level::SUPPORTED_LEVEL;
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
 use crate::protocol::state::{Change, Condition, Transaction};
@@ -40,7 +40,7 @@
     /// Registers this controller as a proxy for shards whose owners it doesn't hear, and withdraws it for others.
     pub(crate) fn renew_lease_proxies(&mut self) {
         let Some(lease) = self.membership.lease() else { return };
-        if !self.records_fresh() || self.now < self.retry_state_at {
+        if !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let owners: Vec<(ShardId, NodeName, Revision)> = self
@@ -50,7 +50,7 @@
             .filter_map(|(shard, held)| Some((*shard, held.record.as_ref()?.node.clone(), held.version)))
             .collect();
         for (shard, owner, owner_version) in owners {
-            if !self.busy_keys.contains(&lease_proxy_key(shard, &self.node_name)) {
+            if !self.store.is_key_busy(&lease_proxy_key(shard, &self.node_name)) {
                 self.renew_lease_proxy(shard, &owner, owner_version, lease);
             }
         }
@@ -110,7 +110,7 @@
             let job = self.cache.jobs.get(&task.task.job);
             task.state != TaskState::Exited && job.is_some_and(|job| job.record.end.is_some())
         };
-        let tasks = heartbeat.tasks.iter().filter(runs_after_end).take(MOST_COMMANDS);
+        let tasks = heartbeat.tasks.iter().filter(runs_after_end).take(MAX_COMMANDS);
         tasks.map(|task| Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 }).collect()
     }
 
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -5,7 +5,7 @@
 use crate::coordination::shards::owned_shard::{ExpiryCheck, Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::Core;
-use crate::protocol::state::{Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{lease_proxy_key, owner_key};
 use crate::units::{MachineId, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
         let expired = self.expired_machines(shard);
         for name in checked.iter().filter(|name| expired.contains(*name)) {
             tracing::info!(shard = %shard, machine = %name, "machine lost: its worker's lease has expired");
-            self.clear_machine(shard, name);
+            self.remove_lost_machine(shard, name);
         }
     }
 
@@ -42,7 +42,7 @@
         let returned: BTreeSet<MachineId> = names.filter(|name| self.returned(name)).cloned().collect();
         for name in returned {
             tracing::info!(shard = %shard, machine = %name, "machine was returned");
-            self.clear_machine(shard, &name);
+            self.remove_lost_machine(shard, &name);
         }
     }
 
@@ -75,7 +75,7 @@
     /// Asks the store whether a proxy is registered for the shard, if machines seem to be lost.
     fn send_expiry_check(&mut self, shard: ShardId) {
         let machines: Vec<MachineId> = self.expired_machines(shard).into_iter().collect();
-        if machines.is_empty() || self.now < self.retry_state_at {
+        if machines.is_empty() || !self.store.may_send(self.now) {
             return;
         }
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
@@ -83,20 +83,20 @@
         let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
         let absent = |node| Condition { key: lease_proxy_key(shard, node), version: Revision(0) };
         conditions.extend(self.membership.peers().names().map(absent));
-        self.reads.force(self.now, 1.0);
+        self.store.charge_read(self.now);
         let check = Transaction { conditions, changes: vec![] };
-        self.call_state(StateCall::Transaction(check), PendingRequest::ExpiryCheck(shard));
+        self.call_state(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
     }
 
     /// The store's answer to the check.
-    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StateAnswer) {
+    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StoreResponse) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let ExpiryCheck::Sent(machines) = std::mem::take(&mut owned_shard.expiry_check) else { return };
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 owned_shard.expiry_check = ExpiryCheck::Confirmed { revision, machines };
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
             // Without an answer that counts, the next housekeeping sends the check again.
             _ => {}
         }
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -6,12 +6,12 @@
 
 use crate::coordination::heartbeats::reachability::Reachability;
 use crate::coordination::shards::shard_quota::{TeamQuota, ROUNDING};
-use crate::protocol::workers::TaskState;
+use crate::protocol::workers::{HeartbeatId, TaskState};
 use crate::storage::names::InternedName;
 use crate::storage::records::{JobRecord, QuotaRecord};
 use crate::units::{
-    AgentEpoch, Attempt, CallId, ComputeAmount, FencingToken, HeartbeatNumber, HeartbeatSequence, JobId, MachineId,
-    MonotonicTime, Revision,
+    AgentEpoch, Attempt, CallId, ComputeAmount, FencingToken, HeartbeatNumber, JobId, MachineId, MonotonicTime,
+    Revision,
 };
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -21,7 +21,7 @@
 
 /// A task that a heartbeat listed.
 #[derive(Debug, Clone, Copy)]
-pub struct ListedTask {
+pub struct ReportedTask {
     /// The attempt that the worker runs or ran.
     pub attempt: Attempt,
     /// Its state there.
@@ -64,9 +64,9 @@
     /// When the cloud reclaims the machine, if the worker passed on a notice.
     pub notice: Option<MonotonicTime>,
     /// The tasks that the newest heartbeat listed.
-    pub listed: BTreeMap<TaskKey, ListedTask>,
+    pub reported_tasks: BTreeMap<TaskKey, ReportedTask>,
     /// For each task whose start was sent, the heartbeat that it was last sent in response to.
-    pub start_sent_at: BTreeMap<TaskKey, HeartbeatSequence>,
+    pub starts_sent: BTreeMap<TaskKey, HeartbeatId>,
     /// Images that the machine has or is fetching, newest last.
     pub images: Vec<CachedImage>,
     /// Jobs whose tasks failed here since a task last succeeded, and when each failed last.
@@ -82,8 +82,8 @@
 
 impl Machine {
     /// The sequence of the machine's newest heartbeat.
-    pub fn sequence(&self) -> HeartbeatSequence {
-        HeartbeatSequence { agent_epoch: self.agent_epoch, number: self.heartbeat_number }
+    pub fn heartbeat_id(&self) -> HeartbeatId {
+        HeartbeatId { agent_epoch: self.agent_epoch, heartbeat_number: self.heartbeat_number }
     }
 }
 
@@ -103,7 +103,7 @@
     /// Machines whose heartbeats arrive but which receive no responses, and since when.
     pub downlink_lost: BTreeMap<MachineId, MonotonicTime>,
     /// The newest heartbeat of machines that were removed: no older one brings them back.
-    pub removed_machines: BTreeMap<MachineId, HeartbeatSequence>,
+    pub removed_machines: BTreeMap<MachineId, HeartbeatId>,
     /// Tasks whose desired state places them on a machine, by machine.
     pub placed_tasks: BTreeMap<MachineId, BTreeSet<TaskKey>>,
     /// Slices with unwritten changes, by job and slice index, and since when.
@@ -207,7 +207,7 @@
         self.stopping.remove(key);
         self.running_since.remove(key);
         if let Some(machine) = self.machines.get_mut(machine) {
-            machine.start_sent_at.remove(key);
+            machine.starts_sent.remove(key);
         }
     }
 }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -169,7 +169,7 @@
         let peer_statuses = self.membership.peers().recent_statuses(self.now);
         for status in peer_statuses.flat_map(|status| &status.shards) {
             let teams = status.teams.iter().map(|demand| {
-                let lacking = ComputeAmount { cpus: demand.wanted_cpus, gpus: demand.wanted_gpus };
+                let lacking = ComputeAmount { cpus: demand.unmet_cpus, gpus: demand.unmet_gpus };
                 (demand.team.clone(), lacking)
             });
             shortages.entry(ShardId(status.shard)).or_insert_with(|| teams.collect());
@@ -180,7 +180,7 @@
     /// Transfers quota of a team from an owned shard to another that lacks `shortage`, in one transaction conditional
     /// on both quota records and on ownership. False if there is nothing to transfer or it can't be done now.
     pub(crate) fn transfer_quota(&mut self, from: ShardId, to: ShardId, team: &str, shortage: ComputeAmount) -> bool {
-        let busy = [from, to].iter().any(|shard| self.busy_keys.contains(&quota_key(*shard)));
+        let busy = [from, to].iter().any(|shard| self.store.is_key_busy(&quota_key(*shard)));
         if busy || !self.records_fresh() {
             return false;
         }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -3,7 +3,7 @@
 use crate::coordination::jobs::status_query::Question;
 use crate::coordination::shards::shard_quota::is_quota_transfer;
 use crate::coordination::{CloudCall, Core, Output};
-use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::cache::CacheChange;
 use crate::storage::records;
@@ -72,10 +72,10 @@
         tries: u32,
     },
     RentName {
-        rent: crate::coordination::fleet::scale_out::Rent,
+        rental: crate::coordination::fleet::scale_out::PendingRental,
         transaction: Transaction,
     },
-    Rent(crate::coordination::fleet::scale_out::Rent),
+    Rent(crate::coordination::fleet::scale_out::PendingRental),
     Return(Vec<MachineId>),
     List {
         seen: Vec<crate::protocol::cloud::ListedMachine>,
@@ -98,54 +98,47 @@
 
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
-        Change::Put { put, .. } => put,
-        Change::Delete { delete } => delete,
+        Change::Put { key, .. } => key,
+        Change::Delete { key } => key,
     }
 }
 
 impl Core {
-    pub(crate) fn call_state(&mut self, call: StateCall, what: PendingRequest) {
-        let id = self.register_request(what);
+    /// Sends a request to the store; `what` says what its answer is for.
+    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
+        let id = self.store.register(what, self.now);
         self.out.push(Output::State(id, call));
+        id
     }
 
     pub(crate) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
-        let id = self.register_request(what);
+        let id = self.store.register(what, self.now);
         self.out.push(Output::Cloud(id, call));
     }
 
-    pub(crate) fn register_request(&mut self, what: PendingRequest) -> CallId {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
-        self.pending_requests.insert(id, SentRequest { what, sent: self.now });
-        id
-    }
-
     /// A transaction on keys that nobody else in this node is changing.
     /// What would never be taken is not sent.
     pub(crate) fn submit_transaction(&mut self, transaction: Transaction) {
         let too_large = |c: &&Change| matches!(c, Change::Put { value, .. } if !self.fits_value(value));
         if let Some(key) = transaction.changes.iter().find(too_large).map(change_key) {
-            if self.too_large.insert(key.to_string()) {
+            if self.store.too_large.insert(key.to_string()) {
                 tracing::error!("record {key} does not fit into one value and is not written");
             }
             return;
         }
-        let cost = transaction.changes.len() as f64;
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, cost);
+        self.store.charge_transaction(self.now, transaction.changes.len());
         for change in &transaction.changes {
-            self.busy_keys.insert(change_key(change).to_string());
+            self.store.reserve_key(change_key(change));
         }
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
+        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::Simple(transaction));
     }
 
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StateAnswer) {
-        let Some(SentRequest { what, sent }) = self.pending_requests.remove(&id) else { return };
-        if !matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) {
-            self.last_state_answer = Some(self.now);
+    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
+        let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
+        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
+            self.store.last_answer = Some(self.now);
         }
-        if let StateAnswer::Rejected(why) = &answer {
+        if let StoreResponse::Invalid(why) = &answer {
             tracing::error!("the state service rejects {what:?}: {why}");
         }
         match what {
@@ -155,15 +148,15 @@
             PendingRequest::Grant => self.grant_answer(answer),
             PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
             PendingRequest::Simple(transaction)
-                if matches!(answer, StateAnswer::Unknown) && is_quota_transfer(&transaction) =>
+                if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) =>
             {
-                self.unresolved.transfers.push(transaction);
+                self.store.unresolved.transfers.push(transaction);
             }
             PendingRequest::Simple(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::QuotaTransferRetry(transaction)
-                if matches!(answer, StateAnswer::Unknown | StateAnswer::Refused) =>
+                if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) =>
             {
-                self.unresolved.transfers.push(transaction);
+                self.store.unresolved.transfers.push(transaction);
             }
             PendingRequest::QuotaTransferRetry(transaction) => self.simple_answer(transaction, answer),
             PendingRequest::ShardTransaction { shard, transaction } => {
@@ -183,7 +176,7 @@
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.cancel_written(request, job, transaction, tries, answer)
             }
-            PendingRequest::RentName { rent, transaction } => self.rent_named(rent, transaction, answer),
+            PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
@@ -191,18 +184,18 @@
         }
     }
 
-    fn simple_answer(&mut self, transaction: Transaction, answer: StateAnswer) {
+    fn simple_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
         for change in &transaction.changes {
-            self.busy_keys.remove(change_key(change));
+            self.store.release_key(change_key(change));
         }
         match answer {
-            StateAnswer::Committed(revision) => self.committed(&transaction, revision),
+            StoreResponse::Committed(revision) => self.committed(&transaction, revision),
             // It counts as given until all that it names has been read.
-            StateAnswer::Conflict(_) if is_quota_transfer(&transaction) => {
+            StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
-            StateAnswer::Conflict(failed) => self.reread(failed, None),
-            StateAnswer::LeaseGone => self.transaction_lease_gone(&transaction),
+            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match records::RecordKey::read(change_key(c)) {
@@ -216,20 +209,19 @@
     /// out: it counts as given until its repetition says what became of it, and that
     /// the repetition was refused says nothing about the first.
     pub(crate) fn resolve_quota_transfers(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
-        for transaction in std::mem::take(&mut self.unresolved.transfers) {
-            self.reads.force(self.now, 1.0);
-            self.writes.force(self.now, transaction.changes.len() as f64);
+        for transaction in std::mem::take(&mut self.store.unresolved.transfers) {
+            self.store.charge_transaction(self.now, transaction.changes.len());
             self.call_state(
-                StateCall::Transaction(transaction.clone()),
+                StoreRequest::Transaction(transaction.clone()),
                 PendingRequest::QuotaTransferRetry(transaction),
             );
         }
-        for (key, shard) in std::mem::take(&mut self.unresolved.reads) {
-            self.reads.force(self.now, 1.0);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+        for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
+            self.store.charge_read(self.now);
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
@@ -237,8 +229,8 @@
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             let changed = match change {
-                Change::Put { put, value, .. } => self.cache.apply(put, Some(value.clone()), revision),
-                Change::Delete { delete } => self.cache.apply(delete, None, revision),
+                Change::Put { key, value, .. } => self.cache.apply(key, Some(value.clone()), revision),
+                Change::Delete { key } => self.cache.apply(key, None, revision),
             };
             self.changed(changed);
         }
@@ -246,21 +238,21 @@
 
     pub(crate) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
-            self.reads.force(self.now, 1.0);
-            self.call_state(StateCall::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+            self.store.charge_read(self.now);
+            self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
         }
     }
 
-    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StateAnswer) {
+    pub(crate) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
         if let (Some(records::RecordKey::Quota(_)), true) =
-            (records::RecordKey::read(&key), matches!(answer, StateAnswer::Unknown | StateAnswer::Refused))
+            (records::RecordKey::read(&key), matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable))
         {
             // What became of a gift must be known before allowance is used again.
-            return self.unresolved.reads.push((key, shard));
+            return self.store.unresolved.reads.push((key, shard));
         }
         let changed = match answer {
-            StateAnswer::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
-            StateAnswer::Missing(at) => self.cache.apply(&key, None, at),
+            StoreResponse::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
+            StoreResponse::Missing(at) => self.cache.apply(&key, None, at),
             _ => CacheChange::Nothing,
         };
         self.changed(changed);
--- a/src/units.rs
+++ b/src/units.rs
@@ -152,15 +152,6 @@
     /// A waiting request of a user or worker.
     RequestId, u64);
 
-/// Orders a worker's messages over all its agent epochs.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HeartbeatSequence {
-    /// The worker's incarnation, which counts first.
-    pub agent_epoch: AgentEpoch,
-    /// The number within that incarnation.
-    pub number: HeartbeatNumber,
-}
-
 name!(
     /// A job's unique id, chosen by its user.
     JobId);
