--- a/tests/door.rs
+++ b/tests/door.rs
@@ -1,12 +1,11 @@
-//! What users are told of submissions that are not valid, can never run, or are
-//! repeats of a job that is known.
+//! Answers to submissions that are not valid, can never run, or repeat a job that is known.
 
 #[allow(dead_code)]
 mod simulator;
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
-use simulator::{settings, Shape, StateService, World};
+use simulator::{settings, ClusterConfig, SimulatedCluster, SimulatedStore};
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
@@ -29,7 +28,7 @@
 
 /// Everything but what may be null; a missing `gpus` or `one_zone` passed for a default.
 #[test]
-fn what_may_not_be_null_may_not_be_missing() {
+fn fields_that_may_not_be_null_may_not_be_missing() {
     let all = valid(1);
     assert!(parse(&all).is_ok());
     for (name, value) in all.as_object().expect("fields") {
@@ -43,9 +42,9 @@
     }
 }
 
-/// Bodies that are no submission at all, and what can be read of them.
+/// Bodies that are no submission at all, and the job id where one can be read.
 #[test]
-fn malformed_bodies_are_refused_by_name_if_they_have_one() {
+fn malformed_bodies_are_rejected_with_their_job_id_if_readable() {
     let whole = valid(1).to_string();
     let named = |body: &str| JobSpec::parse(body.as_bytes()).expect_err(body).id.map(|id| id.to_string());
     let twice = whole.replacen('{', r#"{"cores":1.0,"#, 1);
@@ -56,7 +55,7 @@
     assert_eq!(named(&whole.replacen('{', r#"{"ref":"wk-000002","#, 1)), None, "two names");
     assert_eq!(named(&whole.replace("wk-000001", "../x")), None);
     assert_eq!(named(&deep).as_deref(), Some("wk-000001"), "nested too deeply");
-    let odd = [
+    let invalid = [
         ("loads", json!(0)),
         ("loads", json!(100_001)),
         ("loads", json!(-1)),
@@ -70,7 +69,7 @@
         ("tide_s", json!(-5.0)),
         ("awaits", json!([5])),
     ];
-    for (name, value) in odd {
+    for (name, value) in invalid {
         let mut fields = valid(1);
         fields[name] = value.clone();
         assert_eq!(named(&fields.to_string()).as_deref(), Some("wk-000001"), "{name}: {value}");
@@ -78,62 +77,65 @@
     assert_eq!(named(&twice).as_deref(), Some("wk-000001"), "cores given twice");
 }
 
-/// One controller that has read the records and the catalog, and its state service.
+/// One controller that has read the records and the catalog, and its store.
 struct Node {
     core: Core,
-    state: StateService,
-    /// The state service answers; its watch brings what others wrote.
-    reached: bool,
-    watched: bool,
+    store: SimulatedStore,
+    /// The store answers.
+    store_reachable: bool,
+    /// Its watch brings what others wrote.
+    watch_open: bool,
     now: u64,
-    asked: u64,
+    requests: u64,
 }
 
 impl Node {
-    fn new(shape: &Shape) -> Node {
-        let state = StateService { page: 50, most_bytes: 8192, most_ops: 12, ..StateService::default() };
-        let core = Core::new(settings(shape, 0, 10.0), Tuning::default());
-        let mut node = Node { core, state, reached: true, watched: true, now: 1, asked: 0 };
-        (0..100).for_each(|_| drop(node.step(Input::Tick, shape)));
+    fn new(config: &ClusterConfig) -> Node {
+        let store = SimulatedStore::with_sizes(50, 8192, 12);
+        let core = Core::new(settings(config, 0, 10.0), Tuning::default());
+        let mut node = Node { core, store, store_reachable: true, watch_open: true, now: 1, requests: 0 };
+        (0..100).for_each(|_| drop(node.step(Input::Tick, config)));
         node
     }
 
-    /// Feeds an input and all that follows from it; what users are told.
-    fn step(&mut self, input: Input, shape: &Shape) -> Vec<(RequestId, Response)> {
+    /// Feeds an input and all that follows from it; returns the answers to users.
+    fn step(&mut self, input: Input, config: &ClusterConfig) -> Vec<(RequestId, Response)> {
         self.now += 50;
         let mut next = vec![input];
-        let mut told = vec![];
+        let mut responses = vec![];
         while let Some(input) = next.pop() {
             for output in self.core.handle(MonotonicTime(self.now), 1_000_000, input) {
                 match output {
-                    Output::Response(id, response) => told.push((id, response)),
-                    Output::State(_, StoreRequest::Watch { .. }) if !self.watched => {}
-                    Output::State(id, _) if !self.reached => next.push(Input::State(id, StoreResponse::Unavailable)),
-                    Output::State(id, call) => next.push(Input::State(id, self.state.run(self.now, call))),
+                    Output::Response(id, response) => responses.push((id, response)),
+                    Output::State(_, StoreRequest::Watch { .. }) if !self.watch_open => {}
+                    Output::State(id, _) if !self.store_reachable => {
+                        next.push(Input::State(id, StoreResponse::Unavailable))
+                    }
+                    Output::State(id, call) => next.push(Input::State(id, self.store.execute(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
-                        let catalog = Catalog { types: shape.types.clone() };
+                        let catalog = Catalog { types: config.machine_types.clone() };
                         next.push(Input::Cloud(id, CloudAnswer::Catalog(catalog)));
                     }
                     _ => {}
                 }
             }
         }
-        told
+        responses
     }
 
-    /// The status that this body gets.
-    fn submit(&mut self, body: &Value, shape: &Shape) -> u16 {
-        let ask = match parse(body) {
+    /// The status that the answer to this body has.
+    fn submit(&mut self, body: &Value, config: &ClusterConfig) -> u16 {
+        let request = match parse(body) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
             Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
             Err(Malformed { id: None, .. }) => return 400,
         };
-        self.asked += 1;
-        let request = RequestId(self.asked);
-        let mut told = self.step(Input::ClientRequest(request, ask), shape);
-        // A question waits for a probe.
-        (0..8).for_each(|_| told.extend(self.step(Input::Tick, shape)));
-        let response = told.into_iter().find(|(id, _)| *id == request).expect("an answer").1;
+        self.requests += 1;
+        let id = RequestId(self.requests);
+        let mut responses = self.step(Input::ClientRequest(id, request), config);
+        // An answer that needs a read of the store takes a few ticks.
+        (0..8).for_each(|_| responses.extend(self.step(Input::Tick, config)));
+        let response = responses.into_iter().find(|(answered, _)| *answered == id).expect("an answer").1;
         match response {
             Response::Job { status, .. } => status.http_status(),
             Response::Error(refusal) => refusal.http_status(),
@@ -154,48 +156,50 @@
     fields
 }
 
-/// A repeat of a job that another node accepted got 422 or 400 from one whose records lagged.
+/// A repeated submission of a job that another node accepted got 422 or 400 from a node whose
+/// records lagged behind.
 #[test]
-fn a_known_job_is_known_whatever_its_repeat_says() {
-    let shape = Shape::small();
+fn a_repeated_submission_of_a_known_job_gets_200_whatever_it_says() {
+    let config = ClusterConfig::small();
     // What an earlier version accepted, written behind this node's back.
     let record = json!({"spec": without(valid(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
     let archive_ended_jobs = json!({"end": "done", "tasks": 2});
     let lagging = || {
-        let mut node = Node::new(&shape);
-        node.watched = false;
-        node.state.revision += 2;
-        let revision = node.state.revision;
-        node.state.rows.insert("t/j/wk-000007".into(), (record.clone(), revision - 1, None));
-        node.state.rows.insert("f/wk-000008".into(), (archive_ended_jobs.clone(), revision, None));
+        let mut node = Node::new(&config);
+        node.watch_open = false;
+        node.store.revision += 2;
+        let revision = node.store.revision;
+        node.store.insert_unseen("t/j/wk-000007", record.clone(), revision - 1);
+        node.store.insert_unseen("f/wk-000008", archive_ended_jobs.clone(), revision);
         node
     };
-    let odd = |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
+    let bodies =
+        |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
     let mut node = lagging();
-    for body in odd(7).iter().chain(&odd(8)) {
+    for body in bodies(7).iter().chain(&bodies(8)) {
         node = lagging();
-        assert_eq!(node.submit(body, &shape), 200, "{body}");
+        assert_eq!(node.submit(body, &config), 200, "{body}");
     }
-    // What was never accepted is refused, but not without having looked.
-    let refused = [(0, 400), (1, 422)];
-    for (at, status) in refused {
-        assert_eq!(node.submit(&odd(9)[at], &shape), status);
+    // What was never accepted is rejected, but not before the store was asked.
+    let rejected = [(0, 400), (1, 422)];
+    for (at, status) in rejected {
+        assert_eq!(node.submit(&bodies(9)[at], &config), status);
     }
-    node.reached = false;
-    for (at, _) in refused {
-        assert_eq!(node.submit(&odd(9)[at], &shape), 503);
-        assert_eq!(node.submit(&odd(8)[at], &shape), 200, "an end is known without asking");
+    node.store_reachable = false;
+    for (at, _) in rejected {
+        assert_eq!(node.submit(&bodies(9)[at], &config), 503);
+        assert_eq!(node.submit(&bodies(8)[at], &config), 200, "an ended job is known without asking");
     }
 }
 
 /// All that a task needs must come together, and all replicas of a service at once.
 #[test]
-fn what_can_never_run_is_refused_at_once() {
-    let mut shape = Shape { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..Shape::small() };
-    let mut large = shape.types[0].clone();
+fn jobs_that_can_never_run_are_rejected_at_once() {
+    let mut config = ClusterConfig { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..ClusterConfig::small() };
+    let mut large = config.machine_types[0].clone();
     (large.name, large.gpus, large.mem_gb, large.zones, large.cpus) = ("g2".into(), 2.0, 16.0, vec!["b".into()], 16.0);
-    shape.types.push(large);
-    let mut node = Node::new(&shape);
+    config.machine_types.push(large);
+    let mut node = Node::new(&config);
     let service = json!({"rig": "standing", "reckon_s": 0.0});
     let cases = [
         (json!({}), 201),
@@ -224,7 +228,7 @@
     let all =
         cases.into_iter().chain(services.into_iter().map(|(change, status)| (with(service.clone(), &change), status)));
     for (number, (change, status)) in all.enumerate() {
-        assert_eq!(node.submit(&with(valid(number), &change), &shape), status, "{change}");
+        assert_eq!(node.submit(&with(valid(number), &change), &config), status, "{change}");
     }
 }
 
@@ -241,7 +245,7 @@
     )
 }
 
-/// Whether a job can run, told from PROTOCOL for machines of 8 cores and 32 GB in two zones.
+/// Whether a job can run on machines of 8 cores and 32 GB in two zones, written from PROTOCOL.
 fn can_run(fields: &Value) -> bool {
     let number = |name: &str| fields[name].as_f64().expect("a number");
     let service = fields["rig"] == "standing";
@@ -259,28 +263,28 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// What is accepted runs, and what can't run is refused.
+    /// What is accepted runs, and what can't run is rejected.
     #[test]
-    fn what_is_accepted_runs_and_what_cannot_is_refused(
+    fn accepted_jobs_run_and_impossible_ones_are_rejected(
         seed in 1u64..1_000_000, changes in proptest::collection::vec(change(), 6..14),
     ) {
-        let mut world = World::sized(seed, Shape { machines: 40, ..Shape::small() });
+        let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 40, ..ClusterConfig::small() });
         let all: Vec<Value> = changes.iter().enumerate().map(|(n, change)| with(valid(n), change)).collect();
         for (number, fields) in all.iter().enumerate() {
             let spec = parse(fields).expect("a valid job");
             if fields["rig"] == "standing" {
-                world.cancel(400_000, &spec.id);
+                cluster.cancel(400_000, &spec.id);
             }
-            world.submit(3000 + 400 * number as u64, spec);
+            cluster.submit(3000 + 400 * number as u64, spec);
         }
-        world.run(390_000);
+        cluster.run(390_000);
         for (fields, spec) in all.iter().map(|fields| (fields, parse(fields).expect("a valid job"))) {
-            let refused = world.final_no.get(&spec.id).copied();
-            prop_assert_eq!(refused, (!can_run(fields)).then_some(422), "{}", fields);
-            let started = world.tries.get(&spec.id).copied().unwrap_or(0);
-            prop_assert!(refused.is_some() || started >= spec.task_count as usize, "{} started {}", fields, started);
+            let rejected = cluster.rejections.get(&spec.id).copied();
+            prop_assert_eq!(rejected, (!can_run(fields)).then_some(422), "{}", fields);
+            let started = cluster.statistics.starts_by_job.get(&spec.id).copied().unwrap_or(0);
+            prop_assert!(rejected.is_some() || started >= spec.task_count as usize, "{} started {}", fields, started);
         }
-        world.run(500_000);
-        prop_assert!(world.broken.is_empty(), "{:?}", world.broken);
+        cluster.run(500_000);
+        prop_assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
     }
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -3,17 +3,17 @@
 #![allow(dead_code)]
 
 pub mod services;
-#[path = "../simulator/mod.rs"]
-mod simulator;
+#[path = "../simulator/store.rs"]
+mod store;
 
 use serde_json::{json, Value};
-use simulator::StateService;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use store::SimulatedStore;
 use tillercleat::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use tillercleat::transport::http::{Client, Connection};
 use tillercleat::units::{LeaseId, Revision};
@@ -30,7 +30,7 @@
             let answer = answer.clone();
             std::thread::spawn(move || {
                 let mut connection = Connection::new(stream);
-                while let Ok((head, body)) = connection.read(true, SECOND * 60, SECOND, 1 << 20) {
+                while let Ok((head, body)) = connection.read_request(SECOND * 60, SECOND, 1 << 20) {
                     let body = serde_json::from_slice(&body).unwrap_or(Value::Null);
                     let (status, value) = answer(&head.method, &head.path, &body);
                     let text = value.to_string();
@@ -102,7 +102,7 @@
 }
 
 pub fn state_service() -> SocketAddr {
-    let service = Mutex::new(StateService::default());
+    let service = Mutex::new(SimulatedStore::default());
     let begin = Instant::now();
     serve(move |method, path, body| {
         let call = state_call(method, path, body);
@@ -110,7 +110,7 @@
         let until = Instant::now() + Duration::from_millis(wait);
         loop {
             let now = begin.elapsed().as_millis() as u64;
-            let answer = service.lock().expect("the service").run(now, call.clone());
+            let answer = service.lock().expect("the service").execute(now, call.clone());
             let waiting = matches!(&answer, StoreResponse::WatchEvents(news) if news.events.is_empty());
             if !waiting || Instant::now() >= until {
                 return state_answer(answer);
