--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -157,7 +157,7 @@
                 }
             }
         }
-        for status in self.peers.values().filter_map(|p| p.status.as_ref()) {
+        for status in self.membership.peers().statuses() {
             faulty.extend(status.faulty_machines.iter().map(|n| MachineId::new(n)));
             for load in &status.shards {
                 up.extend(load.reporting_machines.iter().map(|n| MachineId::new(n)));
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -66,7 +66,7 @@
                 return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
             StoreResponse::Conflict(failed) => self.reread(failed, None),
-            StoreResponse::LeaseGone => self.lease_gone_elsewhere(&transaction),
+            StoreResponse::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
         let shards = transaction.changes.iter().filter_map(|c| match RecordKey::read(change_key(c)) {
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -119,7 +119,7 @@
         match what {
             CacheChange::Owner(shard) => self.owner_changed(shard),
             CacheChange::Job(job, news) => self.job_changed(&job, news),
-            CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
+            CacheChange::Slice(job, _) => self.slice_changed(&job),
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
