--- /dev/null
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -0,0 +1,30 @@
+//! Answers of the cloud, each handed to the module that made the call.
+
+use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
+use crate::coordination::{CloudAnswer, Core};
+use crate::units::{CallId, MachineId};
+
+impl Core {
+    /// Takes the answer to a call. A call that is not pending any more is ignored.
+    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
+        let Some(SentRequest { what, .. }) = self.pending_requests.remove(&id) else { return };
+        match (what, answer) {
+            (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.apply_catalog(catalog),
+            (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
+            (PendingRequest::Rent(rental), answer) => self.rental_answer(rental, answer),
+            (PendingRequest::Return(names), answer) => self.return_answer(names, &answer),
+            // A catalog that could not be read is asked for again by and by.
+            _ => tracing::debug!("ignored an answer of the cloud that does not suit its call"),
+        }
+    }
+
+    /// Returns that failed are tried again in a later pass: the machines are still draining.
+    fn return_answer(&mut self, names: Vec<MachineId>, answer: &CloudAnswer) {
+        self.fleet.returning = false;
+        if !matches!(answer, CloudAnswer::Returned) {
+            return;
+        }
+        self.fleet.inventory.confirm_returns(names, self.now);
+        self.write_fleet();
+    }
+}
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,173 +1,329 @@
-//! Cores that work wants: of the jobs there are, and of those that will come
-//! as they have come of late.
+//! Demand: the cores that work asks for, of the jobs there are and of those that are expected from
+//! the load of late.
+//!
+//! Computed by the leader in each pass of the autoscaler. It looks at jobs only: which machines meet
+//! demand is for `shortfall`.
 
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::users::JobKind;
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::Job;
 use crate::storage::records::JobOutcome;
-use crate::units::ShardId;
+use crate::units::{JobId, ShardId};
 use std::collections::BTreeMap;
 
 /// How far back the usual load is learned from, in seconds.
-const USUAL_S: f64 = 150.0;
+const USUAL_LOAD_WINDOW_S: f64 = 150.0;
 
 /// Tasks that one core is expected to run one after the other at the most.
-const MOST_WAVES: f64 = 4.0;
+const MOST_TASKS_IN_SERIES: f64 = 4.0;
 
-/// Room kept for the ups of the usual load.
-const USUAL_HEADROOM: f64 = 1.1;
+/// Room kept for peaks of the usual load, as a factor.
+const USUAL_LOAD_HEADROOM: f64 = 1.1;
 
-/// Room kept for the ups of work that presses, in standard deviations of it.
-const SWING_HEADROOM: f64 = 0.5;
+/// Room kept for peaks of urgent work, in standard deviations of it.
+const URGENT_LOAD_DEVIATIONS: f64 = 0.5;
 
-/// GPUs or not, machine types, zone, and whether spot machines will do.
-type Constraints = (bool, Option<Vec<String>>, Option<String>, bool);
+/// Boots slower than this many times the catalog's time are not planned for.
+const MOST_BOOT_SLOWDOWN: f64 = 4.0;
 
-/// Cores that a group of jobs with the same constraints wants.
+/// What a machine takes beyond its boot until it is of use: rental, first heartbeat, first start.
+const FIRST_START_S: f64 = 10.0;
+
+/// What a task takes beyond its run time, and by how much run times exceed what is expected.
+const TASK_OVERHEAD_S: f64 = 5.0;
+const RUN_TIME_MARGIN: f64 = 1.2;
+
+/// The share of its run time that a running task has still to go, on average and with a margin.
+const REMAINING_RUN_SHARE: f64 = 0.6;
+
+/// A job with less time left than this many run times and a boot can't wait for a machine to come free.
+const URGENT_RUN_TIMES: f64 = 2.2;
+
+/// Cores that a group of jobs with the same constraints asks for.
 pub(crate) struct Demand {
+    /// All cores.
     pub(crate) cpus: f64,
-    /// Of these, what cannot wait for cheap room: worth ordinary prices.
-    pub(crate) urgent: f64,
-    pub(crate) shape: Resources,
-    /// Image size and run time, weighted by cores.
-    pub(crate) fetch_gb: f64,
-    pub(crate) run_s: f64,
+    /// Of these, what can't wait for spot machines and is worth ordinary prices.
+    pub(crate) urgent_cpus: f64,
+    /// The most of each resource that any task of the group takes.
+    pub(crate) largest_task: Resources,
+    /// Sum over jobs of cores times image size in gigabytes.
+    pub(crate) weighted_image_gb: f64,
+    /// Sum over jobs of cores times run time in seconds.
+    pub(crate) weighted_run_s: f64,
+    /// The machine types that may be used; any if none are named.
     pub(crate) types: Option<Vec<String>>,
+    /// The only zone that may be used, if one is named.
     pub(crate) zone: Option<String>,
-    pub(crate) spot: bool,
-    /// Only machines of this shard will do, and only with room for a whole task.
+    /// True if spot machines may be used.
+    pub(crate) spot_allowed: bool,
+    /// If given, only machines of this shard serve, and only with room for a whole task.
     pub(crate) shard: Option<ShardId>,
 }
 
-/// Standard deviation of the cores that jobs keep busy which come by chance,
-/// given the cores and run times of those that came within `time`: work that
-/// cannot wait for a machine to boot needs room for its ups, and the ups of a
-/// few large jobs are higher than those of many small ones.
-fn swing(jobs: &[(f64, f64)], time: f64) -> f64 {
-    (jobs.iter().map(|(cpus, run)| cpus * cpus * run).sum::<f64>() / time.max(1.0)).sqrt()
+impl Demand {
+    /// Room for one replica of a service in its shard.
+    pub(crate) fn of_replica(spec: &JobSpec, zone: Option<String>, shard: ShardId) -> Demand {
+        Demand {
+            cpus: spec.cpus,
+            urgent_cpus: spec.cpus,
+            largest_task: Resources::of_task(spec),
+            weighted_image_gb: spec.cpus * spec.image_gb,
+            // A service has no run time: a second.
+            weighted_run_s: spec.cpus,
+            types: spec.types.clone(),
+            zone,
+            spot_allowed: spec.spot_allowed,
+            shard: Some(shard),
+        }
+    }
+
+    /// A group that asks for nothing yet.
+    fn empty(constraints: &Constraints) -> Demand {
+        Demand {
+            cpus: 0.0,
+            urgent_cpus: 0.0,
+            largest_task: Resources::default(),
+            weighted_image_gb: 0.0,
+            weighted_run_s: 0.0,
+            types: constraints.types.clone(),
+            zone: constraints.zone.clone(),
+            spot_allowed: constraints.spot_allowed,
+            shard: None,
+        }
+    }
+
+    fn add(&mut self, spec: &JobSpec, job: &JobDemand) {
+        self.cpus += job.cpus;
+        if job.urgent {
+            self.urgent_cpus += job.cpus;
+        }
+        self.weighted_image_gb += job.cpus * spec.image_gb;
+        self.weighted_run_s += job.cpus * job.run_s;
+        self.largest_task = self.largest_task.max(Resources::of_task(spec));
+    }
 }
 
-impl Core {
-    /// Cores wanted over the time a new machine takes to be of use: for each
-    /// task the share of that time it needs a core, waiting work spread over
-    /// the time it has left. What ends sooner frees room by itself.
-    pub(crate) fn demand(&self) -> Vec<Demand> {
-        let provisioning_times = &self.fleet.provisioning_times;
-        let usual_s = |t: &MachineType| {
-            t.zones.iter().map(|z| provisioning_times.usual_s(&t.name, z, t.boot_s)).fold(0.0, f64::max)
-        };
-        // Quick spells are not relied on, and slow ones not planned for without bound.
-        let boot = self.catalog.types().map(|t| usual_s(t).clamp(t.boot_s, 4.0 * t.boot_s)).fold(0.0, f64::max);
-        let ahead = boot + 10.0;
-        let mut groups: BTreeMap<Constraints, Demand> = BTreeMap::new();
-        for id in &self.cache.active {
-            let Some(job) = self.cache.jobs.get(id).filter(|j| j.holds_machines()) else { continue };
-            let spec = &job.record.spec;
-            let (done, on) = job.counts();
-            // Work that fails wherever it runs has no use for more machines.
-            if on == 0 && self.fails_everywhere(id) {
-                continue;
-            }
-            let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + on) };
-            let run = self.estimates.run_time(job).max(1.0);
-            let left = self.allowed_s(job) - self.age_s(job);
-            let (share_on, share_waiting) = if spec.kind == JobKind::Array {
-                {
-                    // Tasks one after the other that fit into the time left.
-                    let waves = ((left - 5.0) / (run * 1.2 + 5.0)).floor().clamp(1.0, MOST_WAVES);
-                    ((run * 0.6 / ahead).min(1.0), (run / ahead).min(1.0) / waves)
-                }
-            } else {
-                (1.0, 1.0)
-            };
-            let team = self.settings.cluster.teams.iter().find(|t| t.name == spec.team);
-            let cap = team.map_or(0.0, |t| t.cpus_max);
-            let mut cpus = (f64::from(on) * share_on + f64::from(waiting) * share_waiting) * spec.cpus;
-            if waiting > 0 {
-                // However much time it has, something must be there to run it.
-                cpus = cpus.max(spec.cpus);
-            }
-            if cap > 0.0 {
-                cpus = cpus.min(cap);
-            }
-            let key = (spec.gpus > 0.0, spec.types.clone(), spec.zone.clone(), spec.spot_allowed);
-            let group = groups.entry(key).or_insert(Demand {
-                cpus: 0.0,
-                urgent: 0.0,
-                shape: Resources::default(),
-                fetch_gb: 0.0,
-                run_s: 0.0,
-                types: spec.types.clone(),
-                zone: spec.zone.clone(),
-                spot: spec.spot_allowed,
-                shard: None,
-            });
-            group.cpus += cpus;
-            if !spec.spot_allowed || self.cannot_wait_for_room(job, left, ahead) {
-                group.urgent += cpus;
-            }
-            group.fetch_gb += cpus * spec.image_gb;
-            group.run_s += cpus * run;
-            group.shape = group.shape.max(Resources::of_task(spec));
+/// Which machines a job may use. Jobs with equal constraints form a group.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Constraints {
+    needs_gpus: bool,
+    types: Option<Vec<String>>,
+    zone: Option<String>,
+    spot_allowed: bool,
+}
+
+impl Constraints {
+    fn of(spec: &JobSpec) -> Constraints {
+        Constraints {
+            needs_gpus: spec.gpus > 0.0,
+            types: spec.types.clone(),
+            zone: spec.zone.clone(),
+            spot_allowed: spec.spot_allowed,
         }
-        // What the work of late has kept busy on average is likely to be
-        // wanted again: buying for it ahead saves late starts and churn.
-        let (usual, swing) = self.usual_cpus(ahead);
-        let usual = usual * USUAL_HEADROOM + swing * SWING_HEADROOM;
-        // A load that spot machines cannot carry for good needs ordinary ones.
-        let usual_urgent = usual;
-        let now: f64 = groups.values().map(|g| g.cpus).sum();
-        let now_urgent: f64 = groups.values().map(|g| g.urgent).sum();
-        tracing::debug!("demand: {now:.0} cores now, {now_urgent:.0} pressing, usual {usual:.0} with swing {swing:.0}");
-        if let Some(group) = groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus)) {
-            group.cpus += (usual - now).max(0.0);
-            group.urgent += (usual_urgent - now_urgent).max(0.0);
+    }
+}
+
+type DemandGroups = BTreeMap<Constraints, Demand>;
+
+/// What one job asks for.
+struct JobDemand {
+    cpus: f64,
+    run_s: f64,
+    urgent: bool,
+}
+
+/// The share of the planning window in which tasks of a job need their cores.
+struct CoreShares {
+    running: f64,
+    waiting: f64,
+}
+
+impl CoreShares {
+    fn of(kind: JobKind, run_s: f64, left_s: f64, window_s: f64) -> CoreShares {
+        if kind != JobKind::Array {
+            return CoreShares { running: 1.0, waiting: 1.0 };
         }
-        // Headroom for what must start at once, in every shard.
-        if let Some(group) = groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus)) {
-            let each = group.cpus / f64::from(self.shard_count);
-            group.cpus += self.reserve(each) * f64::from(self.shard_count);
+        // Tasks one after the other that fit into the time left.
+        let in_series = ((left_s - TASK_OVERHEAD_S) / (run_s * RUN_TIME_MARGIN + TASK_OVERHEAD_S)).floor();
+        let in_series = in_series.clamp(1.0, MOST_TASKS_IN_SERIES);
+        CoreShares {
+            running: (run_s * REMAINING_RUN_SHARE / window_s).min(1.0),
+            waiting: (run_s / window_s).min(1.0) / in_series,
         }
-        let mut demand: Vec<Demand> = groups.into_values().filter(|d| d.cpus > 0.0).collect();
+    }
+}
+
+/// All tasks of a job that came of late.
+#[derive(Debug, Clone, Copy)]
+struct JobLoad {
+    cpus: f64,
+    run_s: f64,
+}
+
+/// What the jobs of late keep busy.
+struct UsualLoad {
+    /// Cores, on average.
+    cpus: f64,
+    /// Standard deviation of the cores of those that were urgent from their start.
+    urgent_deviation: f64,
+}
+
+/// Standard deviation of the cores that jobs keep busy which come by chance, given those that came
+/// within `time_s`. Work that can't wait for a machine to boot needs room for its peaks, and the
+/// peaks of a few large jobs are higher than those of many small ones.
+fn load_deviation(jobs: &[JobLoad], time_s: f64) -> f64 {
+    (jobs.iter().map(|job| job.cpus * job.cpus * job.run_s).sum::<f64>() / time_s.max(1.0)).sqrt()
+}
+
+/// The group that asks for most cores.
+fn largest_group(groups: &mut DemandGroups) -> Option<&mut Demand> {
+    groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus))
+}
+
+impl Core {
+    /// Cores asked for over the time that a new machine takes to be of use: for each task the share
+    /// of that time in which it needs a core, waiting work spread over the time it has left. What
+    /// ends sooner frees room by itself.
+    pub(super) fn demand(&self) -> Vec<Demand> {
+        let window_s = self.planning_window_s();
+        let mut groups = self.current_demand(window_s);
+        self.add_usual_load(&mut groups, window_s);
+        self.add_start_reserve(&mut groups);
+        let mut demand: Vec<Demand> = groups.into_values().filter(|group| group.cpus > 0.0).collect();
         demand.extend(self.unplaceable_demand());
-        // The most constrained first: they take the machines that suit them.
-        demand.sort_by_key(|d| (d.shard.is_none(), d.types.is_none(), d.zone.is_none(), d.spot));
+        // The most constrained first: they take the machines that serve them.
+        demand.sort_by_key(|group| {
+            (group.shard.is_none(), group.types.is_none(), group.zone.is_none(), group.spot_allowed)
+        });
         demand
     }
 
-    /// True if a job with so much time left could not wait for a machine to
-    /// come free and still be in time.
-    pub(crate) fn cannot_wait_for_room(&self, job: &Job, left: f64, ahead: f64) -> bool {
+    /// How long a machine that is rented now takes to be of use, by the slowest type.
+    fn planning_window_s(&self) -> f64 {
+        // Quick spells are not relied on, and slow ones not planned for without bound.
+        let boot_s =
+            |kind: &MachineType| self.slowest_usual_boot_s(kind).clamp(kind.boot_s, MOST_BOOT_SLOWDOWN * kind.boot_s);
+        self.catalog.types().map(boot_s).fold(0.0, f64::max) + FIRST_START_S
+    }
+
+    /// The usual boot of a type in the zone where it is slowest.
+    fn slowest_usual_boot_s(&self, kind: &MachineType) -> f64 {
+        let times = &self.fleet.provisioning_times;
+        kind.zones.iter().map(|zone| times.usual_s(&kind.name, zone, kind.boot_s)).fold(0.0, f64::max)
+    }
+
+    /// What the jobs there are ask for, by constraints.
+    fn current_demand(&self, window_s: f64) -> DemandGroups {
+        let mut groups = DemandGroups::new();
+        for id in &self.cache.active {
+            let Some(job) = self.cache.jobs.get(id).filter(|job| job.holds_machines()) else { continue };
+            let Some(job_demand) = self.job_demand(id, job, window_s) else { continue };
+            let constraints = Constraints::of(&job.record.spec);
+            let empty = Demand::empty(&constraints);
+            groups.entry(constraints).or_insert(empty).add(&job.record.spec, &job_demand);
+        }
+        groups
+    }
+
+    /// What a job asks for; nothing if it fails wherever it runs, which more machines don't change.
+    fn job_demand(&self, id: &JobId, job: &Job, window_s: f64) -> Option<JobDemand> {
         let spec = &job.record.spec;
-        let run = self.estimates.run_time(job);
-        spec.kind != JobKind::Array || left < run * 2.2 + ahead
+        let (done, running) = job.counts();
+        if running == 0 && self.fails_everywhere(id) {
+            return None;
+        }
+        let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + running) };
+        let run_s = self.estimates.run_time(job).max(1.0);
+        let left_s = self.allowed_s(job) - self.age_s(job);
+        let shares = CoreShares::of(spec.kind, run_s, left_s, window_s);
+        let mut cpus = (f64::from(running) * shares.running + f64::from(waiting) * shares.waiting) * spec.cpus;
+        if waiting > 0 {
+            // However much time it has, something must be there to run it.
+            cpus = cpus.max(spec.cpus);
+        }
+        let limit = self.team_limit_cpus(&spec.team);
+        if limit > 0.0 {
+            cpus = cpus.min(limit);
+        }
+        let urgent = !spec.spot_allowed || self.cannot_wait_for_room(job, left_s, window_s);
+        Some(JobDemand { cpus, run_s, urgent })
     }
 
-    /// Cores that the jobs of the last while keep busy on average, and how far
-    /// those of jobs that press from the start swing about theirs.
-    pub(crate) fn usual_cpus(&self, ahead: f64) -> (f64, f64) {
-        let mut all = 0.0;
-        let mut pressing = vec![];
-        let mut oldest: f64 = 0.0;
+    /// The most cores that a team may use; 0 if there is no limit.
+    fn team_limit_cpus(&self, team: &str) -> f64 {
+        let team = self.settings.cluster.teams.iter().find(|known| known.name == team);
+        team.map_or(0.0, |team| team.cpus_max)
+    }
+
+    /// Raises demand to what the work of late has kept busy: it is likely to be asked for again, and
+    /// renting ahead saves late starts and churn. All of it counts as urgent: a load that spot
+    /// machines can't carry for good needs ordinary ones.
+    fn add_usual_load(&self, groups: &mut DemandGroups, window_s: f64) {
+        let usual = self.usual_load(window_s);
+        let usual_cpus = usual.cpus * USUAL_LOAD_HEADROOM + usual.urgent_deviation * URGENT_LOAD_DEVIATIONS;
+        let current_cpus: f64 = groups.values().map(|group| group.cpus).sum();
+        let urgent_cpus: f64 = groups.values().map(|group| group.urgent_cpus).sum();
+        tracing::debug!(
+            current_cpus,
+            urgent_cpus,
+            usual_cpus,
+            urgent_deviation_cpus = usual.urgent_deviation,
+            "computed demand"
+        );
+        if let Some(group) = largest_group(groups) {
+            group.cpus += (usual_cpus - current_cpus).max(0.0);
+            group.urgent_cpus += (usual_cpus - urgent_cpus).max(0.0);
+        }
+    }
+
+    /// Adds the room that every shard keeps free for work that must start at once.
+    fn add_start_reserve(&self, groups: &mut DemandGroups) {
+        if let Some(group) = largest_group(groups) {
+            let shards = f64::from(self.shard_count);
+            group.cpus += self.reserve(group.cpus / shards) * shards;
+        }
+    }
+
+    /// True if a job with so much time left could not wait for a machine to come free and still be
+    /// in time.
+    fn cannot_wait_for_room(&self, job: &Job, left_s: f64, window_s: f64) -> bool {
+        let run_s = self.estimates.run_time(job);
+        job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIMES + window_s
+    }
+
+    /// What the arrays that were submitted of late keep busy.
+    fn usual_load(&self, window_s: f64) -> UsualLoad {
+        let mut core_seconds = 0.0;
+        let mut urgent = vec![];
+        let mut oldest_s: f64 = 0.0;
         for (id, job) in &self.cache.jobs {
-            let (spec, age) = (&job.record.spec, self.age_s(job));
-            // What failed wherever it ran, or was cancelled, keeps nothing busy.
-            if job.record.end == Some(JobOutcome::Cancelled) || job.record.waits() || self.fails_everywhere(id) {
+            let age_s = self.age_s(job);
+            let of_late = age_s < USUAL_LOAD_WINDOW_S && job.record.spec.kind == JobKind::Array;
+            if !of_late || !self.keeps_machines_busy(id, job) {
                 continue;
             }
-            if age < USUAL_S && spec.kind == JobKind::Array {
-                let (cpus, run) = (spec.cpus * f64::from(spec.task_count), self.estimates.run_time(job));
-                all += cpus * run;
-                if self.cannot_wait_for_room(job, self.allowed_s(job), ahead) {
-                    pressing.push((cpus, run));
-                }
-                oldest = oldest.max(age);
+            let load = self.load_of(job);
+            core_seconds += load.cpus * load.run_s;
+            if self.cannot_wait_for_room(job, self.allowed_s(job), window_s) {
+                urgent.push(load);
             }
+            oldest_s = oldest_s.max(age_s);
         }
-        let time = oldest.max(USUAL_S / 3.0);
-        (all / time, swing(&pressing, time))
+        let time_s = oldest_s.max(USUAL_LOAD_WINDOW_S / 3.0);
+        UsualLoad { cpus: core_seconds / time_s, urgent_deviation: load_deviation(&urgent, time_s) }
+    }
+
+    /// False for jobs that were cancelled, that wait for others, or that fail wherever they run.
+    fn keeps_machines_busy(&self, id: &JobId, job: &Job) -> bool {
+        job.record.end != Some(JobOutcome::Cancelled) && !job.record.waits() && !self.fails_everywhere(id)
+    }
+
+    fn load_of(&self, job: &Job) -> JobLoad {
+        let spec = &job.record.spec;
+        JobLoad { cpus: spec.cpus * f64::from(spec.task_count), run_s: self.estimates.run_time(job) }
     }
 }
 
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -1,5 +1,8 @@
-//! What experience teaches: machines' lifetimes, run times against estimates,
-//! the size of jobs that must start at once, and what fails.
+//! What this process has learned since it started: lifetimes of machines, run times compared with
+//! their estimates, the size of jobs that must start at once, and which jobs and replicas failed.
+//!
+//! Fed by heartbeats and by changes of the cache, asked by scheduling, demand and jobs. Nothing of it
+//! is stored: a new owner learns anew.
 
 use crate::coordination::fleet::fault_attribution::FailureHistory;
 use crate::coordination::scheduling::lifetimes::{Lifetime, LifetimeHistory};
@@ -12,12 +15,49 @@
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, HashMap};
 
-/// Kind, spot and zone: machines that share a history.
-type Family = (String, bool, String);
+/// How many observations the users' estimates count for in the beginning.
+const ESTIMATE_WEIGHT: f64 = 3.0;
 
-/// How a class's run times compare with its owners' estimates.
+/// The most observations that a mean of run times remembers.
+const MOST_RUN_TIMES: f64 = 100.0;
+
+/// Ratios of actual to estimated time beyond these count as these.
+const LEAST_RATIO: f64 = 0.1;
+const GREATEST_RATIO: f64 = 10.0;
+
+/// The most jobs that a mean of sizes remembers.
+const MOST_JOB_SIZES: f64 = 30.0;
+
+/// Tasks seen running this soon after ownership began may have started before it.
+const UNKNOWN_START: Millis = Millis(3000);
+
+/// Run times below this are not learned from.
+const LEAST_RUN_S: f64 = 0.5;
+
+/// What a placed task takes until it runs.
+const START_S: f64 = 2.0;
+
+/// Machines that share a history of lifetimes.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct MachineFamily {
+    kind: String,
+    spot: bool,
+    zone: String,
+}
+
+impl MachineFamily {
+    fn of(machine: &Machine) -> MachineFamily {
+        MachineFamily { kind: machine.kind.clone(), spot: machine.spot, zone: machine.zone.clone() }
+    }
+
+    fn includes(&self, machine: &Machine) -> bool {
+        self.spot == machine.spot && self.kind == machine.kind && self.zone == machine.zone
+    }
+}
+
+/// How a class's run times compare with its users' estimates.
 #[derive(Debug)]
-struct Ratio {
+struct RunTimeRatio {
     /// Mean logarithm of actual over estimated time, and its weight.
     mean_ln: f64,
     weight: f64,
@@ -25,42 +65,60 @@
     factor: f64,
 }
 
-/// What this node has learned since it started.
+impl RunTimeRatio {
+    fn unknown() -> RunTimeRatio {
+        RunTimeRatio { mean_ln: 0.0, weight: ESTIMATE_WEIGHT, factor: 1.0 }
+    }
+
+    fn add(&mut self, ratio: f64) {
+        let ratio_ln = ratio.clamp(LEAST_RATIO, GREATEST_RATIO).ln();
+        self.mean_ln = (self.mean_ln * self.weight + ratio_ln) / (self.weight + 1.0);
+        self.weight = (self.weight + 1.0).min(MOST_RUN_TIMES);
+        self.factor = self.mean_ln.exp();
+    }
+}
+
+/// The mean size of a class's jobs, which forgets old ones.
 #[derive(Debug, Default)]
-pub struct Estimates {
-    histories: BTreeMap<Family, LifetimeHistory>,
-    ratios: HashMap<InternedName, Ratio, FixedState>,
-    /// Per class that must start at once: mean cores of a job, and weight.
-    job_cpus: BTreeMap<String, (f64, f64)>,
-    pub(in crate::coordination::fleet) failures: FailureHistory,
+struct MeanCpus {
+    cpus: f64,
+    weight: f64,
+}
+
+impl MeanCpus {
+    fn add(&mut self, cpus: f64) {
+        self.weight = (self.weight + 1.0).min(MOST_JOB_SIZES);
+        self.cpus += (cpus - self.cpus) / self.weight;
+    }
+}
+
+/// What this process has learned since it started.
+#[derive(Debug, Default)]
+pub(crate) struct Estimates {
+    lifetimes: BTreeMap<MachineFamily, LifetimeHistory>,
+    run_time_ratios: HashMap<InternedName, RunTimeRatio, FixedState>,
+    /// By class that must start at once.
+    quick_start_jobs: BTreeMap<String, MeanCpus>,
+    pub(super) failures: FailureHistory,
     /// The last failed attempt of each replica of a service.
     failed_attempts: BTreeMap<TaskKey, Attempt>,
 }
 
 impl Estimates {
-    pub fn machine_gone(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
-        let family = (machine.kind.clone(), machine.spot, machine.zone.clone());
+    /// Notes that a machine is gone, and whether it was lost rather than returned.
+    pub(crate) fn machine_gone(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
         let age_s = now.since(machine.born).as_secs();
-        self.histories.entry(family).or_default().add(Lifetime { age_s, lost });
-    }
-
-    pub fn learn_ratio(&mut self, class: &InternedName, ratio: f64) {
-        let first = Ratio { mean_ln: 0.0, weight: 3.0, factor: 1.0 };
-        let entry = self.ratios.entry(class.clone()).or_insert(first);
-        entry.mean_ln = (entry.mean_ln * entry.weight + ratio.clamp(0.1, 10.0).ln()) / (entry.weight + 1.0);
-        entry.weight = (entry.weight + 1.0).min(100.0);
-        entry.factor = entry.mean_ln.exp();
+        self.lifetimes.entry(MachineFamily::of(machine)).or_default().add(Lifetime { age_s, lost });
     }
 
-    pub fn record_quick_start_job(&mut self, class: &str, cpus: f64) {
-        let mean = self.job_cpus.entry(class.to_string()).or_insert((0.0, 0.0));
-        mean.1 = (mean.1 + 1.0).min(30.0);
-        mean.0 += (cpus - mean.0) / mean.1;
+    /// Notes the size of a job of a class that must start at once, in cores of all its tasks.
+    pub(crate) fn record_quick_start_job(&mut self, class: &str, cpus: f64) {
+        self.quick_start_jobs.entry(class.to_string()).or_default().add(cpus);
     }
 
     /// Cores of a usual job of each class that must start at once, in all.
-    pub fn quick_start_cpus(&self) -> f64 {
-        self.job_cpus.values().map(|mean| mean.0).sum()
+    pub(crate) fn quick_start_cpus(&self) -> f64 {
+        self.quick_start_jobs.values().map(|mean| mean.cpus).sum()
     }
 
     /// Notes that a task of the job failed on the machine.
@@ -88,53 +146,54 @@
         self.failed_attempts.retain(|replica, _| keep(replica));
     }
 
-    /// The owner's estimate, corrected by what its class has shown.
-    pub fn run_time(&self, job: &Job) -> f64 {
-        job.record.spec.estimated_run_s * self.ratios.get(&job.class).map_or(1.0, |r| r.factor)
+    /// The run time in seconds of a task of the job: its user's estimate, corrected by what its class
+    /// has shown.
+    pub(crate) fn run_time(&self, job: &Job) -> f64 {
+        let factor = self.run_time_ratios.get(&job.class).map_or(1.0, |ratio| ratio.factor);
+        job.record.spec.estimated_run_s * factor
     }
 
     /// The lifetimes of machines like this one, if any ended.
-    pub fn history(&self, machine: &Machine) -> Option<&LifetimeHistory> {
-        let alike = |f: &&Family| f.0 == machine.kind && f.1 == machine.spot && f.2 == machine.zone;
+    pub(crate) fn history(&self, machine: &Machine) -> Option<&LifetimeHistory> {
         // A handful of families: looked through faster than a key is made.
-        self.histories.iter().find(|(family, _)| alike(family)).map(|(_, history)| history)
+        self.lifetimes.iter().find(|(family, _)| family.includes(machine)).map(|(_, history)| history)
+    }
+
+    fn learn_ratio(&mut self, class: &InternedName, ratio: f64) {
+        self.run_time_ratios.entry(class.clone()).or_insert_with(RunTimeRatio::unknown).add(ratio);
     }
 }
 
 impl Core {
+    /// Learns from the run time of a task that has just ended well.
     pub(crate) fn learn_run_time(&mut self, shard: ShardId, key: &TaskKey) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let Some(started) = owned_shard.running_since.get(key) else { return };
-        // A task that ran before we owned the shard began at a time unknown, and
-        // one that ran while we stood still ended at a time unknown. Learned
-        // from, a standstill of 20 s once made all later work seem half as long
-        // again, and machines were rented for it.
-        if started.since(owned_shard.since) < Millis(3000) || *started < self.resumed_at {
+        // A task that ran before this node owned the shard began at an unknown time, and one that ran
+        // while this process did not ended at an unknown time. A pause of 20 s that was learned from
+        // once made all later work seem half as long again, and machines were rented for it.
+        if started.since(owned_shard.since) < UNKNOWN_START || *started < self.resumed_at {
             return;
         }
-        let ran = self.now.since(*started).as_secs();
+        let ran_s = self.now.since(*started).as_secs();
         let Some(job) = self.cache.jobs.get(&key.0) else { return };
-        let (class, estimate) = (job.class.clone(), job.record.spec.estimated_run_s);
-        if estimate > 0.0 && ran > 0.5 {
-            self.estimates.learn_ratio(&class, ran / estimate);
+        let (class, estimated_s) = (job.class.clone(), job.record.spec.estimated_run_s);
+        if estimated_s > 0.0 && ran_s > LEAST_RUN_S {
+            self.estimates.learn_ratio(&class, ran_s / estimated_s);
         }
     }
 
+    /// Rebuilds the lifetimes of all families, with the machines that are up now as censored.
     pub(crate) fn rebuild_histories(&mut self) {
-        let mut up: BTreeMap<&Family, Vec<f64>> = self.estimates.histories.keys().map(|f| (f, vec![])).collect();
-        for machine in self.owned_shards.values().flat_map(|m| m.machines.values()) {
-            let alike = |f: &&&Family| f.0 == machine.kind && f.1 == machine.spot && f.2 == machine.zone;
-            if let Some(family) = up.keys().find(alike).copied() {
-                up.entry(family).or_default().push(self.now.since(machine.born).as_secs());
-            }
-        }
-        let ages: Vec<Vec<f64>> = up.into_values().collect();
-        for (history, ages) in self.estimates.histories.values_mut().zip(ages) {
+        for (family, history) in &mut self.estimates.lifetimes {
+            let machines = self.owned_shards.values().flat_map(|shard| shard.machines.values());
+            let alike = machines.filter(|machine| family.includes(machine));
+            let ages: Vec<f64> = alike.map(|machine| self.now.since(machine.born).as_secs()).collect();
             history.rebuild(&ages);
         }
     }
 
-    /// Time a placed task still needs, its image included.
+    /// Seconds that a placed task still needs, with the time to start it.
     pub(crate) fn remaining_s(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
         self.remaining_s_of_run(owned_shard, self.estimates.run_time(job), key)
     }
@@ -143,7 +202,7 @@
     pub(crate) fn remaining_s_of_run(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
         match owned_shard.running_since.get(key) {
             Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
-            None => run_s + 2.0,
+            None => run_s + START_S,
         }
     }
 }
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -1,154 +1,178 @@
-//! Whose fault a failure is: the job's or the machine's.
+//! Whose fault a failed task is: its job's or its machine's.
 //!
-//! A job submitted with a mistake fails on every machine until its user cancels
-//! it; a faulty machine fails every task. Told apart by what else happens: a
-//! job of which any task was done is sound, and a machine that fails several
-//! sound jobs is faulty. A job that failed on several machines while none of
-//! its tasks was ever done is suspect: it is tried with one task at a time,
-//! less and less often, claims no guarantee and makes nobody rent.
+//! A job submitted with a mistake fails on every machine until its user cancels it; a faulty machine
+//! fails every task. They are told apart by what else happens: a job of which any task succeeded is
+//! sound, and a machine that fails several sound jobs is faulty. A job that failed on several machines
+//! while none of its tasks ever succeeded fails everywhere: it is tried with one task at a time at
+//! growing intervals, claims no guarantee and causes no rental.
+//!
+//! Heartbeats report failures; scheduling, demand and peer statuses ask.
 
 use crate::coordination::{Core, Peer};
+use crate::storage::cache::Job;
+use crate::storage::records::JobOutcome;
 use crate::units::{JobId, MachineId, Millis, MonotonicTime, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that a job must fail on, with nothing done, to be suspect.
-const SUSPECT_AFTER: usize = 3;
+/// Machines that a job must fail on, with nothing done, to count as failing everywhere.
+const SEVERAL_MACHINES: usize = 3;
 
 /// Sound jobs that a machine must fail to be faulty.
 const FAULTY_AFTER: usize = 2;
 
-/// Pauses between tries of a suspect job: from the first, doubled, to the last.
-const FIRST_PAUSE_S: f64 = 5.0;
-const LAST_PAUSE_S: f64 = 60.0;
+/// The pause after the first try of a job that fails everywhere; doubled with each further try.
+const FIRST_BACKOFF_S: f64 = 5.0;
+
+/// The longest pause between tries.
+const LONGEST_BACKOFF_S: f64 = 60.0;
 
-/// How long a machine rests that failed several jobs nothing is known of.
-const REST: Millis = Millis(5000);
+/// How long a machine takes nothing new that failed several jobs of which it is not known yet
+/// whether they run elsewhere.
+const MACHINE_BACKOFF: Millis = Millis(5000);
 
-/// How long failures that never came again are remembered.
+/// How long failures that did not recur are remembered.
 const FORGET_AFTER: Millis = Millis(600_000);
 
+/// Failures of one job.
 #[derive(Debug)]
 struct JobFailures {
     machines: BTreeSet<MachineId>,
-    pause_s: f64,
+    /// The next pause between tries.
+    backoff_s: f64,
     retry_at: MonotonicTime,
     last: MonotonicTime,
 }
 
-/// Jobs that failed lately, as seen by this node.
+impl JobFailures {
+    fn none(now: MonotonicTime) -> JobFailures {
+        JobFailures { machines: BTreeSet::new(), backoff_s: FIRST_BACKOFF_S, retry_at: now, last: now }
+    }
+
+    fn on_several_machines(&self) -> bool {
+        self.machines.len() >= SEVERAL_MACHINES
+    }
+
+    fn add(&mut self, machine: &MachineId, now: MonotonicTime) {
+        self.last = now;
+        self.machines.insert(machine.clone());
+        // Tasks that ran side by side and failed together count as one try.
+        if self.on_several_machines() && now >= self.retry_at {
+            self.retry_at = now + Millis::secs(self.backoff_s);
+            self.backoff_s = (self.backoff_s * 2.0).min(LONGEST_BACKOFF_S);
+        }
+    }
+}
+
+/// Jobs that failed of late, as seen by this process.
 #[derive(Debug, Default)]
-pub struct FailureHistory {
+pub(super) struct FailureHistory {
     jobs: BTreeMap<JobId, JobFailures>,
 }
 
 impl FailureHistory {
-    pub fn record(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
-        let entry = self.jobs.entry(job.clone()).or_insert_with(|| JobFailures {
-            machines: BTreeSet::new(),
-            pause_s: FIRST_PAUSE_S,
-            retry_at: now,
-            last: now,
-        });
-        entry.last = now;
-        entry.machines.insert(machine.clone());
-        // Tasks that ran side by side and failed together count as one try.
-        if entry.machines.len() >= SUSPECT_AFTER && now >= entry.retry_at {
-            entry.retry_at = now + Millis::secs(entry.pause_s);
-            entry.pause_s = (entry.pause_s * 2.0).min(LAST_PAUSE_S);
-        }
+    /// Notes that a task of the job failed on the machine.
+    pub(super) fn record(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
+        self.jobs.entry(job.clone()).or_insert_with(|| JobFailures::none(now)).add(machine, now);
     }
 
-    /// Failures on a machine that proved faulty say nothing about jobs.
-    pub fn forget_machine(&mut self, machine: &MachineId) {
-        for failing in self.jobs.values_mut() {
-            failing.machines.remove(machine);
+    /// Drops failures on a machine that proved faulty: they say nothing of jobs.
+    fn forget_machine(&mut self, machine: &MachineId) {
+        for failures in self.jobs.values_mut() {
+            failures.machines.remove(machine);
         }
     }
 
     fn failed_on_several(&self, job: &JobId) -> bool {
-        self.jobs.get(job).is_some_and(|f| f.machines.len() >= SUSPECT_AFTER)
+        self.jobs.get(job).is_some_and(JobFailures::on_several_machines)
     }
 
     fn in_backoff(&self, job: &JobId, now: MonotonicTime) -> bool {
-        self.jobs.get(job).is_some_and(|f| now < f.retry_at)
+        self.jobs.get(job).is_some_and(|failures| now < failures.retry_at)
     }
 
-    fn forget(&mut self, now: MonotonicTime, over: impl Fn(&JobId) -> bool) {
-        self.jobs.retain(|job, f| now.since(f.last) < FORGET_AFTER && !over(job));
+    fn forget(&mut self, now: MonotonicTime, is_over: impl Fn(&JobId) -> bool) {
+        self.jobs.retain(|job, failures| now.since(failures.last) < FORGET_AFTER && !is_over(job));
     }
 }
 
 impl Core {
-    /// True if a task of the job was ever done: then failures are not its fault.
-    fn has_succeeded(&self, job: &JobId) -> bool {
-        self.cache.jobs.get(job).is_some_and(|j| !j.holds_machines() || j.counts().0 > 0)
-    }
-
-    /// True if the job failed wherever it ran, as far as this node or another knows.
+    /// True if the job failed wherever it ran, as far as this node or a peer knows.
     pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
-        let told = |p: &Peer| p.status.as_ref().is_some_and(|n| n.failing.iter().any(|f| f == job.as_str()));
-        (self.estimates.failures.failed_on_several(job) || self.peers.values().any(told)) && !self.has_succeeded(job)
+        let reported = |peer: &Peer| {
+            peer.status.as_ref().is_some_and(|status| status.failing.iter().any(|failing| failing == job.as_str()))
+        };
+        (self.estimates.failures.failed_on_several(job) || self.peers.values().any(reported))
+            && !self.has_succeeded(job)
     }
 
-    /// A suspect job waits between tries, and for the end of the one it has.
-    pub(crate) fn in_retry_backoff(&self, id: &JobId, job: &crate::storage::cache::Job) -> bool {
+    /// True if a job that fails everywhere is to wait: between tries, and for the end of its one task.
+    pub(crate) fn in_retry_backoff(&self, id: &JobId, job: &Job) -> bool {
         self.fails_everywhere(id) && (self.estimates.failures.in_backoff(id, self.now) || job.has_placed_tasks())
     }
 
-    /// Suspect jobs, to be told to the others: the leader rents for all.
+    /// Jobs that failed wherever they ran as seen here. Peers are told, for the leader rents for all.
     pub(crate) fn failing_jobs(&self) -> Vec<String> {
-        let jobs = self.estimates.failures.jobs.keys();
-        jobs.filter(|j| self.estimates.failures.failed_on_several(j) && !self.has_succeeded(j))
-            .map(|j| j.to_string())
-            .collect()
+        let failures = &self.estimates.failures;
+        let failing = failures.jobs.keys().filter(|job| failures.failed_on_several(job));
+        failing.filter(|job| !self.has_succeeded(job)).map(|job| job.to_string()).collect()
     }
 
     /// Decides whether failures on a machine are its own fault.
     pub(crate) fn update_faulty_machine(&mut self, shard: ShardId, name: &MachineId) {
-        let Some(machine) = self.owned_shards.get(&shard).and_then(|m| m.machines.get(name)).filter(|m| !m.faulty)
-        else {
-            return;
-        };
-        let sound = machine.failed_jobs.keys().filter(|j| self.has_succeeded(j)).count();
-        let unknown =
-            machine.failed_jobs.keys().filter(|j| !self.has_succeeded(j) && !self.fails_everywhere(j)).count();
+        let machine = self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.machines.get(name));
+        let Some(machine) = machine.filter(|machine| !machine.faulty) else { return };
+        let jobs = || machine.failed_jobs.keys();
+        let sound = jobs().filter(|job| self.has_succeeded(job)).count();
+        let unknown = jobs().filter(|job| !self.has_succeeded(job) && !self.fails_everywhere(job)).count();
         let faulty = sound >= FAULTY_AFTER;
-        let rests = sound + unknown >= FAULTY_AFTER;
-        let until = self.now + REST;
-        if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(name)) {
+        let backs_off = sound + unknown >= FAULTY_AFTER;
+        let until = self.now + MACHINE_BACKOFF;
+        let machine = self.owned_shards.get_mut(&shard).and_then(|owned_shard| owned_shard.machines.get_mut(name));
+        if let Some(machine) = machine {
             machine.faulty = faulty;
-            if rests {
+            if backs_off {
                 machine.rests_until = until;
             }
         }
         if faulty {
-            tracing::info!("{name} fails sound jobs: it is faulty");
+            tracing::info!(shard = %shard, machine = %name, "marked machine as faulty: it fails jobs that succeed elsewhere");
             self.estimates.failures.forget_machine(name);
         }
     }
 
-    /// What was done meanwhile elsewhere may show that a machine is faulty.
+    /// Judges all machines anew: a task that succeeded elsewhere may show that its job is sound.
     pub(crate) fn update_faulty_machines(&mut self) {
-        let doubtful: Vec<(ShardId, MachineId)> = self
-            .owned_shards
-            .iter()
-            .flat_map(|(shard, owned_shard)| owned_shard.machines.iter().map(move |(name, m)| (*shard, name, m)))
-            .filter(|(_, _, m)| !m.faulty && m.failed_jobs.len() >= FAULTY_AFTER)
-            .filter(|(_, _, m)| m.failed_jobs.keys().filter(|j| self.has_succeeded(j)).count() >= FAULTY_AFTER)
-            .map(|(shard, name, _)| (shard, name.clone()))
-            .collect();
-        for (shard, name) in doubtful {
+        for (shard, name) in self.newly_faulty_machines() {
             self.update_faulty_machine(shard, &name);
         }
         let cache = &self.cache;
-        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|j| j.record.end.is_some());
+        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.end.is_some());
         self.estimates.failures.forget(self.now, ended);
-        for machine in self.owned_shards.values_mut().flat_map(|m| m.machines.values_mut()) {
-            let cancelled =
-                |job: &JobId| cache.final_state(job) == Some(crate::storage::records::JobOutcome::Cancelled);
+        let cancelled = |job: &JobId| cache.final_state(job) == Some(JobOutcome::Cancelled);
+        for machine in self.owned_shards.values_mut().flat_map(|owned_shard| owned_shard.machines.values_mut()) {
             machine.failed_jobs.retain(|job, _| !cancelled(job));
         }
     }
+
+    /// Machines that have failed enough sound jobs and are not marked as faulty yet.
+    fn newly_faulty_machines(&self) -> Vec<(ShardId, MachineId)> {
+        let mut faulty = vec![];
+        for (shard, owned_shard) in &self.owned_shards {
+            for (name, machine) in &owned_shard.machines {
+                let doubtful = !machine.faulty && machine.failed_jobs.len() >= FAULTY_AFTER;
+                let sound_jobs = || machine.failed_jobs.keys().filter(|job| self.has_succeeded(job)).count();
+                if doubtful && sound_jobs() >= FAULTY_AFTER {
+                    faulty.push((*shard, name.clone()));
+                }
+            }
+        }
+        faulty
+    }
+
+    /// True if a task of the job ever succeeded: then failures are not its fault.
+    fn has_succeeded(&self, job: &JobId) -> bool {
+        self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.counts().0 > 0)
+    }
 }
 
 #[cfg(test)]
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,42 +1,52 @@
-//! The machines that are ours, as the leader knows them: from the cloud's list,
-//! from what owners say, and from its own dealings.
-
-use crate::coordination::fleet::demand::Demand;
-use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
-use crate::coordination::{CloudAnswer, CloudCall, Core};
+//! The rented machines as this controller knows them: from the cloud's list, from what owners of
+//! shards report, and from its own rentals and returns.
+//!
+//! Kept by the leader; other controllers follow only the names of the stored record. Makes no calls
+//! and decides nothing: the modules of this folder change it, other folders read it through `Fleet`.
+
+use crate::coordination::fleet::machine_pool::MachinePool;
+use crate::coordination::fleet::machine_reports::ReportedMachines;
 use crate::protocol::cloud::{ListedMachine, ListedMachineState};
-use crate::storage::records::TaskRecord;
-use crate::units::{CallId, MachineId, Millis, MonotonicTime};
+use crate::storage::records::FleetRecord;
+use crate::units::{MachineId, Millis, MonotonicTime};
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// A machine that is ours, as far as the leader knows.
+/// A rented machine, as far as this controller knows.
 #[derive(Debug, Clone)]
-pub struct RentedMachine {
-    pub kind: String,
-    pub zone: String,
-    pub spot: bool,
-    pub created_at: MonotonicTime,
-    pub up: bool,
-    pub failed: bool,
-    /// The cloud has announced that it takes it.
-    pub leaving: bool,
-    /// It reports, but does not hear its owner.
-    pub downlink_lost: bool,
-    /// Rented by this node, which has watched it boot since.
-    pub(crate) rented_here: bool,
-    pub(crate) last_listed: Option<MonotonicTime>,
-    pub(crate) idle_since: Option<MonotonicTime>,
-    pub(crate) drain_since: Option<MonotonicTime>,
+pub(crate) struct RentedMachine {
+    /// Name of the machine type.
+    pub(crate) kind: String,
+    /// Name of the zone.
+    pub(crate) zone: String,
+    /// True if the cloud may take it away.
+    pub(crate) spot: bool,
+    /// When it was rented: by the cloud's word, or else when this controller first knew of it.
+    pub(crate) created_at: MonotonicTime,
+    /// It has been seen running, in the cloud's list or by its owner.
+    pub(crate) up: bool,
+    /// The cloud lists it as failed, or its owner holds it for faulty.
+    pub(crate) failed: bool,
+    /// The cloud has announced that it takes it away.
+    pub(crate) leaving: bool,
+    /// Its heartbeats arrive, but it receives no answer from its owner.
+    pub(crate) downlink_lost: bool,
+    /// This process rented it and has watched it boot since.
+    pub(super) rented_here: bool,
+    last_listed: Option<MonotonicTime>,
+    /// Since when it has been up without any task.
+    pub(super) idle_since: Option<MonotonicTime>,
+    /// When it was chosen for return.
+    drain_since: Option<MonotonicTime>,
 }
 
 impl RentedMachine {
     /// A machine that is not known to be up.
-    pub(crate) fn new(kind: &str, zone: &str, spot: bool, created_at: MonotonicTime) -> RentedMachine {
+    fn new(pool: &MachinePool, created_at: MonotonicTime) -> RentedMachine {
         RentedMachine {
-            kind: kind.into(),
-            zone: zone.into(),
-            spot,
+            kind: pool.kind.clone(),
+            zone: pool.zone.clone(),
+            spot: pool.spot,
             created_at,
             up: false,
             failed: false,
@@ -48,212 +58,187 @@
             drain_since: None,
         }
     }
+
+    /// A machine that this process has just rented.
+    pub(super) fn rented(pool: &MachinePool, now: MonotonicTime) -> RentedMachine {
+        RentedMachine { rented_here: true, ..RentedMachine::new(pool, now) }
+    }
+
+    /// A machine that reports to its owner.
+    pub(super) fn running(pool: &MachinePool, created_at: MonotonicTime) -> RentedMachine {
+        RentedMachine { up: true, ..RentedMachine::new(pool, created_at) }
+    }
+
+    /// True if this process has seen its whole boot, and the boot is not over.
+    pub(super) fn is_watched_boot(&self) -> bool {
+        !self.up && self.rented_here
+    }
+
+    /// True if tasks may be placed on it, now or once it is up.
+    pub(super) fn is_usable(&self) -> bool {
+        !self.failed && !self.leaving && !self.downlink_lost
+    }
+}
+
+/// All rented machines, and the names of those that are draining or returned.
+#[derive(Debug, Default)]
+pub(super) struct Inventory {
+    machines: BTreeMap<MachineId, RentedMachine>,
+    /// Names of the stored record, hashed: every machine is looked up in every scheduling cycle
+    /// and heartbeat.
+    recorded_drains: HashSet<MachineId, FixedState>,
+    recorded_returns: HashSet<MachineId, FixedState>,
+    /// Returned for certain, but perhaps not in the stored record yet.
+    confirmed_returns: BTreeSet<MachineId>,
+    /// All machines returned of late, and when. The cloud's list lags and still names them, and the
+    /// stored record has no room for as many as a shrinking fleet returns.
+    recent_returns: BTreeMap<MachineId, MonotonicTime>,
 }
 
-impl Core {
-    pub(crate) fn draining(&self, name: &MachineId) -> bool {
-        self.fleet.drained.contains(name) || self.fleet.returned.contains(name)
+impl Inventory {
+    /// All machines, by name.
+    pub(super) fn machines(&self) -> impl Iterator<Item = (&MachineId, &RentedMachine)> {
+        self.machines.iter()
     }
 
-    /// True if the machine was returned of late, whoever still names it.
-    fn has_left(&self, name: &MachineId) -> bool {
-        self.fleet.gone.contains(name) || self.fleet.left.contains_key(name)
+    /// The machine of this name, if it is known.
+    pub(super) fn machine(&self, name: &MachineId) -> Option<&RentedMachine> {
+        self.machines.get(name)
     }
 
-    /// True if the return of the machine was confirmed.
-    pub(crate) fn returned(&self, name: &MachineId) -> bool {
-        self.fleet.returned.contains(name)
+    /// True if the stored record names the machine as draining or as returned.
+    pub(super) fn is_draining(&self, name: &MachineId) -> bool {
+        self.recorded_drains.contains(name) || self.recorded_returns.contains(name)
     }
 
-    pub(crate) fn fleet_changed(&mut self) {
-        if let Some(record) = &self.cache.fleet.record {
-            self.fleet.apply_record(record);
-        }
+    /// True if the stored record names the machine as returned.
+    pub(super) fn is_returned(&self, name: &MachineId) -> bool {
+        self.recorded_returns.contains(name)
     }
 
-    /// Takes from the cloud's rate; the rest is for the next turn.
-    pub(crate) fn afford_cloud(&mut self) -> bool {
-        self.fleet.cloud_calls.take(self.now, 1.0)
+    /// Machines that are to be drained and that the stored record does not name as draining.
+    pub(super) fn unrecorded_drains(&self) -> impl Iterator<Item = &MachineId> {
+        let draining = self.machines.iter().filter(|(_, machine)| machine.drain_since.is_some());
+        draining.map(|(name, _)| name).filter(|name| !self.recorded_drains.contains(*name))
     }
 
-    pub(crate) fn manage_fleet(&mut self) {
-        self.apply_peer_statuses();
-        if !self.fleet.listing && self.now.since(self.fleet.list_at) >= Millis(2000) && self.afford_cloud() {
-            self.fleet.listing = true;
-            self.fleet.list_at = self.now;
-            self.call_cloud(CloudCall::List { after: None }, PendingRequest::List { seen: vec![] });
-        }
-        if !self.fleet.known || self.catalog.is_empty() {
-            return;
-        }
-        self.learn_provisioning_times();
-        let busy = self.busy_machines();
-        self.note_idle(&busy);
-        self.record_unplaceable_services();
-        let demand = self.demand();
-        self.log_fleet(&demand);
-        if !self.fleet.renting {
-            self.rent_for(&demand);
+    /// Machines returned for certain that the stored record may not name yet.
+    pub(super) fn confirmed_returns(&self) -> &BTreeSet<MachineId> {
+        &self.confirmed_returns
+    }
+
+    /// Forgets the first confirmed returns, by name, until so many are left.
+    pub(super) fn trim_confirmed_returns(&mut self, most: usize) {
+        while self.confirmed_returns.len() > most {
+            self.confirmed_returns.pop_first();
         }
-        self.drain_idle(&demand);
-        self.return_drained(&busy);
     }
 
-    pub(crate) fn learn_provisioning_times(&mut self) {
-        let mut under_way: BTreeMap<(String, String), Vec<f64>> = BTreeMap::new();
-        for m in self.fleet.machines.values().filter(|m| !m.up && !m.failed && m.rented_here) {
-            let ages = under_way.entry((m.kind.clone(), m.zone.clone())).or_default();
-            ages.push(self.now.since(m.created_at).as_secs());
+    /// Takes over which machines the stored record names as draining and as returned.
+    pub(super) fn apply_record(&mut self, record: &FleetRecord) {
+        for name in &record.gone {
+            self.machines.remove(name);
         }
-        self.fleet.provisioning_times.learn(&under_way);
+        self.recorded_drains = record.drain.iter().cloned().collect();
+        self.recorded_returns = record.gone.iter().cloned().collect();
     }
 
-    pub(crate) fn log_fleet(&mut self, demand: &[Demand]) {
-        let cores = |up: bool, spot: bool| -> f64 {
-            let machines =
-                self.fleet.machines.iter().filter(|(n, m)| m.up == up && m.spot == spot && !self.draining(n));
-            machines.filter_map(|(_, m)| self.catalog.get(&m.kind)).map(|t| t.cpus).sum()
-        };
-        let used: f64 = self
-            .cache
-            .active
-            .iter()
-            .filter_map(|id| self.cache.jobs.get(id))
-            .filter(|j| j.holds_machines())
-            .map(|j| f64::from(j.counts().1) * j.record.spec.cpus)
-            .sum();
-        let wanted: f64 = demand.iter().map(|d| d.cpus).sum();
-        tracing::debug!(
-            "cores: {wanted:.0} wanted, {used:.0} used; up {} spot and {} ordinary, booting {} and {}",
-            cores(true, true),
-            cores(true, false),
-            cores(false, true),
-            cores(false, false),
-        );
+    /// Adds a machine that this process rented, unless it is known.
+    pub(super) fn add_rented(&mut self, name: MachineId, machine: RentedMachine) {
+        self.machines.entry(name).or_insert(machine);
     }
 
-    /// What other owners say of their machines.
-    pub(crate) fn apply_peer_statuses(&mut self) {
-        let mut up: BTreeSet<MachineId> = BTreeSet::new();
-        let mut leaving: BTreeSet<MachineId> = BTreeSet::new();
-        let mut faulty: BTreeSet<MachineId> = BTreeSet::new();
-        let mut downlink_lost: BTreeSet<MachineId> = BTreeSet::new();
-        for owned_shard in self.owned_shards.values() {
-            downlink_lost.extend(owned_shard.downlink_lost.keys().cloned());
-            for (name, machine) in &owned_shard.machines {
-                up.insert(name.clone());
-                if machine.notice.is_some() {
-                    leaving.insert(name.clone());
-                }
-                if machine.faulty {
-                    faulty.insert(name.clone());
-                }
-            }
-            for (name, machine) in &owned_shard.machines {
-                if !self.fleet.machines.contains_key(name) && !self.has_left(name) {
-                    let found = RentedMachine::new(&machine.kind, &machine.zone, machine.spot, machine.born);
-                    let fleet_machine = RentedMachine { up: true, ..found };
-                    self.fleet.machines.insert(name.clone(), fleet_machine);
-                }
-            }
+    /// Adds a machine that reports to its owner, unless it is known or was returned of late: what
+    /// owners know lags too.
+    pub(super) fn add_reported(&mut self, name: &MachineId, machine: impl FnOnce() -> RentedMachine) {
+        if !self.machines.contains_key(name) && !self.was_returned_lately(name) {
+            self.machines.insert(name.clone(), machine());
         }
-        for status in self.peers.values().filter_map(|p| p.status.as_ref()) {
-            faulty.extend(status.faulty.iter().map(|n| MachineId::new(n)));
-            for load in &status.shards {
-                up.extend(load.up.iter().map(|n| MachineId::new(n)));
-                downlink_lost.extend(load.downlink_lost.iter().map(|n| MachineId::new(n)));
-                leaving.extend(load.leaving.iter().map(|n| MachineId::new(n)));
-            }
-        }
-        for (name, fleet_machine) in &mut self.fleet.machines {
-            if !fleet_machine.up && fleet_machine.rented_here && up.contains(name) {
-                self.fleet.provisioning_times.record_ready(
-                    &fleet_machine.kind,
-                    &fleet_machine.zone,
-                    self.now.since(fleet_machine.created_at).as_secs(),
-                );
-            }
-            fleet_machine.up |= up.contains(name);
-            fleet_machine.leaving |= leaving.contains(name);
-            fleet_machine.failed |= faulty.contains(name);
-            fleet_machine.downlink_lost = downlink_lost.contains(name);
+    }
+
+    /// Machines that are reported for the first time and whose boot was watched from its start.
+    pub(super) fn finished_boots<'a>(
+        &'a self,
+        reported: &'a ReportedMachines,
+    ) -> impl Iterator<Item = &'a RentedMachine> {
+        let booting = self.machines.iter().filter(|(_, machine)| machine.is_watched_boot());
+        booting.filter(|(name, _)| reported.up.contains(*name)).map(|(_, machine)| machine)
+    }
+
+    /// Takes over what the owners report.
+    pub(super) fn apply_reports(&mut self, reported: &ReportedMachines) {
+        for (name, machine) in &mut self.machines {
+            machine.up |= reported.up.contains(name);
+            machine.leaving |= reported.leaving.contains(name);
+            machine.failed |= reported.faulty.contains(name);
+            machine.downlink_lost = reported.downlink_lost.contains(name);
         }
     }
 
-    /// Machines that a task may be on.
-    pub(crate) fn busy_machines(&self) -> HashSet<MachineId, FixedState> {
-        let mut busy: HashSet<&MachineId, FixedState> = HashSet::default();
-        for job in self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id)).filter(|j| j.holds_machines()) {
-            let records = job.slices().iter().flat_map(|s| s.record().into_iter().chain(s.desired()));
-            for task in records.flat_map(|r| &r.tasks) {
-                if let TaskRecord::Placed(_, machine) = task {
-                    busy.insert(machine);
-                }
-            }
+    /// Takes over an entry of the cloud's list, unless the machine was returned.
+    pub(super) fn apply_listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
+        if self.was_returned_lately(&listed.machine) || self.is_returned(&listed.machine) {
+            return;
         }
-        busy.into_iter().cloned().collect()
+        let pool = MachinePool { kind: listed.kind, zone: listed.zone, spot: listed.spot };
+        let created_at = now - Millis::secs(listed.age_s);
+        let machine = self.machines.entry(listed.machine).or_insert_with(|| RentedMachine::new(&pool, created_at));
+        machine.up |= listed.state == ListedMachineState::Running;
+        machine.failed |= listed.state == ListedMachineState::Failed;
+        machine.last_listed = Some(now);
+    }
+
+    /// Forgets machines that no list has named for so long, and returns as old as that.
+    pub(super) fn forget_unlisted(&mut self, now: MonotonicTime, patience: Millis) {
+        self.machines.retain(|_, machine| now.since(machine.last_listed.unwrap_or(machine.created_at)) < patience);
+        self.recent_returns.retain(|_, returned_at| now.since(*returned_at) < patience);
     }
 
-    pub(crate) fn note_idle(&mut self, busy: &HashSet<MachineId, FixedState>) {
-        for (name, fleet_machine) in &mut self.fleet.machines {
-            if busy.contains(name) || !fleet_machine.up {
-                fleet_machine.idle_since = None;
+    /// Notes which machines are without any task.
+    pub(super) fn update_idle(&mut self, busy: &HashSet<MachineId, FixedState>, now: MonotonicTime) {
+        for (name, machine) in &mut self.machines {
+            if busy.contains(name) || !machine.up {
+                machine.idle_since = None;
             } else {
-                fleet_machine.idle_since.get_or_insert(self.now);
+                machine.idle_since.get_or_insert(now);
             }
         }
     }
 
-    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
-        let Some(SentRequest { what, .. }) = self.pending_requests.remove(&id) else { return };
-        match (what, answer) {
-            (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.take_catalog(catalog),
-            (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
-            (PendingRequest::Rent(rental), answer) => self.rent_answer(rental, answer),
-            (PendingRequest::Return(names), answer) => {
-                self.fleet.returning = false;
-                if matches!(answer, CloudAnswer::Returned) {
-                    for name in names {
-                        self.fleet.machines.remove(&name);
-                        self.fleet.left.insert(name.clone(), self.now);
-                        self.fleet.gone.insert(name);
-                    }
-                    self.write_fleet();
-                }
-            }
-            _ => {}
+    /// Chooses the machine for return from now on.
+    pub(super) fn start_drain(&mut self, name: &MachineId, now: MonotonicTime) {
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.drain_since = Some(now);
         }
     }
 
-    pub(crate) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudAnswer) {
-        let CloudAnswer::Page(page) = answer else {
-            self.fleet.listing = false;
-            return;
-        };
-        seen.extend(page.machines);
-        if let (true, Some(last)) = (page.more, seen.last()) {
-            let call = CloudCall::List { after: Some(last.machine.clone()) };
-            return self.call_cloud(call, PendingRequest::List { seen });
+    /// Since when a machine of the record is draining, as seen by this process: a new leader counts
+    /// from the first time it asks.
+    pub(super) fn drain_since(&mut self, name: &MachineId, now: MonotonicTime) -> Option<MonotonicTime> {
+        self.machines.get_mut(name).map(|machine| *machine.drain_since.get_or_insert(now))
+    }
+
+    /// Removes machines whose return the cloud has confirmed.
+    pub(super) fn confirm_returns(&mut self, names: Vec<MachineId>, now: MonotonicTime) {
+        for name in names {
+            self.machines.remove(&name);
+            self.recent_returns.insert(name.clone(), now);
+            self.confirmed_returns.insert(name);
         }
-        self.fleet.listing = false;
-        self.fleet.known = true;
-        for listed in seen {
-            if self.has_left(&listed.machine) || self.returned(&listed.machine) {
-                continue;
+    }
+
+    /// Excludes time in which this process did not run from idleness and absence of machines.
+    pub(super) fn clock_jumped(&mut self, gap: Millis) {
+        for machine in self.machines.values_mut() {
+            for time in [&mut machine.last_listed, &mut machine.idle_since].into_iter().flatten() {
+                *time = *time + gap;
             }
-            let fleet_machine =
-                RentedMachine::new(&listed.kind, &listed.zone, listed.spot, self.now - Millis::secs(listed.age_s));
-            let fleet_machine = self.fleet.machines.entry(listed.machine).or_insert(fleet_machine);
-            fleet_machine.up |= listed.state == ListedMachineState::Running;
-            fleet_machine.failed |= listed.state == ListedMachineState::Failed;
-            fleet_machine.last_listed = Some(self.now);
         }
-        // The list lags, and may be older than the one before it: only what
-        // is missing for long is gone.
-        let patience = Millis::secs(self.settings.cluster.cloud.list_lag_s * 2.5 + 5.0);
-        let now = self.now;
-        self.fleet.machines.retain(|_, m| now.since(m.last_listed.unwrap_or(m.created_at)) < patience);
-        self.fleet.left.retain(|_, at| now.since(*at) < patience);
+    }
+
+    /// True if the machine was returned of late, whoever still names it.
+    fn was_returned_lately(&self, name: &MachineId) -> bool {
+        self.confirmed_returns.contains(name) || self.recent_returns.contains_key(name)
     }
 }
 
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::coordination::Input;
+use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::{CloudAnswer, Input};
 
 /// A fleet that shrank returned more machines than the record has room for;
 /// the list, which lags, named them still, and they counted as room again.
@@ -12,8 +13,8 @@
         let call = core.register_request(PendingRequest::Return(some.to_vec()));
         core.cloud_answer(call, CloudAnswer::Returned);
         core.write_fleet();
-        while core.fleet.gone.len() > 10 {
-            core.fleet.gone.pop_first();
+        while core.fleet.inventory.confirmed_returns.len() > 10 {
+            core.fleet.inventory.confirmed_returns.pop_first();
         }
     }
     let listed = |machine: &MachineId| ListedMachine {
@@ -27,5 +28,5 @@
     let machines = names.iter().map(listed).collect();
     let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, more: false });
     core.list_answer(vec![], page);
-    assert_eq!(core.fleet.machines.len(), 0);
+    assert_eq!(core.fleet.inventory.machines.len(), 0);
 }
--- /dev/null
+++ b/src/coordination/fleet/machine_reports.rs
@@ -0,0 +1,82 @@
+//! What the owners of shards report of their machines, taken into the inventory by the leader: from
+//! this controller's own shards, and from the statuses that other controllers broadcast.
+
+use crate::coordination::fleet::inventory::RentedMachine;
+use crate::coordination::fleet::machine_pool::MachinePool;
+use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::coordination::Core;
+use crate::protocol::peer::PeerStatus;
+use crate::units::MachineId;
+use std::collections::BTreeSet;
+
+/// Names of the machines that owners report, by what they say of them.
+#[derive(Debug, Default)]
+pub(super) struct ReportedMachines {
+    /// Send heartbeats.
+    pub(super) up: BTreeSet<MachineId>,
+    /// The cloud has announced that it takes them away.
+    pub(super) leaving: BTreeSet<MachineId>,
+    /// Fail jobs that succeed elsewhere.
+    pub(super) faulty: BTreeSet<MachineId>,
+    /// Send heartbeats, but receive no answers.
+    pub(super) downlink_lost: BTreeSet<MachineId>,
+}
+
+impl ReportedMachines {
+    fn add_owned_shard(&mut self, shard: &OwnedShard) {
+        self.downlink_lost.extend(shard.downlink_lost.keys().cloned());
+        for (name, machine) in &shard.machines {
+            self.up.insert(name.clone());
+            if machine.notice.is_some() {
+                self.leaving.insert(name.clone());
+            }
+            if machine.faulty {
+                self.faulty.insert(name.clone());
+            }
+        }
+    }
+
+    fn add_peer(&mut self, status: &PeerStatus) {
+        let names = |names: &[String]| -> Vec<MachineId> { names.iter().map(|name| MachineId::new(name)).collect() };
+        self.faulty.extend(names(&status.faulty));
+        for shard in &status.shards {
+            self.up.extend(names(&shard.up));
+            self.downlink_lost.extend(names(&shard.downlink_lost));
+            self.leaving.extend(names(&shard.leaving));
+        }
+    }
+}
+
+impl Core {
+    /// Takes what all owners report into the inventory, and learns how long finished boots took.
+    pub(super) fn apply_machine_reports(&mut self) {
+        let reported = self.reported_machines();
+        self.add_own_machines();
+        for machine in self.fleet.inventory.finished_boots(&reported) {
+            let boot_s = self.now.since(machine.created_at).as_secs();
+            self.fleet.provisioning_times.record_ready(&machine.kind, &machine.zone, boot_s);
+        }
+        self.fleet.inventory.apply_reports(&reported);
+    }
+
+    fn reported_machines(&self) -> ReportedMachines {
+        let mut reported = ReportedMachines::default();
+        for shard in self.owned_shards.values() {
+            reported.add_owned_shard(shard);
+        }
+        for status in self.peers.values().filter_map(|peer| peer.status.as_ref()) {
+            reported.add_peer(status);
+        }
+        reported
+    }
+
+    /// Adds machines that report to this controller before the cloud's list names them.
+    fn add_own_machines(&mut self) {
+        for (name, machine) in self.owned_shards.values().flat_map(|shard| &shard.machines) {
+            self.fleet.inventory.add_reported(name, || {
+                let pool = MachinePool { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
+                RentedMachine::running(&pool, machine.born)
+            });
+        }
+    }
+}
--- a/src/coordination/fleet/provisioning_times.rs
+++ b/src/coordination/fleet/provisioning_times.rs
@@ -1,98 +1,116 @@
-//! How long machines take to come up, as observed.
+//! How long machines take from their rental to their first heartbeat, as observed.
 //!
-//! The catalog names a usual time, but whole hours can be slower, and some
-//! machines never come up. Boots are kept per type and zone as lifetimes are:
-//! those not over yet, or given up, only show that they took so long.
+//! The catalog names a usual time, but whole hours can be slower, and some machines never come up.
+//! Boots are kept by type and zone, as survival data: those under way and those given up are
+//! censored, they only show that they took so long. Used by demand, scale-out and scale-in.
 
 use crate::coordination::scheduling::lifetimes::{Lifetime, LifetimeHistory};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, VecDeque};
 
-/// Boots remembered per type and zone: what is usual changes by the hour.
+/// Boots remembered by type and zone: what is usual changes by the hour.
 const WINDOW: usize = 24;
 
 /// A boot this many times as long as usual counts as late.
 const LATE: f64 = 2.0;
 
-/// One that others of its kind overtook is given up after so many times the
-/// usual; one that nothing overtook only after many more: while every boot is
-/// slow, asking again would only pay for the same wait twice.
-const OVERTAKEN: f64 = 3.0;
-const HOPELESS: f64 = 10.0;
+/// A boot that another one of its type and zone overtook is given up after so many times the usual.
+const GIVE_UP_OVERTAKEN: f64 = 3.0;
 
-/// Grace on top, for lists and notes that lag.
+/// A boot that nothing overtook is given up only after many more: while every boot is slow, renting
+/// again would only pay for the same wait twice.
+const GIVE_UP: f64 = 10.0;
+
+/// Added to every limit, for lists and peer statuses that lag.
 const GRACE_S: f64 = 10.0;
 
-/// What a late boot is counted for: it may come, or never.
+/// The share of its cores that a late boot counts for: it may end, or never.
 const LATE_SHARE: f64 = 0.5;
 
-type Slot = (String, String);
+/// A usual time is never taken to be less than this.
+const LEAST_S: f64 = 1.0;
 
-#[derive(Debug, Default)]
-pub struct ProvisioningTimes {
-    over: BTreeMap<Slot, Vec<Lifetime>>,
-    usual: BTreeMap<Slot, f64>,
+/// A machine type in one zone: machines that share a history of boots.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct TypeInZone {
+    kind: String,
+    zone: String,
 }
 
-impl ProvisioningTimes {
-    fn add(&mut self, kind: &str, zone: &str, life: Lifetime) {
-        let provisioning_times = self.over.entry((kind.into(), zone.into())).or_default();
-        provisioning_times.push(life);
-        if provisioning_times.len() > WINDOW {
-            provisioning_times.remove(0);
-        }
+impl TypeInZone {
+    /// The key of these names.
+    pub(super) fn new(kind: &str, zone: &str) -> TypeInZone {
+        TypeInZone { kind: kind.into(), zone: zone.into() }
     }
+}
+
+/// Boots that are over, and the usual times that follow from them.
+#[derive(Debug, Default)]
+pub(super) struct ProvisioningTimes {
+    finished: BTreeMap<TypeInZone, VecDeque<Lifetime>>,
+    usual_s: BTreeMap<TypeInZone, f64>,
+}
 
-    pub fn record_ready(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.add(kind, zone, Lifetime { age_s: after_s, lost: true });
+impl ProvisioningTimes {
+    /// Notes that a machine came up after so many seconds.
+    pub(super) fn record_ready(&mut self, kind: &str, zone: &str, after_s: f64) {
+        self.record(kind, zone, Lifetime { age_s: after_s, lost: true });
     }
 
-    pub fn record_given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.add(kind, zone, Lifetime { age_s: after_s, lost: false });
+    /// Notes that a machine was given up after so many seconds.
+    pub(super) fn record_given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
+        self.record(kind, zone, Lifetime { age_s: after_s, lost: false });
     }
 
-    /// Learns what is usual now from boots that are over and, censored, the
-    /// ages of those under way.
-    pub fn learn(&mut self, under_way: &BTreeMap<Slot, Vec<f64>>) {
-        for (slot, provisioning_times) in &self.over {
+    /// Learns what is usual now from boots that are over and, censored, the ages in seconds of those
+    /// under way.
+    pub(super) fn learn(&mut self, under_way: &BTreeMap<TypeInZone, Vec<f64>>) {
+        for (key, boots) in &self.finished {
             let mut history = LifetimeHistory::default();
-            provisioning_times.iter().for_each(|life| history.add(*life));
-            history.rebuild(under_way.get(slot).map_or(&[][..], |ages| ages));
-            // A machine that never comes is no evidence that its boot is usual:
-            // judged by its own age it was never given up.
+            boots.iter().for_each(|boot| history.add(*boot));
+            history.rebuild(under_way.get(key).map_or(&[][..], |ages| ages));
+            // Without a boot that ended well nothing is usual. Judged by its own age, a machine that
+            // never comes up would never be given up.
             match history.median() {
-                Some(median) => self.usual.insert(slot.clone(), median),
-                None => self.usual.remove(slot),
+                Some(median) => self.usual_s.insert(key.clone(), median),
+                None => self.usual_s.remove(key),
             };
         }
     }
 
-    /// The usual time, as observed or else as the catalog says.
-    pub fn usual_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
-        let key = (kind.to_string(), zone.to_string());
-        self.usual.get(&key).copied().unwrap_or(catalog_s).max(1.0)
+    /// The usual time in seconds, as observed or else as the catalog says.
+    pub(super) fn usual_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
+        self.usual_s.get(&TypeInZone::new(kind, zone)).copied().unwrap_or(catalog_s).max(LEAST_S)
     }
 
-    /// What of a machine that has been booting for so long may be counted on.
-    pub fn countable_share(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
-        if age_s > LATE * self.patience_s(kind, zone, catalog_s) + GRACE_S {
+    /// The share of a machine that may be counted on when it has been booting for `age_s`.
+    pub(super) fn countable_share(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
+        if age_s > LATE * self.expected_s(kind, zone, catalog_s) + GRACE_S {
             LATE_SHARE
         } else {
             1.0
         }
     }
 
-    /// True if a boot should be given up; `overtaken` if a machine of its kind
-    /// that was asked for later is up already.
-    pub fn should_give_up(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64, overtaken: bool) -> bool {
-        let times = if overtaken { OVERTAKEN } else { HOPELESS };
-        age_s > times * self.patience_s(kind, zone, catalog_s) + GRACE_S
+    /// True if a boot should be given up at `age_s`; `overtaken` if a machine of its type and zone
+    /// that was rented later is up already.
+    pub(super) fn should_give_up(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64, overtaken: bool) -> bool {
+        let times = if overtaken { GIVE_UP_OVERTAKEN } else { GIVE_UP };
+        age_s > times * self.expected_s(kind, zone, catalog_s) + GRACE_S
     }
 
-    /// Never less than the catalog says: a spell of quick boots is no reason
-    /// to give up one that takes its usual time.
-    fn patience_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
+    /// The usual time, and never less than the catalog says: after a spell of quick boots one that
+    /// takes the catalog's time is not late.
+    fn expected_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
         self.usual_s(kind, zone, catalog_s).max(catalog_s)
     }
+
+    fn record(&mut self, kind: &str, zone: &str, boot: Lifetime) {
+        let boots = self.finished.entry(TypeInZone::new(kind, zone)).or_default();
+        boots.push_back(boot);
+        if boots.len() > WINDOW {
+            boots.pop_front();
+        }
+    }
 }
 
 #[cfg(test)]
--- a/src/coordination/fleet/provisioning_times/tests.rs
+++ b/src/coordination/fleet/provisioning_times/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn under_way(ages: &[f64]) -> BTreeMap<Slot, Vec<f64>> {
-    BTreeMap::from([(("big".to_string(), "a".to_string()), ages.to_vec())])
+fn under_way(ages: &[f64]) -> BTreeMap<TypeInZone, Vec<f64>> {
+    BTreeMap::from([(TypeInZone::new("big", "a"), ages.to_vec())])
 }
 
 /// At a fixed multiple of the catalog's time, every machine was given back
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,199 +1,198 @@
-//! Giving machines back: marked first, so that their owners know, and returned
-//! when nothing is on them.
+//! Scaling in: choosing machines for return, and returning those that nothing is on.
+//!
+//! Run by the leader. A machine is first named in the fleet's record, so that its owner places
+//! nothing on it any more, and is returned when it is empty, or when it failed and its worker's
+//! lease has run out.
 
+use crate::coordination::fleet::catalog::price_per_hour;
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::RentedMachine;
+use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudCall, Core};
-use crate::protocol::cloud::RETURN_LIMIT;
-use crate::storage::records::{FleetRecord, FLEET_KEY};
+use crate::protocol::cloud::{MachineType, RETURN_LIMIT};
+use crate::storage::records::FLEET_KEY;
 use crate::units::{MachineId, Millis};
 use foldhash::fast::FixedState;
-use std::collections::HashSet;
-
-/// How many machines the record of a fleet may name.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct FleetRecordCapacity {
-    /// On their way out.
-    drain: usize,
-    /// Returned of late.
-    gone: usize,
-}
+use std::collections::{HashMap, HashSet};
 
-impl FleetRecordCapacity {
-    /// What a value of `value_kb` KiB holds of names so long: of a large fleet not all.
-    fn within(value_kb: f64, longest: usize) -> FleetRecordCapacity {
-        // With quotes and comma.
-        let all = (value_kb * 1024.0 * 0.9 / (longest + 3) as f64) as usize;
-        let gone = (all / 4).max(1);
-        FleetRecordCapacity { drain: all.saturating_sub(gone).max(1), gone }
-    }
+/// How long a machine is named as draining before it is returned, so that its owner knows.
+const DRAIN_NOTICE: Millis = Millis(2000);
 
-    /// Keeps of the machines that are gone the last ones.
-    fn keep_newest(&self, gone: &mut Vec<MachineId>) {
-        let over = gone.len().saturating_sub(self.gone);
-        gone.drain(..over);
-    }
+/// An ordinary machine is kept idle for this part of the time that a spot machine is: it costs
+/// several times as much.
+const ON_DEMAND_IDLE_DIVISOR: u64 = 4;
+
+/// How long beyond its boot an ordinary machine is left alone.
+const SETTLING_S: f64 = 45.0;
+
+/// An ordinary machine is left to run empty if less than this share of its cores is in use.
+const LOW_USE: f64 = 0.6;
+
+/// Cores that must be spare beyond those of an ordinary machine before it is left to run empty, as a
+/// share of its own.
+const ON_DEMAND_MARGIN: f64 = 0.25;
+
+/// A group that lacks no more than this many cores does not keep machines from being returned.
+const NEGLIGIBLE_CPUS: f64 = 0.5;
+
+/// Cores that could be done without, and the groups that still lack some.
+struct Surplus<'a> {
+    spare_cpus: f64,
+    lacking_groups: Vec<&'a Demand>,
 }
 
-impl Core {
-    /// True if a machine should have been up long ago.
-    pub(crate) fn is_stuck(&self, m: &RentedMachine) -> bool {
-        let Some(t) = self.catalog.get(&m.kind).filter(|_| !m.up) else { return false };
-        let overtaken =
-            self.fleet.machines.values().any(|other| {
-                other.up && other.created_at > m.created_at && other.kind == m.kind && other.zone == m.zone
-            });
-        let age_s = self.now.since(m.created_at).as_secs();
-        self.fleet.provisioning_times.should_give_up(&m.kind, &m.zone, t.boot_s, age_s, overtaken)
-    }
+/// What is looked at when a machine is judged.
+struct DrainCandidate<'a> {
+    name: &'a MachineId,
+    machine: &'a RentedMachine,
+    kind: &'a MachineType,
+    used_cpus: f64,
+}
 
-    /// Marks for return what is idle beyond need, failed or never came up.
-    pub(crate) fn drain_idle(&mut self, demand: &[Demand]) {
+impl Core {
+    /// Chooses for return what demand does not need, what failed and what never came up.
+    pub(super) fn drain_unneeded(&mut self, demand: &[Demand]) {
         if self.busy_keys.contains(FLEET_KEY) {
             return;
         }
-        let (lacks, spare) = self.missing(demand, |d| d.cpus);
-        // Machines that suit work without room are kept; others are not: they
-        // may be what keeps the cloud from having any that would do.
-        let lacking = |name: &MachineId, m: &RentedMachine| {
-            let mut groups = demand.iter().zip(&lacks);
-            groups.any(|(group, lack)| *lack > 0.5 && self.serves(group, name, m))
-        };
-        let idle_for = Millis::secs(self.tuning.min_idle_s);
-        let mut surplus: f64 = spare.values().sum();
-        let mut drain = vec![];
-        let mut order: Vec<(&MachineId, &RentedMachine)> = self.fleet.machines.iter().collect();
-        let price = |m: &RentedMachine| {
-            self.catalog
-                .get(&m.kind)
-                .map_or(0.0, |t| if m.spot { t.spot_price.unwrap_or(t.price) } else { t.price } / t.cpus)
-        };
-        let used = self.taken();
-        let wanted: f64 = demand.iter().map(|d| d.cpus).sum();
-        let load = |n: &MachineId| used.get(n).map_or(0.0, |taken| taken.cpus);
-        order.sort_by(|a, b| price(b.1).total_cmp(&price(a.1)).then(load(a.0).total_cmp(&load(b.0))));
-        for (name, fleet_machine) in order {
-            if self.draining(name) {
-                continue;
-            }
-            let Some(t) = self.catalog.get(&fleet_machine.kind) else { continue };
-            let stuck = self.is_stuck(fleet_machine);
-            // Ordinary machines cost several times as much to keep.
-            let idle_for = if fleet_machine.spot { idle_for } else { Millis(idle_for.0 / 4) };
-            let idle = fleet_machine.idle_since.is_some_and(|at| self.now.since(at) >= idle_for);
-            // Surplus ordinary machines are left to run out, rather than
-            // refilled for as long as there is any work.
-            let settled = fleet_machine.up && self.now.since(fleet_machine.created_at) > Millis::secs(t.boot_s + 45.0);
-            let in_use = load(name) / t.cpus;
-            let margin = if fleet_machine.spot { wanted * 0.1 } else { t.cpus * 0.25 };
-            let dear = settled && !fleet_machine.spot && in_use < 0.6 && surplus >= t.cpus + margin;
-            let unneeded = !lacking(name, fleet_machine) && (idle && surplus >= t.cpus || dear);
-            if fleet_machine.failed || stuck || unneeded {
-                if unneeded {
-                    surplus -= t.cpus;
-                }
-                drain.push(name.clone());
-            }
-        }
-        if drain.is_empty() {
+        let names = self.machines_to_drain(demand);
+        if names.is_empty() {
             return;
         }
-        for name in drain {
-            if let Some(fleet_machine) = self.fleet.machines.get_mut(&name) {
-                if !fleet_machine.up && fleet_machine.rented_here {
-                    let after_s = self.now.since(fleet_machine.created_at).as_secs();
-                    self.fleet.provisioning_times.record_given_up(&fleet_machine.kind, &fleet_machine.zone, after_s);
-                }
-                fleet_machine.drain_since = Some(self.now);
-            }
+        for name in names {
+            self.start_drain(&name);
         }
         self.write_fleet();
     }
 
-    /// How many names the fleet's record may hold, as long as names are here.
-    fn record_capacity(&self) -> FleetRecordCapacity {
-        /// Of a name, before any is known.
-        const USUAL: usize = 12;
-        let record = self.cache.fleet.record.iter().flat_map(|r| r.drain.iter().chain(&r.gone));
-        let names = record.chain(self.fleet.machines.keys()).chain(&self.fleet.gone);
-        let longest = names.map(|name| name.as_str().len()).max().unwrap_or(0).max(USUAL);
-        FleetRecordCapacity::within(self.settings.cluster.state.value_kb, longest)
-    }
-
-    /// The record as it fits into one value, whatever was written before.
-    pub(crate) fn fitted_fleet(&self, mut record: FleetRecord) -> FleetRecord {
-        let most = self.record_capacity();
-        record.drain.truncate(most.drain);
-        most.keep_newest(&mut record.gone);
-        record
-    }
-
-    /// Writes which machines are on their way out, and which are gone.
-    pub(crate) fn write_fleet(&mut self) {
-        if self.busy_keys.contains(FLEET_KEY) || !self.leading() {
+    /// Returns machines that have been draining long enough for their owners to know and that
+    /// nothing is on, or that failed.
+    pub(super) fn return_drained(&mut self, busy: &HashSet<MachineId, FixedState>) {
+        self.write_fleet();
+        if self.fleet.returning {
             return;
         }
-        let before = self.cache.fleet.record.clone().unwrap_or_default();
-        let mut record = self.fitted_fleet(before.clone());
-        // Of a large fleet only so many fit into one record; the rest are
-        // named when these are gone.
-        let most = self.record_capacity();
-        for (name, fleet_machine) in &self.fleet.machines {
-            if record.drain.len() >= most.drain {
-                break;
-            }
-            if fleet_machine.drain_since.is_some() && !self.fleet.drained.contains(name) && !record.drain.contains(name)
-            {
-                record.drain.push(name.clone());
-            }
+        let mut names = self.returnable_machines(busy);
+        // Owners learn from the record which machines were returned: no more than it holds.
+        names.truncate(RETURN_LIMIT.min(self.fleet_record_capacity().gone));
+        if !names.is_empty() && self.take_cloud_call() {
+            self.fleet.returning = true;
+            self.call_cloud(CloudCall::Return(names.clone()), PendingRequest::Return(names));
         }
-        for name in &self.fleet.gone {
-            record.drain.retain(|n| n != name);
-            if !record.gone.contains(name) {
-                record.gone.push(name.clone());
+    }
+
+    fn machines_to_drain(&self, demand: &[Demand]) -> Vec<MachineId> {
+        let used = self.taken();
+        let mut surplus = self.surplus(demand);
+        let mut names = vec![];
+        for (name, machine) in self.machines_dearest_first(&used) {
+            let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !self.draining(name)) else { continue };
+            let candidate = DrainCandidate { name, machine, kind, used_cpus: used_cpus(&used, name) };
+            let unneeded = self.is_unneeded(&candidate, &surplus);
+            if unneeded {
+                surplus.spare_cpus -= kind.cpus;
             }
-        }
-        // Drained machines that ended otherwise need not be remembered.
-        if self.fleet.known {
-            record.drain.retain(|n| self.fleet.machines.contains_key(n));
-        }
-        most.keep_newest(&mut record.gone);
-        while self.fleet.gone.len() > most.gone {
-            self.fleet.gone.pop_first();
-        }
-        if record != before {
-            if let Some(transaction) = self.fleet_transaction(&record) {
-                self.submit_transaction(transaction);
+            if unneeded || machine.failed || self.is_stuck(machine) {
+                names.push(name.clone());
             }
         }
+        names
     }
 
-    /// Returns machines that were marked long enough for their owners to know
-    /// and that nothing is on, or that failed.
-    pub(crate) fn return_drained(&mut self, busy: &HashSet<MachineId, FixedState>) {
-        self.write_fleet();
-        if self.fleet.returning {
-            return;
+    fn surplus<'a>(&self, demand: &'a [Demand]) -> Surplus<'a> {
+        let shortfall = self.shortfall(demand, |group| group.cpus);
+        let groups = demand.iter().zip(&shortfall.missing_cpus);
+        let lacking_groups =
+            groups.filter(|(_, missing)| **missing > NEGLIGIBLE_CPUS).map(|(group, _)| group).collect();
+        Surplus { spare_cpus: shortfall.spare_cpus, lacking_groups }
+    }
+
+    /// All machines in the order in which they are considered: by price per core, the highest first,
+    /// and of equal price the least used first.
+    fn machines_dearest_first(
+        &self,
+        used: &HashMap<&MachineId, Resources, FixedState>,
+    ) -> Vec<(&MachineId, &RentedMachine)> {
+        let price_per_core = |machine: &RentedMachine| {
+            self.catalog.get(&machine.kind).map_or(0.0, |kind| price_per_hour(kind, machine.spot) / kind.cpus)
+        };
+        let mut order: Vec<(&MachineId, &RentedMachine)> = self.fleet.machines().collect();
+        order.sort_by(|a, b| {
+            let by_price = price_per_core(b.1).total_cmp(&price_per_core(a.1));
+            by_price.then_with(|| used_cpus(used, a.0).total_cmp(&used_cpus(used, b.0)))
+        });
+        order
+    }
+
+    /// True if demand does without the machine. Machines that serve a group without room are kept;
+    /// others are not, for they may be what keeps the cloud from having any that would serve it.
+    fn is_unneeded(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
+        let covered = surplus.spare_cpus >= candidate.kind.cpus && self.is_idle(candidate.machine);
+        let serves_lacking =
+            || surplus.lacking_groups.iter().any(|group| self.serves(group, candidate.name, candidate.machine));
+        (covered || self.is_dispensable(candidate, surplus)) && !serves_lacking()
+    }
+
+    /// True if the machine has been without tasks for long enough to be returned.
+    fn is_idle(&self, machine: &RentedMachine) -> bool {
+        let spot_idle = Millis::secs(self.tuning.min_idle_s);
+        let min_idle = if machine.spot { spot_idle } else { Millis(spot_idle.0 / ON_DEMAND_IDLE_DIVISOR) };
+        machine.idle_since.is_some_and(|since| self.now.since(since) >= min_idle)
+    }
+
+    /// True for an ordinary machine that is little used while there is room for its tasks elsewhere:
+    /// it is left to run empty, rather than refilled for as long as there is any work.
+    fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
+        let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
+        let settled = machine.up && self.now.since(machine.created_at) > Millis::secs(kind.boot_s + SETTLING_S);
+        let margin_cpus = kind.cpus * ON_DEMAND_MARGIN;
+        settled && !machine.spot && used_cpus / kind.cpus < LOW_USE && surplus.spare_cpus >= kind.cpus + margin_cpus
+    }
+
+    /// True if a machine should have been up long ago.
+    fn is_stuck(&self, machine: &RentedMachine) -> bool {
+        let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !machine.up) else { return false };
+        let overtaken = self.fleet.machines().any(|(_, other)| {
+            other.up
+                && other.created_at > machine.created_at
+                && other.kind == machine.kind
+                && other.zone == machine.zone
+        });
+        let age_s = self.now.since(machine.created_at).as_secs();
+        let times = &self.fleet.provisioning_times;
+        times.should_give_up(&machine.kind, &machine.zone, kind.boot_s, age_s, overtaken)
+    }
+
+    /// Chooses the machine for return, and learns from a boot that is given up.
+    fn start_drain(&mut self, name: &MachineId) {
+        if let Some(machine) = self.fleet.inventory.machine(name).filter(|machine| machine.is_watched_boot()) {
+            let age_s = self.now.since(machine.created_at).as_secs();
+            self.fleet.provisioning_times.record_given_up(&machine.kind, &machine.zone, age_s);
         }
-        let Some(record) = &self.cache.fleet.record else { return };
+        self.fleet.inventory.start_drain(name, self.now);
+    }
+
+    fn returnable_machines(&mut self, busy: &HashSet<MachineId, FixedState>) -> Vec<MachineId> {
+        let Some(record) = &self.cache.fleet.record else { return vec![] };
         let lost_after = self.timing.worker_lease + self.timing.worker_lease;
         let mut names = vec![];
-        for name in record.drain.iter().filter(|n| !record.gone.contains(n)) {
-            let Some(fleet_machine) = self.fleet.machines.get_mut(name) else { continue };
-            let since = *fleet_machine.drain_since.get_or_insert(self.now);
-            // What is on a machine that failed should have been stopped long ago:
-            // it does not hear. Its return is the proof that nothing is left there.
-            let lost = fleet_machine.failed && self.now.since(since) >= lost_after;
-            if self.now.since(since) >= Millis(2000) && (lost || !busy.contains(name)) {
+        for name in record.drain.iter().filter(|name| !record.gone.contains(name)) {
+            let Some(since) = self.fleet.inventory.drain_since(name, self.now) else { continue };
+            let drained_for = self.now.since(since);
+            // The worker of a machine that failed receives nothing, and its lease ran out long ago.
+            // The return is the proof that nothing is left there.
+            let failed = self.fleet.machine(name).is_some_and(|machine| machine.failed);
+            let lost = failed && drained_for >= lost_after;
+            if drained_for >= DRAIN_NOTICE && (lost || !busy.contains(name)) {
                 names.push(name.clone());
             }
         }
-        // Owners learn from the record which are gone: no more than it holds.
-        names.truncate(RETURN_LIMIT.min(self.record_capacity().gone));
-        if !names.is_empty() && self.afford_cloud() {
-            self.fleet.returning = true;
-            self.call_cloud(CloudCall::Return(names.clone()), PendingRequest::Return(names));
-        }
+        names
     }
 }
+
+/// Cores that tasks take of the machine.
+fn used_cpus(used: &HashMap<&MachineId, Resources, FixedState>, name: &MachineId) -> f64 {
+    used.get(name).map_or(0.0, |taken| taken.cpus)
+}
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,194 +1,105 @@
-//! Renting machines: what is lacking, where it is cheapest, and a name that is
-//! durable before it is asked for.
+//! Scaling out: renting what demand lacks from the pool where it costs least.
+//!
+//! Run by the leader, one rental at a time. The name of a rental is durable before it is used, so
+//! that a rental which got no answer is repeated under the same name and never carried out twice.
 
+use crate::coordination::fleet::catalog::price_per_hour;
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::RentedMachine;
-use crate::coordination::scheduling::resources::Resources;
+use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
-use crate::protocol::cloud::{RentRequest, RENT_LIMIT};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
-use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
-use crate::units::{MachineId, Millis};
-use std::collections::{BTreeMap, HashMap};
+use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
+use crate::protocol::state::{StateAnswer, StateCall, Transaction};
+use crate::storage::records::FLEET_KEY;
+use std::collections::BTreeMap;
 
-/// For how long a machine is paid for, usually.
-const PAID_FOR_S: f64 = 300.0;
+/// How long a machine is usually kept and paid for, in seconds.
+const USUAL_RENTAL_S: f64 = 300.0;
 
-/// A rental that is requested and not confirmed yet.
+/// The share of a machine's cores that counts as of use at the least, however little memory it has.
+const LEAST_USEFUL_SHARE: f64 = 0.3;
+
+/// The share of image fetches that a machine pays for itself: some images are shared by its tasks.
+const UNSHARED_FETCHES: f64 = 0.5;
+
+/// What is added to the cost in a zone that holds the whole fleet, as a share of it.
+const ZONE_SPREAD_WEIGHT: f64 = 0.05;
+
+/// How often a rental is repeated that got no answer.
+const RENTAL_RETRIES: u32 = 3;
+
+/// Divisors below this are taken as this: cores and memory of a task, and run time.
+const LEAST_TASK_SIZE: f64 = 1e-3;
+const LEAST_RUN_S: f64 = 1e-6;
+
+/// A rental that is being recorded or requested.
 #[derive(Debug, Clone)]
-pub struct PendingRental {
-    pub request: RentRequest,
-    pub(crate) tries: u32,
+pub(crate) struct PendingRental {
+    request: RentRequest,
+    /// How often it may still be repeated.
+    retries_left: u32,
 }
 
-impl Core {
-    /// Cores that a machine may be counted on for: a late boot may never end.
-    pub(crate) fn counted_cpus(&self, m: &RentedMachine) -> Option<f64> {
-        let t = self.catalog.get(&m.kind)?;
-        let age_s = self.now.since(m.created_at).as_secs();
-        let share =
-            if m.up { 1.0 } else { self.fleet.provisioning_times.countable_share(&m.kind, &m.zone, t.boot_s, age_s) };
-        Some(t.cpus * share)
+impl PendingRental {
+    fn pool(&self) -> MachinePool {
+        MachinePool { kind: self.request.kind.clone(), zone: self.request.zone.clone(), spot: self.request.spot }
     }
+}
 
-    pub(crate) fn suits(&self, demand: &Demand, kind: &str, zone: &str, spot: bool) -> bool {
-        let big_enough = self.catalog.get(kind).is_some_and(|t| demand.shape.fits_into(&Resources::of_machine(t)));
-        big_enough
-            && demand.types.as_ref().is_none_or(|types| types.iter().any(|t| t == kind))
-            && demand.zone.as_ref().is_none_or(|z| z == zone)
-            && (demand.spot || !spot)
-    }
+/// Cores that a group is short of.
+struct GroupShortage<'a> {
+    group: &'a Demand,
+    /// Of any kind of machine.
+    any_cpus: f64,
+    /// Of these, what can't wait for spot machines.
+    urgent_cpus: f64,
+}
 
-    /// True if the machine may do work of the group.
-    pub(crate) fn serves(&self, demand: &Demand, name: &MachineId, m: &RentedMachine) -> bool {
-        demand.shard.is_none_or(|shard| self.shard_of(name) == shard) && self.suits(demand, &m.kind, &m.zone, m.spot)
-    }
+/// Machines that could be rented for a group, and the cost by which offers compare.
+struct Offer {
+    pool: MachinePool,
+    count: u32,
+    cost: f64,
+}
 
-    /// True if a task that takes so much fits beside what is used of the machine.
-    fn has_room(&self, m: &RentedMachine, used: Resources, need: &Resources) -> bool {
-        let Some(t) = self.catalog.get(&m.kind) else { return false };
-        let mut taken = used;
-        taken += *need;
-        taken.fits_into(&Resources::of_machine(t))
-    }
+/// Cores of the fleet by zone.
+struct ZoneCpus<'a> {
+    by_zone: BTreeMap<&'a str, f64>,
+    total: f64,
+}
 
-    /// Cores missing per group, after each took what suits it, and cores spare.
-    pub(crate) fn missing(
-        &self,
-        demand: &[Demand],
-        wanted: fn(&Demand) -> f64,
-    ) -> (Vec<f64>, BTreeMap<MachineId, f64>) {
-        let mut left: BTreeMap<MachineId, f64> = self
-            .fleet
-            .machines
-            .iter()
-            .filter(|(name, m)| !m.failed && !m.leaving && !m.downlink_lost && !self.draining(name))
-            .filter_map(|(name, m)| Some((name.clone(), self.counted_cpus(m)?)))
-            .collect();
-        let by_shard = demand.iter().any(|group| group.shard.is_some());
-        let taken = if by_shard { self.taken() } else { HashMap::default() };
-        let mut lacks = vec![];
-        for group in demand {
-            // Whoever needs room in one shard needs it whole, and no more of it.
-            let mut lack = wanted(group) * if group.shard.is_some() { 1.0 } else { 1.05 };
-            for (name, cpus) in &mut left {
-                let m = &self.fleet.machines[name];
-                if lack > 0.0 && self.serves(group, name, m) {
-                    let used = taken.get(name).copied().unwrap_or_default();
-                    if group.shard.is_some() && !self.has_room(m, used, &group.shape) {
-                        continue;
-                    }
-                    let take = cpus.min(lack);
-                    *cpus -= take;
-                    lack -= take;
-                }
-            }
-            lacks.push(lack.max(0.0));
-        }
-        (lacks, left)
-    }
-
-    pub(crate) fn rent_for(&mut self, demand: &[Demand]) {
-        let (lacks, _) = self.missing(demand, |d| d.cpus);
-        let (pressing, _) = self.missing(demand, |d| d.urgent);
-        let mut in_zone: BTreeMap<&str, f64> = BTreeMap::new();
-        for m in self.fleet.machines.values() {
-            *in_zone.entry(m.zone.as_str()).or_default() += self.catalog.get(&m.kind).map_or(0.0, |t| t.cpus);
-        }
-        let total: f64 = in_zone.values().sum();
-        for (group, (any, urgent)) in demand.iter().zip(lacks.into_iter().zip(pressing)) {
-            if any <= 0.0 {
-                continue;
-            }
-            // Without any spot machines to be had, or any machine at all, work
-            // that could wait for cheap room would wait for nothing.
-            let cheap = group.spot && self.catalog.types().any(|t| t.spot_price.is_some());
-            let nothing =
-                any >= group.cpus && self.fleet.refused.iter().any(|(slot, until)| slot.2 && self.now < until.0);
-            let mut best: Option<(f64, RentRequest)> = None;
-            for t in self.catalog.types() {
-                for zone in &t.zones {
-                    for spot in [true, false] {
-                        let lack = if spot || !cheap || nothing { any } else { urgent };
-                        if lack <= 0.0 {
-                            continue;
-                        }
-                        if !self.suits(group, &t.name, zone, spot) || (spot && t.spot_price.is_none()) {
-                            continue;
-                        }
-                        let slot = (t.name.clone(), zone.clone(), spot);
-                        if self.fleet.refused.get(&slot).is_some_and(|r| self.now < r.0) {
-                            continue;
-                        }
-                        let price = if spot { t.spot_price.unwrap_or(t.price) } else { t.price };
-                        // Cores that memory lets the tasks use.
-                        let each = (t.cpus / group.shape.cpus.max(1e-3)).min(t.mem_gb / group.shape.mem_gb.max(1e-3));
-                        let useful = (each.floor() * group.shape.cpus).clamp(t.cpus * 0.3, t.cpus);
-                        let count = (lack / useful).ceil().clamp(1.0, f64::from(RENT_LIMIT));
-                        // Time lost to fetching images, some of which are shared.
-                        let fetch = if t.fetch_gb_per_s > 0.0 { group.fetch_gb / t.fetch_gb_per_s } else { 0.0 };
-                        // Boots that are slower than they should be are paid for.
-                        let late = self.fleet.provisioning_times.usual_s(&t.name, zone, t.boot_s) - t.boot_s;
-                        let boot = late.max(0.0) / PAID_FOR_S;
-                        let slow = 1.0 + 0.5 * fetch / group.run_s.max(1e-6) + boot;
-                        let cost = count * price * slow / (count * useful).min(lack);
-                        // At about the same price, the zone with less of ours:
-                        // a lost zone should not take everything.
-                        let here = in_zone.get(zone.as_str()).copied().unwrap_or(0.0);
-                        let cost = cost * (1.0 + 0.05 * here / total.max(1.0));
-                        if best.as_ref().is_none_or(|b| cost < b.0) {
-                            let request = RentRequest {
-                                request: String::new(),
-                                kind: t.name.clone(),
-                                zone: zone.clone(),
-                                spot,
-                                count: count as u32,
-                            };
-                            best = Some((cost, request));
-                        }
-                    }
-                }
-            }
-            if let Some((_, request)) = best {
-                return self.name_rental(request);
-            }
-        }
+impl ZoneCpus<'_> {
+    /// The factor by which cost is raised in a zone for what of the fleet is there already.
+    fn cost_factor(&self, zone: &str) -> f64 {
+        let cpus = self.by_zone.get(zone).copied().unwrap_or(0.0);
+        1.0 + ZONE_SPREAD_WEIGHT * cpus / self.total.max(1.0)
     }
+}
 
-    /// Makes the rental's name durable before it is used; the count behind
-    /// names only rises, so that none is ever used again.
-    pub(crate) fn name_rental(&mut self, mut request: RentRequest) {
-        if self.busy_keys.contains(FLEET_KEY) {
-            return;
+impl Core {
+    /// Rents for the first group that lacks machines and for which there are any.
+    pub(super) fn scale_out(&mut self, demand: &[Demand]) {
+        let any = self.shortfall(demand, |group| group.cpus).missing_cpus;
+        let urgent = self.shortfall(demand, |group| group.urgent_cpus).missing_cpus;
+        let zones = self.zone_cpus();
+        let shortages = demand.iter().zip(any.into_iter().zip(urgent));
+        let offer = shortages
+            .map(|(group, (any_cpus, urgent_cpus))| GroupShortage { group, any_cpus, urgent_cpus })
+            .filter(|shortage| shortage.any_cpus > 0.0)
+            .find_map(|shortage| self.cheapest_offer(&shortage, &zones));
+        if let Some(offer) = offer {
+            self.record_rental(offer);
         }
-        let mut record = self.fitted_fleet(self.cache.fleet.record.clone().unwrap_or_default());
-        record.rentals += 1;
-        request.request = format!("r-{}", record.rentals);
-        let Some(transaction) = self.fleet_transaction(&record) else { return };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
-        self.busy_keys.insert(FLEET_KEY.into());
-        self.fleet.renting = true;
-        let rental = PendingRental { request, tries: 3 };
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rental, transaction });
-    }
-
-    pub(crate) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
-        let conditions = vec![
-            Condition { key: LEADER_KEY.into(), version: self.cache.leader.version },
-            Condition { key: FLEET_KEY.into(), version: self.cache.fleet.version },
-        ];
-        let value = serde_json::to_value(record).ok()?;
-        Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
+    /// Requests a rental whose name is durable now.
     pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StateAnswer) {
         self.busy_keys.remove(FLEET_KEY);
         match answer {
             StateAnswer::Committed(revision) => {
                 self.committed(&transaction, revision);
-                self.call_cloud(CloudCall::Rent(rental.request.clone()), PendingRequest::Rent(rental));
+                self.request_rental(rental);
             }
             StateAnswer::Conflict(failed) => {
                 self.fleet.renting = false;
@@ -198,38 +109,134 @@
         }
     }
 
-    pub(crate) fn rent_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
+    /// Takes the cloud's answer to a rental.
+    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
         self.fleet.renting = false;
-        let RentRequest { kind, zone, spot, count, .. } = rental.request.clone();
-        let slot = (kind.clone(), zone.clone(), spot);
+        let pool = rental.pool();
         match answer {
             CloudAnswer::Rented(names) => {
-                tracing::info!("rented {} of {count} {kind} in {zone}, spot: {spot}", names.machines.len());
-                if (names.machines.len() as u32) < count {
-                    self.fleet.refused.insert(slot, (self.now + Millis(10_000), 0));
-                } else {
-                    self.fleet.refused.remove(&slot);
-                }
+                let (rented, requested) = (names.machines.len(), rental.request.count);
+                tracing::info!(
+                    rented,
+                    requested,
+                    kind = %pool.kind,
+                    zone = %pool.zone,
+                    spot = pool.spot,
+                    "rented machines"
+                );
                 for name in names.machines {
-                    let fleet_machine =
-                        RentedMachine { rented_here: true, ..RentedMachine::new(&kind, &zone, spot, self.now) };
-                    self.fleet.machines.entry(name).or_insert(fleet_machine);
+                    self.fleet.inventory.add_rented(name, RentedMachine::rented(&pool, self.now));
+                }
+                if (rented as u32) < requested {
+                    self.fleet.pool_backoffs.rented_some(pool, self.now);
+                } else {
+                    self.fleet.pool_backoffs.rented_all(&pool);
                 }
             }
-            CloudAnswer::NoCapacity => {
-                let times = self.fleet.refused.get(&slot).map_or(0, |r| r.1) + 1;
-                let pause = Millis::secs((5.0 * 2f64.powi(times.min(4) as i32 - 1)).min(40.0));
-                self.fleet.refused.insert(slot, (self.now + pause, times));
-            }
-            // Perhaps carried out: the same name asks for the same machines.
-            _ if rental.tries > 0 && self.leading() => {
+            CloudAnswer::NoCapacity => self.fleet.pool_backoffs.refused(pool, self.now),
+            // It may have been carried out: a repetition under the same name gets the same machines.
+            _ if rental.retries_left > 0 && self.leading() => {
                 self.fleet.renting = true;
-                let again = PendingRental { tries: rental.tries - 1, ..rental };
-                self.call_cloud(CloudCall::Rent(again.request.clone()), PendingRequest::Rent(again));
+                self.request_rental(PendingRental { retries_left: rental.retries_left - 1, ..rental });
             }
-            _ => {
-                self.fleet.refused.insert(slot, (self.now + Millis(3000), 0));
+            _ => self.fleet.pool_backoffs.failed(pool, self.now),
+        }
+    }
+
+    fn zone_cpus(&self) -> ZoneCpus<'_> {
+        let mut by_zone: BTreeMap<&str, f64> = BTreeMap::new();
+        for (_, machine) in self.fleet.machines() {
+            let cpus = self.catalog.get(&machine.kind).map_or(0.0, |kind| kind.cpus);
+            *by_zone.entry(machine.zone.as_str()).or_default() += cpus;
+        }
+        let total = by_zone.values().sum();
+        ZoneCpus { by_zone, total }
+    }
+
+    /// The offer of least cost for the group among all pools; of equal ones the first.
+    fn cheapest_offer(&self, shortage: &GroupShortage, zones: &ZoneCpus) -> Option<Offer> {
+        let waits_for_spot = self.may_wait_for_spot(shortage);
+        let mut cheapest: Option<Offer> = None;
+        for kind in self.catalog.types() {
+            for (zone, spot) in kind.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]) {
+                let pool = MachinePool { kind: kind.name.clone(), zone: zone.clone(), spot };
+                let missing_cpus = if waits_for_spot && !spot { shortage.urgent_cpus } else { shortage.any_cpus };
+                if missing_cpus <= 0.0 || !self.may_rent(shortage.group, kind, &pool) {
+                    continue;
+                }
+                let offer = self.offer(shortage.group, missing_cpus, kind, pool, zones);
+                if cheapest.as_ref().is_none_or(|cheapest| offer.cost < cheapest.cost) {
+                    cheapest = Some(offer);
+                }
             }
         }
+        cheapest
     }
+
+    /// True if work that is not urgent is left to spot machines. If the group has no machine at
+    /// all and spot machines were refused of late, it would wait for nothing.
+    fn may_wait_for_spot(&self, shortage: &GroupShortage) -> bool {
+        let spot_sold = self.catalog.types().any(|kind| kind.spot_price.is_some());
+        let has_nothing = shortage.any_cpus >= shortage.group.cpus && self.fleet.pool_backoffs.any_spot(self.now);
+        shortage.group.spot_allowed && spot_sold && !has_nothing
+    }
+
+    /// True if machines of the pool serve the group and are to be had, as far as is known.
+    fn may_rent(&self, group: &Demand, kind: &MachineType, pool: &MachinePool) -> bool {
+        let sold = !pool.spot || kind.spot_price.is_some();
+        sold && self.suits(group, pool) && !self.fleet.pool_backoffs.is_backing_off(pool, self.now)
+    }
+
+    /// What renting from the pool costs per core of use, with the time that is paid for in vain.
+    fn offer(
+        &self,
+        group: &Demand,
+        missing_cpus: f64,
+        kind: &MachineType,
+        pool: MachinePool,
+        zones: &ZoneCpus,
+    ) -> Offer {
+        let useful_cpus = useful_cpus(kind, group);
+        let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(RENT_LIMIT));
+        let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
+        let usual_boot_s = self.fleet.provisioning_times.usual_s(&pool.kind, &pool.zone, kind.boot_s);
+        let late_boot = (usual_boot_s - kind.boot_s).max(0.0) / USUAL_RENTAL_S;
+        let slowdown = 1.0 + UNSHARED_FETCHES * fetch_s / group.weighted_run_s.max(LEAST_RUN_S) + late_boot;
+        let price = price_per_hour(kind, pool.spot);
+        let cost = count * price * slowdown / (count * useful_cpus).min(missing_cpus);
+        // At about equal cost the zone with less of the fleet: the loss of a zone should not take
+        // everything.
+        let cost = cost * zones.cost_factor(&pool.zone);
+        Offer { pool, count: count as u32, cost }
+    }
+
+    /// Makes the rental's name durable before it is used. The count behind the names only rises, so
+    /// that none is used twice.
+    fn record_rental(&mut self, offer: Offer) {
+        if self.busy_keys.contains(FLEET_KEY) {
+            return;
+        }
+        let mut record = self.fitted_fleet_record();
+        record.rentals += 1;
+        let Some(transaction) = self.fleet_transaction(&record) else { return };
+        let MachinePool { kind, zone, spot } = offer.pool;
+        let request = RentRequest { request: format!("r-{}", record.rentals), kind, zone, spot, count: offer.count };
+        self.reads.force(self.now, 1.0);
+        self.writes.force(self.now, 1.0);
+        self.busy_keys.insert(FLEET_KEY.into());
+        self.fleet.renting = true;
+        let rental = PendingRental { request, retries_left: RENTAL_RETRIES };
+        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rental, transaction });
+    }
+
+    fn request_rental(&mut self, rental: PendingRental) {
+        self.call_cloud(CloudCall::Rent(rental.request.clone()), PendingRequest::Rent(rental));
+    }
+}
+
+/// Cores of a machine that its memory lets tasks of the group use.
+fn useful_cpus(kind: &MachineType, group: &Demand) -> f64 {
+    let task = &group.largest_task;
+    let tasks = (kind.cpus / task.cpus.max(LEAST_TASK_SIZE)).min(kind.mem_gb / task.mem_gb.max(LEAST_TASK_SIZE));
+    (tasks.floor() * task.cpus).clamp(kind.cpus * LEAST_USEFUL_SHARE, kind.cpus)
 }
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -8,7 +8,6 @@
 //! is used there or given back.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
@@ -82,18 +81,7 @@
         let long = self.unplaceable_services.0.iter().filter(|(_, (since, _))| self.now.since(*since) > PATIENCE);
         let demand = long.filter_map(|(id, (_, zone))| {
             let job = self.cache.jobs.get(id)?;
-            let spec = &job.record.spec;
-            Some(Demand {
-                cpus: spec.cpus,
-                urgent: spec.cpus,
-                shape: Resources::of_task(spec),
-                fetch_gb: spec.cpus * spec.image_gb,
-                run_s: spec.cpus,
-                types: spec.types.clone(),
-                zone: zone.clone(),
-                spot: spec.spot_allowed,
-                shard: Some(job.shard_of(0)?),
-            })
+            Some(Demand::of_replica(&job.record.spec, zone.clone(), job.shard_of(0)?))
         });
         demand.take(MOST).collect()
     }
