--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -73,7 +73,7 @@
 impl Core {
     /// Asks the cloud for its catalog if it is time to.
     pub(crate) fn refresh_catalog(&mut self) {
-        let needed = self.catalog.is_empty() || self.leading();
+        let needed = self.catalog.is_empty() || self.is_leader();
         if needed && self.catalog.is_due(self.now) {
             self.catalog.requested_at = Some(self.now);
             self.call_cloud(CloudCall::Catalog, PendingRequest::Catalog);
@@ -86,7 +86,7 @@
         self.catalog.set_types(&catalog.types);
         let stored = self.cache.catalog.record.as_ref();
         let unchanged = stored.is_some_and(|stored| same_sizes_and_zones(stored, &catalog));
-        if unchanged || !self.leading() || self.busy_keys.contains(CATALOG_KEY) {
+        if unchanged || !self.is_leader() || self.store.is_key_busy(CATALOG_KEY) {
             return;
         }
         let value = match serde_json::to_value(&catalog) {
--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -7,7 +7,7 @@
 impl Core {
     /// Takes the answer to a call. A call that is not pending any more is ignored.
     pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
-        let Some(SentRequest { what, .. }) = self.pending_requests.remove(&id) else { return };
+        let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
         match (what, answer) {
             (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.apply_catalog(catalog),
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -204,15 +204,16 @@
     /// How long a machine that is rented now takes to be of use, by the slowest type.
     fn planning_window_s(&self) -> f64 {
         // Quick spells are not relied on, and slow ones not planned for without bound.
-        let boot_s =
-            |kind: &MachineType| self.slowest_usual_boot_s(kind).clamp(kind.boot_s, MOST_BOOT_SLOWDOWN * kind.boot_s);
+        let boot_s = |kind: &MachineType| {
+            self.slowest_usual_boot_s(kind).clamp(kind.provisioning_s, MOST_BOOT_SLOWDOWN * kind.provisioning_s)
+        };
         self.catalog.types().map(boot_s).fold(0.0, f64::max) + FIRST_START_S
     }
 
     /// The usual boot of a type in the zone where it is slowest.
     fn slowest_usual_boot_s(&self, kind: &MachineType) -> f64 {
         let times = &self.fleet.provisioning_times;
-        kind.zones.iter().map(|zone| times.usual_s(&kind.name, zone, kind.boot_s)).fold(0.0, f64::max)
+        kind.zones.iter().map(|zone| times.usual_s(&kind.name, zone, kind.provisioning_s)).fold(0.0, f64::max)
     }
 
     /// What the jobs there are ask for, by constraints.
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -172,7 +172,7 @@
         // A task that ran before this node owned the shard began at an unknown time, and one that ran
         // while this process did not ended at an unknown time. A pause of 20 s that was learned from
         // once made all later work seem half as long again, and machines were rented for it.
-        if started.since(owned_shard.since) < UNKNOWN_START || *started < self.resumed_at {
+        if started.since(owned_shard.owned_since) < UNKNOWN_START || *started < self.resumed_at {
             return;
         }
         let ran_s = self.now.since(*started).as_secs();
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -99,7 +99,7 @@
     /// True if the job failed wherever it ran, as far as this node or a peer knows.
     pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
         let reported = |peer: &Peer| {
-            peer.status.as_ref().is_some_and(|status| status.failing.iter().any(|failing| failing == job.as_str()))
+            peer.status.as_ref().is_some_and(|status| status.failing_jobs.iter().any(|failing| failing == job.as_str()))
         };
         (self.estimates.failures.failed_on_several(job) || self.peers.values().any(reported))
             && !self.has_succeeded(job)
@@ -131,7 +131,7 @@
         if let Some(machine) = machine {
             machine.faulty = faulty;
             if backs_off {
-                machine.rests_until = until;
+                machine.cordoned_until = until;
             }
         }
         if faulty {
--- a/src/coordination/fleet/fleet_record.rs
+++ b/src/coordination/fleet/fleet_record.rs
@@ -63,7 +63,7 @@
 
     /// Writes which machines are draining and which were returned, if that changed.
     pub(super) fn write_fleet(&mut self) {
-        if self.busy_keys.contains(FLEET_KEY) || !self.leading() {
+        if self.store.is_key_busy(FLEET_KEY) || !self.is_leader() {
             return;
         }
         let capacity = self.fleet_record_capacity();
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -66,7 +66,7 @@
             return;
         };
         seen.extend(page.machines);
-        if let (true, Some(last)) = (page.more, seen.last()) {
+        if let (true, Some(last)) = (page.truncated, seen.last()) {
             let call = CloudCall::List { after: Some(last.machine.clone()) };
             return self.call_cloud(call, PendingRequest::List { seen });
         }
--- a/src/coordination/fleet/machine_reports.rs
+++ b/src/coordination/fleet/machine_reports.rs
@@ -38,11 +38,11 @@
 
     fn add_peer(&mut self, status: &PeerStatus) {
         let names = |names: &[String]| -> Vec<MachineId> { names.iter().map(|name| MachineId::new(name)).collect() };
-        self.faulty.extend(names(&status.faulty));
+        self.faulty.extend(names(&status.faulty_machines));
         for shard in &status.shards {
-            self.up.extend(names(&shard.up));
-            self.downlink_lost.extend(names(&shard.downlink_lost));
-            self.leaving.extend(names(&shard.leaving));
+            self.up.extend(names(&shard.reporting_machines));
+            self.downlink_lost.extend(names(&shard.downlink_lost_machines));
+            self.leaving.extend(names(&shard.terminating_machines));
         }
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -53,7 +53,7 @@
 impl Core {
     /// Chooses for return what demand does not need, what failed and what never came up.
     pub(super) fn drain_unneeded(&mut self, demand: &[Demand]) {
-        if self.busy_keys.contains(FLEET_KEY) {
+        if self.store.is_key_busy(FLEET_KEY) {
             return;
         }
         let names = self.machines_to_drain(demand);
@@ -83,7 +83,7 @@
     }
 
     fn machines_to_drain(&self, demand: &[Demand]) -> Vec<MachineId> {
-        let used = self.taken();
+        let used = self.resources_in_use();
         let mut surplus = self.surplus(demand);
         let mut names = vec![];
         for (name, machine) in self.machines_dearest_first(&used) {
@@ -145,7 +145,7 @@
     /// it is left to run empty, rather than refilled for as long as there is any work.
     fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
-        let settled = machine.up && self.now.since(machine.created_at) > Millis::secs(kind.boot_s + SETTLING_S);
+        let settled = machine.up && self.now.since(machine.created_at) > Millis::secs(kind.provisioning_s + SETTLING_S);
         let margin_cpus = kind.cpus * ON_DEMAND_MARGIN;
         settled && !machine.spot && used_cpus / kind.cpus < LOW_USE && surplus.spare_cpus >= kind.cpus + margin_cpus
     }
@@ -161,7 +161,7 @@
         });
         let age_s = self.now.since(machine.created_at).as_secs();
         let times = &self.fleet.provisioning_times;
-        times.should_give_up(&machine.kind, &machine.zone, kind.boot_s, age_s, overtaken)
+        times.should_give_up(&machine.kind, &machine.zone, kind.provisioning_s, age_s, overtaken)
     }
 
     /// Chooses the machine for return, and learns from a boot that is given up.
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -10,7 +10,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
-use crate::protocol::state::{StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::FLEET_KEY;
 use std::collections::BTreeMap;
 
@@ -94,14 +94,14 @@
     }
 
     /// Requests a rental whose name is durable now.
-    pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StateAnswer) {
-        self.busy_keys.remove(FLEET_KEY);
+    pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StoreResponse) {
+        self.store.release_key(FLEET_KEY);
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.request_rental(rental);
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 self.fleet.renting = false;
                 self.reread(failed, None);
             }
@@ -135,7 +135,7 @@
             }
             CloudAnswer::NoCapacity => self.fleet.pool_backoffs.refused(pool, self.now),
             // It may have been carried out: a repetition under the same name gets the same machines.
-            _ if rental.retries_left > 0 && self.leading() => {
+            _ if rental.retries_left > 0 && self.is_leader() => {
                 self.fleet.renting = true;
                 self.request_rental(PendingRental { retries_left: rental.retries_left - 1, ..rental });
             }
@@ -199,8 +199,8 @@
         let useful_cpus = useful_cpus(kind, group);
         let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(RENT_LIMIT));
         let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
-        let usual_boot_s = self.fleet.provisioning_times.usual_s(&pool.kind, &pool.zone, kind.boot_s);
-        let late_boot = (usual_boot_s - kind.boot_s).max(0.0) / USUAL_RENTAL_S;
+        let usual_boot_s = self.fleet.provisioning_times.usual_s(&pool.kind, &pool.zone, kind.provisioning_s);
+        let late_boot = (usual_boot_s - kind.provisioning_s).max(0.0) / USUAL_RENTAL_S;
         let slowdown = 1.0 + UNSHARED_FETCHES * fetch_s / group.weighted_run_s.max(LEAST_RUN_S) + late_boot;
         let price = price_per_hour(kind, pool.spot);
         let cost = count * price * slowdown / (count * useful_cpus).min(missing_cpus);
@@ -213,20 +213,22 @@
     /// Makes the rental's name durable before it is used. The count behind the names only rises, so
     /// that none is used twice.
     fn record_rental(&mut self, offer: Offer) {
-        if self.busy_keys.contains(FLEET_KEY) {
+        if self.store.is_key_busy(FLEET_KEY) {
             return;
         }
         let mut record = self.fitted_fleet_record();
         record.rentals += 1;
         let Some(transaction) = self.fleet_transaction(&record) else { return };
         let MachinePool { kind, zone, spot } = offer.pool;
-        let request = RentRequest { request: format!("r-{}", record.rentals), kind, zone, spot, count: offer.count };
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, 1.0);
-        self.busy_keys.insert(FLEET_KEY.into());
+        let request = RentRequest { request_id: format!("r-{}", record.rentals), kind, zone, spot, count: offer.count };
+        self.store.charge_transaction(self.now, 1);
+        self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
         let rental = PendingRental { request, retries_left: RENTAL_RETRIES };
-        self.call_state(StateCall::Transaction(transaction.clone()), PendingRequest::RentName { rental, transaction });
+        self.call_state(
+            StoreRequest::Transaction(transaction.clone()),
+            PendingRequest::RentName { rental, transaction },
+        );
     }
 
     fn request_rental(&mut self, rental: PendingRental) {
--- a/src/coordination/fleet/shortfall.rs
+++ b/src/coordination/fleet/shortfall.rs
@@ -38,7 +38,7 @@
     pub(super) fn shortfall(&self, demand: &[Demand], desired_cpus: fn(&Demand) -> f64) -> Shortfall {
         let mut available = self.available_machines();
         let any_of_one_shard = demand.iter().any(|group| group.shard.is_some());
-        let taken = if any_of_one_shard { self.taken() } else { HashMap::default() };
+        let taken = if any_of_one_shard { self.resources_in_use() } else { HashMap::default() };
         let missing_cpus =
             demand.iter().map(|group| self.allot(group, desired_cpus(group), &mut available, &taken)).collect();
         Shortfall { missing_cpus, spare_cpus: available.iter().map(|machine| machine.cpus).sum() }
@@ -81,7 +81,7 @@
         }
         let age_s = self.now.since(machine.created_at).as_secs();
         let times = &self.fleet.provisioning_times;
-        Some(kind.cpus * times.countable_share(&machine.kind, &machine.zone, kind.boot_s, age_s))
+        Some(kind.cpus * times.countable_share(&machine.kind, &machine.zone, kind.provisioning_s, age_s))
     }
 
     /// Takes cores that serve the group, and returns how many are still missing.
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -9,10 +9,10 @@
 //! it and answered from that at once; its own end is written behind.
 
 use crate::coordination::jobs::dependency_graph::Known;
-use crate::coordination::jobs::validation::Refusal;
+use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::coordination::Core;
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
 use crate::storage::effective_priority::EffectivePriority;
@@ -122,8 +122,8 @@
     pub(crate) fn release_ready_jobs(&mut self) {
         self.release_soon = false;
         // As acceptance does, on credit as far as the share bears it.
-        let bears = self.writes.level(self.now) > -0.5 * self.writes.per_s();
-        if !bears || !self.records_fresh() || self.now < self.retry_state_at {
+        let bears = self.store.writes_above(self.now, -0.5);
+        if !bears || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let time_of_day_ms = self.time_of_day_ms;
@@ -153,8 +153,8 @@
     /// Writes the ends of jobs that follow cancelled ones, with writes that
     /// nobody else has use for: users are answered without.
     pub(crate) fn write_dependency_outcomes(&mut self) {
-        let idle = self.writes.level(self.now) > 0.5 * self.writes.per_s();
-        if !idle || !self.records_fresh() || self.now < self.retry_state_at {
+        let idle = self.store.writes_above(self.now, 0.5);
+        if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let end = |_: &Core, record: &JobRecord| JobRecord {
@@ -170,7 +170,7 @@
     fn ours_of<'a>(&self, jobs: impl Iterator<Item = (&'a JobId, bool)>) -> Vec<JobId> {
         let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops);
         let owned_shard =
-            jobs.filter(|(id, any)| !self.busy_keys.contains(&job_key(id)) && (*any || self.keeps_chain(id)));
+            jobs.filter(|(id, any)| !self.store.is_key_busy(&job_key(id)) && (*any || self.keeps_chain(id)));
         owned_shard.take(most).map(|(id, _)| id.clone()).collect()
     }
 
@@ -189,10 +189,10 @@
 
     /// Looks up jobs that waiting ones name and that were put away.
     pub(crate) fn look_up_unknown_dependencies(&mut self) {
-        if !self.loaded
+        if !self.store.is_loaded()
             || self.dependency_release.asking
             || self.now < self.dependency_release.next
-            || self.now < self.retry_state_at
+            || !self.store.may_send(self.now)
         {
             return;
         }
@@ -201,11 +201,11 @@
         };
         self.dependency_release.asking = true;
         self.dependency_release.last = Some(id.clone());
-        self.reads.force(self.now, 1.0);
-        self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.store.charge_read(self.now);
+        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StateAnswer) {
+    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StoreResponse) {
         self.dependency_release.asking = false;
         let Some(record) = self.take_archived(&id, answer) else {
             self.dependency_release.next = self.now + LOOK_AGAIN;
@@ -218,13 +218,11 @@
     /// A submission that names others: they are looked at one by one.
     pub(crate) fn submit_after(&mut self, request: RequestId, spec: Box<JobSpec>) {
         if !self.dependencies_enabled() {
-            let reason = "jobs that await others are taken once all controllers know of them";
-            return self
-                .response(request, Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(2) });
+            return self.refuse(request, Refusal::DependenciesNotEnabled);
         }
         let to_check = spec.dependencies.clone();
         if to_check.contains(&spec.id) {
-            return self.refuse(request, spec.id, Refusal::impossible("a job cannot await itself"));
+            return self.refuse_unless_known(request, spec.id, InfeasibleJob::DependsOnItself.into());
         }
         self.check_dependencies(DependencyCheck {
             request,
@@ -241,8 +239,11 @@
         while let Some(name) = check.to_check.pop() {
             if let Some(job) = self.cache.jobs.get(&name) {
                 if job.record.spec.kind == JobKind::Standing {
-                    let reason = format!("{name} is a service, which is never done");
-                    return self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+                    return self.refuse_unless_known(
+                        check.request,
+                        check.spec.id,
+                        InfeasibleJob::DependsOnService(name).into(),
+                    );
                 }
             }
             match Core::known(&self.cache, &name) {
@@ -273,21 +274,20 @@
     fn look_up_dependency(&mut self, check: DependencyCheck) {
         let Some(id) = check.to_check.last().filter(|_| self.afford(check.request, 1.0)) else { return };
         let key = if check.archived { archived_job_key(id) } else { job_key(id) };
-        self.call_state(StateCall::Get { key }, PendingRequest::DependencyCheck(check));
+        self.call_state(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
     }
 
-    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StateAnswer) {
+    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
         let Some(id) = check.to_check.last().cloned() else { return };
         match answer {
-            StateAnswer::Missing(_) if !check.archived => {
+            StoreResponse::Missing(_) if !check.archived => {
                 check.archived = true;
                 self.look_up_dependency(check);
             }
-            StateAnswer::Missing(_) => {
-                let reason = format!("{id} was never accepted");
-                self.refuse(check.request, check.spec.id, Refusal::impossible(reason));
+            StoreResponse::Missing(_) => {
+                self.refuse_unless_known(check.request, check.spec.id, InfeasibleJob::DependencyNotFound(id).into());
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 let read = if check.archived {
                     self.take_archived(&id, answer).is_some()
                 } else {
@@ -295,10 +295,10 @@
                 };
                 match read {
                     true => self.check_dependencies(check),
-                    false => self.response(check.request, Response::later("a job it names cannot be read")),
+                    false => self.refuse(check.request, Refusal::DependencyUnreadable),
                 }
             }
-            _ => self.response(check.request, Response::later("the state service does not answer")),
+            _ => self.refuse(check.request, Refusal::StoreUnavailable),
         }
     }
 }
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -7,9 +7,10 @@
 //! often, users cost the state service no more reads than before, and take
 //! none from submissions, workers and fencing.
 
+use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{Core, Response};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::coordination::Core;
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
@@ -51,13 +52,13 @@
 impl Core {
     pub(crate) fn query_status(&mut self, request: RequestId, job: JobId) {
         // A standstill of this node is nobody's silence.
-        let heard = self.last_state_answer.map(|at| at.max(self.resumed_at));
-        if self.loaded && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
-            return self.response(request, Response::later("the state service does not answer"));
+        let heard = self.store.last_answer().map(|at| at.max(self.resumed_at));
+        if self.store.is_loaded() && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
+            return self.refuse(request, Refusal::StoreUnavailable);
         }
         let status_queries = &mut self.status_queries;
-        if !self.loaded || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
-            return self.response(request, Response::later("busy"));
+        if !self.store.is_loaded() || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
+            return self.refuse(request, Refusal::Busy);
         }
         status_queries.waiting.push_back(Question { request, job, at: self.now });
     }
@@ -80,31 +81,31 @@
         if status_queries.waiting.is_empty()
             || status_queries.probing
             || now < status_queries.next
-            || now < self.retry_state_at
+            || !self.store.may_send(now)
         {
             return;
         }
-        if self.reads.take(now, 1.0) {
+        if self.store.try_charge_reads(now, 1.0) {
             self.status_queries.probing = true;
             self.status_queries.next = now + PROBE_EVERY;
             let questions = self.status_queries.waiting.drain(..).collect();
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
+            self.call_state(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
         }
     }
 
     fn give_up(&mut self, question: Question) {
-        self.response(question.request, Response::later("the state service does not answer"));
+        self.refuse(question.request, Refusal::StoreUnavailable);
     }
 
-    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
+    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StoreResponse) {
         self.status_queries.probing = false;
-        let StateAnswer::Missing(revision) = answer else {
+        let StoreResponse::Missing(revision) = answer else {
             return questions.into_iter().for_each(|q| self.give_up(q));
         };
         self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
         if self.cache.revision < revision {
             // The watch need not pause before it brings what is awaited.
-            self.next_watch = self.now;
+            self.store.watch_at_once(self.now);
             self.tick_membership();
         }
         self.answer_ready_queries();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,26 +6,22 @@
 pub(crate) mod jobs;
 pub(crate) mod leader;
 pub(crate) mod membership;
+mod messages;
 pub(crate) mod scheduling;
 pub(crate) mod shards;
 pub(crate) mod store_client;
 
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
-use crate::coordination::store_client::pending_requests::SentRequest;
-use crate::coordination::store_client::rate_limiter::RateLimiter;
-use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, RentRequest};
+use crate::coordination::shards::shard_quota::TeamGuarantee;
+use crate::coordination::store_client::StoreClient;
 use crate::protocol::peer::PeerStatus;
-use crate::protocol::state::{StateAnswer, StateCall};
-use crate::protocol::users::JobSpec;
-use crate::protocol::workers::{Command, Heartbeat};
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::storage::names::InternedName;
-use crate::units::{
-    CallId, FencingToken, JobId, LeaseId, MachineId, Millis, MonotonicTime, NodeName, RequestId, Revision, ShardId,
-};
+use crate::units::{JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
+pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often controllers tell one another how they are.
@@ -34,93 +30,6 @@
 /// A pause between inputs that cannot be chance: ticks come far more often.
 const CLOCK_JUMP: Millis = Millis(1000);
 
-/// What a user asks.
-#[derive(Debug, Clone)]
-pub enum ClientRequest {
-    Submit(Box<JobSpec>),
-    /// A submission that is not a valid one, of a job that may be known all the same.
-    Malformed {
-        id: JobId,
-        reason: String,
-    },
-    Query(JobId),
-    Cancel(JobId),
-    Health,
-}
-
-#[derive(Debug, Clone)]
-pub enum CloudCall {
-    Catalog,
-    List { after: Option<MachineId> },
-    Rent(RentRequest),
-    Return(Vec<MachineId>),
-}
-
-#[derive(Debug, Clone)]
-pub enum CloudAnswer {
-    Catalog(Catalog),
-    Page(MachinePage),
-    Rented(MachineNames),
-    NoCapacity,
-    Returned,
-    /// Refused, or no answer: it may be carried out late.
-    Failed,
-}
-
-#[derive(Debug)]
-pub enum Input {
-    Tick,
-    ClientRequest(RequestId, ClientRequest),
-    Heartbeat(RequestId, Heartbeat),
-    State(CallId, StateAnswer),
-    Cloud(CallId, CloudAnswer),
-    PeerStatus(PeerStatus),
-}
-
-/// The answer to a user.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Response {
-    Job {
-        status: u16,
-        id: JobId,
-        state: crate::protocol::users::JobState,
-        counts: Option<(u32, u32)>,
-    },
-    Error {
-        status: u16,
-        reason: String,
-        retry_after_s: Option<u32>,
-    },
-    Healthy,
-    /// Commands for a worker.
-    Commands {
-        token: FencingToken,
-        commands: Vec<Command>,
-    },
-    /// The worker should report to this node, or look on.
-    Redirect(Option<NodeName>),
-}
-
-impl Response {
-    fn problem(status: u16, reason: &str) -> Response {
-        Response::Error { status, reason: reason.into(), retry_after_s: None }
-    }
-    fn later(reason: &str) -> Response {
-        Response::Error { status: 503, reason: reason.into(), retry_after_s: Some(1) }
-    }
-}
-
-#[derive(Debug)]
-pub enum Output {
-    Response(RequestId, Response),
-    State(CallId, StateCall),
-    Cloud(CallId, CloudCall),
-    /// To all other controllers.
-    BroadcastStatus(PeerStatus),
-    /// To all other controllers: the records have come as far as this.
-    RevisionHint(Revision),
-}
-
 /// Lengths of time that the rules rest on, derived from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
@@ -171,28 +80,12 @@
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
     out: Vec<Output>,
-    last_call: u64,
-    pending_requests: BTreeMap<CallId, SentRequest>,
     cache: StateCache,
-    loaded: bool,
-    loading: bool,
-    watching: bool,
-    next_watch: MonotonicTime,
-    retry_state_at: MonotonicTime,
-    /// When the newest successful read of all records was sent.
-    last_read: Option<MonotonicTime>,
-    last_state_answer: Option<MonotonicTime>,
-    reads: RateLimiter,
-    writes: RateLimiter,
+    store: StoreClient,
     lease: Option<LeaseId>,
     granting: bool,
     renewing: bool,
     renew_at: MonotonicTime,
-    /// Keys whose values did not fit, each told once.
-    too_large: BTreeSet<String>,
-    /// Keys with a simple transaction on its way.
-    busy_keys: BTreeSet<String>,
-    unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
     target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
     finish: BTreeSet<JobId>,
@@ -208,8 +101,7 @@
     unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
-    /// Teams with a guarantee: cores and GPUs.
-    guarantees: Vec<(InternedName, f64, f64)>,
+    guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
     dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
     /// A waiting job may start: that must not wait for the next housekeeping.
@@ -217,7 +109,7 @@
     dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
     announced: crate::coordination::membership::feature_level::Announced,
     shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::Start,
+    start: crate::coordination::membership::startup::StartupProgress,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
     /// Notes told so far.
     told: u64,
@@ -236,14 +128,12 @@
             &mut cache.names,
         );
         let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
-        let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
+        let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
             timing: Timing::of(&settings),
-            reads: RateLimiter::new(state.rps * 0.9 / share),
-            writes: RateLimiter::new((state.write_rps * 0.9 / share).max(1.0)),
+            store: StoreClient::new(state.rps * 0.9 / share, (state.write_rps * 0.9 / share).max(1.0)),
             peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
             settings,
             tuning,
@@ -252,25 +142,13 @@
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
             out: vec![],
-            last_call: 0,
-            pending_requests: BTreeMap::new(),
             cache,
             objectives,
             guarantees,
-            loaded: false,
-            loading: false,
-            watching: false,
-            next_watch: MonotonicTime(0),
-            retry_state_at: MonotonicTime(0),
-            last_read: None,
-            last_state_answer: None,
             lease: None,
             granting: false,
             renewing: false,
             renew_at: MonotonicTime(0),
-            too_large: BTreeSet::new(),
-            busy_keys: BTreeSet::new(),
-            unresolved: crate::coordination::store_client::pending_requests::UnresolvedTransactions::default(),
             owned_shards: BTreeMap::new(),
             target_since: BTreeMap::new(),
             finish: BTreeSet::new(),
@@ -289,7 +167,7 @@
             dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
             announced: crate::coordination::membership::feature_level::Announced::default(),
             shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::Start::default(),
+            start: crate::coordination::membership::startup::StartupProgress::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
             told: 0,
         }
@@ -307,10 +185,10 @@
         match input {
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
-            Input::PeerStatus(status) => self.status(status),
+            Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
         self.send_due_responses();
@@ -369,11 +247,11 @@
         self.forget_errors();
         self.renew_lease_proxies();
         self.expire_machines();
-        self.lead();
+        self.run_leader_cycle();
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
-        self.raise_level();
+        self.raise_feature_level();
         self.release_ready_jobs();
         self.write_dependency_outcomes();
         self.archive_ended_jobs();
@@ -383,9 +261,14 @@
         self.out.push(Output::Response(request, response));
     }
 
+    /// Tells a user why a request is not carried out.
+    fn refuse(&mut self, request: RequestId, refusal: Refusal) {
+        self.response(request, Response::Error(refusal));
+    }
+
     /// True if the records were read lately enough to start new work on them.
     fn records_fresh(&self) -> bool {
-        self.last_read.is_some_and(|at| self.now.since(at) <= self.timing.fresh)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.fresh)
     }
 }
 
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -4,12 +4,12 @@
 use crate::coordination::shards::owned_shard::Machine;
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::Priority;
 use crate::storage::cache::{Job, Slice};
 use crate::storage::records;
 use crate::storage::records::{job_key, owner_key, slice_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
-use crate::units::{CallId, JobId, Millis, MonotonicTime, Revision, ShardId};
+use crate::units::{JobId, Millis, MonotonicTime, Revision, ShardId};
 use std::collections::BTreeSet;
 
 /// How soon a slice's changes should be durable; less is sooner.
@@ -84,7 +84,7 @@
 
 impl Core {
     pub(crate) fn write_pending_changes(&mut self) {
-        if self.now < self.retry_state_at {
+        if !self.store.may_send(self.now) {
             return;
         }
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
@@ -96,7 +96,7 @@
     /// coalesced; all of it holds only if we still own the shard, no slice was
     /// changed behind our back, and no job was cancelled or dealt anew.
     pub(crate) fn write_shard_changes(&mut self, shard: ShardId) {
-        let level = self.writes.level(self.now).floor();
+        let level = self.store.write_budget(self.now).floor();
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         if !owned_shard.ready
             || owned_shard.inflight.is_some()
@@ -122,7 +122,7 @@
         order.sort();
         // Writes are scarce: what can wait for more to come to the same slice
         // leaves half of them to starts.
-        let thrifty = level < self.writes.per_s() / 2.0;
+        let thrifty = level < self.store.writes_per_s() / 2.0;
         let mut transaction = Transaction {
             conditions: vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }],
             changes: vec![],
@@ -163,7 +163,7 @@
                         s.is_done()
                     }
                 });
-            if last && !self.busy_keys.contains(&job_key(&id)) {
+            if last && !self.store.is_key_busy(&job_key(&id)) {
                 // Done with its last slice: the slice need not be kept.
                 let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
                 if let Ok(value) = serde_json::to_value(record) {
@@ -188,13 +188,11 @@
             owned_shard.retry_at = self.now + Millis(20);
             return;
         }
-        self.reads.force(self.now, 1.0);
-        self.writes.force(self.now, transaction.changes.len() as f64);
-        self.call_state(
-            StateCall::Transaction(transaction.clone()),
+        self.store.charge_transaction(self.now, transaction.changes.len());
+        let id = self.call_state(
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::ShardTransaction { shard, transaction },
         );
-        let id = CallId(self.last_call);
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = Some(id);
         }
@@ -203,15 +201,15 @@
     /// The change in a form that fits into one value, if any does: slices may
     /// have been cut when values were larger.
     fn fitted_slice(&self, change: Change, slice: &Slice) -> Option<Change> {
-        let Change::Put { put, value, lease } = change else { return Some(change) };
+        let Change::Put { key, value, lease } = change else { return Some(change) };
         let small = slice.desired().is_some_and(|want| {
             self.fits(want.tasks.len() * crate::coordination::jobs::submission::TASK_BYTES as usize)
         });
         if small || self.fits_value(&value) {
-            return Some(Change::Put { put, value, lease });
+            return Some(Change::Put { key, value, lease });
         }
         let compact = slice.desired().filter(|_| self.dependencies_enabled()).and_then(SliceRecord::compact);
-        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { put, value, lease })
+        compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { key, value, lease })
     }
 
     /// Tasks of a slice that may be on machines at the same time, so that its
@@ -242,19 +240,19 @@
             for (at, task) in slice.into_iter().flat_map(|record| record.tasks.iter().enumerate()) {
                 let TaskRecord::Placed(attempt, machine) = task else { continue };
                 let key = (id.clone(), first + at as u32);
-                let listed = |m: &Machine| m.listed.get(&key).is_some_and(|known| known.0 == *attempt);
+                let listed = |m: &Machine| m.reported_tasks.get(&key).is_some_and(|known| known.attempt == *attempt);
                 if !owned_shard.machines.get(machine).is_some_and(listed) {
-                    self.deferred_responses.touch(machine);
+                    self.deferred_responses.mark_ready(machine);
                 }
             }
         }
     }
 
-    pub(crate) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StateAnswer) {
+    pub(crate) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StoreResponse) {
         // The slices of a transaction that failed, or whose outcome is not
         // known, are sent again under the same versions: if it did go
         // through after all, the conflict says so and the records are read.
-        let committed = matches!(answer, StateAnswer::Committed(_));
+        let committed = matches!(answer, StoreResponse::Committed(_));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = None;
             if !committed {
@@ -267,7 +265,7 @@
             }
         }
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.touch_machines(shard, &transaction);
                 // Tell others only of what they may have to act on: ends of jobs.
@@ -275,13 +273,13 @@
                     self.send_revision_hint(revision);
                 }
             }
-            StateAnswer::Conflict(failed) => {
+            StoreResponse::Conflict(failed) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.rereads += failed.len();
                 }
                 self.reread(failed, Some(shard));
             }
-            StateAnswer::Rejected(_) => {
+            StoreResponse::Invalid(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.retry_at = self.now + Millis(2000);
                 }
