--- /dev/null
+++ b/tests/simulator/cloud.rs
@@ -0,0 +1,103 @@
+//! The cloud: its catalog, the list of machines that is a little behind, rentals and returns.
+
+use super::SimulatedCluster;
+use std::collections::BTreeMap;
+use tillercleat::coordination::{CloudAnswer, CloudCall};
+use tillercleat::protocol::cloud::{Catalog, ListedMachine, ListedMachineState, MachineIds, MachinePage, RentRequest};
+use tillercleat::units::MachineId;
+
+/// How long a machine is rented before the list shows it (milliseconds).
+const LIST_LAG_MS: u64 = 2000;
+/// How long a machine takes to come up at least, and what it may take longer (milliseconds).
+const MIN_BOOT_MS: u64 = 2000;
+const BOOT_SPREAD_MS: u64 = 6000;
+/// When machines come up that never do.
+const NEVER: u64 = u64::MAX / 2;
+
+/// Machines rented before then come up late, or never.
+#[derive(Debug, Clone, Copy)]
+struct SlowProvisioning {
+    until: u64,
+    factor: u64,
+    /// 0: all of them come up.
+    every_nth_never: usize,
+}
+
+/// What the cloud remembers.
+pub(super) struct Cloud {
+    /// The machines of each rental, by the request's name: a repeated request gets the same.
+    rentals: BTreeMap<String, Vec<MachineId>>,
+    slow: SlowProvisioning,
+}
+
+impl Default for Cloud {
+    fn default() -> Cloud {
+        Cloud { rentals: BTreeMap::new(), slow: SlowProvisioning { until: 0, factor: 1, every_nth_never: 0 } }
+    }
+}
+
+impl Cloud {
+    pub(super) fn slow_down(&mut self, until: u64, factor: u64, every_nth_never: usize) {
+        self.slow = SlowProvisioning { until, factor, every_nth_never };
+    }
+
+    /// When the machine of this number is up that is rented now and takes `boot_ms` as a rule.
+    fn up_at(&self, now: u64, index: usize, boot_ms: u64) -> u64 {
+        let SlowProvisioning { until, factor, every_nth_never } = self.slow;
+        if now >= until {
+            now + boot_ms
+        } else if every_nth_never > 0 && index % every_nth_never == 0 {
+            NEVER
+        } else {
+            now + boot_ms * factor
+        }
+    }
+}
+
+impl SimulatedCluster {
+    pub(super) fn call_cloud(&mut self, call: CloudCall) -> CloudAnswer {
+        match call {
+            CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() }),
+            CloudCall::List { .. } => CloudAnswer::Page(self.list_machines()),
+            CloudCall::Rent(request) => self.rent_machines(request),
+            CloudCall::Return(names) => {
+                let returned = self.workers.iter_mut().filter(|worker| names.contains(&worker.name));
+                returned.for_each(|worker| worker.die());
+                CloudAnswer::Returned
+            }
+        }
+    }
+
+    fn list_machines(&self) -> MachinePage {
+        let listed = |worker: &&super::workers::Worker| worker.alive && self.now >= worker.rented_at + LIST_LAG_MS;
+        let machines = self.workers.iter().filter(listed).map(|worker| ListedMachine {
+            machine: worker.name.clone(),
+            kind: worker.kind.clone(),
+            zone: self.config.zones[worker.zone].clone(),
+            spot: worker.spot,
+            state: if self.now >= worker.up_at { ListedMachineState::Running } else { ListedMachineState::Booting },
+            age_s: (self.now - worker.rented_at) as f64 / 1000.0,
+        });
+        MachinePage { machines: machines.collect(), truncated: false }
+    }
+
+    fn rent_machines(&mut self, request: RentRequest) -> CloudAnswer {
+        if let Some(machines) = self.cloud.rentals.get(&request.request_id) {
+            return CloudAnswer::Rented(MachineIds { machines: machines.clone() });
+        }
+        let room = self.config.machines.saturating_sub(self.running_machines());
+        let count = (request.count as usize).min(room);
+        if count == 0 {
+            return CloudAnswer::NoCapacity;
+        }
+        let zone = self.config.zones.iter().position(|zone| *zone == request.zone).expect("a zone of the catalog");
+        let mut machines = vec![];
+        for _ in 0..count {
+            let boot_ms = MIN_BOOT_MS + self.random.below(BOOT_SPREAD_MS);
+            let up_at = self.cloud.up_at(self.now, self.workers.len(), boot_ms);
+            machines.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
+        }
+        self.cloud.rentals.insert(request.request_id, machines.clone());
+        CloudAnswer::Rented(MachineIds { machines })
+    }
+}
