--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -229,7 +229,7 @@
             ExitReason::Error => {
                 m.failed_jobs.insert(key.0.clone(), self.now);
                 tracing::info!("task {}/{} failed on {machine}", key.0, key.1);
-                self.note_error(&key, task.attempt);
+                self.record_replica_failure(&key, task.attempt);
                 self.estimates.record_failure(&key.0, machine, self.now);
                 self.update_faulty_machine(shard, machine);
             }
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -1,48 +1,50 @@
-//! Jobs that ended long ago: put away where no node reads or watches them,
-//! and looked up one by one when somebody asks.
+//! The archive: jobs that ended some time ago, under keys that no controller watches.
+//!
+//! The leader moves ended jobs there; each controller reads one when a user asks for it and keeps it
+//! in its cache. Nothing is ever removed from the archive.
 
-use crate::coordination::jobs::refusal::Refusal;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
+use crate::coordination::{Core, Refusal};
 use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
-use crate::storage::records::{archived_job_key, job_key, ArchivedJob, LEADER_KEY};
+use crate::storage::cache::Job;
+use crate::storage::records::{archived_job_key, job_key, ArchivedJob, JobOutcome, LEADER_KEY};
 use crate::units::{JobId, RequestId};
 
-/// Age from which an ended job is put away: until then its user still asks,
-/// and the usual load is learned from it.
-const PUT_AWAY_AFTER_S: f64 = 300.0;
+/// Age from which an ended job is archived, in seconds: until then its user still asks for it, and
+/// the usual load is learned from it.
+const ARCHIVE_AFTER_S: f64 = 300.0;
 
-/// Jobs put away in one transaction at the most.
-const MOST_AT_ONCE: usize = 6;
+/// The most jobs that one transaction archives.
+const MAX_PER_TRANSACTION: usize = 6;
+
+/// Changes that archiving one job takes: the new record, and the end of the old one.
+const CHANGES_PER_JOB: usize = 2;
+
+/// Jobs are archived only while more than this share of a second's writes is unused.
+const IDLE_S: f64 = 0.8;
+
+/// The share of a second's writes that one transaction may use.
+const USABLE_S: f64 = 0.5;
 
 impl Core {
-    /// The leader moves old ended jobs out of the watched records, with writes
-    /// that nobody else has use for.
+    /// Moves old ended jobs out of the watched records, with writes that nothing else needs. Does
+    /// nothing unless this node leads.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.store.writes_above(self.now, 0.8);
+        let idle = self.store.writes_above(self.now, IDLE_S);
         if !self.leading() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
-        // Two changes a job, and no more than is idle.
-        let spare = (0.5 * self.store.writes_per_s()) as usize;
-        let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops / 2).min(spare / 2);
-        let mut transaction = Transaction {
-            conditions: vec![Condition { key: LEADER_KEY.into(), version: self.cache.leader.version }],
-            changes: vec![],
-        };
-        for (id, job) in &self.cache.jobs {
-            let Some(end) = job.record.end.filter(|_| !self.cache.active.contains(id)) else { continue };
-            if self.age_s(job) < PUT_AWAY_AFTER_S
-                || self.store.is_key_busy(&job_key(id))
-                || self.dependency_graph.is_needed(id)
-            {
-                continue;
-            }
-            if transaction.changes.len() + 2 > 2 * most {
-                break;
-            }
-            let Ok(value) = serde_json::to_value(ArchivedJob { end, tasks: job.record.spec.task_count }) else {
-                continue;
+        let leads = Condition { key: LEADER_KEY.into(), version: self.cache.leader.version };
+        let mut transaction = Transaction { conditions: vec![leads], changes: vec![] };
+        let jobs = self.cache.jobs.iter();
+        let archivable = jobs.filter_map(|(id, job)| Some((id, job, self.archivable_outcome(id, job)?)));
+        for (id, job, end) in archivable.take(self.max_archived_at_once()) {
+            let value = match serde_json::to_value(ArchivedJob { end, tasks: job.record.spec.task_count }) {
+                Ok(value) => value,
+                Err(error) => {
+                    tracing::error!(job = %id, %error, "failed to serialize archived job");
+                    continue;
+                }
             };
             transaction.conditions.push(Condition { key: job_key(id), version: job.version });
             transaction.changes.push(Change::put(archived_job_key(id), value));
@@ -53,33 +55,48 @@
         }
     }
 
-    /// Looks up a job that has no record among those put away.
-    pub(crate) fn look_up_archived(&mut self, request: RequestId, job: JobId, known: bool) {
+    /// How a job ended, if it is to be archived now.
+    fn archivable_outcome(&self, id: &JobId, job: &Job) -> Option<JobOutcome> {
+        let end = job.record.end.filter(|_| !self.cache.active.contains(id))?;
+        let archivable = self.age_s(job) >= ARCHIVE_AFTER_S
+            && !self.store.is_key_busy(&job_key(id))
+            && !self.dependency_graph.is_needed(id);
+        archivable.then_some(end)
+    }
+
+    fn max_archived_at_once(&self) -> usize {
+        let usable_writes = (USABLE_S * self.store.writes_per_s()) as usize;
+        let allowed = self.settings.cluster.state.txn_ops.min(usable_writes);
+        MAX_PER_TRANSACTION.min(allowed / CHANGES_PER_JOB)
+    }
+
+    /// Answers with the state of a job that has no record, from the archive. `accepted` if the job is
+    /// known to have been submitted, so that it cannot be missing for good.
+    pub(crate) fn look_up_archived(&mut self, request: RequestId, job: JobId, accepted: bool) {
         if self.cache.archived(&job).is_some() {
             return self.answer_known_job(request, &job);
         }
-        if self.afford(request, 1.0) {
-            self.call_state(
-                StateCall::Get { key: archived_job_key(&job) },
-                PendingRequest::Archived { request, job, known },
-            );
+        if self.try_charge_request(request) {
+            let call = StateCall::Get { key: archived_job_key(&job) };
+            self.call_state(call, PendingRequest::Archived { request, job, known: accepted });
         }
     }
 
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, known: bool, answer: StateAnswer) {
-        let response = match answer {
-            // A submission whose outcome was unknown was not carried out.
-            StateAnswer::Missing(_) if !known => Refusal::JobNotFound.into(),
+    /// Answers with the state of a job that was looked up in the archive.
+    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, accepted: bool, answer: StateAnswer) {
+        match answer {
+            StateAnswer::Missing(_) if !accepted => self.refuse(request, Refusal::JobNotFound),
             StateAnswer::Found(_) => match self.take_archived(&job, answer) {
-                Some(_) => return self.answer_known_job(request, &job),
-                None => Refusal::JobUnreadable.into(),
+                Some(_) => self.answer_known_job(request, &job),
+                None => self.refuse(request, Refusal::JobUnreadable),
             },
-            _ => Refusal::StoreUnavailable.into(),
-        };
-        self.response(request, response);
+            // A submission whose outcome was unknown and that is missing was not carried out: its
+            // user may repeat it.
+            _ => self.refuse(request, Refusal::StoreUnavailable),
+        }
     }
 
-    /// Takes the record of a job that was put away, if that is what came.
+    /// Takes an archived job that was read into the cache. None if the answer holds no such record.
     pub(crate) fn take_archived(&mut self, id: &JobId, answer: StateAnswer) -> Option<ArchivedJob> {
         let StateAnswer::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
@@ -88,7 +105,7 @@
                 Some(record)
             }
             Err(error) => {
-                tracing::error!("record {} makes no sense: {error}", item.key);
+                tracing::error!(key = %item.key, %error, "failed to read archived job");
                 None
             }
         }
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -1,250 +1,262 @@
-//! Who needs whom: jobs that wait until others are done.
+//! The dependency graph: which waiting jobs depend on which others.
 //!
-//! A pure index, fed with what the records say. The rest of the core asks it
-//! which jobs have become ready, which follow a cancelled one, and how urgent a
-//! job is for the sake of those that need it. What it says of readiness and of
-//! cancellations never goes back, because ends of jobs never do.
-//!
-//! Costs: a change is passed on to those that it changes anything for, a name
-//! at a time; nothing here walks all jobs.
+//! A pure index, fed by `dependency_release` with what the records say. It tells which jobs have
+//! become ready, which are cancelled through a dependency, and what priority a job inherits from
+//! those that depend on it. What it says of readiness and of cancellation is never taken back,
+//! because a job that ended stays so. A change costs as much as the jobs that it changes something
+//! for; nothing here walks over all jobs. It knows nothing of records, the store or time.
 
 use crate::storage::effective_priority::EffectivePriority;
 use crate::storage::records::JobOutcome;
 use crate::units::JobId;
 use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound;
 
-/// What is known of a job that another one names.
+/// What is known of a job that another one depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum DependencyState {
+    /// It has not ended.
     Open,
+    /// It ended.
     Ended(JobOutcome),
-    /// No record of it is held: it was put away, and must be looked up.
+    /// No record of it is held: it was archived and must be looked up.
     Unknown,
 }
 
-/// A job that waits for others.
+/// A job that waits for others, as its record describes it.
+#[derive(Debug)]
+pub struct WaitingJob {
+    /// The jobs that have to be done before it starts.
+    pub dependencies: Vec<JobId>,
+    /// Its own priority and due time, without those that it inherits.
+    pub own_priority: EffectivePriority,
+    /// How long it is expected to take once it may start, in milliseconds.
+    pub expected_ms: u64,
+}
+
+/// A waiting job and how far its dependencies are.
 #[derive(Debug)]
-struct Follower {
-    names: Vec<JobId>,
-    /// Those of them that are not known to be done.
-    left: BTreeSet<JobId>,
-    own: EffectivePriority,
-    takes_ms: u64,
+struct Dependent {
+    job: WaitingJob,
+    /// Its dependencies that are not known to be done.
+    unfinished: BTreeSet<JobId>,
     cancelled: bool,
 }
 
-/// A job that others wait for, or waited for and have not begun since.
+/// A job that waiting jobs depend on.
 #[derive(Debug, Default)]
-struct Needed {
-    by: BTreeSet<JobId>,
-    effective_priority: Option<EffectivePriority>,
+struct Dependency {
+    dependents: BTreeSet<JobId>,
+    /// The priority that it inherits from them.
+    inherited_priority: Option<EffectivePriority>,
 }
 
-/// The index.
+/// The index of waiting jobs and of those that they depend on.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    followers: BTreeMap<JobId, Follower>,
-    needed: BTreeMap<JobId, Needed>,
+    dependents: BTreeMap<JobId, Dependent>,
+    dependencies: BTreeMap<JobId, Dependency>,
+    /// Dependencies that must be looked up.
     unknown: BTreeSet<JobId>,
     ready: BTreeSet<JobId>,
     cancelled: BTreeSet<JobId>,
-    /// Jobs whose urge changed since that was asked.
-    pressed: BTreeSet<JobId>,
+    /// Jobs whose inherited priority changed since that was last asked for.
+    reprioritized: BTreeSet<JobId>,
 }
 
 impl DependencyGraph {
-    /// A job waits for others. `takes_ms` is what it is expected to take once
-    /// it may start. Names of a waiting job never change: said again, nothing
-    /// happens.
-    pub fn add(
-        &mut self,
-        id: &JobId,
-        names: &[JobId],
-        own: EffectivePriority,
-        takes_ms: u64,
-        known: impl Fn(&JobId) -> Known,
-    ) {
-        if self.followers.contains_key(id) {
+    /// Adds a job that waits for others. The dependencies of a job never change, so adding it again
+    /// does nothing.
+    pub fn add(&mut self, id: &JobId, job: WaitingJob, state_of: impl Fn(&JobId) -> DependencyState) {
+        if self.dependents.contains_key(id) {
             return;
         }
-        let mut left = BTreeSet::new();
+        let mut unfinished = BTreeSet::new();
         let mut cancelled = false;
-        for name in names {
-            self.needed.entry(name.clone()).or_default().by.insert(id.clone());
-            match known(name) {
-                Known::Ended(JobOutcome::Done) => continue,
-                Known::Ended(JobOutcome::Cancelled) => cancelled = true,
-                Known::Open => cancelled |= self.is_cancelled(name),
-                Known::Unknown => {
-                    self.unknown.insert(name.clone());
+        for dependency in &job.dependencies {
+            self.dependencies.entry(dependency.clone()).or_default().dependents.insert(id.clone());
+            match state_of(dependency) {
+                DependencyState::Ended(JobOutcome::Done) => continue,
+                DependencyState::Ended(JobOutcome::Cancelled) => cancelled = true,
+                DependencyState::Open => cancelled |= self.is_cancelled(dependency),
+                DependencyState::Unknown => {
+                    self.unknown.insert(dependency.clone());
                 }
             }
-            left.insert(name.clone());
+            unfinished.insert(dependency.clone());
         }
-        let ready = left.is_empty();
-        let follower = Follower { names: names.to_vec(), left, own, takes_ms, cancelled: false };
-        self.followers.insert(id.clone(), follower);
+        let ready = unfinished.is_empty();
+        let dependencies = job.dependencies.clone();
+        self.dependents.insert(id.clone(), Dependent { job, unfinished, cancelled: false });
         if cancelled {
             self.cancel(id);
-        } else {
-            if ready {
-                self.ready.insert(id.clone());
-            }
-            self.press(names.to_vec());
+            return;
+        }
+        if ready {
+            self.ready.insert(id.clone());
         }
+        self.propagate_priority(dependencies);
     }
 
-    /// A job that a name stands for has a record, or has one again.
-    pub fn seen(&mut self, id: &JobId) {
+    /// A job has a record, possibly again: it need not be looked up.
+    pub fn found(&mut self, id: &JobId) {
         self.unknown.remove(id);
     }
 
     /// A job ended, for good.
-    pub fn ended(&mut self, id: &JobId, end: JobOutcome) {
+    pub fn ended(&mut self, id: &JobId, outcome: JobOutcome) {
         self.unknown.remove(id);
-        let Some(needed) = self.needed.get(id) else { return };
-        let by: Vec<JobId> = needed.by.iter().cloned().collect();
-        for follower in by {
-            match end {
-                JobOutcome::Cancelled => self.cancel(&follower),
-                JobOutcome::Done => {
-                    let Some(f) = self.followers.get_mut(&follower) else { continue };
-                    f.left.remove(id);
-                    if f.left.is_empty() && !f.cancelled {
-                        self.ready.insert(follower);
-                    }
-                }
+        let Some(dependency) = self.dependencies.get(id) else { return };
+        for dependent in dependency.dependents.clone() {
+            match outcome {
+                JobOutcome::Cancelled => self.cancel(&dependent),
+                JobOutcome::Done => self.dependency_done(&dependent, id),
             }
         }
     }
 
-    /// The record of a job is gone from those that are held. If its end was
-    /// not seen before, it must be looked up.
-    pub fn lost(&mut self, id: &JobId) {
-        let Some(needed) = self.needed.get(id) else { return };
-        let open = |f: &JobId| self.followers.get(f).is_some_and(|f| !f.cancelled && f.left.contains(id));
-        if needed.by.iter().any(open) {
+    fn dependency_done(&mut self, id: &JobId, dependency: &JobId) {
+        let Some(dependent) = self.dependents.get_mut(id) else { return };
+        dependent.unfinished.remove(dependency);
+        if dependent.unfinished.is_empty() && !dependent.cancelled {
+            self.ready.insert(id.clone());
+        }
+    }
+
+    /// The record of a job is no longer held. If its end was not seen before, it must be looked up.
+    pub fn record_removed(&mut self, id: &JobId) {
+        let Some(dependency) = self.dependencies.get(id) else { return };
+        let waits = |dependent: &JobId| {
+            self.dependents.get(dependent).is_some_and(|d| !d.cancelled && d.unfinished.contains(id))
+        };
+        if dependency.dependents.iter().any(waits) {
             self.unknown.insert(id.clone());
         }
     }
 
-    /// A job waits no longer: it may start, or its own end is durable.
-    pub fn gone(&mut self, id: &JobId) {
-        let Some(follower) = self.followers.remove(id) else { return };
+    /// Removes a job that no longer waits: it may start, or its own end is durable.
+    pub fn remove(&mut self, id: &JobId) {
+        let Some(removed) = self.dependents.remove(id) else { return };
         self.ready.remove(id);
         self.cancelled.remove(id);
-        let mut changed = follower.names.clone();
-        for name in &follower.names {
-            let Some(needed) = self.needed.get_mut(name) else { continue };
-            needed.by.remove(id);
-            if needed.by.is_empty() {
-                self.needed.remove(name);
+        let mut changed = removed.job.dependencies.clone();
+        for name in &removed.job.dependencies {
+            let Some(dependency) = self.dependencies.get_mut(name) else { continue };
+            dependency.dependents.remove(id);
+            if dependency.dependents.is_empty() {
+                self.dependencies.remove(name);
                 self.unknown.remove(name);
-                self.pressed.insert(name.clone());
-                // What it lent to those before it ends as well.
-                changed.extend(self.followers.get(name).into_iter().flat_map(|f| f.names.iter().cloned()));
+                self.reprioritized.insert(name.clone());
+                // What it passed on to its own dependencies ends as well.
+                changed.extend(self.dependents.get(name).into_iter().flat_map(|d| d.job.dependencies.iter().cloned()));
             }
         }
-        self.press(changed);
+        self.propagate_priority(changed);
     }
 
-    /// Cancels a waiting job and all that follow it.
+    /// Cancels a waiting job and all that depend on it.
     fn cancel(&mut self, id: &JobId) {
-        let mut next = vec![id.clone()];
-        while let Some(id) = next.pop() {
-            let Some(follower) = self.followers.get_mut(&id).filter(|f| !f.cancelled) else { continue };
-            follower.cancelled = true;
-            let names = follower.names.clone();
+        let mut to_cancel = vec![id.clone()];
+        while let Some(id) = to_cancel.pop() {
+            let Some(dependent) = self.dependents.get_mut(&id).filter(|d| !d.cancelled) else { continue };
+            dependent.cancelled = true;
+            let dependencies = dependent.job.dependencies.clone();
             self.ready.remove(&id);
             self.cancelled.insert(id.clone());
-            self.press(names);
-            if let Some(needed) = self.needed.get(&id) {
-                next.extend(needed.by.iter().cloned());
+            self.propagate_priority(dependencies);
+            if let Some(dependency) = self.dependencies.get(&id) {
+                to_cancel.extend(dependency.dependents.iter().cloned());
             }
         }
     }
 
-    /// Passes on what has changed for those that need these jobs.
-    fn press(&mut self, mut names: Vec<JobId>) {
+    /// Works out anew what these jobs inherit, and passes changes on to their own dependencies.
+    fn propagate_priority(&mut self, mut names: Vec<JobId>) {
         while let Some(name) = names.pop() {
-            let Some(needed) = self.needed.get(&name) else { continue };
-            let urges = needed.by.iter().filter_map(|id| {
-                let follower = self.followers.get(id).filter(|f| !f.cancelled)?;
-                let all = self
-                    .effective_priority(id)
-                    .map_or(follower.own, |effective_priority| effective_priority.join(follower.own));
-                Some(all.before(follower.takes_ms))
-            });
-            let effective_priority = urges.reduce(EffectivePriority::join);
-            let Some(needed) = self.needed.get_mut(&name).filter(|n| n.effective_priority != effective_priority) else {
+            let Some(inherited) = self.inheritance_of(&name) else { continue };
+            let Some(dependency) = self.dependencies.get_mut(&name) else { continue };
+            if dependency.inherited_priority == inherited {
                 continue;
-            };
-            needed.effective_priority = effective_priority;
-            if let Some(follower) = self.followers.get(&name) {
-                names.extend(follower.names.iter().cloned());
             }
-            self.pressed.insert(name);
+            dependency.inherited_priority = inherited;
+            if let Some(dependent) = self.dependents.get(&name) {
+                names.extend(dependent.job.dependencies.iter().cloned());
+            }
+            self.reprioritized.insert(name);
         }
     }
 
-    /// True if a waiting job follows a cancelled one.
+    /// The priority that a job inherits from those that depend on it, if any priority. None if
+    /// nothing depends on the job.
+    fn inheritance_of(&self, name: &JobId) -> Option<Option<EffectivePriority>> {
+        let dependency = self.dependencies.get(name)?;
+        let priorities = dependency.dependents.iter().filter_map(|id| {
+            let dependent = self.dependents.get(id).filter(|d| !d.cancelled)?;
+            let own = dependent.job.own_priority;
+            let effective = self.effective_priority(id).map_or(own, |inherited| inherited.join(own));
+            Some(effective.before(dependent.job.expected_ms))
+        });
+        Some(priorities.reduce(EffectivePriority::join))
+    }
+
+    /// True if a waiting job is cancelled because one that it depends on is.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         self.cancelled.contains(id)
     }
 
-    /// True if it cannot be told yet whether a waiting job follows a cancelled
-    /// one, because one before it must be looked up first.
-    pub fn unsettled(&self, id: &JobId) -> bool {
+    /// True if it is not known yet whether a waiting job is cancelled, because a job that it depends
+    /// on, directly or not, must be looked up first.
+    pub fn is_unresolved(&self, id: &JobId) -> bool {
         if self.unknown.is_empty() {
             return false;
         }
-        let mut looked = BTreeSet::new();
-        let mut next = vec![id];
-        while let Some(id) = next.pop() {
+        let mut visited = BTreeSet::new();
+        let mut to_visit = vec![id];
+        while let Some(id) = to_visit.pop() {
             if self.unknown.contains(id) {
                 return true;
             }
-            if looked.insert(id) {
-                next.extend(self.followers.get(id).into_iter().flat_map(|f| &f.left));
+            if visited.insert(id) {
+                to_visit.extend(self.dependents.get(id).into_iter().flat_map(|d| &d.unfinished));
             }
         }
         false
     }
 
-    /// True if a record still names the job: it must not be put away.
+    /// True if a waiting job depends on the job: it must not be archived.
     pub fn is_needed(&self, id: &JobId) -> bool {
-        self.needed.contains_key(id)
+        self.dependencies.contains_key(id)
     }
 
-    /// How urgent a job is for the sake of those that need it, if any do.
+    /// The priority that a job inherits from those that depend on it, if any do.
     pub fn effective_priority(&self, id: &JobId) -> Option<EffectivePriority> {
-        self.needed.get(id)?.effective_priority
+        self.dependencies.get(id)?.inherited_priority
     }
 
-    /// Jobs whose urge may have changed since this was asked last.
-    pub fn take_pressed(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.pressed)
+    /// Jobs whose inherited priority may have changed since this was last called.
+    pub fn take_reprioritized(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.reprioritized)
     }
 
-    /// True if a waiting job may start.
+    /// True if all that a waiting job depends on is done.
     pub fn is_ready(&self, id: &JobId) -> bool {
         self.ready.contains(id)
     }
 
-    /// Waiting jobs that may start.
+    /// Waiting jobs that may start, in order of their ids.
     pub fn ready(&self) -> impl Iterator<Item = &JobId> {
         self.ready.iter()
     }
 
-    /// Waiting jobs that follow a cancelled one, whose own end is not durable.
+    /// Waiting jobs that are cancelled through a dependency and whose own end is not durable, in
+    /// order of their ids.
     pub fn cancelled(&self) -> impl Iterator<Item = &JobId> {
         self.cancelled.iter()
     }
 
-    /// A job that must be looked up, the next after `last` in order, from the
-    /// first again after the last.
-    pub fn unknown_after(&self, last: Option<&JobId>) -> Option<&JobId> {
-        let after = |last| self.unknown.range((std::ops::Bound::Excluded(last), std::ops::Bound::Unbounded)).next();
+    /// The job to be looked up next: the first after `last` in order of ids, or the first of all.
+    pub fn next_unknown(&self, last: Option<&JobId>) -> Option<&JobId> {
+        let after = |last| self.unknown.range((Bound::Excluded(last), Bound::Unbounded)).next();
         last.and_then(after).or_else(|| self.unknown.first())
     }
 }
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -43,7 +43,7 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(61), failure_persistence: None, ..Default::default() })]
     /// An index that lags would start a job too early, never, or in the wrong order.
     #[test]
-    fn the_index_follows_every_change(
+    fn the_graph_agrees_with_a_model_after_every_change(
         masks in proptest::collection::vec(0usize..1024, JOBS),
         steps in proptest::collection::vec((0usize..JOBS, any::<bool>()), 1..60),
     ) {
@@ -55,20 +55,21 @@
                     let refs: Vec<JobId> = names.iter().map(|p| id(*p)).collect();
                     let known = |name: &JobId| {
                         let at = (0..came).find(|p| id(*p) == *name).expect("a job that came");
-                        model.end[at].map_or(Known::Open, Known::Ended)
+                        model.end[at].map_or(DependencyState::Open, DependencyState::Ended)
                     };
-                    dependency_graph.add(&id(came), &refs, own(came), 10 * came as u64, known);
+                    let (own_priority, expected_ms) = (own(came), 10 * came as u64);
+                    dependency_graph.add(&id(came), WaitingJob { dependencies: refs, own_priority, expected_ms }, known);
                     (model.names[came], model.waits[came]) = (names, true);
                 }
                 came += 1;
             } else if model.ready(n) {
                 model.waits[n] = false;
-                dependency_graph.gone(&id(n));
+                dependency_graph.remove(&id(n));
             } else if model.end[n].is_none() && (!done || !model.waits[n]) {
                 let end = if done { JobOutcome::Done } else { JobOutcome::Cancelled };
                 (model.end[n], model.waits[n]) = (Some(end), false);
                 dependency_graph.ended(&id(n), end);
-                dependency_graph.gone(&id(n));
+                dependency_graph.remove(&id(n));
             }
             for n in 0..came {
                 prop_assert_eq!(dependency_graph.is_cancelled(&id(n)), model.waits[n] && model.cancelled(n));
--- a/src/coordination/jobs/dependency_release/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -1,13 +1,12 @@
 use super::*;
 use crate::coordination::{Output, Response};
 use crate::protocol::state::Item;
-use crate::units::Revision;
+use crate::units::{RequestId, Revision};
 
-/// A node that has just read the records, in which a job waits for one that
-/// was put away, would call it queued though another node called it
-/// cancelled before.
+/// A node that has just read the records, in which a job waits for an archived one, would call it
+/// queued though another node called it cancelled before.
 #[test]
-fn what_waits_behind_an_unknown_job_is_not_told_before_it_is_known() {
+fn the_state_of_a_job_with_an_unknown_dependency_is_not_answered() {
     let mut core = crate::coordination::tests::core();
     let record =
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 1, "parts": []}, "awaits": "000001"}));
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -1,307 +1,197 @@
-//! Jobs that name others which have to be done first: taking them, letting
-//! them start, and ending those that follow a cancelled one.
+//! Lets waiting jobs start once all their dependencies are done, and ends those that follow a
+//! cancelled one.
 //!
-//! A waiting job's record has a plan without slices. So nothing of it is dealt
-//! or placed anywhere, by controllers that know nothing of chains either. It
-//! may start once each job that it names is durably done: one transaction,
-//! conditional on its record, gives it a plan like any other job's. That a
-//! waiting job follows a cancelled one is seen in the records of those before
-//! it and answered from that at once; its own end is written behind.
-
-use crate::coordination::jobs::dependency_graph::Known;
-use crate::coordination::jobs::refusal::{InfeasibleJob, Refusal};
-use crate::coordination::store_client::pending_requests::PendingRequest;
+//! A waiting job's record has a plan without slices, so no controller starts anything of it. One
+//! transaction under the condition of its record gives it a plan like any other job's. That a waiting
+//! job is cancelled through a dependency is known from the records of those before it and answered
+//! from that at once; its own end is written later, when the store is idle. Two controllers that
+//! change the same record do no harm: its version decides.
+
+use crate::coordination::jobs::dependency_check::dependency_state;
+use crate::coordination::jobs::dependency_graph::{DependencyGraph, WaitingJob};
+use crate::coordination::jobs::put_job_record;
+use crate::coordination::membership::feature_level::supports_dependencies;
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
-use crate::protocol::users::{JobKind, JobSpec};
-use crate::storage::cache::StateCache;
+use crate::protocol::state::{Condition, Transaction};
+use crate::storage::cache::Job;
 use crate::storage::effective_priority::EffectivePriority;
-use crate::storage::records::{archived_job_key, job_key, Dependencies, JobOutcome, JobRecord, SlicePlan};
-use crate::units::{JobId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use crate::storage::records::{job_key, Dependencies, JobOutcome, JobRecord};
+use crate::units::{JobId, Millis, MonotonicTime, NodeName, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a job that may start waits for whoever should let it: then any node
-/// that knows of chains does.
-const KEEPER_MAY_TAKE: Millis = Millis(3000);
-
-/// Waiting jobs changed in one transaction at the most.
-const MOST_AT_ONCE: usize = 8;
+/// How long a ready job waits for the controller responsible for it: then any controller that
+/// supports dependencies releases it.
+const RESPONSIBLE_TIMEOUT: Millis = Millis(3000);
 
-/// Pause between two look-ups of a job that must be somewhere and is not found.
-const LOOK_AGAIN: Millis = Millis(500);
+/// The most waiting jobs that one transaction changes.
+const MAX_PER_TRANSACTION: usize = 8;
 
-/// What a task takes beside its run time until it runs, for estimates of when
-/// the steps of a chain are due: its image, and a place to run.
+/// What a task takes beside its run time, in seconds: pulling its image and finding a machine. For
+/// estimates of when the jobs that others depend on are due.
 const STEP_OVERHEAD_S: f64 = 4.0;
 
-/// Tasks of a job end one after the other: the last of them takes longer than most.
-const LAST_TASK: f64 = 1.5;
+/// The last task of a job to end takes longer than most, by this factor.
+const LAST_TASK_FACTOR: f64 = 1.5;
 
-/// A submission whose names are being looked up.
-#[derive(Debug)]
-pub(crate) struct DependencyCheck {
-    request: RequestId,
-    spec: Box<JobSpec>,
-    /// Names looked at and not known to be done, and those still to be looked at.
-    checked: Vec<JobId>,
-    to_check: Vec<JobId>,
-    cancelled: bool,
-    /// The last name is being looked up among those put away.
-    archived: bool,
-}
+/// Jobs are released on credit, until this share of a second's writes is owed.
+const CREDIT_S: f64 = 0.5;
 
-/// What is kept of look-ups and of jobs let start.
+/// Outcomes are written only while more than this share of a second's writes is unused.
+const IDLE_S: f64 = 0.5;
+
+/// When ready jobs became so, and which of them a transaction was sent for.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyRelease {
-    asking: bool,
-    last: Option<JobId>,
-    next: MonotonicTime,
-    /// Since when jobs may start that have not been let, as seen here.
+    requested: bool,
+    /// Since when each job is ready, as seen by this node.
     ready_since: BTreeMap<JobId, MonotonicTime>,
-    /// Those that the last transaction was to let start.
-    released: BTreeSet<JobId>,
+    /// Jobs that the last transaction was to release.
+    attempted: BTreeSet<JobId>,
 }
 
-impl Core {
-    /// The end of a job, if it has one: its own, or that of one before it.
-    pub(crate) fn final_state(&self, id: &JobId) -> Option<JobOutcome> {
-        let own = self.cache.final_state(id);
-        own.or_else(|| self.dependency_graph.is_cancelled(id).then_some(JobOutcome::Cancelled))
+/// A waiting job whose record is to be changed.
+#[derive(Debug)]
+struct Candidate<'a> {
+    id: &'a JobId,
+    /// Any controller may change it, not just the responsible one.
+    overdue: bool,
+}
+
+impl DependencyRelease {
+    /// True if a release must not wait for the next housekeeping.
+    pub(crate) fn is_requested(&self) -> bool {
+        self.requested
+    }
+
+    /// Asks for a release before the next housekeeping.
+    pub(crate) fn request(&mut self) {
+        self.requested = true;
     }
 
-    fn known(cache: &StateCache, id: &JobId) -> Known {
-        match (cache.final_state(id), cache.jobs.contains_key(id)) {
-            (Some(end), _) => Known::Ended(end),
-            (None, true) => Known::Open,
-            (None, false) => Known::Unknown,
+    /// The ready jobs, those first that the last transaction was not for: one whose record cannot be
+    /// written must not hold up others.
+    fn candidates<'a>(&self, graph: &'a DependencyGraph, now: MonotonicTime) -> Vec<Candidate<'a>> {
+        let overdue = |id| self.ready_since.get(id).is_some_and(|since| now.since(*since) > RESPONSIBLE_TIMEOUT);
+        let ready = graph.ready().map(|id| Candidate { id, overdue: overdue(id) });
+        let (attempted, mut candidates): (Vec<_>, Vec<_>) =
+            ready.partition(|candidate| self.attempted.contains(candidate.id));
+        candidates.extend(attempted);
+        candidates
+    }
+
+    /// Notes which jobs are ready now and which of them a transaction is sent for.
+    fn note_attempt(&mut self, graph: &DependencyGraph, released: &[JobId], now: MonotonicTime) {
+        self.ready_since.retain(|id, _| graph.is_ready(id));
+        for id in graph.ready() {
+            self.ready_since.entry(id.clone()).or_insert(now);
         }
+        self.attempted = released.iter().cloned().collect();
     }
+}
 
-    /// Takes what a job's record says into the index of chains.
+impl Core {
+    /// Takes what a job's record says into the dependency graph.
     pub(crate) fn track_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else { return };
-        let (record, spec) = (&job.record, &job.record.spec);
-        if let Some(end) = record.end {
+        if let Some(end) = job.record.end {
             self.dependency_graph.ended(id, end);
-            self.dependency_graph.gone(id);
-        } else if record.waits() {
-            let due = |after: f64| record.at + (after * 1000.0) as u64;
-            let own = EffectivePriority { priority: spec.priority, due_ms: spec.deadline_s.map(due) };
-            let takes_ms = ((self.estimates.run_time(job) * LAST_TASK + STEP_OVERHEAD_S) * 1000.0) as u64;
+            self.dependency_graph.remove(id);
+        } else if job.record.waits() {
+            let waiting = self.waiting_job(job);
             let cache = &self.cache;
-            self.dependency_graph.seen(id);
-            self.dependency_graph.add(id, &record.dependencies.0, own, takes_ms, |name| Core::known(cache, name));
+            self.dependency_graph.found(id);
+            self.dependency_graph.add(id, waiting, |dependency| dependency_state(cache, dependency));
         } else {
-            self.dependency_graph.seen(id);
-            self.dependency_graph.gone(id);
+            self.dependency_graph.found(id);
+            self.dependency_graph.remove(id);
         }
-        for name in self.dependency_graph.take_pressed().iter().chain([id]) {
-            if let Some(job) = self.cache.jobs.get_mut(name) {
-                job.effective_priority = self.dependency_graph.effective_priority(name);
+        for changed in self.dependency_graph.take_reprioritized().iter().chain([id]) {
+            if let Some(job) = self.cache.jobs.get_mut(changed) {
+                job.effective_priority = self.dependency_graph.effective_priority(changed);
             }
         }
-        self.release_soon |= self.dependency_graph.ready().next().is_some();
+        if self.dependency_graph.ready().next().is_some() {
+            self.dependency_release.request();
+        }
     }
 
-    /// True if this node is to change a waiting job's record: the owner of the
-    /// part that its name hashes to, or else the first that knows of chains.
-    /// Two that think so do no harm: the record's version decides.
-    fn keeps_chain(&self, id: &JobId) -> bool {
-        let able = |node: &&NodeName| {
-            self.cache
-                .nodes
-                .get(*node)
-                .is_some_and(crate::coordination::membership::feature_level::supports_dependencies)
-        };
-        let owner = self.cache.owner(ShardId::of(id.as_str(), self.shard_count)).filter(able);
-        let first = || self.cache.live().map(|(node, _)| node).filter(able).min();
-        owner.or_else(first) == Some(&self.node_name)
+    fn waiting_job(&self, job: &Job) -> WaitingJob {
+        let (record, spec) = (&job.record, &job.record.spec);
+        let due_ms = |deadline_s: f64| record.at + (deadline_s * 1000.0) as u64;
+        let own_priority = EffectivePriority { priority: spec.priority, due_ms: spec.deadline_s.map(due_ms) };
+        let expected_s = self.estimates.run_time(job) * LAST_TASK_FACTOR + STEP_OVERHEAD_S;
+        WaitingJob {
+            dependencies: record.dependencies.0.clone(),
+            own_priority,
+            expected_ms: (expected_s * 1000.0) as u64,
+        }
     }
 
-    /// Lets what is ready start.
+    /// Lets ready jobs start.
     pub(crate) fn release_ready_jobs(&mut self) {
-        self.release_soon = false;
-        // As acceptance does, on credit as far as the share bears it.
-        let bears = self.store.writes_above(self.now, -0.5);
-        if !bears || !self.records_fresh() || !self.store.may_send(self.now) {
+        self.dependency_release.requested = false;
+        // Like submissions, releases go before other writes.
+        let affordable = self.store.writes_above(self.now, -CREDIT_S);
+        if !affordable || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
-        let time_of_day_ms = self.time_of_day_ms;
-        let may_start = |core: &Core, record: &JobRecord| JobRecord {
+        let candidates = self.dependency_release.candidates(&self.dependency_graph, self.now);
+        let chosen = self.choose_changeable(candidates);
+        self.dependency_release.note_attempt(&self.dependency_graph, &chosen, self.now);
+        self.rewrite_waiting_jobs(&chosen, |core, record| JobRecord {
             plan: core.first_plan(&record.spec),
             dependencies: Dependencies::default(),
-            ready: Some(time_of_day_ms.max(record.at)),
+            ready: Some(core.time_of_day_ms.max(record.at)),
             ..record.clone()
-        };
-        let (now, tried) = (self.now, std::mem::take(&mut self.dependency_release.released));
-        let overdue = |since: &MonotonicTime| now.since(*since) > KEEPER_MAY_TAKE;
-        let ready = self
-            .dependency_graph
-            .ready()
-            .map(|id| (id, self.dependency_release.ready_since.get(id).is_some_and(overdue)));
-        // One whose record will not be written must not keep others from theirs.
-        let (first, again): (Vec<_>, Vec<_>) = ready.partition(|(id, _)| !tried.contains(*id));
-        let ready = self.ours_of(first.into_iter().chain(again));
-        self.dependency_release.ready_since.retain(|id, _| self.dependency_graph.is_ready(id));
-        for id in self.dependency_graph.ready() {
-            self.dependency_release.ready_since.entry(id.clone()).or_insert(now);
-        }
-        self.dependency_release.released = ready.iter().cloned().collect();
-        self.rewrite_waiting(ready, may_start);
+        });
     }
 
-    /// Writes the ends of jobs that follow cancelled ones, with writes that
-    /// nobody else has use for: users are answered without.
+    /// Writes the ends of jobs that were cancelled through a dependency, with writes that nothing
+    /// else needs: users are answered without them.
     pub(crate) fn write_dependency_outcomes(&mut self) {
-        let idle = self.store.writes_above(self.now, 0.5);
+        let idle = self.store.writes_above(self.now, IDLE_S);
         if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
-        let end = |_: &Core, record: &JobRecord| JobRecord {
+        let candidates = self.dependency_graph.cancelled().map(|id| Candidate { id, overdue: false }).collect();
+        let chosen = self.choose_changeable(candidates);
+        self.rewrite_waiting_jobs(&chosen, |_, record| JobRecord {
             end: Some(JobOutcome::Cancelled),
             dependencies: Dependencies::default(),
             ..record.clone()
+        });
+    }
+
+    /// Of these jobs, as many as fit into a transaction and that this node may change now.
+    fn choose_changeable(&self, candidates: Vec<Candidate>) -> Vec<JobId> {
+        let most = MAX_PER_TRANSACTION.min(self.settings.cluster.state.txn_ops);
+        let changeable = |candidate: &Candidate| {
+            !self.store.is_key_busy(&job_key(candidate.id))
+                && (candidate.overdue || self.is_responsible_for(candidate.id))
         };
-        let cancelled = self.ours_of(self.dependency_graph.cancelled().map(|id| (id, false)));
-        self.rewrite_waiting(cancelled, end);
+        candidates.into_iter().filter(changeable).take(most).map(|candidate| candidate.id.clone()).collect()
     }
 
-    /// Of these jobs, some that this node may change now; with each, whether any may.
-    fn ours_of<'a>(&self, jobs: impl Iterator<Item = (&'a JobId, bool)>) -> Vec<JobId> {
-        let most = MOST_AT_ONCE.min(self.settings.cluster.state.txn_ops);
-        let owned_shard =
-            jobs.filter(|(id, any)| !self.store.is_key_busy(&job_key(id)) && (*any || self.keeps_chain(id)));
-        owned_shard.take(most).map(|(id, _)| id.clone()).collect()
+    /// True if this node is the one to change a waiting job's record: the owner of the shard that the
+    /// job's id hashes to, or the first live node if that one does not support dependencies.
+    fn is_responsible_for(&self, id: &JobId) -> bool {
+        let supported = |node: &&NodeName| self.cache.nodes.get(*node).is_some_and(supports_dependencies);
+        let owner = self.cache.owner(ShardId::of(id.as_str(), self.shard_count)).filter(supported);
+        let first = || self.cache.live().map(|(node, _)| node).filter(supported).min();
+        owner.or_else(first) == Some(&self.node_name)
     }
 
-    fn rewrite_waiting(&mut self, jobs: Vec<JobId>, to: impl Fn(&Core, &JobRecord) -> JobRecord) {
+    /// Changes the records of these jobs, if they still wait, in one transaction.
+    fn rewrite_waiting_jobs(&mut self, jobs: &[JobId], rewrite: impl Fn(&Core, &JobRecord) -> JobRecord) {
         let mut transaction = Transaction::default();
         for id in jobs {
-            let Some(job) = self.cache.jobs.get(&id).filter(|j| j.record.waits()) else { continue };
-            let Ok(value) = serde_json::to_value(to(self, &job.record)) else { continue };
-            transaction.conditions.push(Condition { key: job_key(&id), version: job.version });
-            transaction.changes.push(Change::put(job_key(&id), value));
+            let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.waits()) else { continue };
+            let Some(change) = put_job_record(id, &rewrite(self, &job.record)) else { continue };
+            transaction.conditions.push(Condition { key: job_key(id), version: job.version });
+            transaction.changes.push(change);
         }
         if !transaction.changes.is_empty() {
             self.submit_transaction(transaction);
         }
     }
-
-    /// Looks up jobs that waiting ones name and that were put away.
-    pub(crate) fn look_up_unknown_dependencies(&mut self) {
-        if !self.store.is_loaded()
-            || self.dependency_release.asking
-            || self.now < self.dependency_release.next
-            || !self.store.may_send(self.now)
-        {
-            return;
-        }
-        let Some(id) = self.dependency_graph.unknown_after(self.dependency_release.last.as_ref()).cloned() else {
-            return;
-        };
-        self.dependency_release.asking = true;
-        self.dependency_release.last = Some(id.clone());
-        self.store.charge_read(self.now);
-        self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
-    }
-
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StateAnswer) {
-        self.dependency_release.asking = false;
-        let Some(record) = self.take_archived(&id, answer) else {
-            self.dependency_release.next = self.now + LOOK_AGAIN;
-            return;
-        };
-        self.dependency_graph.ended(&id, record.end);
-        self.release_soon = true;
-    }
-
-    /// A submission that names others: they are looked at one by one.
-    pub(crate) fn submit_after(&mut self, request: RequestId, spec: Box<JobSpec>) {
-        if !self.dependencies_enabled() {
-            return self.refuse(request, Refusal::DependenciesNotEnabled);
-        }
-        let to_check = spec.dependencies.clone();
-        if to_check.contains(&spec.id) {
-            return self.refuse_unless_known(request, spec.id, InfeasibleJob::DependsOnItself.into());
-        }
-        self.check_dependencies(DependencyCheck {
-            request,
-            spec,
-            checked: vec![],
-            to_check,
-            cancelled: false,
-            archived: false,
-        });
-    }
-
-    fn check_dependencies(&mut self, mut check: DependencyCheck) {
-        check.archived = false;
-        while let Some(name) = check.to_check.pop() {
-            if let Some(job) = self.cache.jobs.get(&name) {
-                if job.record.spec.kind == JobKind::Standing {
-                    return self.refuse_unless_known(
-                        check.request,
-                        check.spec.id,
-                        InfeasibleJob::DependsOnService(name).into(),
-                    );
-                }
-            }
-            match Core::known(&self.cache, &name) {
-                Known::Unknown => {
-                    check.to_check.push(name);
-                    return self.look_up_dependency(check);
-                }
-                Known::Ended(JobOutcome::Done) => {}
-                Known::Ended(JobOutcome::Cancelled) => check.cancelled = true,
-                Known::Open => check.checked.push(name),
-            }
-        }
-        let DependencyCheck { request, spec, checked, cancelled, .. } = check;
-        let record = if cancelled || !checked.is_empty() {
-            JobRecord {
-                plan: Some(SlicePlan { size: 1, shards: vec![] }),
-                end: cancelled.then_some(JobOutcome::Cancelled),
-                dependencies: Dependencies(if cancelled { vec![] } else { checked }),
-                ..JobRecord::new((*spec).clone(), self.time_of_day_ms)
-            }
-        } else {
-            JobRecord { plan: self.first_plan(&spec), ..JobRecord::new((*spec).clone(), self.time_of_day_ms) }
-        };
-        self.write_submission(request, spec, record);
-    }
-
-    /// Reads the name that is next.
-    fn look_up_dependency(&mut self, check: DependencyCheck) {
-        let Some(id) = check.to_check.last().filter(|_| self.afford(check.request, 1.0)) else { return };
-        let key = if check.archived { archived_job_key(id) } else { job_key(id) };
-        self.call_state(StateCall::Get { key }, PendingRequest::DependencyCheck(check));
-    }
-
-    pub(crate) fn name_read(&mut self, mut check: DependencyCheck, answer: StateAnswer) {
-        let Some(id) = check.to_check.last().cloned() else { return };
-        match answer {
-            StateAnswer::Missing(_) if !check.archived => {
-                check.archived = true;
-                self.look_up_dependency(check);
-            }
-            StateAnswer::Missing(_) => {
-                self.refuse_unless_known(check.request, check.spec.id, InfeasibleJob::DependencyNotFound(id).into());
-            }
-            StateAnswer::Found(_) => {
-                let read = if check.archived {
-                    self.take_archived(&id, answer).is_some()
-                } else {
-                    self.take_job(answer).is_some()
-                };
-                match read {
-                    true => self.check_dependencies(check),
-                    false => self.refuse(check.request, Refusal::DependencyUnreadable),
-                }
-            }
-            _ => self.refuse(check.request, Refusal::StoreUnavailable),
-        }
-    }
 }
-
-#[cfg(test)]
-mod tests;
--- /dev/null
+++ b/src/coordination/jobs/health.rs
@@ -0,0 +1,41 @@
+//! The health check: whether this controller can accept submissions.
+//!
+//! Called for the platform's health requests and by `membership::startup`. Changes nothing.
+
+use crate::coordination::{Core, Refusal, Response};
+use crate::units::{Millis, MonotonicTime, RequestId};
+
+/// How old the last answer of the store, or the last status of a peer, may be to count as recent.
+const RECENT: Millis = Millis(3000);
+
+impl Core {
+    /// Answers a health check.
+    pub(crate) fn check_health(&mut self, request: RequestId) {
+        if self.can_accept_jobs() {
+            self.response(request, Response::Healthy);
+        } else {
+            self.refuse(request, Refusal::Starting);
+        }
+    }
+
+    /// True if submissions can be validated and the store answers, or if no peer reaches the store
+    /// either: users are then no better off at another controller.
+    pub(crate) fn can_accept_jobs(&self) -> bool {
+        let store_reached = self.is_recent(self.store.last_answer());
+        self.store.is_loaded() && !self.catalog.is_empty() && (store_reached || self.no_peer_reaches_store())
+    }
+
+    /// True if there are no peers, or if some are heard of and none of those reaches the store. A
+    /// controller that hears of no peer at all must take itself to be the one that is cut off.
+    fn no_peer_reaches_store(&self) -> bool {
+        let mut heard = self.peers.values().filter(|peer| self.is_recent(peer.heard)).peekable();
+        self.peers.is_empty() || heard.peek().is_some() && heard.all(|peer| !peer.state_reachable)
+    }
+
+    fn is_recent(&self, at: Option<MonotonicTime>) -> bool {
+        at.is_some_and(|at| self.now.since(at) < RECENT)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/jobs/submission/tests.rs
+++ b/src/coordination/jobs/health/tests.rs
@@ -2,10 +2,10 @@
 use crate::coordination::Peer;
 use crate::units::NodeName;
 
-/// A controller that had lost the state service and the others went on saying that
-/// it could take requests: users stayed with it and were told to come back for minutes.
+/// A controller that had lost the store and its peers went on saying that it could accept jobs:
+/// users stayed with it and were refused for minutes.
 #[test]
-fn a_node_left_alone_does_not_ask_for_users() {
+fn a_node_without_store_and_peers_is_not_healthy() {
     let mut core = crate::coordination::tests::core();
     let kind = serde_json::json!({"sku": "m", "cores": 8.0, "gpus": 0.0, "mem_gb": 32.0, "local_gb": 50.0,
         "fetch_gb_per_s": 1.0, "hourly": 1.0, "market_price": null, "ready_s": 20.0, "berths": ["a"]});
@@ -20,12 +20,12 @@
             status: None,
         });
         core.peers.insert(NodeName::new("n1"), peer.unwrap_or_default());
-        core.can_take()
+        core.can_accept_jobs()
     };
     assert!(up(59_000, None), "the records are reached");
     assert!(up(50_000, Some((59_000, false))), "nobody reaches the records");
     assert!(!up(50_000, Some((59_000, true))), "only this node does not");
     assert!(!up(50_000, Some((50_000, false))), "nobody is heard either");
     core.peers.clear();
-    assert!(core.can_take(), "there is nobody else");
+    assert!(core.can_accept_jobs(), "there is nobody else");
 }
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -1,128 +1,181 @@
-//! Users' questions, answered from the cache.
+//! Users' queries for the state of a job, answered from the cache.
 //!
-//! No node may give an older answer than another gave before, so the cache must
-//! be as new as the moment of the question. One small read tells how far the
-//! records have come; once the watch has brought the cache there, all questions
-//! that came before that read are answered from memory. Asked many times as
-//! often, users cost the state service no more reads than before, and take
-//! none from submissions, workers and fencing.
-
-use crate::coordination::jobs::refusal::Refusal;
+//! No controller may give an older answer than another gave before, so the cache must be as new as
+//! the moment of the query. One small read, the probe, tells the store's current revision; once the
+//! watch has brought the cache there, all queries that came before the probe are answered from
+//! memory. So the number of requests to the store does not grow with that of queries.
+
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::Core;
+use crate::coordination::{Core, Refusal};
 use crate::protocol::state::{StateAnswer, StateCall};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
-/// Questions that wait at the same time; more are told to come back.
-const MOST_WAITING: usize = 400;
+/// The most queries that wait at the same time; others are refused.
+const MAX_WAITING: usize = 400;
 
-/// Pause between two probes: what comes meanwhile shares one.
-const PROBE_EVERY: Millis = Millis(60);
+/// Pause between two probes: queries that come meanwhile share one.
+const PROBE_INTERVAL: Millis = Millis(60);
 
-/// A question that could not be answered by then is told to come back: its
-/// user would not wait much longer.
-const PATIENCE: Millis = Millis(1500);
+/// A query that waited this long is refused: its user would not wait much longer.
+const QUERY_TIMEOUT: Millis = Millis(1500);
 
-/// Without any answer of the state service for so long a question is told to come
-/// back at once: watches alone bring several in that time, if it answers at all.
-const STATE_SILENT: Millis = Millis(2500);
+/// If the store has answered nothing for this long, queries are refused at once: watches alone bring
+/// several answers in that time.
+const STORE_SILENCE: Millis = Millis(2500);
 
-/// Nothing is ever kept under this key; reading it tells the revision.
+/// A key that never exists: reading it tells the revision.
 const PROBE_KEY: &str = "t/q";
 
-/// A request that asks for the state of a job.
+/// A user's query for the state of a job.
 #[derive(Debug, Clone)]
-pub(crate) struct Question {
+pub(crate) struct StatusQuery {
     request: RequestId,
     job: JobId,
-    at: MonotonicTime,
+    received_at: MonotonicTime,
+}
+
+impl StatusQuery {
+    fn is_expired(&self, now: MonotonicTime) -> bool {
+        now.since(self.received_at) > QUERY_TIMEOUT
+    }
+}
+
+/// A query that is answered once the cache has reached a revision.
+#[derive(Debug)]
+struct ProbedQuery {
+    revision: Revision,
+    query: StatusQuery,
 }
 
+/// Queries that wait, and the probe for them.
 #[derive(Debug, Default)]
 pub(crate) struct StatusQueries {
-    /// Not covered by a probe yet.
-    waiting: VecDeque<Question>,
-    /// Answered once the cache has reached the revision.
-    held: Vec<(Revision, Question)>,
-    probing: bool,
-    next: MonotonicTime,
+    /// Queries that the next probe is sent for, oldest first.
+    unprobed: VecDeque<StatusQuery>,
+    probed: Vec<ProbedQuery>,
+    probe_in_flight: bool,
+    next_probe: MonotonicTime,
+}
+
+impl StatusQueries {
+    fn is_full(&self) -> bool {
+        self.unprobed.len() + self.probed.len() >= MAX_WAITING
+    }
+
+    fn add(&mut self, query: StatusQuery) {
+        self.unprobed.push_back(query);
+    }
+
+    /// Removes the queries that have waited too long.
+    fn take_expired(&mut self, now: MonotonicTime) -> Vec<StatusQuery> {
+        let mut expired = vec![];
+        while let Some(query) = self.unprobed.pop_front_if(|query| query.is_expired(now)) {
+            expired.push(query);
+        }
+        expired.extend(self.take_probed(|probed| probed.query.is_expired(now)));
+        expired
+    }
+
+    /// Removes the queries that a cache of this revision can answer.
+    fn take_answerable(&mut self, revision: Revision) -> Vec<StatusQuery> {
+        self.take_probed(|probed| probed.revision <= revision)
+    }
+
+    fn take_probed(&mut self, chosen: impl Fn(&ProbedQuery) -> bool) -> Vec<StatusQuery> {
+        // Called for every input: without a match nothing is moved.
+        if !self.probed.iter().any(&chosen) {
+            return vec![];
+        }
+        let (taken, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.probed).into_iter().partition(chosen);
+        self.probed = left;
+        taken.into_iter().map(|probed| probed.query).collect()
+    }
+
+    fn is_probe_due(&self, now: MonotonicTime) -> bool {
+        !self.unprobed.is_empty() && !self.probe_in_flight && now >= self.next_probe
+    }
+
+    /// Notes that a probe is sent, and returns the queries that it is sent for.
+    fn start_probe(&mut self, now: MonotonicTime) -> Vec<StatusQuery> {
+        self.probe_in_flight = true;
+        self.next_probe = now + PROBE_INTERVAL;
+        self.unprobed.drain(..).collect()
+    }
+
+    fn probe_ended(&mut self) {
+        self.probe_in_flight = false;
+    }
+
+    fn hold_until(&mut self, revision: Revision, queries: Vec<StatusQuery>) {
+        self.probed.extend(queries.into_iter().map(|query| ProbedQuery { revision, query }));
+    }
 }
 
 impl Core {
+    /// Answers a user's query: at once if the job has ended, which cannot change.
+    pub(crate) fn query(&mut self, request: RequestId, job: JobId) {
+        if self.final_state(&job).is_some() {
+            return self.answer_known_job(request, &job);
+        }
+        self.query_status(request, job);
+    }
+
+    /// Answers with the state of a job once the cache is as new as this moment.
     pub(crate) fn query_status(&mut self, request: RequestId, job: JobId) {
-        // A standstill of this node is nobody's silence.
-        let heard = self.store.last_answer().map(|at| at.max(self.resumed_at));
-        if self.store.is_loaded() && heard.is_none_or(|at| self.now.since(at) > STATE_SILENT) {
+        if self.store.is_loaded() && self.is_store_silent() {
             return self.refuse(request, Refusal::StoreUnavailable);
         }
-        let status_queries = &mut self.status_queries;
-        if !self.store.is_loaded() || status_queries.waiting.len() + status_queries.held.len() >= MOST_WAITING {
+        if !self.store.is_loaded() || self.status_queries.is_full() {
             return self.refuse(request, Refusal::Busy);
         }
-        status_queries.waiting.push_back(Question { request, job, at: self.now });
+        self.status_queries.add(StatusQuery { request, job, received_at: self.now });
     }
 
-    /// Sends a probe for what waits, and gives up what waited too long.
+    /// True if the store has not answered for long, not counting the time that this process was
+    /// suspended.
+    fn is_store_silent(&self) -> bool {
+        let last_answer = self.store.last_answer().map(|at| at.max(self.resumed_at));
+        last_answer.is_none_or(|at| self.now.since(at) > STORE_SILENCE)
+    }
+
+    /// Refuses queries that have waited too long and sends a probe for the others. Called after each
+    /// input.
     pub(crate) fn process_status_queries(&mut self) {
-        let now = self.now;
-        while self.status_queries.waiting.front().is_some_and(|q| now.since(q.at) > PATIENCE) {
-            if let Some(question) = self.status_queries.waiting.pop_front() {
-                self.give_up(question);
-            }
-        }
-        if self.status_queries.held.iter().any(|(_, q)| now.since(q.at) > PATIENCE) {
-            let held = std::mem::take(&mut self.status_queries.held);
-            let (late, held): (Vec<_>, Vec<_>) = held.into_iter().partition(|(_, q)| now.since(q.at) > PATIENCE);
-            self.status_queries.held = held;
-            late.into_iter().for_each(|(_, question)| self.give_up(question));
-        }
-        let status_queries = &self.status_queries;
-        if status_queries.waiting.is_empty()
-            || status_queries.probing
-            || now < status_queries.next
-            || !self.store.may_send(now)
-        {
+        let expired = self.status_queries.take_expired(self.now);
+        self.refuse_queries(expired);
+        if !self.status_queries.is_probe_due(self.now) || !self.store.may_send(self.now) {
             return;
         }
-        if self.store.try_charge_reads(now, 1.0) {
-            self.status_queries.probing = true;
-            self.status_queries.next = now + PROBE_EVERY;
-            let questions = self.status_queries.waiting.drain(..).collect();
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(questions));
+        if self.store.try_charge_reads(self.now, 1.0) {
+            let queries = self.status_queries.start_probe(self.now);
+            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
         }
     }
 
-    fn give_up(&mut self, question: Question) {
-        self.refuse(question.request, Refusal::StoreUnavailable);
-    }
-
-    pub(crate) fn probed(&mut self, questions: Vec<Question>, answer: StateAnswer) {
-        self.status_queries.probing = false;
-        let StateAnswer::Missing(revision) = answer else {
-            return questions.into_iter().for_each(|q| self.give_up(q));
-        };
-        self.status_queries.held.extend(questions.into_iter().map(|q| (revision, q)));
+    /// Holds the queries that a probe was sent for until the cache has reached its revision.
+    pub(crate) fn probe_answered(&mut self, queries: Vec<StatusQuery>, answer: StateAnswer) {
+        self.status_queries.probe_ended();
+        let StateAnswer::Missing(revision) = answer else { return self.refuse_queries(queries) };
+        self.status_queries.hold_until(revision, queries);
         if self.cache.revision < revision {
-            // The watch need not pause before it brings what is awaited.
+            // Queries wait for what the next watch brings.
             self.store.watch_at_once(self.now);
             self.tick_membership();
         }
         self.answer_ready_queries();
     }
 
-    /// Answers what the cache has caught up with.
+    /// Answers the queries that the cache has become new enough for.
     pub(crate) fn answer_ready_queries(&mut self) {
-        if self.status_queries.held.is_empty() {
-            return;
+        for query in self.status_queries.take_answerable(self.cache.revision) {
+            self.answer_from_cache(query.request, &query.job);
         }
-        let revision = self.cache.revision;
-        let (ready, held) =
-            std::mem::take(&mut self.status_queries.held).into_iter().partition(|(at, _)| *at <= revision);
-        self.status_queries.held = held;
-        let ready: Vec<(Revision, Question)> = ready;
-        for (_, question) in ready {
-            self.answer_from_cache(question.request, &question.job);
+    }
+
+    fn refuse_queries(&mut self, queries: Vec<StatusQuery>) {
+        for query in queries {
+            self.refuse(query.request, Refusal::StoreUnavailable);
         }
     }
 }
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::coordination::{ClientRequest, Input, Output, Response};
 
-/// Users of a controller that is cut off waited 1.5 s each time to be told to come back.
+/// Users of a controller that is cut off from the store waited 1.5 s for each refusal.
 #[test]
-fn without_the_state_service_questions_are_answered_at_once() {
+fn queries_are_refused_at_once_while_the_store_is_silent() {
     let mut core = crate::coordination::tests::core();
     core.store.set_loaded();
     core.store.set_last_answer(MonotonicTime(1000));
--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -71,7 +71,7 @@
     pub(crate) fn check_milestones(&mut self) {
         let now = self.now;
         self.start.began.get_or_insert(now);
-        if !self.start.reached.contains_key(&Milestone::CanTake) && self.can_take() {
+        if !self.start.reached.contains_key(&Milestone::CanTake) && self.can_accept_jobs() {
             self.reached(Milestone::CanTake);
         }
         if !self.start.reached.contains_key(&Milestone::ShardReady) && self.owned_shards.values().any(|m| m.ready) {
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -139,12 +139,6 @@
     Redirect(Option<NodeName>),
 }
 
-impl From<Refusal> for Response {
-    fn from(refusal: Refusal) -> Response {
-        Response::Error(refusal)
-    }
-}
-
 /// What the core wants done, in this order.
 #[derive(Debug)]
 pub enum Output {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -11,6 +11,10 @@
 pub(crate) mod shards;
 pub(crate) mod store_client;
 
+use crate::coordination::jobs::completion::CompletedJobs;
+use crate::coordination::jobs::dependency_graph::DependencyGraph;
+use crate::coordination::jobs::dependency_lookup::DependencyLookups;
+use crate::coordination::jobs::dependency_release::DependencyRelease;
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::StoreClient;
@@ -18,11 +22,11 @@
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
 use crate::storage::names::InternedName;
-use crate::units::{JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use crate::units::{LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
 pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// How often controllers tell one another how they are.
 const STATUS_INTERVAL: Millis = Millis(1000);
@@ -88,7 +92,7 @@
     renew_at: MonotonicTime,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
     target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
-    finish: BTreeSet<JobId>,
+    completed_jobs: CompletedJobs,
     peers: BTreeMap<NodeName, Peer>,
     next_status: MonotonicTime,
     next_cycle: MonotonicTime,
@@ -104,10 +108,9 @@
     /// Teams with a guarantee: cores and GPUs.
     guarantees: Vec<(InternedName, f64, f64)>,
     status_queries: StatusQueries,
-    dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
-    /// A waiting job may start: that must not wait for the next housekeeping.
-    release_soon: bool,
-    dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
+    dependency_graph: DependencyGraph,
+    dependency_release: DependencyRelease,
+    dependency_lookups: DependencyLookups,
     announced: crate::coordination::membership::feature_level::Announced,
     shard_release: crate::coordination::membership::shard_release::ShardRelease,
     start: crate::coordination::membership::startup::Start,
@@ -153,7 +156,7 @@
             renew_at: MonotonicTime(0),
             owned_shards: BTreeMap::new(),
             target_since: BTreeMap::new(),
-            finish: BTreeSet::new(),
+            completed_jobs: CompletedJobs::default(),
             next_status: MonotonicTime(0),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
@@ -164,9 +167,9 @@
             unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
             estimates: crate::coordination::fleet::estimates::Estimates::default(),
             status_queries: StatusQueries::default(),
-            dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
-            release_soon: false,
-            dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
+            dependency_graph: DependencyGraph::default(),
+            dependency_release: DependencyRelease::default(),
+            dependency_lookups: DependencyLookups::default(),
             announced: crate::coordination::membership::feature_level::Announced::default(),
             shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
             start: crate::coordination::membership::startup::Start::default(),
@@ -224,7 +227,7 @@
             self.housekeeping();
         }
         self.look_up_unknown_dependencies();
-        if self.release_soon {
+        if self.dependency_release.is_requested() {
             self.release_ready_jobs();
         }
         if self.assign_soon && self.now >= self.next_assignment {
@@ -246,7 +249,7 @@
         self.refresh_catalog();
         self.update_faulty_machines();
         self.update_reachability();
-        self.forget_errors();
+        self.forget_replica_failures();
         self.renew_lease_proxies();
         self.expire_machines();
         self.lead();
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -3,9 +3,8 @@
 
 use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, Transaction};
-use crate::storage::cache::{Job, JobChange, Slice};
-use crate::storage::records::{job_key, JobOutcome, JobRecord, SliceRecord, TaskRecord};
+use crate::storage::cache::{Job, JobChange};
+use crate::storage::records::{SliceRecord, TaskRecord};
 use crate::units::{JobId, MachineId, Revision, ShardId};
 
 impl Core {
@@ -128,38 +127,6 @@
         self.check_finished(id);
     }
 
-    /// A job all of whose slices are durably done is to be called done, by
-    /// the owner of its first slice.
-    pub(crate) fn check_finished(&mut self, id: &JobId) {
-        let Some(job) = self.cache.jobs.get(id) else { return };
-        if job.record.end.is_some() || job.slices().is_empty() {
-            return;
-        }
-        let ours = job.shard_of(0).is_some_and(|p| self.owned_shards.contains_key(&p));
-        if ours && job.slices().iter().all(Slice::is_done) {
-            self.finish.insert(id.clone());
-        }
-    }
-
-    pub(crate) fn finish_jobs(&mut self) {
-        for id in std::mem::take(&mut self.finish) {
-            let Some(job) = self.cache.jobs.get(&id) else { continue };
-            let key = job_key(&id);
-            if job.record.end.is_some() {
-                continue;
-            }
-            if self.store.is_key_busy(&key) || !self.store.may_send(self.now) {
-                self.finish.insert(id);
-                continue;
-            }
-            let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
-            let Ok(value) = serde_json::to_value(record) else { continue };
-            let conditions = vec![Condition { key: key.clone(), version: job.version }];
-            self.submit_transaction(Transaction { conditions, changes: vec![Change::put(key, value)] });
-            self.finish.insert(id);
-        }
-    }
-
     /// The record and wanted state of a task of ours.
     pub(crate) fn task(&self, key: &TaskKey) -> Option<(&Job, ShardId, usize, usize)> {
         let job = self.cache.jobs.get(&key.0)?;
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -1,8 +1,8 @@
 //! Calls on the outside: what each answer is for, and what it changes.
 
-use crate::coordination::jobs::status_query::Question;
+use crate::coordination::jobs::status_query::StatusQuery;
 use crate::coordination::shards::shard_quota::is_quota_transfer;
-use crate::coordination::{CloudCall, Core, Output};
+use crate::coordination::{CloudCall, Core, JobResponseStatus, Output};
 use crate::protocol::state::{Change, StateAnswer, StateCall, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::cache::CacheChange;
@@ -45,19 +45,20 @@
     SubmitRead {
         request: RequestId,
         job: JobId,
-        fresh: bool,
+        /// What the submission is answered with if the job is there.
+        status: JobResponseStatus,
     },
     /// How far the records have come; these questions wait for it.
-    Probe(Vec<Question>),
+    Probe(Vec<StatusQuery>),
     /// Whether a job that has no record ended long ago; `known` if it was accepted once.
     Archived {
         request: RequestId,
         job: JobId,
         known: bool,
     },
-    Refusing(crate::coordination::jobs::validation::Refusing),
+    RefusalLookUp(crate::coordination::jobs::validation::HeldRefusal),
     /// Names of a submission, one after the other.
-    DependencyCheck(crate::coordination::jobs::dependency_release::DependencyCheck),
+    DependencyCheck(crate::coordination::jobs::dependency_check::DependencyCheck),
     /// A job that waiting ones name and that was put away.
     DependencyLookUp(JobId),
     CancelRead {
@@ -166,12 +167,12 @@
             PendingRequest::SubmitWrite { request, transaction, spec } => {
                 self.submit_written(request, transaction, spec, answer)
             }
-            PendingRequest::SubmitRead { request, job, fresh } => self.submit_read(request, job, fresh, answer),
+            PendingRequest::SubmitRead { request, job, status } => self.submit_read(request, job, status, answer),
             PendingRequest::Archived { request, job, known } => self.archived_answer(request, job, known, answer),
-            PendingRequest::Refusing(refusing) => self.looked_before_refusing(refusing, answer),
-            PendingRequest::DependencyCheck(names) => self.name_read(names, answer),
+            PendingRequest::RefusalLookUp(held) => self.refused_job_read(held, answer),
+            PendingRequest::DependencyCheck(check) => self.dependency_read(check, answer),
             PendingRequest::DependencyLookUp(job) => self.dependency_looked_up(job, answer),
-            PendingRequest::Probe(questions) => self.probed(questions, answer),
+            PendingRequest::Probe(queries) => self.probe_answered(queries, answer),
             PendingRequest::CancelRead { request, job, tries } => self.cancel_read(request, job, tries, answer),
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.cancel_written(request, job, transaction, tries, answer)
@@ -273,7 +274,7 @@
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
-            CacheChange::JobGone(job) => self.dependency_graph.lost(&job),
+            CacheChange::JobGone(job) => self.dependency_graph.record_removed(&job),
             CacheChange::Node(node) => self.node_changed(&node),
             CacheChange::Leader | CacheChange::Nothing => {}
         }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -203,7 +203,7 @@
     fn fitted_slice(&self, change: Change, slice: &Slice) -> Option<Change> {
         let Change::Put { put, value, lease } = change else { return Some(change) };
         let small = slice.desired().is_some_and(|want| {
-            self.fits(want.tasks.len() * crate::coordination::jobs::submission::TASK_BYTES as usize)
+            self.fits(want.tasks.len() * crate::coordination::jobs::slice_sizing::TASK_BYTES as usize)
         });
         if small || self.fits_value(&value) {
             return Some(Change::Put { put, value, lease });
@@ -221,7 +221,7 @@
             / if self.dependencies_enabled() {
                 DENSE_BYTES
             } else {
-                crate::coordination::jobs::submission::TASK_BYTES as usize
+                crate::coordination::jobs::slice_sizing::TASK_BYTES as usize
             }
     }
 
