--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Refusal};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::cache::Job;
 use crate::storage::records::{archived_job_key, job_key, ArchivedJob, JobOutcome, LEADER_KEY};
 use crate::units::{JobId, RequestId};
@@ -31,7 +31,7 @@
     /// nothing unless this node leads.
     pub(crate) fn archive_ended_jobs(&mut self) {
         let idle = self.store.writes_above(self.now, IDLE_S);
-        if !self.leading() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
+        if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let leads = Condition { key: LEADER_KEY.into(), version: self.cache.leader.version };
@@ -77,16 +77,16 @@
             return self.answer_known_job(request, &job);
         }
         if self.try_charge_request(request) {
-            let call = StateCall::Get { key: archived_job_key(&job) };
+            let call = StoreRequest::Get { key: archived_job_key(&job) };
             self.call_state(call, PendingRequest::Archived { request, job, known: accepted });
         }
     }
 
     /// Answers with the state of a job that was looked up in the archive.
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, accepted: bool, answer: StateAnswer) {
+    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, accepted: bool, answer: StoreResponse) {
         match answer {
-            StateAnswer::Missing(_) if !accepted => self.refuse(request, Refusal::JobNotFound),
-            StateAnswer::Found(_) => match self.take_archived(&job, answer) {
+            StoreResponse::Missing(_) if !accepted => self.refuse(request, Refusal::JobNotFound),
+            StoreResponse::Found(_) => match self.take_archived(&job, answer) {
                 Some(_) => self.answer_known_job(request, &job),
                 None => self.refuse(request, Refusal::JobUnreadable),
             },
@@ -97,8 +97,8 @@
     }
 
     /// Takes an archived job that was read into the cache. None if the answer holds no such record.
-    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StateAnswer) -> Option<ArchivedJob> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
+        let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
                 self.cache.remember_archived(id, record);
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::put_job_record;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, JobResponseStatus, Refusal};
-use crate::protocol::state::{Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Condition, StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::{job_key, JobOutcome, JobRecord};
 use crate::units::{JobId, RequestId, Revision};
 
@@ -21,18 +21,18 @@
             return self.answer_known_job(request, &job);
         }
         if self.try_charge_request(request) {
-            let call = StateCall::Get { key: job_key(&job) };
+            let call = StoreRequest::Get { key: job_key(&job) };
             self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
         }
     }
 
     /// Writes the cancellation of a job whose record was read, unless it has ended.
-    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StateAnswer) {
-        if matches!(answer, StateAnswer::Missing(_)) && !self.cache.jobs.contains_key(&job) {
+    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StoreResponse) {
+        if matches!(answer, StoreResponse::Missing(_)) && !self.cache.jobs.contains_key(&job) {
             return self.look_up_archived(request, job, false);
         }
         let version = match &answer {
-            StateAnswer::Found(item) => item.version,
+            StoreResponse::Found(item) => item.version,
             _ => Revision(0),
         };
         let Some((id, record)) = self.take_job(answer) else {
@@ -55,7 +55,7 @@
         let transaction = Transaction { conditions: vec![condition], changes: vec![change] };
         self.store.charge_transaction(self.now, 1);
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
         );
     }
@@ -67,18 +67,18 @@
         job: JobId,
         transaction: Transaction,
         tries: u32,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.answer_known_job(request, &job);
             }
-            StateAnswer::Conflict(_) | StateAnswer::Unknown => {
+            StoreResponse::Conflict(_) | StoreResponse::Unknown => {
                 self.store.charge_read(self.now);
                 self.call_state(
-                    StateCall::Get { key: job_key(&job) },
+                    StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
                 );
             }
--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::dependency_graph::DependencyState;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, InfeasibleJob, Refusal};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::cache::StateCache;
 use crate::storage::records::{archived_job_key, job_key, Dependencies, JobOutcome, JobRecord, SlicePlan};
@@ -86,23 +86,23 @@
         let Some(id) = check.unchecked.last() else { return self.check_dependencies(check) };
         let key = if check.in_archive { archived_job_key(id) } else { job_key(id) };
         if self.try_charge_request(check.request) {
-            self.call_state(StateCall::Get { key }, PendingRequest::DependencyCheck(check));
+            self.call_state(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
         }
     }
 
     /// Goes on with the check once a dependency was read.
-    pub(crate) fn dependency_read(&mut self, mut check: DependencyCheck, answer: StateAnswer) {
+    pub(crate) fn dependency_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
         let Some(id) = check.unchecked.last().cloned() else { return self.check_dependencies(check) };
         match answer {
-            StateAnswer::Missing(_) if !check.in_archive => {
+            StoreResponse::Missing(_) if !check.in_archive => {
                 check.in_archive = true;
                 self.read_dependency(check);
             }
-            StateAnswer::Missing(_) => {
+            StoreResponse::Missing(_) => {
                 let reason = InfeasibleJob::DependencyNotFound(id);
                 self.refuse_unless_known(check.request, check.spec.id, reason.into());
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 if self.take_job_or_archived(&id, check.in_archive, answer) {
                     self.check_dependencies(check);
                 } else {
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::Core;
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::storage::records::archived_job_key;
 use crate::units::{JobId, Millis, MonotonicTime};
 
@@ -50,11 +50,11 @@
         let Some(id) = next.cloned() else { return };
         self.dependency_lookups.started(&id);
         self.store.charge_read(self.now);
-        self.call_state(StateCall::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
     /// Takes the outcome of a job that was looked up into the dependency graph.
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StateAnswer) {
+    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StoreResponse) {
         self.dependency_lookups.ended();
         match self.take_archived(&id, answer) {
             Some(record) => {
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -70,7 +70,7 @@
 
     fn replica(&self, key: TaskKey, shard: ShardId) -> Option<Replica> {
         let owned_shard = self.owned_shards.get(&shard).filter(|owned_shard| owned_shard.ready)?;
-        let record = self.wanted(&key)?;
+        let record = self.desired_task(&key)?;
         let (attempt, state, machine) = match record {
             TaskRecord::Pending(attempt) => (*attempt, ReplicaState::Waiting, None),
             TaskRecord::Done => (Attempt(0), ReplicaState::Ended, None),
@@ -115,9 +115,10 @@
     key: &TaskKey,
     attempt: Attempt,
 ) -> ReplicaState {
-    let listed = machine.and_then(|machine| machine.listed.get(key)).filter(|listed| listed.0 == attempt);
+    let reported =
+        machine.and_then(|machine| machine.reported_tasks.get(key)).filter(|reported| reported.attempt == attempt);
     let leaving = owned_shard.stopping.contains_key(key) || machine.is_some_and(|machine| machine.notice.is_some());
-    match listed.map(|listed| listed.1) {
+    match reported.map(|reported| reported.state) {
         Some(TaskState::Running) if leaving => ReplicaState::Leaving,
         Some(TaskState::Saving) => ReplicaState::Leaving,
         Some(TaskState::Running) => ReplicaState::Running,
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -7,7 +7,7 @@
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, Refusal};
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::{JobId, Millis, MonotonicTime, RequestId, Revision};
 use std::collections::VecDeque;
 
@@ -149,14 +149,14 @@
         }
         if self.store.try_charge_reads(self.now, 1.0) {
             let queries = self.status_queries.start_probe(self.now);
-            self.call_state(StateCall::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
+            self.call_state(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
         }
     }
 
     /// Holds the queries that a probe was sent for until the cache has reached its revision.
-    pub(crate) fn probe_answered(&mut self, queries: Vec<StatusQuery>, answer: StateAnswer) {
+    pub(crate) fn probe_answered(&mut self, queries: Vec<StatusQuery>, answer: StoreResponse) {
         self.status_queries.probe_ended();
-        let StateAnswer::Missing(revision) = answer else { return self.refuse_queries(queries) };
+        let StoreResponse::Missing(revision) = answer else { return self.refuse_queries(queries) };
         self.status_queries.hold_until(revision, queries);
         if self.cache.revision < revision {
             // Queries wait for what the next watch brings.
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -8,7 +8,7 @@
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{ClientRequest, Core, InfeasibleJob, JobResponseStatus, Refusal};
-use crate::protocol::state::{Change, Condition, StateAnswer, StateCall, Transaction};
+use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::storage::records::{archived_job_key, job_key, JobRecord};
 use crate::units::{JobId, RequestId, Revision};
@@ -90,7 +90,7 @@
             changes: vec![change],
         };
         self.call_state(
-            StateCall::Transaction(transaction.clone()),
+            StoreRequest::Transaction(transaction.clone()),
             PendingRequest::SubmitWrite { request, transaction, spec },
         );
     }
@@ -111,27 +111,27 @@
         request: RequestId,
         transaction: Transaction,
         spec: Box<JobSpec>,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
         match answer {
-            StateAnswer::Committed(revision) => {
+            StoreResponse::Committed(revision) => {
                 self.committed(&transaction, revision);
                 self.send_revision_hint(revision);
-                self.reached(Milestone::Accepted);
+                self.milestone_reached(Milestone::SubmissionAccepted);
                 self.answer_job(request, JobResponseStatus::Accepted, &spec.id, None);
             }
             // Another submission came before.
-            StateAnswer::Conflict(_) => self.read_submitted(request, spec.id, JobResponseStatus::Known),
+            StoreResponse::Conflict(_) => self.read_submitted(request, spec.id, JobResponseStatus::Known),
             // If the record is there, it is taken to be ours.
-            StateAnswer::Unknown => self.read_submitted(request, spec.id, JobResponseStatus::Accepted),
-            StateAnswer::Rejected(_) => self.refuse(request, Refusal::RejectedByStore),
+            StoreResponse::Unknown => self.read_submitted(request, spec.id, JobResponseStatus::Accepted),
+            StoreResponse::Invalid(_) => self.refuse(request, Refusal::RejectedByStore),
             _ => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
     fn read_submitted(&mut self, request: RequestId, job: JobId, status: JobResponseStatus) {
         self.store.charge_read(self.now);
-        let call = StateCall::Get { key: job_key(&job) };
+        let call = StoreRequest::Get { key: job_key(&job) };
         self.call_state(call, PendingRequest::SubmitRead { request, job, status });
     }
 
@@ -141,9 +141,9 @@
         request: RequestId,
         job: JobId,
         status: JobResponseStatus,
-        answer: StateAnswer,
+        answer: StoreResponse,
     ) {
-        if matches!(answer, StateAnswer::Missing(_)) {
+        if matches!(answer, StoreResponse::Missing(_)) {
             return self.look_up_archived(request, job, true);
         }
         match self.take_job(answer) {
@@ -153,8 +153,8 @@
     }
 
     /// Takes a job's record that was read into the cache. None if the answer holds no record.
-    pub(crate) fn take_job(&mut self, answer: StateAnswer) -> Option<(JobId, JobRecord)> {
-        let StateAnswer::Found(item) = answer else { return None };
+    pub(crate) fn take_job(&mut self, answer: StoreResponse) -> Option<(JobId, JobRecord)> {
+        let StoreResponse::Found(item) = answer else { return None };
         let record: JobRecord = match serde_json::from_value(item.value.clone()) {
             Ok(record) => record,
             Err(error) => {
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -7,7 +7,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{Core, InfeasibleJob, Refusal};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::storage::records::{archived_job_key, job_key};
 use crate::units::{JobId, RequestId};
@@ -39,22 +39,22 @@
     fn look_up_refused_job(&mut self, held: HeldRefusal) {
         if self.try_charge_request(held.request) {
             let key = if held.in_archive { archived_job_key(&held.job) } else { job_key(&held.job) };
-            self.call_state(StateCall::Get { key }, PendingRequest::RefusalLookUp(held));
+            self.call_state(StoreRequest::Get { key }, PendingRequest::RefusalLookUp(held));
         }
     }
 
     /// Refuses the submission if its job was not found; otherwise answers with the job's state.
-    pub(crate) fn refused_job_read(&mut self, held: HeldRefusal, answer: StateAnswer) {
+    pub(crate) fn refused_job_read(&mut self, held: HeldRefusal, answer: StoreResponse) {
         match answer {
-            StateAnswer::Missing(_) if !held.in_archive => {
+            StoreResponse::Missing(_) if !held.in_archive => {
                 self.look_up_refused_job(HeldRefusal { in_archive: true, ..held });
             }
-            StateAnswer::Missing(_) => {
+            StoreResponse::Missing(_) => {
                 let (job, status, reason) = (&held.job, held.refusal.http_status(), &held.refusal);
                 tracing::info!(job = %job, status, reason = %reason, "refused submission");
                 self.refuse(held.request, held.refusal);
             }
-            StateAnswer::Found(_) => {
+            StoreResponse::Found(_) => {
                 if self.take_job_or_archived(&held.job, held.in_archive, answer) {
                     self.answer_known_job(held.request, &held.job);
                 } else {
@@ -66,7 +66,7 @@
     }
 
     /// Takes a record that was read into the cache; false if it cannot be read.
-    pub(crate) fn take_job_or_archived(&mut self, job: &JobId, archived: bool, answer: StateAnswer) -> bool {
+    pub(crate) fn take_job_or_archived(&mut self, job: &JobId, archived: bool, answer: StoreResponse) -> bool {
         if archived {
             self.take_archived(job, answer).is_some()
         } else {
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -5,9 +5,9 @@
 //! are in `protocol`.
 
 use crate::coordination::jobs::refusal::Refusal;
-use crate::protocol::cloud::{Catalog, MachineNames, MachinePage, RentRequest};
+use crate::protocol::cloud::{Catalog, MachineIds, MachinePage, RentRequest};
 use crate::protocol::peer::PeerStatus;
-use crate::protocol::state::{StateAnswer, StateCall};
+use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::protocol::users::{JobSpec, JobState};
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::units::{CallId, FencingToken, JobId, MachineId, NodeName, RequestId, Revision};
@@ -56,7 +56,7 @@
     /// One page of the rented machines.
     Page(MachinePage),
     /// The machines that were rented.
-    Rented(MachineNames),
+    Rented(MachineIds),
     /// The zone has no more machines of the type.
     NoCapacity,
     /// The machines were given back.
@@ -75,7 +75,7 @@
     /// A worker's heartbeat.
     Heartbeat(RequestId, Heartbeat),
     /// The answer of the store to a call.
-    State(CallId, StateAnswer),
+    State(CallId, StoreResponse),
     /// The answer of the cloud to a call.
     Cloud(CallId, CloudAnswer),
     /// The status of another controller.
@@ -145,7 +145,7 @@
     /// Answer a request.
     Response(RequestId, Response),
     /// Call the store.
-    State(CallId, StateCall),
+    State(CallId, StoreRequest),
     /// Call the cloud.
     Cloud(CallId, CloudCall),
     /// Send this node's status to all other controllers.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -17,11 +17,11 @@
 use crate::coordination::jobs::dependency_release::DependencyRelease;
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::shards::owned_shard::OwnedShard;
+use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::StoreClient;
 use crate::protocol::peer::PeerStatus;
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::storage::names::InternedName;
 use crate::units::{LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
@@ -105,15 +105,14 @@
     unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
     estimates: crate::coordination::fleet::estimates::Estimates,
     objectives: crate::coordination::scheduling::objectives::Objectives,
-    /// Teams with a guarantee: cores and GPUs.
-    guarantees: Vec<(InternedName, f64, f64)>,
+    guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
     dependency_graph: DependencyGraph,
     dependency_release: DependencyRelease,
     dependency_lookups: DependencyLookups,
     announced: crate::coordination::membership::feature_level::Announced,
     shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::Start,
+    start: crate::coordination::membership::startup::StartupProgress,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
     /// Notes told so far.
     told: u64,
@@ -132,8 +131,7 @@
             &mut cache.names,
         );
         let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
-        let guaranteed = settings.cluster.teams.iter().filter(|t| t.cpus > 0.0 || t.gpus > 0.0);
-        let guarantees = guaranteed.map(|t| (cache.names.intern(&t.name), t.cpus, t.gpus)).collect();
+        let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
@@ -172,7 +170,7 @@
             dependency_lookups: DependencyLookups::default(),
             announced: crate::coordination::membership::feature_level::Announced::default(),
             shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::Start::default(),
+            start: crate::coordination::membership::startup::StartupProgress::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
             told: 0,
         }
@@ -190,10 +188,10 @@
         match input {
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
             Input::State(call, answer) => self.state_answer(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
-            Input::PeerStatus(status) => self.status(status),
+            Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
         self.send_due_responses();
@@ -252,11 +250,11 @@
         self.forget_replica_failures();
         self.renew_lease_proxies();
         self.expire_machines();
-        self.lead();
+        self.run_leader_cycle();
         self.resolve_quota_transfers();
         self.rebalance_quotas();
         self.finish_jobs();
-        self.raise_level();
+        self.raise_feature_level();
         self.release_ready_jobs();
         self.write_dependency_outcomes();
         self.archive_ended_jobs();
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -134,7 +134,7 @@
     /// Time to fetch the job's image, if the machine lacks it.
     fn fetch_s(&self, seat: &Seat) -> f64 {
         let spec = &self.job.record.spec;
-        let there = seat.machine.images.iter().any(|(name, _)| *name == self.job.image);
+        let there = seat.machine.images.iter().any(|image| image.name == self.job.image);
         if there || seat.type_.fetch_gb_per_s <= 0.0 {
             0.0
         } else {
@@ -170,14 +170,14 @@
             let usable = !machine.faulty
                 && !self.is_downlink_lost(machine)
                 && machine.notice.is_none()
-                && self.now >= machine.rests_until
+                && self.now >= machine.cordoned_until
                 && self.now.since(machine.last_heartbeat) < quiet
                 && !self.draining(name);
             if !usable {
                 continue;
             }
             let mut openings = Openings::new(Resources::of_machine(type_));
-            let known = owned_shard.on.get(name);
+            let known = owned_shard.placed_tasks.get(name);
             // Tasks of one job follow one another: it is looked up once.
             let mut last: Option<(&JobId, Option<(&Job, f64)>)> = None;
             for key in known.into_iter().flatten() {
@@ -199,9 +199,9 @@
             // Tasks on the machine that nobody wants there still take room. Both
             // lists are in order: walked side by side, nothing is searched for.
             let mut wanted = known.into_iter().flatten().peekable();
-            for (key, (_, state, _)) in &machine.listed {
+            for (key, listed) in &machine.reported_tasks {
                 while wanted.next_if(|k| *k < key).is_some() {}
-                if *state != TaskState::Exited && wanted.peek() != Some(&key) {
+                if listed.state != TaskState::Exited && wanted.peek() != Some(&key) {
                     if let Some(job) = self.cache.jobs.get(&key.0) {
                         openings.hold(&Resources::of_task(&job.record.spec), None);
                     }
@@ -223,7 +223,7 @@
             return spread;
         }
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return spread };
-        for (machine, tasks) in &owned_shard.on {
+        for (machine, tasks) in &owned_shard.placed_tasks {
             let here = tasks.iter().filter(|t| t.0 == *id).count();
             match owned_shard.machines.get(machine) {
                 _ if here == 0 => {}
@@ -270,7 +270,12 @@
         }
         let fetch_s = claim.fetch_s(seat);
         let run_s = claim.run_s;
-        let prospect = Prospect { age_s: seat.age_s, wait_s: wait_s + fetch_s, run_s, checkpoint_s: spec.checkpoint_s };
+        let prospect = Prospect {
+            age_s: seat.age_s,
+            wait_s: wait_s + fetch_s,
+            run_s,
+            checkpoint_interval_s: spec.checkpoint_interval_s,
+        };
         let score = match seat.history {
             Some(history) => expected_completion(history, prospect),
             None => prospect.wait_s + run_s,
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -5,11 +5,11 @@
 mod simulator;
 
 use proptest::prelude::*;
-use simulator::{Shape, StateService};
+use simulator::{ClusterConfig, SimulatedStore};
 use std::collections::VecDeque;
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
-use tillercleat::protocol::state::{StateAnswer, StateCall};
+use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::protocol::workers::{Command, Heartbeat, TaskName, TaskState, TaskStatus};
 use tillercleat::settings::Tuning;
@@ -48,12 +48,12 @@
 
 /// One controller of three, alone, and the state service.
 struct Site {
-    shape: Shape,
-    service: StateService,
+    config: ClusterConfig,
+    service: SimulatedStore,
     core: Core,
     now: u64,
     began: u64,
-    on_way: VecDeque<(CallId, StateCall)>,
+    on_way: VecDeque<(CallId, StoreRequest)>,
     replies: Vec<(RequestId, Response)>,
     requests: u64,
     tally: u64,
@@ -73,17 +73,17 @@
         "one_zone": false, "apart": false, "driftwood": true, "reckon_s": 300.0, "mark_s": 0.0, "stow_s": 0.0,
         "tide_s": null
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 impl Site {
-    fn reporting_every(report_ms: u64) -> Site {
-        let shape = Shape { report_ms, lease_ms: 20_000, ..Shape::small() };
-        let core = Core::new(simulator::settings(&shape, 0, 20.0), Tuning::default());
-        let (service, replies) = (StateService::default(), vec![]);
+    fn reporting_every(heartbeat_ms: u64) -> Site {
+        let config = ClusterConfig { heartbeat_ms, lease_ms: 20_000, ..ClusterConfig::small() };
+        let core = Core::new(simulator::settings(&config, 0, 20.0), Tuning::default());
+        let (service, replies) = (SimulatedStore::default(), vec![]);
         let on_way = VecDeque::new();
         Site {
-            shape,
+            config,
             service,
             core,
             now: 1000,
@@ -103,11 +103,11 @@
     /// The process ends, and another begins; what was on its way may still be carried out.
     fn restart(&mut self) {
         for (_, call) in std::mem::take(&mut self.on_way) {
-            if self.on_way.is_empty() && matches!(call, StateCall::Transaction(_)) {
-                self.service.run(self.now, call);
+            if self.on_way.is_empty() && matches!(call, StoreRequest::Transaction(_)) {
+                self.service.execute(self.now, call);
             }
         }
-        self.core = Core::new(simulator::settings(&self.shape, 0, 20.0), Tuning::default());
+        self.core = Core::new(simulator::settings(&self.config, 0, 20.0), Tuning::default());
         self.began = self.now;
     }
 
@@ -119,8 +119,10 @@
                 Output::Response(request, response) => self.replies.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
-                        CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.shape.types.clone() }),
-                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], more: false }),
+                        CloudCall::Catalog => {
+                            CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() })
+                        }
+                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], truncated: false }),
                         CloudCall::Rent(_) => CloudAnswer::NoCapacity,
                         CloudCall::Return(_) => CloudAnswer::Failed,
                     };
@@ -138,7 +140,7 @@
     }
 
     fn heartbeat(&mut self) {
-        if self.now > self.lease_from + self.shape.lease_ms {
+        if self.now > self.lease_from + self.config.lease_ms {
             // The lease is over, and with it all that ran.
             self.running = None;
             self.agent_epoch += 1;
@@ -151,8 +153,8 @@
             task: task.clone(),
             attempt: *attempt,
             state: TaskState::Running,
-            why: None,
-            saved: None,
+            exit_reason: None,
+            checkpoint_saved: None,
         });
         let heartbeat = Heartbeat {
             machine: MachineId::new(MACHINE),
@@ -163,7 +165,7 @@
             agent_epoch: AgentEpoch(self.agent_epoch),
             heartbeat_number: HeartbeatNumber(self.tally),
             token: self.token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks: tasks.collect(),
         };
         self.feed(Input::Heartbeat(RequestId(self.requests), heartbeat));
@@ -179,8 +181,8 @@
         for _ in 0..ms / 50 {
             self.wait(50);
             while let Some((id, call)) = self.on_way.pop_front() {
-                let watch = matches!(call, StateCall::Watch { .. });
-                let answer = self.service.run(self.now, call);
+                let watch = matches!(call, StoreRequest::Watch { .. });
+                let answer = self.service.execute(self.now, call);
                 self.feed(Input::State(id, answer));
                 if watch {
                     break;
@@ -191,8 +193,8 @@
     }
 
     fn record(&mut self, key: &str) -> Option<(serde_json::Value, u64)> {
-        match self.service.run(self.now, StateCall::Get { key: key.into() }) {
-            StateAnswer::Found(item) => Some((item.value, item.version.0)),
+        match self.service.execute(self.now, StoreRequest::Get { key: key.into() }) {
+            StoreResponse::Found(item) => Some((item.value, item.version.0)),
             _ => None,
         }
     }
@@ -245,7 +247,7 @@
         }
     }
 
-    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut StateService, u64, StateCall) -> StateAnswer) {
+    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut SimulatedStore, u64, StoreRequest) -> StoreResponse) {
         if self.on_way.is_empty() {
             return;
         }
@@ -259,7 +261,7 @@
 /// A core that came free stood idle until its worker's next report, up to
 /// `report_s`, though the next task for it was written in a tenth of a second.
 #[test]
-fn a_start_goes_out_with_the_answer_that_waits() {
+fn a_start_command_is_sent_with_the_deferred_response() {
     let mut site = Site::reporting_every(2500);
     site.settle(5000);
     // The first report shows the token, the second that the worker has seen it.
@@ -282,7 +284,7 @@
 
 /// Two answers in the worker's hands would start a task twice over.
 #[test]
-fn a_newer_report_takes_the_place_of_one_that_waits() {
+fn a_newer_heartbeat_replaces_a_deferred_one() {
     let mut site = Site::reporting_every(2500);
     site.settle(5000);
     for _ in 0..2 {
@@ -312,12 +314,12 @@
     /// not durable, an accepted job is never unknown, what runs goes on, and the
     /// node serves once answers come again.
     #[test]
-    fn a_start_ends_well_whatever_the_order_of_answers(
+    fn startup_succeeds_whatever_the_order_of_store_answers(
         steps in proptest::collection::vec(step(), 0..120),
         again in proptest::collection::vec(step(), 0..80),
-        report_ms in prop_oneof![Just(1000u64), Just(2500)],
+        heartbeat_ms in prop_oneof![Just(1000u64), Just(2500)],
     ) {
-        let mut site = Site::reporting_every(report_ms);
+        let mut site = Site::reporting_every(heartbeat_ms);
         site.settle(5000);
         site.ask(ClientRequest::Submit(Box::new(job(1))));
         site.settle(400);
@@ -332,13 +334,13 @@
             for step in steps {
                 match step {
                     Step::Wait(ms) => site.wait(ms),
-                    Step::Answer(pick) => site.answer(pick, |service, now, call| service.run(now, call)),
-                    Step::Refuse(pick) => site.answer(pick, |_, _, _| StateAnswer::Refused),
+                    Step::Answer(pick) => site.answer(pick, |service, now, call| service.execute(now, call)),
+                    Step::Refuse(pick) => site.answer(pick, |_, _, _| StoreResponse::Unavailable),
                     Step::Lose(pick, done) => site.answer(pick, |service, now, call| {
                         if done {
-                            service.run(now, call);
+                            service.execute(now, call);
                         }
-                        StateAnswer::Unknown
+                        StoreResponse::Unknown
                     }),
                     Step::Submit => drop(site.ask(ClientRequest::Submit(Box::new(job(2))))),
                     Step::Query => {
@@ -364,7 +366,7 @@
         for _ in 0..20 {
             site.wait(20);
             while let Some((id, call)) = site.on_way.pop_front() {
-                let answer = site.service.run(site.now, call);
+                let answer = site.service.execute(site.now, call);
                 site.feed(Input::State(id, answer));
                 if site.on_way.len() > 20 {
                     break;
@@ -386,7 +388,7 @@
 /// Each life logged and counted the ends of all jobs that it read of, and each
 /// deal of a job counted it once more as a usual one.
 #[test]
-fn what_a_start_reads_is_no_news() {
+fn records_read_at_startup_are_not_reported_as_changes() {
     use tillercleat::storage::cache::{CacheChange, JobChange, StateCache};
     let record = |end: Option<&str>, shards: Option<[u32; 1]>| {
         let mut record = serde_json::json!({"spec": job(1), "at": 1000});
