--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -81,7 +81,7 @@
     /// Looks for the milestones that no event reports.
     pub(crate) fn check_milestones(&mut self) {
         self.membership.startup.begin(self.now);
-        if self.is_missing(Milestone::AcceptingSubmissions) && self.can_take() {
+        if self.is_missing(Milestone::AcceptingSubmissions) && self.can_accept_jobs() {
             self.milestone_reached(Milestone::AcceptingSubmissions);
         }
         if self.is_missing(Milestone::ShardReady) && self.owned_shards.values().any(|owned_shard| owned_shard.ready) {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -11,6 +11,10 @@
 pub(crate) mod shards;
 pub(crate) mod store_client;
 
+use crate::coordination::jobs::completion::CompletedJobs;
+use crate::coordination::jobs::dependency_graph::DependencyGraph;
+use crate::coordination::jobs::dependency_lookup::DependencyLookups;
+use crate::coordination::jobs::dependency_release::DependencyRelease;
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::membership::Membership;
 use crate::coordination::shards::owned_shard::OwnedShard;
@@ -18,11 +22,11 @@
 use crate::coordination::store_client::StoreClient;
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::units::{JobId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use crate::units::{Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
 pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// How often controllers tell one another how they are.
 const STATUS_INTERVAL: Millis = Millis(1000);
@@ -75,7 +79,7 @@
     cache: StateCache,
     store: StoreClient,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
-    finish: BTreeSet<JobId>,
+    completed_jobs: CompletedJobs,
     membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
@@ -89,10 +93,9 @@
     objectives: crate::coordination::scheduling::objectives::Objectives,
     guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
-    dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
-    /// A waiting job may start: that must not wait for the next housekeeping.
-    release_soon: bool,
-    dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
+    dependency_graph: DependencyGraph,
+    dependency_release: DependencyRelease,
+    dependency_lookups: DependencyLookups,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
 }
 
@@ -127,7 +130,7 @@
             objectives,
             guarantees,
             owned_shards: BTreeMap::new(),
-            finish: BTreeSet::new(),
+            completed_jobs: CompletedJobs::default(),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
@@ -137,9 +140,9 @@
             unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
             estimates: crate::coordination::fleet::estimates::Estimates::default(),
             status_queries: StatusQueries::default(),
-            dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
-            release_soon: false,
-            dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
+            dependency_graph: DependencyGraph::default(),
+            dependency_release: DependencyRelease::default(),
+            dependency_lookups: DependencyLookups::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
         }
     }
@@ -191,7 +194,7 @@
             self.housekeeping();
         }
         self.look_up_unknown_dependencies();
-        if self.release_soon {
+        if self.dependency_release.is_requested() {
             self.release_ready_jobs();
         }
         if self.assign_soon && self.now >= self.next_assignment {
@@ -210,7 +213,7 @@
         self.refresh_catalog();
         self.update_faulty_machines();
         self.update_reachability();
-        self.forget_errors();
+        self.forget_replica_failures();
         self.renew_lease_proxies();
         self.expire_machines();
         self.run_leader_cycle();
--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -1,10 +1,8 @@
-//! What a changed job means for the owned shards: its slices are taken up or released, and once all are durably done
-//! the owner of its first slice writes the job's end. Called as records change in the cache, and in housekeeping.
+//! What a changed job means for the owned shards: its slices are taken up or released. Called as records change in the
+//! cache. Jobs all of whose slices are done go to `jobs::completion`.
 
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, Transaction};
-use crate::storage::cache::{Job, JobChange, Slice};
-use crate::storage::records::{job_key, JobOutcome, JobRecord};
+use crate::storage::cache::{Job, JobChange};
 use crate::units::JobId;
 
 impl Core {
@@ -39,36 +37,6 @@
     pub(crate) fn slice_changed(&mut self, id: &JobId) {
         self.check_finished(id);
     }
-
-    /// Enters a job all of whose slices are durably done to be ended, if its first slice belongs to an owned shard.
-    pub(crate) fn check_finished(&mut self, id: &JobId) {
-        let Some(job) = self.cache.jobs.get(id) else { return };
-        if job.record.end.is_some() || job.slices().is_empty() {
-            return;
-        }
-        let is_ours = job.shard_of(0).is_some_and(|shard| self.owned_shards.contains_key(&shard));
-        if is_ours && job.slices().iter().all(Slice::is_done) {
-            self.finish.insert(id.clone());
-        }
-    }
-
-    /// Writes the end of finished jobs, and again until the cache shows it.
-    pub(crate) fn finish_jobs(&mut self) {
-        for id in std::mem::take(&mut self.finish) {
-            let Some(job) = self.cache.jobs.get(&id) else { continue };
-            let key = job_key(&id);
-            if job.record.end.is_some() {
-                continue;
-            }
-            if !self.store.is_key_busy(&key) && self.store.may_send(self.now) {
-                let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
-                let Ok(value) = serde_json::to_value(record) else { continue };
-                let conditions = vec![Condition { key: key.clone(), version: job.version }];
-                self.submit_transaction(Transaction { conditions, changes: vec![Change::put(key, value)] });
-            }
-            self.finish.insert(id);
-        }
-    }
 }
 
 fn log_job(id: &JobId, job: &Job) {
