--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -73,7 +73,7 @@
 
     /// Takes from the cloud's rate; the rest is for the next turn.
     pub(crate) fn afford_cloud(&mut self) -> bool {
-        self.fleet.cloud_calls.take(self.now, 1.0)
+        self.fleet.cloud_calls.try_take(self.now, 1.0)
     }
 
     pub(crate) fn manage_fleet(&mut self) {
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -8,9 +8,9 @@
 
 pub(crate) mod pending_requests;
 pub(crate) mod rate_limiter;
-pub(crate) mod shard_writes;
-pub(crate) mod transactions;
-pub(crate) mod watch;
+mod shard_writes;
+mod transactions;
+mod watch;
 
 use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
 use crate::coordination::store_client::rate_limiter::RateLimiter;
@@ -140,18 +140,18 @@
 
     /// Charges one request, on credit if need be.
     pub(crate) fn charge_read(&mut self, now: MonotonicTime) {
-        self.reads.force(now, 1.0);
+        self.reads.take_on_credit(now, 1.0);
     }
 
     /// Charges a transaction with this many changes, on credit if need be.
     pub(crate) fn charge_transaction(&mut self, now: MonotonicTime, changes: usize) {
-        self.reads.force(now, 1.0);
-        self.writes.force(now, changes as f64);
+        self.reads.take_on_credit(now, 1.0);
+        self.writes.take_on_credit(now, changes as f64);
     }
 
     /// Charges this many requests if the share of the limit allows them now.
     pub(crate) fn try_charge_reads(&mut self, now: MonotonicTime, requests: f64) -> bool {
-        self.reads.take(now, requests)
+        self.reads.try_take(now, requests)
     }
 
     /// True if the requests that may be sent now are fewer than this many
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -4,8 +4,12 @@
 //! Every part of the core sends through [`Core::call_state`] and
 //! [`Core::call_cloud`]. Answers to requests that are not in flight are ignored.
 
+use crate::coordination::fleet::scale_out::PendingRental;
+use crate::coordination::jobs::dependency_release::DependencyCheck;
 use crate::coordination::jobs::status_query::Question;
+use crate::coordination::jobs::validation::Refusing;
 use crate::coordination::{CloudCall, Core, Output};
+use crate::protocol::cloud::ListedMachine;
 use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
@@ -18,7 +22,7 @@
     Load(LoadProgress),
     /// Changes since the cache's revision.
     Watch,
-    /// Whether anybody keeps machines of the shard.
+    /// Whether another controller renews worker leases of the shard.
     ExpiryCheck(ShardId),
     /// A lease for this node.
     Grant,
@@ -46,9 +50,9 @@
     /// Whether a job that has no record ended long ago; `known` if it was accepted once.
     Archived { request: RequestId, job: JobId, known: bool },
     /// The record of a job whose submission is invalid: it may be known all the same.
-    Refusing(crate::coordination::jobs::validation::Refusing),
+    Refusing(Refusing),
     /// A job that a submission depends on; one is read after the other.
-    DependencyCheck(crate::coordination::jobs::dependency_release::DependencyCheck),
+    DependencyCheck(DependencyCheck),
     /// The archived record of a job that waiting ones depend on.
     DependencyLookUp(JobId),
     /// The record of a job that is to be cancelled.
@@ -56,13 +60,13 @@
     /// The end of a job that is cancelled.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
     /// The record that names a rental request before it is made.
-    RentName { rental: crate::coordination::fleet::scale_out::PendingRental, transaction: Transaction },
+    RentName { rental: PendingRental, transaction: Transaction },
     /// A rental request to the cloud.
-    Rent(crate::coordination::fleet::scale_out::PendingRental),
+    Rent(PendingRental),
     /// Machines that are returned to the cloud.
     Return(Vec<MachineId>),
     /// A page of the machines that the cloud lists.
-    List { seen: Vec<crate::protocol::cloud::ListedMachine> },
+    List { seen: Vec<ListedMachine> },
     /// The cloud's machine types.
     Catalog,
 }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -9,7 +9,6 @@
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
 use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
-use crate::storage::cache::CacheChange;
 use crate::storage::records::RecordKey;
 use crate::units::{Revision, ShardId};
 
@@ -97,11 +96,10 @@
     /// Takes a committed transaction's changes into the cache.
     pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
-            let changed = match change {
-                Change::Put { key, value, .. } => self.cache.apply(key, Some(value.clone()), revision),
-                Change::Delete { key } => self.cache.apply(key, None, revision),
-            };
-            self.changed(changed);
+            match change {
+                Change::Put { key, value, .. } => self.apply_record(key, Some(value.clone()), revision),
+                Change::Delete { key } => self.apply_record(key, None, revision),
+            }
         }
     }
 
@@ -128,12 +126,11 @@
             // The outcome of a transfer must be known before quota is used again.
             return self.store.unresolved.reads.push((key, shard));
         }
-        let changed = match answer {
-            StoreResponse::Found(item) => self.cache.apply(&key, Some(item.value), item.version),
-            StoreResponse::Missing(at) => self.cache.apply(&key, None, at),
-            _ => CacheChange::Nothing,
-        };
-        self.changed(changed);
+        match answer {
+            StoreResponse::Found(item) => self.apply_record(&key, Some(item.value), item.version),
+            StoreResponse::Missing(at) => self.apply_record(&key, None, at),
+            _ => {}
+        }
         if let Some(shard) = quota_of {
             self.end_quota_transfers(&[shard]);
         }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -12,6 +12,7 @@
 use crate::storage::cache::CacheChange;
 use crate::storage::records::ROOT;
 use crate::units::{Millis, MonotonicTime, Revision, ShardId};
+use serde_json::Value;
 use std::collections::BTreeSet;
 
 /// Longest that one watch request may wait for a change, in milliseconds.
@@ -62,9 +63,8 @@
         let revision = *progress.revision.get_or_insert(page.revision);
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
-            let changed = self.cache.apply(&item.key, Some(item.value), item.version);
+            self.apply_record(&item.key, Some(item.value), item.version);
             progress.seen.insert(item.key);
-            self.changed(changed);
         }
         match last_key {
             Some(after) if page.truncated => self.load_page(Some(after), progress),
@@ -91,22 +91,21 @@
     pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
         match answer {
-            StoreResponse::WatchEvents(news) => self.take_watch_events(sent, news),
+            StoreResponse::WatchEvents(events) => self.take_watch_events(sent, events),
             StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
             _ => self.store.pause(self.now),
         }
     }
 
-    fn take_watch_events(&mut self, sent: MonotonicTime, news: WatchEvents) {
-        let pause = if news.events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
+    fn take_watch_events(&mut self, sent: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
+        let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
         self.store.next_watch = self.now + pause;
-        self.cache.revision = self.cache.revision.max(news.revision);
-        for event in news.events {
-            let changed = match event {
-                WatchEvent::Put { key, value, version } => self.cache.apply(&key, Some(value), version),
-                WatchEvent::Delete { key, version } => self.cache.apply(&key, None, version),
-            };
-            self.changed(changed);
+        self.cache.revision = self.cache.revision.max(revision);
+        for event in events {
+            match event {
+                WatchEvent::Put { key, value, version } => self.apply_record(&key, Some(value), version),
+                WatchEvent::Delete { key, version } => self.apply_record(&key, None, version),
+            }
         }
         // The answer shows the records as of when it was asked for, or later.
         self.store.last_read = Some(self.store.last_read.map_or(sent, |at| at.max(sent)));
@@ -114,11 +113,18 @@
         self.answer_ready_queries();
     }
 
+    /// Takes a key's value as of a revision, or its absence, into the cache, and
+    /// lets whoever goes by it act on the change.
+    pub(super) fn apply_record(&mut self, key: &str, value: Option<Value>, at: Revision) {
+        let change = self.cache.apply(key, value, at);
+        self.changed(change);
+    }
+
     /// Lets the concern that goes by a record act on its change.
-    pub(crate) fn changed(&mut self, what: CacheChange) {
-        match what {
+    pub(crate) fn changed(&mut self, change: CacheChange) {
+        match change {
             CacheChange::Owner(shard) => self.owner_changed(shard),
-            CacheChange::Job(job, news) => self.job_changed(&job, news),
+            CacheChange::Job(job, change) => self.job_changed(&job, change),
             CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
