--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -37,13 +37,15 @@
     ShardTransaction { shard: ShardId, transaction: Transaction },
     /// A record that a conflict named.
     Reread {
+        /// The record's key.
         key: String,
         /// The shard whose transaction waits for it.
         shard: Option<ShardId>,
     },
-    /// The record of a new job.
+    /// The record of a new job, which a user waits for.
     SubmitWrite { request: RequestId, transaction: Transaction, spec: Box<JobSpec> },
-    /// The record of a job that was submitted before, perhaps.
+    /// The record of a job whose submission got no answer from the store (`fresh`),
+    /// or that is in the store already.
     SubmitRead { request: RequestId, job: JobId, fresh: bool },
     /// The newest revision; these status queries wait for the cache to reach it.
     Probe(Vec<Question>),
@@ -55,9 +57,9 @@
     DependencyCheck(DependencyCheck),
     /// The archived record of a job that waiting ones depend on.
     DependencyLookUp(JobId),
-    /// The record of a job that is to be cancelled.
+    /// The record of a job that is to be cancelled, with the attempts that are left.
     CancelRead { request: RequestId, job: JobId, tries: u32 },
-    /// The end of a job that is cancelled.
+    /// The end of a job that is cancelled, with the attempts that are left.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
     /// The record that names a rental request before it is made.
     RentName { rental: PendingRental, transaction: Transaction },
@@ -66,7 +68,10 @@
     /// Machines that are returned to the cloud.
     Return(Vec<MachineId>),
     /// A page of the machines that the cloud lists.
-    List { seen: Vec<ListedMachine> },
+    List {
+        /// Machines on the pages so far.
+        seen: Vec<ListedMachine>,
+    },
     /// The cloud's machine types.
     Catalog,
 }
@@ -85,6 +90,7 @@
 /// A request in flight.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
+    /// What its answer is for.
     pub(crate) what: PendingRequest,
     /// When it was sent.
     pub(crate) sent: MonotonicTime,
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -175,7 +175,7 @@
         // Nothing of an ended job is left here: the record is not needed any more.
         return slice.record().map(|_| Change::delete(key));
     }
-    if slice.dirty() {
+    if slice.has_unwritten_changes() {
         return Some(Change::put(key, serde_json::to_value(desired).ok()?));
     }
     None
--- a/src/coordination/store_client/shard_writes/tests.rs
+++ b/src/coordination/store_client/shard_writes/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::units::{Attempt, MachineId};
 
-fn slice(held: &[TaskRecord], want: &[TaskRecord]) -> Slice {
+fn slice(held: &[TaskRecord], desired: &[TaskRecord]) -> Slice {
     let record = |tasks: &[TaskRecord]| Some(SliceRecord { tasks: tasks.to_vec() });
     let mut slice = Slice::known(Revision(1), record(held));
-    slice.set_desired(record(want));
+    slice.set_desired(record(desired));
     slice
 }
 
-/// Starts waited seconds behind exits for the shard's share of writes.
+/// Starts used to wait seconds behind exits for the shard's share of writes.
 #[test]
 fn starts_are_written_before_exits_but_nothing_starves() {
     let on = |n: u64| TaskRecord::Placed(Attempt(n), MachineId::new("i-000001"));
--- a/src/coordination/store_client/watch/tests.rs
+++ b/src/coordination/store_client/watch/tests.rs
@@ -2,8 +2,8 @@
 use crate::coordination::{Input, Output};
 use crate::protocol::state::{Item, Page};
 
-/// Records were held to be as new as the question for their last page: what was
-/// cancelled while the pages came was counted from too late.
+/// Records were taken to be as new as the request for their last page, so that
+/// cancellations made while the pages were read were noticed too late.
 #[test]
 fn records_read_in_pages_are_as_old_as_the_first() {
     let mut core = crate::coordination::tests::core();
--- a/src/storage/cache/job/tests.rs
+++ b/src/storage/cache/job/tests.rs
@@ -13,24 +13,24 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Versioned(Option<Vec<TaskRecord>>),
-    Want(Option<Vec<TaskRecord>>),
+    Durable(Option<Vec<TaskRecord>>),
+    Desired(Option<Vec<TaskRecord>>),
     Task(usize, TaskRecord),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let tasks = || proptest::option::of(proptest::collection::vec(task(), 5));
     prop_oneof![
-        1 => tasks().prop_map(Step::Versioned),
-        1 => tasks().prop_map(Step::Want),
+        1 => tasks().prop_map(Step::Durable),
+        1 => tasks().prop_map(Step::Desired),
         4 => (0usize..6, task()).prop_map(|(at, to)| Step::Task(at, to)),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(13), failure_persistence: None, ..Default::default() })]
-    /// Writes and rounds go by the sums: one that lags would leave a start
-    /// unwritten, or a waiting task unseen, for ever.
+    /// Writes and scheduling cycles go by the sums: one that lags would leave a start
+    /// unwritten, or a pending task unseen, for ever.
     #[test]
     fn sums_follow_every_change(steps in proptest::collection::vec((0usize..2, step()), 1..40)) {
         let text = serde_json::json!({
@@ -44,11 +44,11 @@
         for (at, (index, step)) in steps.into_iter().enumerate() {
             let revision = Revision(2 + at as u64);
             match step {
-                Step::Versioned(tasks) => {
+                Step::Durable(tasks) => {
                     let value = tasks.map(|tasks| serde_json::to_value(SliceRecord { tasks }).unwrap());
                     cache.apply(&format!("t/s/wk-1/{index}"), value, revision);
                 }
-                Step::Want(tasks) => {
+                Step::Desired(tasks) => {
                     cache.jobs[&id].set_desired(index, tasks.map(|tasks| SliceRecord { tasks }));
                 }
                 Step::Task(at, to) => {
--- a/src/storage/cache/slice.rs
+++ b/src/storage/cache/slice.rs
@@ -120,7 +120,7 @@
     }
 
     /// True if the owner has changes that are not durable yet.
-    pub fn dirty(&self) -> bool {
+    pub fn has_unwritten_changes(&self) -> bool {
         match (&self.desired, &self.held.record) {
             (None, _) => false,
             // An untouched slice needs no record: it may still be assigned elsewhere.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -5,14 +5,16 @@
 //! change; records of other versions are read side by side with these.
 
 mod compact;
+mod error;
 mod keys;
 mod slice;
 
+pub use error::RecordError;
 pub use keys::{
     archived_job_key, job_key, lease_proxy_key, node_key, owner_key, quota_key, slice_key, RecordKey, CATALOG_KEY,
     FEATURE_LEVEL_KEY, FLEET_KEY, LEADER_KEY, ROOT,
 };
-pub use slice::{RecordError, SliceRecord, TaskRecord};
+pub use slice::{SliceRecord, TaskRecord};
 
 use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
 use crate::units::{ComputeAmount, JobId, LeaseId, MachineId, NodeName, ShardId};
