--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -125,7 +125,7 @@
         match change {
             CacheChange::Owner(shard) => self.owner_changed(shard),
             CacheChange::Job(job, change) => self.job_changed(&job, change),
-            CacheChange::Slice(job, slice) => self.slice_changed(&job, slice),
+            CacheChange::Slice(job, _) => self.slice_changed(&job),
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
