--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -4,8 +4,12 @@
 //! Every part of the core sends through [`Core::call_state`] and
 //! [`Core::call_cloud`]. Answers to requests that are not in flight are ignored.
 
+use crate::coordination::fleet::scale_out::PendingRental;
+use crate::coordination::jobs::dependency_check::DependencyCheck;
 use crate::coordination::jobs::status_query::StatusQuery;
+use crate::coordination::jobs::validation::HeldRefusal;
 use crate::coordination::{CloudCall, Core, JobResponseStatus, Output};
+use crate::protocol::cloud::ListedMachine;
 use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::JobSpec;
 use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
@@ -18,7 +22,7 @@
     Load(LoadProgress),
     /// Changes since the cache's revision.
     Watch,
-    /// Whether anybody keeps machines of the shard.
+    /// Whether another controller renews worker leases of the shard.
     ExpiryCheck(ShardId),
     /// A lease for this node.
     Grant,
@@ -33,11 +37,12 @@
     ShardTransaction { shard: ShardId, transaction: Transaction },
     /// A record that a conflict named.
     Reread {
+        /// The record's key.
         key: String,
         /// The shard whose transaction waits for it.
         shard: Option<ShardId>,
     },
-    /// The record of a new job.
+    /// The record of a new job, which a user waits for.
     SubmitWrite { request: RequestId, transaction: Transaction, spec: Box<JobSpec> },
     /// The record of a job that was submitted before, perhaps; `status` is what its submission is
     /// answered with if it is there.
@@ -47,23 +52,26 @@
     /// Whether a job that has no record ended long ago; `known` if it was accepted once.
     Archived { request: RequestId, job: JobId, known: bool },
     /// The record of a job whose submission is invalid: it may be known all the same.
-    RefusalLookUp(crate::coordination::jobs::validation::HeldRefusal),
+    RefusalLookUp(HeldRefusal),
     /// A job that a submission depends on; one is read after the other.
-    DependencyCheck(crate::coordination::jobs::dependency_check::DependencyCheck),
+    DependencyCheck(DependencyCheck),
     /// The archived record of a job that waiting ones depend on.
     DependencyLookUp(JobId),
-    /// The record of a job that is to be cancelled.
+    /// The record of a job that is to be cancelled, with the attempts that are left.
     CancelRead { request: RequestId, job: JobId, tries: u32 },
-    /// The end of a job that is cancelled.
+    /// The end of a job that is cancelled, with the attempts that are left.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
     /// The record that names a rental request before it is made.
-    RentName { rental: crate::coordination::fleet::scale_out::PendingRental, transaction: Transaction },
+    RentName { rental: PendingRental, transaction: Transaction },
     /// A rental request to the cloud.
-    Rent(crate::coordination::fleet::scale_out::PendingRental),
+    Rent(PendingRental),
     /// Machines that are returned to the cloud.
     Return(Vec<MachineId>),
     /// A page of the machines that the cloud lists.
-    List { seen: Vec<crate::protocol::cloud::ListedMachine> },
+    List {
+        /// Machines on the pages so far.
+        seen: Vec<ListedMachine>,
+    },
     /// The cloud's machine types.
     Catalog,
 }
@@ -82,6 +90,7 @@
 /// A request in flight.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
+    /// What its answer is for.
     pub(crate) what: PendingRequest,
     /// When it was sent.
     pub(crate) sent: MonotonicTime,
