--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -1,5 +1,5 @@
-//! A start of a controller under every order of answers: late, refused, lost,
-//! and lost though carried out.
+//! Startup of one controller under every order of the store's answers: late, refused, lost, and
+//! lost though the request was carried out.
 
 #[allow(dead_code)]
 mod simulator;
@@ -21,14 +21,17 @@
 
 const MACHINE: &str = "i-000001";
 
-/// What happens next to one of the calls that are on their way.
+/// What happens next, to one of the requests that are on their way or beside them.
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
     Answer(usize),
     Refuse(usize),
-    /// No answer comes, whether it was carried out or not.
-    Lose(usize, bool),
+    /// No answer comes, whether the request was carried out or not.
+    LoseAnswer {
+        pick: usize,
+        carried_out: bool,
+    },
     Submit,
     Query,
     Heartbeat,
@@ -39,29 +42,30 @@
         5 => (1u64..300).prop_map(Step::Wait),
         8 => (0usize..16).prop_map(Step::Answer),
         1 => (0usize..16).prop_map(Step::Refuse),
-        1 => (0usize..16, any::<bool>()).prop_map(|(pick, done)| Step::Lose(pick, done)),
+        1 => (0usize..16, any::<bool>()).prop_map(|(pick, carried_out)| Step::LoseAnswer { pick, carried_out }),
         1 => Just(Step::Submit),
         1 => Just(Step::Query),
         2 => Just(Step::Heartbeat),
     ]
 }
 
-/// One controller of three, alone, and the state service.
-struct Site {
+/// One controller of three, alone, with the store and one worker. Times are in milliseconds.
+struct TestBed {
     config: ClusterConfig,
-    service: SimulatedStore,
+    store: SimulatedStore,
     core: Core,
     now: u64,
-    began: u64,
-    on_way: VecDeque<(CallId, StoreRequest)>,
-    replies: Vec<(RequestId, Response)>,
+    started_at: u64,
+    in_flight: VecDeque<(CallId, StoreRequest)>,
+    responses: Vec<(RequestId, Response)>,
     requests: u64,
-    tally: u64,
+    heartbeat_number: u64,
     token: FencingToken,
     agent_epoch: u64,
-    /// Since when the worker's lease counts; and when it sent its last report.
+    /// Since when the worker's lease counts.
     lease_from: u64,
-    sent: u64,
+    /// When the worker sent its last heartbeat.
+    heartbeat_sent_at: u64,
     /// The task that the worker runs.
     running: Option<(TaskName, Attempt)>,
 }
@@ -76,47 +80,47 @@
     simulator::fixtures::job_spec(text)
 }
 
-impl Site {
-    fn reporting_every(heartbeat_ms: u64) -> Site {
+impl TestBed {
+    fn with_heartbeats_every(heartbeat_ms: u64) -> TestBed {
         let config = ClusterConfig { heartbeat_ms, lease_ms: 20_000, ..ClusterConfig::small() };
         let core = Core::new(simulator::settings(&config, 0, 20.0), Tuning::default());
-        let (service, replies) = (SimulatedStore::default(), vec![]);
-        let on_way = VecDeque::new();
-        Site {
+        let (store, responses) = (SimulatedStore::default(), vec![]);
+        let in_flight = VecDeque::new();
+        TestBed {
             config,
-            service,
+            store,
             core,
             now: 1000,
-            began: 1000,
-            on_way,
-            replies,
+            started_at: 1000,
+            in_flight,
+            responses,
             requests: 0,
-            tally: 0,
+            heartbeat_number: 0,
             token: FencingToken(0),
             agent_epoch: 1,
             lease_from: 1000,
-            sent: 0,
+            heartbeat_sent_at: 0,
             running: None,
         }
     }
 
-    /// The process ends, and another begins; what was on its way may still be carried out.
+    /// The process ends and another starts; transactions in flight are still carried out.
     fn restart(&mut self) {
-        for (_, call) in std::mem::take(&mut self.on_way) {
-            if self.on_way.is_empty() && matches!(call, StoreRequest::Transaction(_)) {
-                self.service.execute(self.now, call);
+        for (_, call) in std::mem::take(&mut self.in_flight) {
+            if matches!(call, StoreRequest::Transaction(_)) {
+                self.store.execute(self.now, call);
             }
         }
         self.core = Core::new(simulator::settings(&self.config, 0, 20.0), Tuning::default());
-        self.began = self.now;
+        self.started_at = self.now;
     }
 
-    fn feed(&mut self, input: Input) {
-        let steady = MonotonicTime(self.now - self.began + 1);
+    fn handle_input(&mut self, input: Input) {
+        let steady = MonotonicTime(self.now - self.started_at + 1);
         for output in self.core.handle(steady, self.now, input) {
             match output {
-                Output::State(id, call) => self.on_way.push_back((id, call)),
-                Output::Response(request, response) => self.replies.push((request, response)),
+                Output::State(id, call) => self.in_flight.push_back((id, call)),
+                Output::Response(request, response) => self.responses.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
                         CloudCall::Catalog => {
@@ -126,29 +130,29 @@
                         CloudCall::Rent(_) => CloudAnswer::NoCapacity,
                         CloudCall::Return(_) => CloudAnswer::Failed,
                     };
-                    self.feed(Input::Cloud(id, answer));
+                    self.handle_input(Input::Cloud(id, answer));
                 }
                 Output::BroadcastStatus(_) | Output::RevisionHint(_) => {}
             }
         }
     }
 
-    fn ask(&mut self, ask: ClientRequest) -> RequestId {
+    fn send_request(&mut self, request: ClientRequest) -> RequestId {
         self.requests += 1;
-        self.feed(Input::ClientRequest(RequestId(self.requests), ask));
+        self.handle_input(Input::ClientRequest(RequestId(self.requests), request));
         RequestId(self.requests)
     }
 
     fn heartbeat(&mut self) {
         if self.now > self.lease_from + self.config.lease_ms {
-            // The lease is over, and with it all that ran.
+            // The lease expired, and with it all that ran.
             self.running = None;
             self.agent_epoch += 1;
             self.lease_from = self.now;
         }
-        self.sent = self.now;
+        self.heartbeat_sent_at = self.now;
         self.requests += 1;
-        self.tally += 1;
+        self.heartbeat_number += 1;
         let tasks = self.running.iter().map(|(task, attempt)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
@@ -163,49 +167,49 @@
             zone: "a".into(),
             spot: true,
             agent_epoch: AgentEpoch(self.agent_epoch),
-            heartbeat_number: HeartbeatNumber(self.tally),
+            heartbeat_number: HeartbeatNumber(self.heartbeat_number),
             token: self.token,
             termination_notice_s: None,
             tasks: tasks.collect(),
         };
-        self.feed(Input::Heartbeat(RequestId(self.requests), heartbeat));
+        self.handle_input(Input::Heartbeat(RequestId(self.requests), heartbeat));
     }
 
     fn wait(&mut self, ms: u64) {
         self.now += ms;
-        self.feed(Input::Tick);
+        self.handle_input(Input::Tick);
     }
 
-    /// Time passes with every call answered in order.
-    fn settle(&mut self, ms: u64) {
+    /// Lets time pass with every request answered in order.
+    fn run_for(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.wait(50);
-            while let Some((id, call)) = self.on_way.pop_front() {
+            while let Some((id, call)) = self.in_flight.pop_front() {
                 let watch = matches!(call, StoreRequest::Watch { .. });
-                let answer = self.service.execute(self.now, call);
-                self.feed(Input::State(id, answer));
+                let answer = self.store.execute(self.now, call);
+                self.handle_input(Input::State(id, answer));
                 if watch {
                     break;
                 }
             }
-            self.take_replies();
+            self.take_responses();
         }
     }
 
     fn record(&mut self, key: &str) -> Option<(serde_json::Value, u64)> {
-        match self.service.execute(self.now, StoreRequest::Get { key: key.into() }) {
+        match self.store.execute(self.now, StoreRequest::Get { key: key.into() }) {
             StoreResponse::Found(item) => Some((item.value, item.version.0)),
             _ => None,
         }
     }
 
-    /// Checks what was answered against what is durable, and obeys commands.
-    fn take_replies(&mut self) -> Vec<(RequestId, u16)> {
+    /// Checks the answers against what is durable, and executes commands. Returns their status.
+    fn take_responses(&mut self) -> Vec<(RequestId, u16)> {
         let mut statuses = vec![];
-        for (request, response) in std::mem::take(&mut self.replies) {
+        for (request, response) in std::mem::take(&mut self.responses) {
             match response {
                 Response::Job { status, id, .. } => {
-                    assert!(self.record(&job_key(&id)).is_some(), "{id} was told to be accepted and is not durable");
+                    assert!(self.record(&job_key(&id)).is_some(), "{id} was reported as accepted and is not durable");
                     statuses.push((request, status.http_status()));
                 }
                 Response::Error(refusal) => statuses.push((request, refusal.http_status())),
@@ -214,12 +218,15 @@
                 Response::Commands { token, commands } => {
                     let shard = ShardId::of(MACHINE, 3);
                     let owner = self.record(&owner_key(shard));
-                    // Its own key, or one that it cannot yet know to be gone.
-                    assert!(owner.is_none_or(|(_, version)| version >= token.0), "commands under a token of nobody");
-                    if token >= self.token && self.now <= self.sent + 4000 {
+                    // Its own key, or one that it cannot yet know to be deleted.
+                    assert!(
+                        owner.is_none_or(|(_, version)| version >= token.0),
+                        "commands under a token that no owner has"
+                    );
+                    if token >= self.token && self.now <= self.heartbeat_sent_at + 4000 {
                         self.token = token;
-                        self.lease_from = self.sent;
-                        commands.into_iter().for_each(|command| self.obey(command));
+                        self.lease_from = self.heartbeat_sent_at;
+                        commands.into_iter().for_each(|command| self.execute(command));
                     }
                     statuses.push((request, 200));
                 }
@@ -228,7 +235,7 @@
         statuses
     }
 
-    fn obey(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Start { task, attempt } => {
                 let (record, _) = self.record(&slice_key(&task.job, 0)).expect("a durable slice before a start");
@@ -247,60 +254,61 @@
         }
     }
 
+    /// Answers one of the requests in flight as `how` says.
     fn answer(&mut self, pick: usize, how: impl FnOnce(&mut SimulatedStore, u64, StoreRequest) -> StoreResponse) {
-        if self.on_way.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = pick % self.on_way.len();
-        let Some((id, call)) = self.on_way.remove(at) else { return };
-        let answer = how(&mut self.service, self.now, call);
-        self.feed(Input::State(id, answer));
+        let at = pick % self.in_flight.len();
+        let Some((id, call)) = self.in_flight.remove(at) else { return };
+        let answer = how(&mut self.store, self.now, call);
+        self.handle_input(Input::State(id, answer));
     }
 }
 
-/// A core that came free stood idle until its worker's next report, up to
-/// `report_s`, though the next task for it was written in a tenth of a second.
+/// A core that came free stood idle until its worker's next heartbeat, up to `report_s`, though
+/// the record of its next task was written in a tenth of a second.
 #[test]
 fn a_start_command_is_sent_with_the_deferred_response() {
-    let mut site = Site::reporting_every(2500);
-    site.settle(5000);
-    // The first report shows the token, the second that the worker has seen it.
+    let mut bed = TestBed::with_heartbeats_every(2500);
+    bed.run_for(5000);
+    // The answer to the first heartbeat shows the token, the second heartbeat that the worker saw it.
     for _ in 0..2 {
-        site.heartbeat();
-        site.settle(2500);
+        bed.heartbeat();
+        bed.run_for(2500);
     }
-    assert!(site.token > FencingToken(0) && site.running.is_none());
-    site.heartbeat();
-    let heartbeats = site.tally;
-    site.take_replies();
-    // A job that goes to the part of the machine at once.
+    assert!(bed.token > FencingToken(0) && bed.running.is_none());
+    bed.heartbeat();
+    let heartbeats = bed.heartbeat_number;
+    bed.take_responses();
+    // A job that is assigned to the shard of the machine at once.
     let here = |n: &u32| ShardId::of(job(*n).id.as_str(), 3) == ShardId::of(MACHINE, 3);
-    let number = (1..).find(here).expect("a job of the part");
-    site.ask(ClientRequest::Submit(Box::new(job(number))));
-    site.settle(700);
-    assert!(site.running.is_some(), "the start was not sent with the answer that waited");
-    assert_eq!(site.tally, heartbeats);
+    let number = (1..).find(here).expect("a job of the shard");
+    bed.send_request(ClientRequest::Submit(Box::new(job(number))));
+    bed.run_for(700);
+    assert!(bed.running.is_some(), "the start was not sent with the deferred response");
+    assert_eq!(bed.heartbeat_number, heartbeats);
 }
 
-/// Two answers in the worker's hands would start a task twice over.
+/// Two deferred responses to the same worker would start a task twice.
 #[test]
 fn a_newer_heartbeat_replaces_a_deferred_one() {
-    let mut site = Site::reporting_every(2500);
-    site.settle(5000);
+    let mut bed = TestBed::with_heartbeats_every(2500);
+    bed.run_for(5000);
     for _ in 0..2 {
-        site.heartbeat();
-        site.settle(2500);
+        bed.heartbeat();
+        bed.run_for(2500);
     }
-    site.heartbeat();
-    let older = RequestId(site.requests);
-    assert!(site.replies.is_empty(), "an answer was given at once: {:?}", site.replies);
-    site.heartbeat();
+    bed.heartbeat();
+    let older = RequestId(bed.requests);
+    assert!(bed.responses.is_empty(), "an answer was given at once: {:?}", bed.responses);
+    bed.heartbeat();
     let empty = |(request, response): &(RequestId, Response)| {
         *request == older && matches!(response, Response::Commands { commands, .. } if commands.is_empty())
     };
-    assert!(site.replies.len() == 1 && site.replies.iter().all(empty), "{:?}", site.replies);
-    site.settle(2000);
-    assert!(site.replies.is_empty() && site.on_way.len() < 20);
+    assert!(bed.responses.len() == 1 && bed.responses.iter().all(empty), "{:?}", bed.responses);
+    bed.run_for(2000);
+    assert!(bed.responses.is_empty() && bed.in_flight.len() < 20);
 }
 
 proptest! {
@@ -310,83 +318,83 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// Whatever comes in whatever order, nothing is promised or begun that is
-    /// not durable, an accepted job is never unknown, what runs goes on, and the
-    /// node serves once answers come again.
+    /// Whatever comes in whatever order, nothing is reported or started that is not durable, an
+    /// accepted job is never unknown, what runs goes on, and the node serves once answers come
+    /// again.
     #[test]
     fn startup_succeeds_whatever_the_order_of_store_answers(
         steps in proptest::collection::vec(step(), 0..120),
         again in proptest::collection::vec(step(), 0..80),
         heartbeat_ms in prop_oneof![Just(1000u64), Just(2500)],
     ) {
-        let mut site = Site::reporting_every(heartbeat_ms);
-        site.settle(5000);
-        site.ask(ClientRequest::Submit(Box::new(job(1))));
-        site.settle(400);
-        // A worker that has seen the token is told to start.
+        let mut bed = TestBed::with_heartbeats_every(heartbeat_ms);
+        bed.run_for(5000);
+        bed.send_request(ClientRequest::Submit(Box::new(job(1))));
+        bed.run_for(400);
+        // A worker that has seen the token gets the start.
         for _ in 0..8 {
-            site.heartbeat();
-            site.settle(500);
+            bed.heartbeat();
+            bed.run_for(500);
         }
-        prop_assert!(site.running.is_some(), "nothing runs before the trouble");
+        prop_assert!(bed.running.is_some(), "nothing runs before the restarts");
         for steps in [steps, again] {
-            site.restart();
+            bed.restart();
             for step in steps {
                 match step {
-                    Step::Wait(ms) => site.wait(ms),
-                    Step::Answer(pick) => site.answer(pick, |service, now, call| service.execute(now, call)),
-                    Step::Refuse(pick) => site.answer(pick, |_, _, _| StoreResponse::Unavailable),
-                    Step::Lose(pick, done) => site.answer(pick, |service, now, call| {
-                        if done {
+                    Step::Wait(ms) => bed.wait(ms),
+                    Step::Answer(pick) => bed.answer(pick, |service, now, call| service.execute(now, call)),
+                    Step::Refuse(pick) => bed.answer(pick, |_, _, _| StoreResponse::Unavailable),
+                    Step::LoseAnswer { pick, carried_out } => bed.answer(pick, |service, now, call| {
+                        if carried_out {
                             service.execute(now, call);
                         }
                         StoreResponse::Unknown
                     }),
-                    Step::Submit => drop(site.ask(ClientRequest::Submit(Box::new(job(2))))),
+                    Step::Submit => drop(bed.send_request(ClientRequest::Submit(Box::new(job(2))))),
                     Step::Query => {
-                        let request = site.ask(ClientRequest::Query(JobId::new("wk-000001")));
-                        for (answered, status) in site.take_replies() {
+                        let request = bed.send_request(ClientRequest::Query(JobId::new("wk-000001")));
+                        for (answered, status) in bed.take_responses() {
                             prop_assert!(answered != request || status != 404, "forgotten");
                         }
                     }
-                    Step::Heartbeat => site.heartbeat(),
+                    Step::Heartbeat => bed.heartbeat(),
                 }
-                site.take_replies();
+                bed.take_responses();
             }
         }
         for _ in 0..60 {
-            site.settle(500);
-            site.heartbeat();
+            bed.run_for(500);
+            bed.heartbeat();
         }
-        site.take_replies();
-        let up = site.ask(ClientRequest::Health);
-        prop_assert!(site.take_replies().contains(&(up, 200)), "not healthy after 30 s of answers");
-        let asked = site.ask(ClientRequest::Submit(Box::new(job(3))));
+        bed.take_responses();
+        let up = bed.send_request(ClientRequest::Health);
+        prop_assert!(bed.take_responses().contains(&(up, 200)), "not healthy after 30 s of answers");
+        let asked = bed.send_request(ClientRequest::Submit(Box::new(job(3))));
         let mut accepted = None;
         for _ in 0..20 {
-            site.wait(20);
-            while let Some((id, call)) = site.on_way.pop_front() {
-                let answer = site.service.execute(site.now, call);
-                site.feed(Input::State(id, answer));
-                if site.on_way.len() > 20 {
+            bed.wait(20);
+            while let Some((id, call)) = bed.in_flight.pop_front() {
+                let answer = bed.store.execute(bed.now, call);
+                bed.handle_input(Input::State(id, answer));
+                if bed.in_flight.len() > 20 {
                     break;
                 }
             }
-            accepted = accepted.or(site.take_replies().into_iter().find(|(r, _)| *r == asked));
+            accepted = accepted.or(bed.take_responses().into_iter().find(|(r, _)| *r == asked));
             if accepted.is_some() {
                 break;
             }
         }
         prop_assert_eq!(accepted, Some((asked, 201)));
-        site.heartbeat();
-        let token = site.token;
-        site.take_replies();
-        prop_assert!(site.token >= token && site.token > FencingToken(0), "nobody owns the worker");
+        bed.heartbeat();
+        let token = bed.token;
+        bed.take_responses();
+        prop_assert!(bed.token >= token && bed.token > FencingToken(0), "nobody owns the worker");
     }
 }
 
-/// Each life logged and counted the ends of all jobs that it read of, and each
-/// deal of a job counted it once more as a usual one.
+/// Each process logged and counted the ends of all jobs that it read at its startup, and each
+/// assignment of a job's slices counted the job once more.
 #[test]
 fn records_read_at_startup_are_not_reported_as_changes() {
     use tillercleat::storage::cache::{CacheChange, JobChange, StateCache};
@@ -402,13 +410,13 @@
     };
     let id = JobId::new("wk-000001");
     let key = job_key(&id);
-    let mut view = StateCache::default();
-    let mut news = |value, at| view.apply(&key, value, Revision(at));
-    assert_eq!(news(record(None, None), 3), CacheChange::Job(id.clone(), JobChange::First));
-    assert_eq!(news(record(None, Some([1])), 4), CacheChange::Job(id.clone(), JobChange::Other));
-    assert_eq!(news(record(None, None), 3), CacheChange::Nothing);
-    assert_eq!(news(record(Some("done"), Some([1])), 5), CacheChange::Job(id.clone(), JobChange::Ended));
-    assert_eq!(news(record(Some("done"), Some([1])), 6), CacheChange::Job(id.clone(), JobChange::Other));
+    let mut cache = StateCache::default();
+    let mut apply = |value, at| cache.apply(&key, value, Revision(at));
+    assert_eq!(apply(record(None, None), 3), CacheChange::Job(id.clone(), JobChange::First));
+    assert_eq!(apply(record(None, Some([1])), 4), CacheChange::Job(id.clone(), JobChange::Other));
+    assert_eq!(apply(record(None, None), 3), CacheChange::Nothing);
+    assert_eq!(apply(record(Some("done"), Some([1])), 5), CacheChange::Job(id.clone(), JobChange::Ended));
+    assert_eq!(apply(record(Some("done"), Some([1])), 6), CacheChange::Job(id.clone(), JobChange::Other));
     let mut later = StateCache::default();
     assert_eq!(later.apply(&key, record(Some("done"), Some([1])), Revision(6)), CacheChange::Job(id, JobChange::First));
 }
