--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,26 +1,64 @@
-//! Real processes on loopback: the state service of the stand-in over HTTP, and
-//! what starting and asking controllers takes.
+//! Real processes on loopback: the store, a cloud and workers served by the test, and what
+//! starting and asking controllers takes.
 #![allow(dead_code)]
 
 pub mod services;
-#[path = "../simulator/store.rs"]
-mod store;
+mod store_service;
+pub mod worker;
 
 use serde_json::{json, Value};
-use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
-use store::SimulatedStore;
-use tillercleat::protocol::state::{StoreRequest, StoreResponse, Transaction};
+pub use store_service::store_service;
 use tillercleat::transport::http::{Client, Connection};
-use tillercleat::units::{LeaseId, Revision};
+use worker::{run_worker, Machine, TimedTasks};
 
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// Serves HTTP on a free port with a thread a connection.
+/// How long a test waits for anything.
+const MAX_WAIT: Duration = Duration::from_secs(150);
+
+/// Settings of a node: its client address, the internal addresses of all nodes, and where the
+/// cloud and the store listen. What a test needs otherwise it changes in the value.
+pub fn settings(
+    node: usize,
+    client: SocketAddr,
+    internal: &[SocketAddr],
+    cloud: SocketAddr,
+    store: SocketAddr,
+) -> Value {
+    let peers = (0..internal.len()).filter(|peer| *peer != node);
+    let known: Vec<Value> = peers
+        .map(|peer| json!({"label": format!("n{peer}"), "domain": "a", "address": internal[peer].to_string()}))
+        .collect();
+    json!({
+        "label": format!("n{node}"), "domain": "a", "client_listen": client.to_string(),
+        "internal_addr": internal[node].to_string(), "known": known,
+        "external": {"cloud": cloud.to_string(), "state": store.to_string()},
+        "cluster": {"teams": [{"name": "red"}],
+            "workers": {"report_s": 0.2, "lease_s": 3.0, "cancel_s": 12.0},
+            "state": {"rps": 600.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 12},
+            "cloud": {"rps": 10.0, "list_lag_s": 1.0}, "quota": {"ram_mb": 64.0, "fd_limit": 400}}
+    })
+}
+
+/// A submission of an array of short tasks.
+pub fn job_body(id: &str, team: &str, tasks: u32) -> Value {
+    json!({"ref": id, "haul": "h", "crew": team, "rig": "array", "rank": "normal", "loads": tasks, "cores": 1.0,
+        "gpus": 0.0, "mem_gb": 1.0, "kit": "k", "image_gb": 0.1, "hulls": null, "berth": null, "one_zone": false,
+        "apart": false, "driftwood": true, "reckon_s": 1.0, "mark_s": 0.0, "stow_s": 0.0, "tide_s": null})
+}
+
+/// A file of this process, by a name that tells what is in it.
+pub fn temporary_file(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("tillercleat-{}-{name}", std::process::id()))
+}
+
+/// Serves HTTP on a free port, with a thread for each connection.
 pub fn serve(answer: impl Fn(&str, &str, &Value) -> (u16, Value) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -45,82 +83,8 @@
     addr
 }
 
-fn query(path: &str, name: &str) -> Option<String> {
-    let pairs = path.split_once('?')?.1.split('&');
-    pairs.filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v.to_string())
-}
-
-fn state_call(method: &str, path: &str, body: &Value) -> StoreRequest {
-    let number = |name: &str| query(path, name).and_then(|v| v.parse().ok()).unwrap_or(0);
-    match (method, path) {
-        ("POST", "/txn") => {
-            StoreRequest::Transaction(serde_json::from_value::<Transaction>(body.clone()).expect("a transaction"))
-        }
-        ("POST", "/leases") => StoreRequest::GrantLease { ttl_ms: body["ttl_ms"].as_u64().expect("a length") },
-        ("POST", _) => {
-            let lease = path.split('/').nth(2).and_then(|l| l.parse().ok()).expect("a lease");
-            StoreRequest::RenewLease { lease: LeaseId(lease) }
-        }
-        _ if path.starts_with("/changes") => StoreRequest::Watch {
-            prefix: query(path, "starts").unwrap_or_default(),
-            after: Revision(number("from")),
-            wait_ms: number("block_ms"),
-        },
-        _ if path.starts_with("/kv?") => {
-            StoreRequest::List { prefix: query(path, "starts").unwrap_or_default(), after: query(path, "from") }
-        }
-        _ => StoreRequest::Get { key: path.trim_start_matches("/kv/").to_string() },
-    }
-}
-
-fn state_answer(answer: StoreResponse) -> (u16, Value) {
-    use tillercleat::protocol::state::WatchEvent;
-    match answer {
-        StoreResponse::Found(item) => (200, serde_json::to_value(item).expect("json")),
-        StoreResponse::Missing(at) => (404, json!({ "logline": at })),
-        StoreResponse::Page(page) => {
-            (200, json!({"rows": page.items, "truncated": page.truncated, "logline": page.revision}))
-        }
-        StoreResponse::Committed(at) => (200, json!({ "logline": at })),
-        StoreResponse::Conflict(failed) => (409, json!({"failed": failed, "logline": 1})),
-        StoreResponse::LeaseGranted(lease) => (200, json!({ "mooring": lease })),
-        StoreResponse::LeaseRenewed => (200, json!({})),
-        StoreResponse::WatchEvents(news) => {
-            let events: Vec<Value> = news
-                .events
-                .into_iter()
-                .map(|event| match event {
-                    WatchEvent::Put { key, value, version } => json!({"put": key, "data": value, "stamp": version}),
-                    WatchEvent::Delete { key, version } => json!({"drop": key, "stamp": version}),
-                })
-                .collect();
-            (200, json!({"logline": news.revision, "news": events}))
-        }
-        StoreResponse::LeaseGone => (404, json!({"error": "no such lease"})),
-        other => panic!("not served: {other:?}"),
-    }
-}
-
-pub fn state_service() -> SocketAddr {
-    let service = Mutex::new(SimulatedStore::default());
-    let begin = Instant::now();
-    serve(move |method, path, body| {
-        let call = state_call(method, path, body);
-        let wait = if let StoreRequest::Watch { wait_ms, .. } = call { wait_ms } else { 0 };
-        let until = Instant::now() + Duration::from_millis(wait);
-        loop {
-            let now = begin.elapsed().as_millis() as u64;
-            let answer = service.lock().expect("the service").execute(now, call.clone());
-            let waiting = matches!(&answer, StoreResponse::WatchEvents(news) if news.events.is_empty());
-            if !waiting || Instant::now() >= until {
-                return state_answer(answer);
-            }
-            std::thread::sleep(Duration::from_millis(20));
-        }
-    })
-}
-
-/// A cloud that rents so many machines, whose workers begin to report at once.
+/// A cloud that rents so many machines. Their workers send heartbeats at once, and their tasks
+/// take a third of a second.
 pub fn cloud(nodes: Vec<SocketAddr>, machines: usize) -> SocketAddr {
     let rented = AtomicUsize::new(0);
     serve(move |method, path, _| match (method, path) {
@@ -134,9 +98,11 @@
             if number >= machines {
                 return (503, json!({"error": "no capacity"}));
             }
-            let (nodes, name) = (nodes.clone(), format!("i-{number:06}"));
-            let decks = json!({ "decks": [name] });
-            std::thread::spawn(move || work(&nodes, &name));
+            let machine = Machine { name: format!("i-{number:06}"), address: "127.0.0.1:1".into() };
+            let (nodes, decks) = (nodes.clone(), json!({ "decks": [machine.name] }));
+            std::thread::spawn(move || {
+                run_worker(&machine, &nodes, &mut TimedTasks(SECOND / 3), &AtomicBool::new(false));
+            });
             (200, decks)
         }
         ("GET", _) => (200, json!({"decks": [], "truncated": false})),
@@ -144,67 +110,25 @@
     })
 }
 
-/// A worker whose tasks take a third of a second.
-fn work(nodes: &[SocketAddr], name: &str) {
-    let mut tasks: BTreeMap<String, (u64, Instant)> = BTreeMap::new();
-    let (mut token, mut at) = (0, 0);
-    let mut client = Client::new(nodes[0]);
-    for tally in 1u64.. {
-        std::thread::sleep(Duration::from_millis(100));
-        let loads: Vec<Value> = tasks
-            .iter()
-            .map(|(task, (attempt, began))| {
-                if began.elapsed() > SECOND / 3 {
-                    json!({"load": task, "cast": attempt, "trim": "ended", "cause": "done"})
-                } else {
-                    json!({"load": task, "cast": attempt, "trim": "running"})
-                }
-            })
-            .collect();
-        let heartbeat = json!({"deck": name, "endpoint": "127.0.0.1:1", "hull": "m", "berth": "a",
-            "driftwood": false, "watch": 1, "tally": tally, "helm": token, "recall_s": null, "loads": loads});
-        let answer = client.call("POST", "/hello", heartbeat.to_string().as_bytes(), SECOND);
-        let Ok((200, body)) = answer else {
-            at = (at + 1) % nodes.len();
-            client = Client::new(nodes[at]);
-            continue;
-        };
-        let body: Value = serde_json::from_slice(&body).expect("json");
-        token = body["helm"].as_u64().expect("a token").max(token);
-        for call in body["calls"].as_array().into_iter().flatten() {
-            let task = call["load"].as_str().expect("a task").to_string();
-            match call["call"].as_str() {
-                Some("start") => {
-                    tasks.entry(task).or_insert((call["cast"].as_u64().expect("an attempt"), Instant::now()));
-                }
-                _ => {
-                    tasks.remove(&task);
-                }
-            }
-        }
-    }
-}
-
+/// A process of the program, killed when it is dropped.
 pub struct Process(pub Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        // It may have ended by itself: then there is nothing to kill.
+        drop(self.0.kill());
+        drop(self.0.wait());
     }
 }
 
-pub fn start(config: &std::path::Path, options: &[(&str, &std::path::Path)]) -> Process {
+/// Starts the program of this version.
+pub fn start(config: &Path, options: &[(&str, &Path)]) -> Process {
     let program = option_env!("CARGO_BIN_EXE_tillercleat").unwrap_or("target/release/tillercleat");
-    start_program(std::path::Path::new(program), config, options)
+    start_program(Path::new(program), config, options)
 }
 
-/// The same with any version's program.
-pub fn start_program(
-    program: &std::path::Path,
-    config: &std::path::Path,
-    options: &[(&str, &std::path::Path)],
-) -> Process {
+/// Starts the program of any version.
+pub fn start_program(program: &Path, config: &Path, options: &[(&str, &Path)]) -> Process {
     let options = options.iter().flat_map(|(name, file)| [name.as_ref(), file.as_os_str()]);
     let child = Command::new(program)
         .arg("run")
@@ -217,19 +141,22 @@
     Process(child)
 }
 
+/// Calls a controller; None if it does not answer.
 pub fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
     let (status, body) = Client::new(addr).call(method, path, body.as_bytes(), SECOND * 3).ok()?;
     Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
-pub fn wait_for(what: &str, mut test: impl FnMut() -> bool) {
-    let until = Instant::now() + SECOND * 150;
-    while !test() {
+/// Waits until something holds.
+pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+    let until = Instant::now() + MAX_WAIT;
+    while !holds() {
         assert!(Instant::now() < until, "{what} takes too long");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
+/// An address on loopback that nobody listens on.
 pub fn free_port() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
 }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,11 +1,13 @@
-//! Processes of the version in production and of this one side by side on
-//! loopback. Not among the usual tests: it builds that version from the history.
+//! Processes of the version in production and of this one side by side on loopback. Not among the
+//! usual tests: it builds that version from the history.
 //!
 //!     cargo test --release --test mixed -- --ignored --nocapture
 
 mod loopback;
 
-use loopback::{call, cloud, free_port, start, start_program, state_service, wait_for, Process};
+use loopback::{
+    call, cloud, free_port, job_body, settings, start, start_program, store_service, temporary_file, wait_for, Process,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -38,14 +40,12 @@
 }
 
 fn job(number: usize, dependencies: &[usize]) -> String {
-    json!({"ref": format!("wk-{number:06}"), "haul": "h", "crew": "red", "rig": "array", "rank": "normal", "loads": 5,
-        "cores": 1.0, "mem_gb": 1.0, "kit": "k", "image_gb": 0.1, "driftwood": true, "reckon_s": 1.0,
-        "gpus": 0.0, "one_zone": false, "apart": false, "mark_s": 0.0, "stow_s": 0.0,
-        "awaits": dependencies.iter().map(|n| format!("wk-{n:06}")).collect::<Vec<_>>()})
-    .to_string()
+    let mut body = job_body(&format!("wk-{number:06}"), "red", 5);
+    body["awaits"] = dependencies.iter().map(|dependency| format!("wk-{dependency:06}")).collect();
+    body.to_string()
 }
 
-/// Submits as users do, at any controller, until it is taken.
+/// Submits as users do, at any controller, until the job is accepted.
 fn submit(users: &[SocketAddr], number: usize, dependencies: &[usize]) {
     let mut at = number;
     wait_for(&format!("job {number}"), || {
@@ -55,9 +55,27 @@
     });
 }
 
-fn end(node: &mut Process) {
-    let _ = node.0.kill();
-    let _ = node.0.wait();
+fn kill(node: &mut Process) {
+    node.0.kill().expect("a process that runs");
+    node.0.wait().expect("a child");
+}
+
+/// Writes a settings file of each node; returns their paths.
+fn write_settings(users: &[SocketAddr]) -> Vec<PathBuf> {
+    let internal: Vec<SocketAddr> = (0..NODES).map(|_| free_port()).collect();
+    let (store, cloud) = (store_service(), cloud(users.to_vec(), 3));
+    let write = |node: usize| {
+        let mut settings = settings(node, users[node], &internal, cloud, store);
+        settings["cluster"]["workers"] = json!({"report_s": 0.2, "lease_s": 5.0, "cancel_s": 20.0});
+        settings["cluster"]["state"]["rps"] = json!(400.0);
+        settings["cluster"]["state"]["next"] = json!({"value_kb": 2.0, "txn_ops": 4});
+        settings["cluster"]["cloud"] = json!({"rps": 5.0, "list_lag_s": 30.0});
+        settings["cluster"]["quota"]["fd_limit"] = json!(200);
+        let path = temporary_file(&format!("mixed-{node}.json"));
+        std::fs::write(&path, settings.to_string()).expect("a settings file");
+        path
+    };
+    (0..NODES).map(write).collect()
 }
 
 #[test]
@@ -65,32 +83,10 @@
 fn old_and_new_controllers_serve_side_by_side() {
     let old = production();
     let users: Vec<SocketAddr> = (0..NODES).map(|_| free_port()).collect();
-    let peers: Vec<SocketAddr> = (0..NODES).map(|_| free_port()).collect();
-    let (state, cloud) = (state_service(), cloud(users.clone(), 3));
-    let configs: Vec<PathBuf> = (0..NODES)
-        .map(|n| {
-            let known = (0..NODES).filter(|p| *p != n);
-            let known: Vec<_> = known
-                .map(|p| json!({"label": format!("n{p}"), "domain": "a", "address": peers[p].to_string()}))
-                .collect();
-            let config = json!({
-                "label": format!("n{n}"), "domain": "a", "client_listen": users[n].to_string(),
-                "internal_addr": peers[n].to_string(), "known": known,
-                "external": {"cloud": cloud.to_string(), "state": state.to_string()},
-                "cluster": {"teams": [{"name": "red"}],
-                    "workers": {"report_s": 0.2, "lease_s": 5.0, "cancel_s": 20.0},
-                    "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 12,
-                        "next": {"value_kb": 2.0, "txn_ops": 4}},
-                    "cloud": {"rps": 5.0, "list_lag_s": 30.0}, "quota": {"ram_mb": 64.0, "fd_limit": 200}}
-            });
-            let path = std::env::temp_dir().join(format!("tillercleat-mixed-{}-{n}.json", std::process::id()));
-            std::fs::write(&path, config.to_string()).expect("a settings file");
-            path
-        })
-        .collect();
+    let configs = write_settings(&users);
     let mut nodes: Vec<Process> = configs.iter().map(|config| start_program(&old, config, &[])).collect();
     let began = Instant::now();
-    let tell = |what: &str| println!("{:6.1} s: {what}", began.elapsed().as_secs_f64());
+    let report = |what: &str| println!("{:6.1} s: {what}", began.elapsed().as_secs_f64());
     let mut number = 0;
     let mut load = |jobs: usize| {
         for _ in 0..jobs {
@@ -101,24 +97,24 @@
         number
     };
     load(20);
-    tell("three of the version in production serve");
+    report("three of the version in production serve");
     for n in 0..NODES {
         if n == 1 {
-            // One whose turn has not come ends, and comes back as it was.
-            end(&mut nodes[2]);
+            // One that is not upgraded yet crashes, and comes back as it was.
+            kill(&mut nodes[2]);
             nodes[2] = start_program(&old, &configs[2], &[]);
             load(10);
-            tell("an old one ended and is back, beside one that is new");
+            report("an old one crashed and is back, beside a new one");
             let (status, _) = call(users[0], "POST", "/v2/runs", &job(900, &[0])).expect("an answer");
-            assert_eq!(status, 503, "taken before all controllers know of chains");
+            assert_eq!(status, 503, "accepted before all controllers support dependencies");
         }
-        end(&mut nodes[n]);
+        kill(&mut nodes[n]);
         nodes[n] = start(&configs[n], &[]);
         load(10);
-        tell(&format!("node {n} is new"));
+        report(&format!("node {n} is new"));
     }
     submit(&users, 901, &[0, 10]);
-    tell("the first job that names others is taken");
+    report("the first job with dependencies is accepted");
     submit(&users, 902, &[901]);
     submit(&users, 903, &[902, 5]);
     let jobs = load(10);
@@ -129,7 +125,7 @@
     for number in (0..jobs).chain([901, 902, 903]) {
         wait_for(&format!("job {number} to be done"), || done(number));
     }
-    tell(&format!("all {} jobs are done", jobs + 3));
+    report(&format!("all {} jobs are done", jobs + 3));
     assert!(nodes.iter_mut().all(|node| node.0.try_wait().expect("a process").is_none()), "a process ended by itself");
     configs.iter().for_each(|config| drop(std::fs::remove_file(config)));
 }
