--- a/src/coordination/jobs/dependency_lookup/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -13,16 +13,16 @@
     let (first, second) = (JobId::new("wk-000001"), JobId::new("wk-000002"));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
     core.changed(changed);
-    let told = |core: &mut Core| {
+    let answered_state = |core: &mut Core| {
         core.answer_known_job(RequestId(1), &second);
         match core.out.pop() {
             Some(Output::Response(_, Response::Job { state, .. })) => Some(state),
             _ => None,
         }
     };
-    assert_eq!(told(&mut core), None);
+    assert_eq!(answered_state(&mut core), None);
     let value = serde_json::json!({"end": "cancelled", "tasks": 1});
     let item = Item { key: "f/wk-000001".into(), value, version: Revision(3) };
     core.dependency_looked_up(first, StoreResponse::Found(item));
-    assert_eq!(told(&mut core), Some(crate::protocol::users::JobState::Cancelled));
+    assert_eq!(answered_state(&mut core), Some(crate::protocol::users::JobState::Cancelled));
 }
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -69,10 +69,8 @@
 
     /// Removes the queries that have waited too long.
     fn take_expired(&mut self, now: MonotonicTime) -> Vec<StatusQuery> {
-        let mut expired = vec![];
-        while let Some(query) = self.unprobed.pop_front_if(|query| query.is_expired(now)) {
-            expired.push(query);
-        }
+        let expired_count = self.unprobed.iter().take_while(|query| query.is_expired(now)).count();
+        let mut expired: Vec<_> = self.unprobed.drain(..expired_count).collect();
         expired.extend(self.take_probed(|probed| probed.query.is_expired(now)));
         expired
     }
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -7,7 +7,7 @@
     let mut core = crate::coordination::tests::core();
     core.store.set_loaded();
     core.store.set_last_answer(MonotonicTime(1000));
-    let mut told = |at: u64| {
+    let mut is_refused = |at: u64| {
         let outputs = core.handle(
             MonotonicTime(at),
             0,
@@ -19,6 +19,6 @@
         })
     };
     for at in (1100..6000).step_by(300) {
-        assert_eq!(told(at), at > 3500, "{at}");
+        assert_eq!(is_refused(at), at > 3500, "{at}");
     }
 }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -65,7 +65,7 @@
     Failed,
 }
 
-/// What the core is told, one at a time.
+/// What the core handles, one at a time.
 #[derive(Debug)]
 pub enum Input {
     /// Time passed.
