--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -11,6 +11,7 @@
 mod shard_writes;
 mod transactions;
 mod watch;
+mod write_batch;
 
 use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
 use crate::coordination::store_client::rate_limiter::RateLimiter;
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -8,28 +8,17 @@
 use crate::coordination::jobs::submission::TASK_BYTES;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
+use crate::coordination::store_client::write_batch::{completes_job, slice_change, Batch, BatchLimits};
 use crate::coordination::Core;
-use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
+use crate::protocol::state::{Change, StoreRequest, StoreResponse, Transaction};
 use crate::protocol::users::Priority;
-use crate::storage::cache::{Job, Slice};
-use crate::storage::records::{
-    job_key, owner_key, slice_key, JobOutcome, JobRecord, RecordKey, SliceRecord, TaskRecord,
-};
-use crate::units::{FencingToken, JobId, Millis, MonotonicTime, Revision, ShardId};
-use std::collections::BTreeSet;
+use crate::storage::cache::Slice;
+use crate::storage::records::{job_key, RecordKey, SliceRecord, TaskRecord};
+use crate::units::{JobId, Millis, MonotonicTime, ShardId};
 
 /// Most that a task takes in the compact form of a slice, in bytes.
 const COMPACT_TASK_BYTES: usize = 12;
 
-/// Size of a transaction from which on no more slices are added, in bytes.
-const MAX_TRANSACTION_BYTES: usize = 40_000;
-
-/// What the conditions of a slice add to a transaction, in bytes.
-const CONDITION_BYTES: usize = 200;
-
-/// What the record of a job that ends adds to a transaction, in bytes.
-const JOB_RECORD_BYTES: usize = 800;
-
 /// How long changes that can wait are left alone while writes are scarce.
 const SCARCE_PAUSE: Millis = Millis(20);
 
@@ -90,63 +79,6 @@
     index: usize,
 }
 
-/// How much may go into one transaction.
-#[derive(Debug, Clone, Copy)]
-struct BatchLimits {
-    max_changes: usize,
-    /// Less than half a second's share of writes is left: what can wait for more
-    /// changes to the same slice leaves the rest to starts.
-    writes_scarce: bool,
-}
-
-/// A transaction in the making.
-struct Batch {
-    transaction: Transaction,
-    /// Slices that are in it, or that turned out to need no write.
-    taken: Vec<(JobId, usize)>,
-    /// Jobs whose record's version is a condition already.
-    jobs: BTreeSet<JobId>,
-    /// Estimated size of the transaction.
-    bytes: usize,
-}
-
-impl Batch {
-    /// A transaction that holds only while the shard is owned with this token.
-    fn fenced_by(shard: ShardId, token: FencingToken) -> Batch {
-        let conditions = vec![Condition { key: owner_key(shard), version: Revision(token.0) }];
-        let transaction = Transaction { conditions, changes: vec![] };
-        Batch { transaction, taken: vec![], jobs: BTreeSet::new(), bytes: 0 }
-    }
-
-    /// True if there is no room for another slice and the record of its job,
-    /// should it be the job's last.
-    fn is_full(&self, limits: BatchLimits) -> bool {
-        self.transaction.changes.len() + 2 > limits.max_changes || self.bytes > MAX_TRANSACTION_BYTES
-    }
-
-    /// Makes the transaction hold only if neither the slice nor its job was
-    /// changed by anybody else.
-    fn add_conditions(&mut self, id: &JobId, job: &Job, index: usize) {
-        let conditions = &mut self.transaction.conditions;
-        conditions.push(Condition { key: slice_key(id, index), version: job.slices()[index].held().version });
-        if self.jobs.insert(id.clone()) {
-            conditions.push(Condition { key: job_key(id), version: job.version });
-        }
-    }
-
-    /// Ends the job with its last slice, which need not be kept.
-    fn add_job_end(&mut self, id: &JobId, job: &Job, index: usize, limits: BatchLimits) {
-        let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
-        let Ok(value) = serde_json::to_value(record) else { return };
-        self.bytes += JOB_RECORD_BYTES;
-        self.transaction.changes.push(Change::put(job_key(id), value));
-        // While writes are scarce, the slice's record is deleted later.
-        if job.slices()[index].record().is_some() && !limits.writes_scarce {
-            self.transaction.changes.push(Change::delete(slice_key(id, index)));
-        }
-    }
-}
-
 /// How long writes for a job give way to those of the highest priority: many
 /// small jobs must not hold up what is urgent, nor wait for ever.
 fn priority_delay_ms(priority: Priority) -> u64 {
@@ -166,33 +98,6 @@
         && !owned_shard.dirty.is_empty()
 }
 
-/// The change that makes a slice of a job durable as it is desired, if one is needed.
-fn slice_change(job: &Job, id: &JobId, index: usize) -> Option<Change> {
-    let slice = job.slices().get(index)?;
-    let desired = slice.desired()?;
-    let key = slice_key(id, index);
-    if job.record.end.is_some() && !desired.has_placed_task() {
-        // Nothing of an ended job is left here: the record is not needed any more.
-        return slice.record().map(|_| Change::delete(key));
-    }
-    if slice.has_unwritten_changes() {
-        return Some(Change::put(key, serde_json::to_value(desired).ok()?));
-    }
-    None
-}
-
-/// True if the job is done once this slice is durable as it is desired.
-fn completes_job(job: &Job, index: usize) -> bool {
-    let is_done = |(at, slice): (usize, &Slice)| {
-        if at == index {
-            slice.desired().is_some_and(SliceRecord::is_done)
-        } else {
-            slice.is_done()
-        }
-    };
-    job.record.end.is_none() && job.slices().iter().enumerate().all(is_done)
-}
-
 impl Core {
     /// Writes what is to be written of all owned shards.
     pub(crate) fn write_pending_changes(&mut self) {
@@ -220,7 +125,8 @@
         if limits.max_changes < 2 {
             return;
         }
-        let batch = self.fill_batch(Batch::fenced_by(shard, owned_shard.token), self.write_queue(owned_shard), limits);
+        let empty = Batch::fenced_by(shard, owned_shard.token, limits);
+        let batch = self.fill_batch(empty, self.write_queue(owned_shard), limits);
         self.send_batch(shard, batch);
     }
 
@@ -252,32 +158,26 @@
             }
             let job = self.cache.jobs.get(&id);
             let Some((job, change)) = job.and_then(|job| Some((job, slice_change(job, &id, index)?))) else {
-                batch.taken.push((id, index));
+                batch.skip_slice(id, index);
                 continue;
             };
             // What does not fit waits: as its tasks end, its record shrinks.
             let Some(change) = self.fit_into_value(change, &job.slices()[index]) else { continue };
-            if batch.is_full(limits) {
+            if batch.is_full() {
                 break;
             }
-            batch.bytes += serde_json::to_vec(&change).map_or(0, |bytes| bytes.len()) + CONDITION_BYTES;
-            batch.add_conditions(&id, job, index);
-            if completes_job(job, index) && !self.store.is_key_busy(&job_key(&id)) {
-                batch.add_job_end(&id, job, index, limits);
-            } else {
-                batch.transaction.changes.push(change);
-            }
-            batch.taken.push((id, index));
+            let ends_job = completes_job(job, index) && !self.store.is_key_busy(&job_key(&id));
+            batch.add_slice(id, job, index, change, ends_job);
         }
         batch
     }
 
     fn send_batch(&mut self, shard: ShardId, batch: Batch) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        for slice in &batch.taken {
+        let (transaction, taken) = batch.finish();
+        for slice in &taken {
             owned_shard.dirty.remove(slice);
         }
-        let transaction = batch.transaction;
         if transaction.changes.is_empty() {
             // All of it can wait for writes: it need not be weighed at every input.
             owned_shard.retry_at = self.now + SCARCE_PAUSE;
--- a/src/coordination/store_client/shard_writes/tests.rs
+++ b/src/coordination/store_client/shard_writes/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::units::{Attempt, MachineId};
+use crate::units::{Attempt, MachineId, Revision};
 
 fn slice(held: &[TaskRecord], desired: &[TaskRecord]) -> Slice {
     let record = |tasks: &[TaskRecord]| Some(SliceRecord { tasks: tasks.to_vec() });
--- a/src/storage/cache/slice.rs
+++ b/src/storage/cache/slice.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Slice {
     held: Versioned<SliceRecord>,
-    /// What the shard's owner wants to be durable; none: untouched.
+    /// What the shard's owner desires to be durable; none: not taken up.
     desired: Option<SliceRecord>,
     counts: TaskCounts,
 }
--- a/src/storage/cache/versioned.rs
+++ b/src/storage/cache/versioned.rs
@@ -1,16 +1,16 @@
-//! A record with the revisions that decide whether later news of it is newer.
+//! A record with the revisions that decide whether what is read later is newer.
 
 use crate::units::Revision;
 
 /// A record with the version it was read at. An absent record keeps the
-/// revision at which it was seen to be absent, so that older news of it is
-/// recognized.
+/// revision at which it was seen to be absent, so that an older
+/// read is recognized.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
     /// The record's version; zero if it is absent, as conditions of a
     /// transaction say it.
     pub version: Revision,
-    /// The newest revision this was known at; older news is dropped.
+    /// The newest revision this was known at; older reads are dropped.
     pub known_at: Revision,
     /// The record, if there is one.
     pub record: Option<T>,
