--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -14,7 +14,7 @@
 //!
 //! Called in housekeeping and for heartbeats of machines whose shard another controller owns.
 
-use crate::coordination::heartbeats::handling::MAX_COMMANDS;
+use crate::coordination::heartbeats::reconciliation::MAX_COMMANDS;
 use crate::coordination::membership::feature_level::SUPPORTED_LEVEL;
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
 use crate::protocol::state::{Change, Condition, Transaction};
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -5,7 +5,7 @@
 //! Called at the end of every step of the core. Effects follow the record: a
 //! task is started only after the transaction that places it was committed.
 
-use crate::coordination::jobs::submission::TASK_BYTES;
+use crate::coordination::jobs::slice_sizing::TASK_BYTES;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::store_client::write_batch::{completes_job, slice_change, Batch, BatchLimits};
