--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -8,7 +8,7 @@
 //! shard is used there or given back. The leader alone calls this module.
 
 use crate::coordination::fleet::demand::Demand;
-use crate::coordination::leader::array_assignment::ShardCapacity;
+use crate::coordination::leader::shard_capacity::ShardCapacity;
 use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
@@ -44,9 +44,9 @@
         let incomplete: Vec<(&JobId, &Job)> = active.filter(|(_, job)| is_incomplete_service(job)).collect();
         let mut unplaceable = BTreeMap::new();
         if !incomplete.is_empty() {
-            let mut capacity = self.available_capacity();
+            let capacity = self.available_capacity();
             for (id, job) in incomplete {
-                if let Some(service) = self.unplaceable_service(id, job, &mut capacity) {
+                if let Some(service) = self.unplaceable_service(id, job, &capacity) {
                     unplaceable.insert(id.clone(), service);
                 }
             }
@@ -55,7 +55,7 @@
     }
 
     /// None if a machine of the service's shard has capacity for one more replica.
-    fn unplaceable_service(&self, id: &JobId, job: &Job, capacity: &mut ShardCapacity) -> Option<UnplaceableService> {
+    fn unplaceable_service(&self, id: &JobId, job: &Job, capacity: &ShardCapacity) -> Option<UnplaceableService> {
         let shard = job.shard_of(0)?;
         let zones = self.open_zones(job);
         if zones.iter().any(|zone| capacity.startable_in_zone(zone, shard, &job.record, 1) > 0) {
