--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -18,6 +18,9 @@
 use crate::units::{JobId, MachineId, Millis, ShardId};
 use std::collections::BTreeSet;
 
+/// The least number of cores that a price is divided by.
+const MIN_CPUS: f64 = 1e-6;
+
 /// Seconds until a shape fits a machine; none if it never does.
 type CachedWait = Option<f64>;
 
@@ -26,7 +29,7 @@
 pub(crate) struct CandidateMachine<'a> {
     /// The name under which the shard knows it.
     pub name: &'a MachineId,
-    /// What its heartbeats told, and what the shard's owner remembers of it.
+    /// What its heartbeats said, and what the shard's owner remembers of it.
     pub reported: &'a Machine,
     pub machine_type: &'a MachineType,
     /// Lifetimes of machines like this one, if any ended and they are to be regarded.
@@ -127,7 +130,7 @@
             machine_type,
             history: self.estimates.history(machine).filter(|_| self.tuning.use_lifetimes),
             age_s: self.now.since(machine.born).as_secs(),
-            price_per_cpu: spot_price.unwrap_or(machine_type.price) / machine_type.cpus.max(1e-6),
+            price_per_cpu: spot_price.unwrap_or(machine_type.price) / machine_type.cpus.max(MIN_CPUS),
             capacity,
             waits: vec![],
         }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -21,6 +21,9 @@
 /// The same for jobs that must start at once, whatever their run time.
 const EQUAL_WITHIN_QUICK_START_S: f64 = 0.3;
 
+/// Prices per core are compared in steps of one over this.
+const PRICE_STEPS: f64 = 1000.0;
+
 /// Seconds that a service is planned to hold its capacity: longer than any plan.
 const SERVICE_HOLD_S: f64 = 1e9;
 
@@ -29,7 +32,7 @@
 struct CandidateRank {
     /// Expected completion in units of what counts as equal, rounded.
     completion: f64,
-    /// Price per core in thousandths, rounded: among equals the cheapest machine is best.
+    /// Price per core in steps of `1 / PRICE_STEPS`, rounded: among equals the cheapest machine is best.
     price: f64,
     /// Free cores: then the fullest machine is, so that others can be given back.
     free_cpus: f64,
@@ -126,7 +129,7 @@
     }
     let rank = CandidateRank {
         completion: (completion_s / equal_within_s(request)).round(),
-        price: (machine.price_per_cpu * 1000.0).round(),
+        price: (machine.price_per_cpu * PRICE_STEPS).round(),
         free_cpus: machine.capacity.free.cpus,
     };
     Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: request.run_s + fetch_s })
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -37,7 +37,7 @@
     /// Its tasks that do not start now for want of capacity.
     pub unplaced: UnplacedTasks,
     /// The job failed wherever it ran: one task at a time shows whether it still does.
-    pub suspect: bool,
+    pub fails_everywhere: bool,
     /// No further task of the job is looked at in this cycle. For a gang: not all of its
     /// tasks can start now.
     pub ended: bool,
@@ -55,7 +55,7 @@
         quota: TeamQuota,
         used: ComputeAmount,
         occupancy: ZoneOccupancy,
-        suspect: bool,
+        fails_everywhere: bool,
     ) -> JobPlacement<'a> {
         JobPlacement {
             id,
@@ -65,7 +65,7 @@
             occupancy,
             candidates: BinaryHeap::new(),
             unplaced: UnplacedTasks { job: id.clone(), tasks: 0, wait_s: f64::INFINITY },
-            suspect,
+            fails_everywhere,
             ended: false,
             avoid_after_failure: AVOID_AFTER_FAILURE,
             waiting_tasks: 0,
@@ -83,11 +83,11 @@
         self.used.gpus += self.request.need.gpus;
     }
 
-    /// True if the job failed on the machine so lately that it goes elsewhere. A suspect
-    /// job, which fails everywhere, avoids none.
+    /// True if the job failed on the machine so lately that it goes elsewhere. A job that
+    /// fails everywhere avoids none.
     pub fn avoids(&self, machine: &CandidateMachine, now: MonotonicTime) -> bool {
         let failed_at = machine.reported.failed_jobs.get(self.id);
-        !self.suspect && failed_at.is_some_and(|at| now.since(*at) < self.avoid_after_failure)
+        !self.fails_everywhere && failed_at.is_some_and(|at| now.since(*at) < self.avoid_after_failure)
     }
 
     /// Lets the job go to machines on which it failed, but for the latest of them.
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -206,8 +206,8 @@
         may_wait: bool,
     ) -> JobPlacement<'a> {
         let occupancy = self.core.zone_occupancy(self.shard, id, request.job);
-        let suspect = self.core.fails_everywhere(id);
-        let mut placement = JobPlacement::new(id, request, quota, used, occupancy, suspect);
+        let fails_everywhere = self.core.fails_everywhere(id);
+        let mut placement = JobPlacement::new(id, request, quota, used, occupancy, fails_everywhere);
         self.rank_machines(&mut placement);
         let now = self.core.now;
         if may_wait
@@ -319,7 +319,7 @@
             placement.occupancy.add(&machine.reported.zone, 1);
             self.rank_machines(placement);
         }
-        placement.ended |= placement.suspect && !placement.request.is_gang();
+        placement.ended |= placement.fails_everywhere && !placement.request.is_gang();
         if self.starving_job == Some(placement.id) {
             // One task goes before others; the rest of the job waits in its place again.
             let start = StarvingStart { cpus: need.cpus, hold_s: best.hold_s, shard_cpus: self.shard_cpus };
@@ -328,13 +328,14 @@
         }
     }
 
-    /// Notes tasks of a job that wait for capacity. Nothing is stopped for a suspect job.
+    /// Notes tasks of a job that wait for capacity. Nothing is stopped for a job that
+    /// fails everywhere.
     fn record_unplaced(&mut self, placement: JobPlacement) {
         if placement.unplaced.tasks == 0 {
             return;
         }
         self.promised.add_waiting_job();
-        if !placement.suspect {
+        if !placement.fails_everywhere {
             self.outcome.unplaced.push(placement.unplaced);
         }
     }
