--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -11,18 +11,22 @@
 pub(crate) mod shards;
 pub(crate) mod store_client;
 
+use crate::coordination::jobs::completion::CompletedJobs;
+use crate::coordination::jobs::dependency_graph::DependencyGraph;
+use crate::coordination::jobs::dependency_lookup::DependencyLookups;
+use crate::coordination::jobs::dependency_release::DependencyRelease;
 use crate::coordination::jobs::status_query::StatusQueries;
+use crate::coordination::membership::Membership;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::StoreClient;
-use crate::protocol::peer::PeerStatus;
 use crate::settings::{Settings, Tuning};
 use crate::storage::cache::StateCache;
-use crate::units::{JobId, LeaseId, Millis, MonotonicTime, NodeName, RequestId, ShardId};
+use crate::units::{Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
 pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// How often controllers tell one another how they are.
 const STATUS_INTERVAL: Millis = Millis(1000);
@@ -59,14 +63,6 @@
     }
 }
 
-/// What another controller told last.
-#[derive(Debug, Default)]
-struct Peer {
-    heard: Option<MonotonicTime>,
-    state_reachable: bool,
-    status: Option<PeerStatus>,
-}
-
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
@@ -82,15 +78,9 @@
     out: Vec<Output>,
     cache: StateCache,
     store: StoreClient,
-    lease: Option<LeaseId>,
-    granting: bool,
-    renewing: bool,
-    renew_at: MonotonicTime,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
-    target_since: BTreeMap<ShardId, (NodeName, MonotonicTime)>,
-    finish: BTreeSet<JobId>,
-    peers: BTreeMap<NodeName, Peer>,
-    next_status: MonotonicTime,
+    completed_jobs: CompletedJobs,
+    membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
     /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
@@ -103,16 +93,10 @@
     objectives: crate::coordination::scheduling::objectives::Objectives,
     guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
-    dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph,
-    /// A waiting job may start: that must not wait for the next housekeeping.
-    release_soon: bool,
-    dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease,
-    announced: crate::coordination::membership::feature_level::Announced,
-    shard_release: crate::coordination::membership::shard_release::ShardRelease,
-    start: crate::coordination::membership::startup::StartupProgress,
+    dependency_graph: DependencyGraph,
+    dependency_release: DependencyRelease,
+    dependency_lookups: DependencyLookups,
     deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
-    /// Notes told so far.
-    told: u64,
 }
 
 impl Core {
@@ -134,7 +118,7 @@
             shard_count: names.len() as u32,
             timing: Timing::of(&settings),
             store: StoreClient::new(state.rps * 0.9 / share, (state.write_rps * 0.9 / share).max(1.0)),
-            peers: settings.peers.iter().map(|p| (NodeName::new(&p.node), Peer::default())).collect(),
+            membership: Membership::new(settings.peers.iter().map(|peer| NodeName::new(&peer.node))),
             settings,
             tuning,
             now: MonotonicTime(0),
@@ -145,14 +129,8 @@
             cache,
             objectives,
             guarantees,
-            lease: None,
-            granting: false,
-            renewing: false,
-            renew_at: MonotonicTime(0),
             owned_shards: BTreeMap::new(),
-            target_since: BTreeMap::new(),
-            finish: BTreeSet::new(),
-            next_status: MonotonicTime(0),
+            completed_jobs: CompletedJobs::default(),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
@@ -162,14 +140,10 @@
             unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
             estimates: crate::coordination::fleet::estimates::Estimates::default(),
             status_queries: StatusQueries::default(),
-            dependency_graph: crate::coordination::jobs::dependency_graph::DependencyGraph::default(),
-            release_soon: false,
-            dependency_release: crate::coordination::jobs::dependency_release::DependencyRelease::default(),
-            announced: crate::coordination::membership::feature_level::Announced::default(),
-            shard_release: crate::coordination::membership::shard_release::ShardRelease::default(),
-            start: crate::coordination::membership::startup::StartupProgress::default(),
+            dependency_graph: DependencyGraph::default(),
+            dependency_release: DependencyRelease::default(),
+            dependency_lookups: DependencyLookups::default(),
             deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
-            told: 0,
         }
     }
 
@@ -203,9 +177,7 @@
     fn clock_jumped(&mut self, gap: Millis) {
         tracing::info!("stood still for {:.1} s", gap.as_secs());
         self.resumed_at = self.now;
-        for peer in self.peers.values_mut() {
-            peer.heard = peer.heard.map(|at| at + gap);
-        }
+        self.membership.clock_jumped(gap);
         self.fleet.clock_jumped(gap);
     }
 
@@ -222,7 +194,7 @@
             self.housekeeping();
         }
         self.look_up_unknown_dependencies();
-        if self.release_soon {
+        if self.dependency_release.is_requested() {
             self.release_ready_jobs();
         }
         if self.assign_soon && self.now >= self.next_assignment {
@@ -234,17 +206,14 @@
             self.next_cycle = self.now + Millis(self.tuning.cycle_interval_ms);
             self.run_scheduling_cycles();
         }
-        if self.now >= self.next_status {
-            self.next_status = self.now + STATUS_INTERVAL;
-            self.broadcast_status();
-        }
+        self.broadcast_due_status();
     }
 
     fn housekeeping(&mut self) {
         self.refresh_catalog();
         self.update_faulty_machines();
         self.update_reachability();
-        self.forget_errors();
+        self.forget_replica_failures();
         self.renew_lease_proxies();
         self.expire_machines();
         self.run_leader_cycle();
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -9,7 +9,6 @@
 
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::leader::array_assignment::ShardCapacity;
-use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
@@ -104,18 +103,7 @@
 
     fn replica_demand(&self, id: &JobId, service: &UnplaceableService) -> Option<Demand> {
         let job = self.cache.jobs.get(id)?;
-        let spec = &job.record.spec;
-        Some(Demand {
-            cpus: spec.cpus,
-            urgent: spec.cpus,
-            shape: Resources::of_task(spec),
-            fetch_gb: spec.cpus * spec.image_gb,
-            run_s: spec.cpus,
-            types: spec.types.clone(),
-            zone: service.zone.clone(),
-            spot: spec.spot_allowed,
-            shard: Some(job.shard_of(0)?),
-        })
+        Some(Demand::of_replica(&job.record.spec, service.zone.clone(), job.shard_of(0)?))
     }
 }
 
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -5,7 +5,7 @@
 //! Called at the end of every step of the core. Effects follow the record: a
 //! task is started only after the transaction that places it was committed.
 
-use crate::coordination::jobs::submission::TASK_BYTES;
+use crate::coordination::jobs::slice_sizing::TASK_BYTES;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
 use crate::coordination::Core;
@@ -175,7 +175,7 @@
         // Nothing of an ended job is left here: the record is not needed any more.
         return slice.record().map(|_| Change::delete(key));
     }
-    if slice.dirty() {
+    if slice.has_unwritten_changes() {
         return Some(Change::put(key, serde_json::to_value(desired).ok()?));
     }
     None
