--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of either side: reads and writes whole messages, each by a deadline.
 
 use crate::head::{parse_request_head, parse_response_head, Head, ParsedHead, HEAD_LIMIT};
-use crate::HttpError;
+use crate::{HttpError, MalformedMessage};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -166,7 +166,7 @@
         let body = if head.chunked {
             self.read_chunks(deadline, limit)?
         } else {
-            let length = head.length.or(default_length).ok_or_else(|| HttpError::Malformed("no length".into()))?;
+            let length = head.length.or(default_length).ok_or(MalformedMessage::NoLength)?;
             self.read_exactly(length, deadline, limit)?
         };
         if self.buffer.is_empty() {
@@ -211,7 +211,7 @@
             match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete(found)) => break found,
                 Ok(httparse::Status::Partial) if self.buffer.len() < HEAD_LIMIT + limit => self.fill(deadline)?,
-                _ => return Err(HttpError::Malformed("chunk".into())),
+                _ => return Err(MalformedMessage::Chunk.into()),
             }
         };
         let size = usize::try_from(size).map_err(|_| HttpError::TooLarge)?;
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,6 +1,6 @@
 //! Parses the head of a message: its first line and its headers. Pure functions.
 
-use crate::HttpError;
+use crate::{HttpError, MalformedMessage};
 use httparse::Status;
 
 /// The most bytes of a head.
@@ -50,7 +50,7 @@
 }
 
 fn malformed(error: httparse::Error) -> HttpError {
-    HttpError::Malformed(error.to_string())
+    MalformedMessage::Head(error).into()
 }
 
 /// More bytes are needed, unless there are too many already.
@@ -79,10 +79,10 @@
         Ok(self)
     }
 
-    fn set_length(&mut self, value: &str) -> Result<(), HttpError> {
-        let length = value.parse().map_err(|_| HttpError::Malformed("content-length".into()))?;
+    fn set_length(&mut self, value: &str) -> Result<(), MalformedMessage> {
+        let length = value.parse().map_err(|_| MalformedMessage::ContentLength)?;
         if self.length.is_some_and(|earlier| earlier != length) {
-            return Err(HttpError::Malformed("content-length twice".into()));
+            return Err(MalformedMessage::ConflictingContentLengths);
         }
         self.length = Some(length);
         Ok(())
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -22,7 +22,7 @@
     Io(#[from] io::Error),
     /// What arrived is not HTTP.
     #[error("not HTTP: {0}")]
-    Malformed(String),
+    Malformed(#[from] MalformedMessage),
     /// The head or the body is larger than allowed.
     #[error("too large")]
     TooLarge,
@@ -30,3 +30,23 @@
     #[error("closed")]
     Closed,
 }
+
+/// What is wrong with a message that is not HTTP.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum MalformedMessage {
+    /// The head can't be parsed.
+    #[error("{0}")]
+    Head(#[from] httparse::Error),
+    /// The content length is not a number.
+    #[error("content-length")]
+    ContentLength,
+    /// Two content lengths differ: the message could be read in two ways.
+    #[error("content-length twice")]
+    ConflictingContentLengths,
+    /// A response that must have a body says neither how long it is nor that it comes in chunks.
+    #[error("no length")]
+    NoLength,
+    /// The size of a chunk can't be parsed.
+    #[error("chunk")]
+    Chunk,
+}
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -5,7 +5,7 @@
 /// A fleet that shrank returned more machines than the record has room for;
 /// the list, which lags, named them still, and they counted as room again.
 #[test]
-fn a_list_that_lags_brings_no_returned_machine_back() {
+fn a_lagging_list_does_not_bring_returned_machines_back() {
     let mut core = crate::coordination::tests::core();
     core.handle(MonotonicTime(1000), 0, Input::Tick);
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
