--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -14,7 +14,7 @@
 impl Core {
     /// Runs one pass. Nothing is rented or returned before a full list and the catalog are known.
     pub(crate) fn manage_fleet(&mut self) {
-        self.apply_machine_reports();
+        self.apply_machine_statuses();
         self.refresh_machine_list();
         if !self.fleet.listing.is_complete() || self.catalog.is_empty() {
             return;
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -101,7 +101,7 @@
         self.submit_transaction(Transaction { conditions, changes });
     }
 
-    /// Takes the stored catalog as long as the cloud has not told its own.
+    /// Takes the stored catalog until the cloud has answered with its own.
     pub(crate) fn catalog_changed(&mut self) {
         if let (true, Some(stored)) = (self.catalog.is_empty(), &self.cache.catalog.record) {
             self.catalog.set_types(&stored.types);
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -28,14 +28,14 @@
 /// Boots slower than this many times the catalog's time are not planned for.
 const MOST_BOOT_SLOWDOWN: f64 = 4.0;
 
-/// What a machine takes beyond its boot until it is of use: rental, first heartbeat, first start.
+/// What a machine takes beyond its boot until it is of use, in seconds.
 const FIRST_START_S: f64 = 10.0;
 
-/// What a task takes beyond its run time, and by how much run times exceed what is expected.
+/// What a task is taken to need beyond its run time, in seconds, and a margin on its run time.
 const TASK_OVERHEAD_S: f64 = 5.0;
 const RUN_TIME_MARGIN: f64 = 1.2;
 
-/// The share of its run time that a running task has still to go, on average and with a margin.
+/// The share of its run time that a running task is taken to need still.
 const REMAINING_RUN_SHARE: f64 = 0.6;
 
 /// A job with less time left than this many run times and a boot can't wait for a machine to come free.
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -1,7 +1,7 @@
 //! Whose fault a failed task is: its job's or its machine's.
 //!
 //! A job submitted with a mistake fails on every machine until its user cancels it; a faulty machine
-//! fails every task. They are told apart by what else happens: a job of which any task succeeded is
+//! fails every task. The two are distinguished by what else happens: a job of which any task succeeded is
 //! sound, and a machine that fails several sound jobs is faulty. A job that failed on several machines
 //! while none of its tasks ever succeeded fails everywhere: it is tried with one task at a time at
 //! growing intervals, claims no guarantee and causes no rental.
@@ -110,7 +110,7 @@
         self.fails_everywhere(id) && (self.estimates.failures.in_backoff(id, self.now) || job.has_placed_tasks())
     }
 
-    /// Jobs that failed wherever they ran as seen here. Peers are told, for the leader rents for all.
+    /// Jobs that failed wherever they ran as seen here. Broadcast to peers, because the leader rents for all shards.
     pub(crate) fn failing_jobs(&self) -> Vec<String> {
         let failures = &self.estimates.failures;
         let failing = failures.jobs.keys().filter(|job| failures.failed_on_several(job));
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -5,7 +5,7 @@
 //! and decides nothing: the modules of this folder change it, other folders read it through `Fleet`.
 
 use crate::coordination::fleet::machine_pool::MachinePool;
-use crate::coordination::fleet::machine_reports::ReportedMachines;
+use crate::coordination::fleet::machine_status::ReportedMachines;
 use crate::protocol::cloud::{ListedMachine, ListedMachineState};
 use crate::storage::records::FleetRecord;
 use crate::units::{MachineId, Millis, MonotonicTime};
--- a/src/coordination/fleet/machine_reports.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -48,8 +48,8 @@
 }
 
 impl Core {
-    /// Takes what all owners report into the inventory, and learns how long finished boots took.
-    pub(super) fn apply_machine_reports(&mut self) {
+    /// Takes the statuses that all owners report into the inventory, and learns how long finished boots took.
+    pub(super) fn apply_machine_statuses(&mut self) {
         let reported = self.reported_machines();
         self.add_own_machines();
         for machine in self.fleet.inventory.finished_boots(&reported) {
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) mod inventory;
 pub(crate) mod machine_list;
 pub(crate) mod machine_pool;
-pub(crate) mod machine_reports;
+pub(crate) mod machine_status;
 pub(crate) mod provisioning_times;
 pub(crate) mod scale_in;
 pub(crate) mod scale_out;
@@ -29,8 +29,7 @@
 use crate::storage::records::FleetRecord;
 use crate::units::{MachineId, Millis};
 
-/// The share of the cloud's rate limit that this controller uses, so that calls which arrive closer
-/// together than they were made are not refused.
+/// The share of the cloud's rate limit that this controller uses; the rest is a margin.
 const CLOUD_RATE_SHARE: f64 = 0.8;
 
 /// The state of renting and returning machines. Only the modules of this folder open its fields.
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -19,7 +19,7 @@
 /// How long a machine is named as draining before it is returned, so that its owner knows.
 const DRAIN_NOTICE: Millis = Millis(2000);
 
-/// An ordinary machine is kept idle for this part of the time that a spot machine is: it costs
+/// An ordinary machine is kept idle for a fraction of the time that a spot machine is: it costs
 /// several times as much.
 const ON_DEMAND_IDLE_DIVISOR: u64 = 4;
 
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -20,7 +20,7 @@
 /// The share of a machine's cores that counts as of use at the least, however little memory it has.
 const LEAST_USEFUL_SHARE: f64 = 0.3;
 
-/// The share of image fetches that a machine pays for itself: some images are shared by its tasks.
+/// The share of the time for image fetches that counts: some images are shared by tasks.
 const UNSHARED_FETCHES: f64 = 0.5;
 
 /// What is added to the cost in a zone that holds the whole fleet, as a share of it.
