--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -284,7 +284,7 @@
     fn add_start_reserve(&self, groups: &mut DemandGroups) {
         if let Some(group) = largest_group(groups) {
             let shards = f64::from(self.shard_count);
-            group.cpus += self.reserve(group.cpus / shards) * shards;
+            group.cpus += self.quick_start_reserve_cpus(group.cpus / shards) * shards;
         }
     }
 
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -8,7 +8,8 @@
 //!
 //! Heartbeats report failures; scheduling, demand and peer statuses ask.
 
-use crate::coordination::{Core, Peer};
+use crate::coordination::Core;
+use crate::protocol::peer::PeerStatus;
 use crate::storage::cache::Job;
 use crate::storage::records::JobOutcome;
 use crate::units::{JobId, MachineId, Millis, MonotonicTime, ShardId};
@@ -98,10 +99,8 @@
 impl Core {
     /// True if the job failed wherever it ran, as far as this node or a peer knows.
     pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
-        let reported = |peer: &Peer| {
-            peer.status.as_ref().is_some_and(|status| status.failing_jobs.iter().any(|failing| failing == job.as_str()))
-        };
-        (self.estimates.failures.failed_on_several(job) || self.peers.values().any(reported))
+        let reported = |status: &PeerStatus| status.failing_jobs.iter().any(|failing| failing == job.as_str());
+        (self.estimates.failures.failed_on_several(job) || self.membership.peers().statuses().any(reported))
             && !self.has_succeeded(job)
     }
 
--- a/src/coordination/fleet/machine_status.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -64,7 +64,7 @@
         for shard in self.owned_shards.values() {
             reported.add_owned_shard(shard);
         }
-        for status in self.peers.values().filter_map(|peer| peer.status.as_ref()) {
+        for status in self.membership.peers().statuses() {
             reported.add_peer(status);
         }
         reported
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -102,6 +102,6 @@
 
     /// Takes one call from the cloud's rate. False if none is left: the call waits for the next pass.
     fn take_cloud_call(&mut self) -> bool {
-        self.fleet.cloud_calls.take(self.now, 1.0)
+        self.fleet.cloud_calls.try_take(self.now, 1.0)
     }
 }
