--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -2,11 +2,11 @@
 //!
 //!     cargo bench --bench cost [-- [overload] MACHINES...]
 //!
-//! Drives five controllers in virtual time with the stand-in of the tests:
-//! work for all machines, a burst, and a crash; with `overload` seven of them
-//! with five times the work from the start on, most of which waits. The times are real ones of this
-//! machine, so they are printed and judged by nobody. What matters is how they
-//! grow: cost per report and per change must not follow the number of machines.
+//! Drives five controllers in virtual time with the simulated cluster of the tests: work for all machines,
+//! a burst, and a crash. With `overload` there are seven controllers and five times the work from the
+//! start, most of which waits. The times are real ones of this machine: they are printed, and nothing is
+//! asserted about them. What matters is how they grow: the cost of a heartbeat and of a change must not
+//! rise with the number of machines.
 
 #[path = "../tests/simulator/mod.rs"]
 #[allow(dead_code)]
@@ -14,15 +14,36 @@
 
 use simulator::{Cost, Fault, Shape, World};
 use std::collections::BTreeMap;
+use std::ops::Range;
 use tillercleat::protocol::users::JobSpec;
 
+/// Virtual time of the first submission.
+const FIRST_JOB_MS: f64 = 4_000.0;
+
 /// Virtual time before costs are counted, while the fleet fills up.
-const WARM_MS: u64 = 30_000;
-/// Virtual time at which all of it ends.
+const WARM_UP_MS: u64 = 30_000;
+
+/// Virtual time at which the run ends.
 const END_MS: u64 = 90_000;
+
+/// Virtual time of the burst of submissions.
+const BURST_MS: Range<f64> = 50_000.0..60_000.0;
+
+/// How many times as many jobs come in the burst, and all the time in overload.
+const BURST_FACTOR: f64 = 3.0;
+const OVERLOAD_FACTOR: f64 = 5.0;
+
+/// Virtual time at which a controller crashes, and how long it is gone.
+const CRASH_MS: u64 = 65_000;
+const CRASH_DURATION_MS: u64 = 5_000;
+
 /// Jobs a second for each thousand machines.
 const JOBS_PER_S: f64 = 3.5;
 
+/// Numbers of machines if the command line names none.
+const DEFAULT_SIZES: [usize; 3] = [750, 1500, 3000];
+
+/// A job of one of four sizes, as `random` has it.
 fn job(number: u64, random: u64) -> JobSpec {
     let (tasks, cpus, run_s, rank) = match random % 8 {
         0..=2 => (90 + random / 8 % 200, 1.0, 12.0 + (random / 16 % 20) as f64, "normal"),
@@ -40,49 +61,64 @@
     simulator::users::job_spec(text)
 }
 
-/// Costs by kind of input, jobs accepted and tasks started.
-fn measure(machines: usize, overload: bool) -> (BTreeMap<&'static str, Cost>, usize, usize) {
+/// What one run measured.
+struct Measurement {
+    costs: BTreeMap<&'static str, Cost>,
+    jobs: usize,
+    starts: usize,
+}
+
+/// Plays one run.
+fn measure(machines: usize, overload: bool) -> Measurement {
     let mut world = World::sized(1, Shape::fleet(if overload { 7 } else { 5 }, 3, machines));
+    submit_jobs(&mut world, machines, overload);
+    world.fault(CRASH_MS, Fault::Crash { node: 2, back_after: CRASH_DURATION_MS });
+    world.run(WARM_UP_MS);
+    world.costs.clear();
+    world.run(END_MS);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    Measurement { costs: std::mem::take(&mut world.costs), jobs: world.jobs.len(), starts: world.starts }
+}
+
+/// Submits jobs until the end, more of them in the burst or in overload.
+fn submit_jobs(world: &mut World, machines: usize, overload: bool) {
     let pause = 1000.0 / (JOBS_PER_S * machines as f64 / 1000.0);
-    let mut at = 4000.0;
+    let mut at = FIRST_JOB_MS;
     let mut number = 0;
     while at < END_MS as f64 {
         let random = world.random(1 << 30);
         world.submit(at as u64, job(number, random));
         number += 1;
-        let burst = (50_000.0..60_000.0).contains(&at);
-        at += match (overload, burst) {
-            (true, _) => pause / 5.0,
-            (_, true) => pause / 3.0,
-            _ => pause,
+        at += match (overload, BURST_MS.contains(&at)) {
+            (true, _) => pause / OVERLOAD_FACTOR,
+            (false, true) => pause / BURST_FACTOR,
+            (false, false) => pause,
         };
     }
-    world.fault(65_000, Fault::Crash { node: 2, back_after: 5000 });
-    world.run(WARM_MS);
-    world.costs.clear();
-    world.run(END_MS);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    (std::mem::take(&mut world.costs), world.jobs.len(), world.starts)
+}
+
+fn print(machines: usize, measurement: &Measurement) {
+    for (kind, cost) in &measurement.costs {
+        println!(
+            "{machines:>8} {kind:>9} {:>8} {:>11.1} {:>11.0} {:>9.2}",
+            cost.count,
+            cost.nanos as f64 / 1e3 / cost.count as f64,
+            cost.most as f64 / 1e3,
+            cost.nanos as f64 / 1e9
+        );
+    }
+    let Measurement { costs, jobs, starts } = measurement;
+    let sum: u64 = costs.values().map(|cost| cost.nanos).sum();
+    println!("{machines:>8} {:>9} {jobs:>8} jobs, {starts} starts, {:.2} s in all", "all", sum as f64 / 1e9);
 }
 
 fn main() {
     let overload = std::env::args().any(|arg| arg == "overload");
     // Cargo passes flags of its own to benches.
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
-    let sizes = if sizes.is_empty() { vec![750, 1500, 3000] } else { sizes };
+    let sizes = if sizes.is_empty() { DEFAULT_SIZES.to_vec() } else { sizes };
     println!("{:>8} {:>9} {:>8} {:>11} {:>11} {:>9}", "machines", "input", "count", "mean us", "most us", "sum s");
     for machines in sizes {
-        let (costs, jobs, starts) = measure(machines, overload);
-        for (kind, cost) in &costs {
-            println!(
-                "{machines:>8} {kind:>9} {:>8} {:>11.1} {:>11.0} {:>9.2}",
-                cost.count,
-                cost.nanos as f64 / 1e3 / cost.count as f64,
-                cost.most as f64 / 1e3,
-                cost.nanos as f64 / 1e9
-            );
-        }
-        let sum: u64 = costs.values().map(|c| c.nanos).sum();
-        println!("{machines:>8} {:>9} {jobs:>8} jobs, {starts} starts, {:.2} s in all", "all", sum as f64 / 1e9);
+        print(machines, &measure(machines, overload));
     }
 }
--- a/examples/rollout_loopback.rs
+++ b/examples/rollout_loopback.rs
@@ -1,6 +1,6 @@
-//! A small installation on loopback to try roll-outs on: a state service, a
-//! cloud, machines and a service, all stand-ins, and one controller. The service's
-//! second version turns unhealthy once four of its replicas run. Ends by itself.
+//! A small installation on loopback to try roll-outs on: one controller with a simulated store,
+//! cloud, machines and service. The service's second version turns unhealthy once four of its
+//! replicas run. Ends by itself.
 //!
 //! `cargo build --release && cargo run --release --example rollout_loopback`
 
@@ -11,15 +11,21 @@
 use loopback::{call, free_port, start, state_service, wait_for, SECOND};
 use serde_json::json;
 
-/// How long the installation lasts.
+/// How long the installation runs.
 const MINUTES: u32 = 10;
 
+/// Port that replicas answer health checks on; as in `docs/examples/routeplan-v1.toml`.
 const SERVICE_PORT: u16 = 18_080;
-const OPERATORS: &str = "127.0.0.1:8090";
+
+/// Where `tillerctl` reaches the controller; as in `deploy/rollout.toml`.
+const OPERATOR_ADDR: &str = "127.0.0.1:8090";
+
+/// Running replicas of the second version that make it unhealthy.
+const BREAKS_AT_REPLICAS: usize = 4;
 
 fn main() -> std::io::Result<()> {
     let (client, state) = (free_port(), state_service());
-    let service = Service::new(SERVICE_PORT, state, 4);
+    let service = Service::new(SERVICE_PORT, state, BREAKS_AT_REPLICAS);
     let cloud = cloud(vec![client], service);
     let config = json!({
         "label": "n0", "domain": "a", "client_listen": client.to_string(),
@@ -34,7 +40,7 @@
     std::fs::write(&path, config.to_string())?;
     let process = start(&path, &[("--rollout", "deploy/rollout.toml".as_ref())]);
     wait_for("becoming healthy", || call(client, "GET", "/up", "").is_some_and(|(status, _)| status == 200));
-    println!("ready for {MINUTES} minutes; operators are listened to on {OPERATORS}. Try, in another terminal:");
+    println!("ready for {MINUTES} minutes; operators are listened to on {OPERATOR_ADDR}. Try, in another terminal:");
     for line in [
         "start docs/examples/routeplan-v1.toml",
         "watch routeplan",
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use std::path::Path;
 
 /// Settings of one of two controllers.
 pub(crate) fn example(cancel_s: f64) -> Settings {
@@ -38,3 +39,38 @@
     assert!(toml::from_str::<Tuning>("round_ms = 200").is_ok());
     assert!(toml::from_str::<Tuning>("rounds_ms = 200").is_err());
 }
+
+#[test]
+fn an_error_in_the_platforms_file_names_the_file_and_the_field() {
+    let message = |text: &str| {
+        let error = serde_json::from_str::<Settings>(text).expect_err("invalid settings");
+        SettingsError::json(Path::new("settings.json"), text, error).to_string()
+    };
+    assert_eq!(message("\n"), "settings.json: the file is empty, it must hold a JSON object");
+    assert_eq!(message("{}"), "settings.json: top level: missing field `label` at line 1 column 2");
+    let wrong_type = message("{\n\"label\": 5}");
+    assert!(wrong_type.starts_with("settings.json: label: invalid type: integer `5`"), "{wrong_type}");
+}
+
+#[test]
+fn an_error_in_the_operators_file_names_the_file_and_the_line() {
+    let message = |text: &str| {
+        let error = toml::from_str::<Tuning>(text).expect_err("invalid settings");
+        SettingsError::toml(Path::new("tuning.toml"), text, error).to_string()
+    };
+    let unknown_key = message("threads = 100\nrounds_ms = 200");
+    assert!(
+        unknown_key.starts_with("tuning.toml: line 2, `rounds_ms = 200`: unknown field `rounds_ms`"),
+        "{unknown_key}"
+    );
+    let wrong_type = message("round_ms = \"soon\"");
+    assert!(wrong_type.starts_with("tuning.toml: line 1, `round_ms = \"soon\"`: invalid type"), "{wrong_type}");
+}
+
+#[test]
+fn a_value_out_of_range_is_named_as_in_the_file() {
+    let mut settings = example(40.0);
+    settings.cluster.process_limits.fd_limit = 10;
+    let error = settings.validate().expect_err("too few descriptors").in_file(Path::new("settings.json"));
+    assert_eq!(error.to_string(), "settings.json: cluster.quota.fd_limit must be at least 32");
+}
