--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -12,7 +12,8 @@
 #[allow(dead_code)]
 mod simulator;
 
-use simulator::{Cost, Fault, Shape, World};
+use simulator::statistics::Cost;
+use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use tillercleat::protocol::users::JobSpec;
@@ -58,7 +59,7 @@
         "hulls": null, "berth": null, "one_zone": false, "apart": false, "driftwood": true,
         "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": run_s * 3.0 + 10.0
     });
-    simulator::users::job_spec(text)
+    simulator::fixtures::job_spec(text)
 }
 
 /// What one run measured.
@@ -70,24 +71,26 @@
 
 /// Plays one run.
 fn measure(machines: usize, overload: bool) -> Measurement {
-    let mut world = World::sized(1, Shape::fleet(if overload { 7 } else { 5 }, 3, machines));
-    submit_jobs(&mut world, machines, overload);
-    world.fault(CRASH_MS, Fault::Crash { node: 2, back_after: CRASH_DURATION_MS });
-    world.run(WARM_UP_MS);
-    world.costs.clear();
-    world.run(END_MS);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
-    Measurement { costs: std::mem::take(&mut world.costs), jobs: world.jobs.len(), starts: world.starts }
+    let controllers = if overload { 7 } else { 5 };
+    let mut cluster = SimulatedCluster::with_config(1, ClusterConfig::fleet(controllers, 3, machines));
+    submit_jobs(&mut cluster, machines, overload);
+    cluster.inject_fault(CRASH_MS, Fault::Crash { node: 2, restart_after: CRASH_DURATION_MS });
+    cluster.run(WARM_UP_MS);
+    cluster.statistics.costs.clear();
+    cluster.run(END_MS);
+    assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
+    let costs = std::mem::take(&mut cluster.statistics.costs);
+    Measurement { costs, jobs: cluster.jobs.len(), starts: cluster.statistics.starts }
 }
 
 /// Submits jobs until the end, more of them in the burst or in overload.
-fn submit_jobs(world: &mut World, machines: usize, overload: bool) {
+fn submit_jobs(cluster: &mut SimulatedCluster, machines: usize, overload: bool) {
     let pause = 1000.0 / (JOBS_PER_S * machines as f64 / 1000.0);
     let mut at = FIRST_JOB_MS;
     let mut number = 0;
     while at < END_MS as f64 {
-        let random = world.random(1 << 30);
-        world.submit(at as u64, job(number, random));
+        let random = cluster.random.below(1 << 30);
+        cluster.submit(at as u64, job(number, random));
         number += 1;
         at += match (overload, BURST_MS.contains(&at)) {
             (true, _) => pause / OVERLOAD_FACTOR,
