--- a/examples/rollout_loopback.rs
+++ b/examples/rollout_loopback.rs
@@ -11,15 +11,21 @@
 use loopback::{call, free_port, settings, start, store_service, temporary_file, wait_for, SECOND};
 use serde_json::json;
 
-/// How long the installation lasts.
+/// How long the installation runs.
 const MINUTES: u32 = 10;
 
+/// Port that replicas answer health checks on; as in `docs/examples/routeplan-v1.toml`.
 const SERVICE_PORT: u16 = 18_080;
-const OPERATORS: &str = "127.0.0.1:8090";
+
+/// Where `tillerctl` reaches the controller; as in `deploy/rollout.toml`.
+const OPERATOR_ADDR: &str = "127.0.0.1:8090";
+
+/// Running replicas of the second version that make it unhealthy.
+const BREAKS_AT_REPLICAS: usize = 4;
 
 fn main() -> std::io::Result<()> {
     let (client, store) = (free_port(), store_service());
-    let service = Service::new(SERVICE_PORT, store, 4);
+    let service = Service::new(SERVICE_PORT, store, BREAKS_AT_REPLICAS);
     let cloud = cloud(vec![client], service);
     let mut config = settings(0, client, &[free_port()], cloud, store);
     config["cluster"]["teams"] = json!([{"name": "plan"}]);
@@ -27,7 +33,7 @@
     std::fs::write(&path, config.to_string())?;
     let process = start(&path, &[("--rollout", "deploy/rollout.toml".as_ref())]);
     wait_for("becoming healthy", || call(client, "GET", "/up", "").is_some_and(|(status, _)| status == 200));
-    println!("ready for {MINUTES} minutes; operators are listened to on {OPERATORS}. Try, in another terminal:");
+    println!("ready for {MINUTES} minutes; operators are listened to on {OPERATOR_ADDR}. Try, in another terminal:");
     for line in [
         "start docs/examples/routeplan-v1.toml",
         "watch routeplan",
