--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -2,11 +2,11 @@
 //!
 //!     cargo bench --bench cost [-- [overload] MACHINES...]
 //!
-//! Drives five controllers in virtual time with the stand-in of the tests:
-//! work for all machines, a burst, and a crash; with `overload` seven of them
-//! with five times the work from the start on, most of which waits. The times are real ones of this
-//! machine, so they are printed and judged by nobody. What matters is how they
-//! grow: cost per report and per change must not follow the number of machines.
+//! Drives five controllers in virtual time in the simulated cluster of the tests: work for all
+//! machines, a burst, and a crash; with `overload` seven of them with five times the work from the
+//! start on, most of which waits. The times are real ones of this machine, so they are printed and
+//! nothing checks them. What matters is how they grow: the cost of a heartbeat and of a change must
+//! not follow the number of machines.
 
 #[path = "../tests/simulator/mod.rs"]
 #[allow(dead_code)]
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -102,7 +102,7 @@
 /// Threads of a process, as the system counts them.
 #[cfg(target_os = "linux")]
 fn threads(process: &Process) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).expect("the process lives");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).expect("the process runs");
     let line = status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("a count of threads");
     line.trim().parse().expect("a number")
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -1,6 +1,6 @@
-//! What the version in production stores and says, as it wrote it, read by this
-//! one; and what this one stores, as that one reads it. The texts under
-//! `tests/production` were written by the commit named in `deploy/service.toml`.
+//! Records and messages that the version in production wrote, read by this one; and records of
+//! this one, as that one reads them. The texts under `tests/production` were written by the commit
+//! named in `deploy/service.toml`.
 
 use prost::Message;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,8 @@
 use tillercleat::storage::records as new;
 use tillercleat::units::{JobId, LeaseId, Revision};
 
-/// A job's record as the version in production knows it: what else there is, it
-/// does not see, and drops when it writes the record again.
+/// A job's record as the version in production knows it. It does not see other fields, and drops
+/// them when it writes the record again.
 #[derive(Serialize, Deserialize)]
 struct OldJob {
     spec: Value,
@@ -28,7 +28,8 @@
     parts: Vec<u32>,
 }
 
-fn again<T: Serialize + serde::de::DeserializeOwned>(value: &Value) -> Value {
+/// A record read and written by this version.
+fn rewritten<T: Serialize + serde::de::DeserializeOwned>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("a record that this version reads");
     serde_json::to_value(record).expect("a value")
 }
@@ -36,36 +37,36 @@
 #[test]
 fn records_of_the_version_in_production_are_read_and_written_as_they_were() {
     let mut families = std::collections::BTreeSet::new();
-    let mut view = StateCache::default();
+    let mut cache = StateCache::default();
     for (at, line) in include_str!("production/records.txt").lines().enumerate() {
         let (key, text) = line.split_once(' ').expect("a key and a value");
         let value: Value = serde_json::from_str(text).expect("json");
         let family = key.split('/').take(2).collect::<Vec<_>>().join("/");
         let written = match family.as_str() {
-            "t/a" => again::<new::QuotaRecord>(&value),
-            "t/f" => again::<new::FleetRecord>(&value),
-            "t/k" => again::<tillercleat::protocol::cloud::Catalog>(&value),
-            "t/l" | "t/o" => again::<new::LeaseHolderRecord>(&value),
-            "t/j" => again::<new::JobRecord>(&value),
-            "t/s" => again::<new::SliceRecord>(&value),
-            // Says what it can do beside, which the one before does not see.
+            "t/a" => rewritten::<new::QuotaRecord>(&value),
+            "t/f" => rewritten::<new::FleetRecord>(&value),
+            "t/k" => rewritten::<tillercleat::protocol::cloud::Catalog>(&value),
+            "t/l" | "t/o" => rewritten::<new::LeaseHolderRecord>(&value),
+            "t/j" => rewritten::<new::JobRecord>(&value),
+            "t/s" => rewritten::<new::SliceRecord>(&value),
+            // This version adds its feature level, which the previous one does not see.
             "t/n" | "t/w" => {
-                let mut node = again::<new::NodeRecord>(&value);
+                let mut node = rewritten::<new::NodeRecord>(&value);
                 assert_eq!(node.as_object_mut().expect("an object").remove("level"), Some(json!(0)));
                 node
             }
-            _ => again::<new::ArchivedJob>(&value),
+            _ => rewritten::<new::ArchivedJob>(&value),
         };
         assert_eq!(written, value, "{key}");
-        view.apply(key, Some(value), Revision(at as u64 + 1));
+        cache.apply(key, Some(value), Revision(at as u64 + 1));
         families.insert(if key.starts_with("f/") { "f".into() } else { family });
     }
     assert_eq!(families.len(), 10, "{families:?}");
-    assert!(view.jobs.values().all(|job| !job.record.waits()));
+    assert!(cache.jobs.values().all(|job| !job.record.waits()));
 }
 
 #[test]
-fn messages_of_the_version_in_production_say_the_same() {
+fn messages_of_the_version_in_production_are_read_and_written_as_they_were() {
     fn same<T: Message + Default>(bytes: &[u8]) -> Vec<u8> {
         T::decode(bytes).expect("a message").encode_to_vec()
     }
@@ -86,9 +87,9 @@
     }
 }
 
-/// A waiting job is to the version before a job that is dealt already, in no
-/// slice: it deals nothing, starts nothing, calls nothing done. What it writes,
-/// a cancellation, ends the job for all.
+/// To the previous version, a waiting job is one that is assigned already, with no slices: it
+/// assigns none, starts no task and reports nothing as done. Its cancellation, which it does write,
+/// ends the job for all.
 #[test]
 fn the_version_in_production_reads_a_waiting_job_as_one_without_work() {
     let jobs = include_str!("production/records.txt").lines().filter(|line| line.starts_with("t/j/"));
@@ -102,8 +103,8 @@
         };
         let value = serde_json::to_value(&waiting).expect("a value");
         assert_eq!(serde_json::from_value::<new::JobRecord>(value.clone()).expect("a record"), waiting);
-        let old: OldJob = serde_json::from_value(value).expect("what the version before reads");
-        // Dealt (`plan` is there), in no slices, so none of them is ever begun or done.
+        let old: OldJob = serde_json::from_value(value).expect("what the previous version reads");
+        // Assigned (`plan` is there), with no slices, so none of them is ever started or done.
         assert_eq!(old.plan.as_ref().map(|plan| plan.parts.len()), Some(0));
         assert_eq!(old.end, None);
         let cancelled = OldJob { end: Some("cancelled".into()), ..old };
@@ -113,10 +114,10 @@
             (read.end, read.waits(), read.dependencies.is_empty()),
             (Some(new::JobOutcome::Cancelled), false, true)
         );
-        // Once it may start it is a job like any other, also without the time since when.
+        // Once it may start it is a job like any other, also without the time of its release.
         let ready = new::JobRecord { ready: Some(open.at + 5), ..open.clone() };
         let old: OldJob = serde_json::from_value(serde_json::to_value(ready).expect("a value"))
-            .expect("what the version before reads");
+            .expect("what the previous version reads");
         let read: new::JobRecord =
             serde_json::from_value(serde_json::to_value(old).expect("a value")).expect("a record");
         assert_eq!(read, open);
--- a/tests/simulator/trace.rs
+++ b/tests/simulator/trace.rs
@@ -1,6 +1,7 @@
-//! A checksum of everything that the controllers' cores send, in wire form. It does not
-//! depend on Rust names, so it stays the same while code is renamed or moved, and changes
-//! with any decision. The wording of error answers is not part of it; their status is.
+//! A checksum of everything that the controllers' cores send, in wire form. It does not depend on
+//! Rust names, so it stays the same while code is renamed or moved, and changes with any decision.
+//! The wording of error answers is not part of it; their status is. The words that stand before
+//! each output here are part of the recorded checksums: they never change.
 
 use prost::Message;
 use std::hash::Hasher;
@@ -8,7 +9,7 @@
 use tillercleat::protocol::users::JobStatus;
 use tillercleat::protocol::workers::HeartbeatResponse;
 
-/// FNV-1a, which is the same in every process and version.
+/// FNV-1a, whose result is the same in every process and version.
 #[derive(Debug, Clone, Copy)]
 struct Fnv(u64);
 
@@ -48,16 +49,18 @@
         }
     }
 
+    /// The checksum of all outputs so far.
     pub fn checksum(&self) -> u64 {
         self.checksum.finish()
     }
 }
 
+/// A message in JSON.
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("a message that can be written")
+    serde_json::to_string(value).expect("a message has a JSON form")
 }
 
-/// An output as the transport writes it, behind a word for its kind.
+/// An output as the transport writes it, after a word for its kind.
 fn wire_form(output: &Output) -> Vec<u8> {
     match output {
         Output::State(call, request) => {
@@ -73,13 +76,14 @@
             };
             format!("cloud {call} {request}").into_bytes()
         }
-        Output::Response(request, response) => format!("reply {request} {}", reply_form(response)).into_bytes(),
+        Output::Response(request, response) => format!("reply {request} {}", response_form(response)).into_bytes(),
         Output::BroadcastStatus(status) => [b"tell ".as_slice(), &status.encode_to_vec()].concat(),
         Output::RevisionHint(revision) => format!("nudge {revision}").into_bytes(),
     }
 }
 
-fn reply_form(response: &Response) -> String {
+/// A response as the transport writes it, without the wording of errors.
+fn response_form(response: &Response) -> String {
     match response {
         Response::Healthy => "up".into(),
         Response::Job { status, id, state, progress } => {
