--- /dev/null
+++ b/src/coordination/shards/job_changes.rs
@@ -0,0 +1,52 @@
+//! What a changed job means for the owned shards: its slices are taken up or released. Called as records change in the
+//! cache. Jobs all of whose slices are done go to `jobs::completion`.
+
+use crate::coordination::Core;
+use crate::storage::cache::{Job, JobChange};
+use crate::units::JobId;
+
+impl Core {
+    /// A job's record changed in the cache.
+    pub(crate) fn job_changed(&mut self, id: &JobId, change: JobChange) {
+        self.track_dependencies(id);
+        if let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.end.is_none()) {
+            self.assign_soon |= job.record.plan.is_none();
+            log_job(id, job);
+            // Once a job: its record changes with each assignment of its slices.
+            if change == JobChange::First && self.needs_quick_start(&job.class) {
+                let spec = &job.record.spec;
+                let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
+                self.estimates.record_quick_start_job(&class, cpus);
+            }
+        }
+        if change == JobChange::Ended {
+            self.log_ended_job(id);
+        }
+        self.release_moved_slices(id);
+        self.adopt_slices(id, None);
+        self.check_finished(id);
+    }
+
+    fn log_ended_job(&self, id: &JobId) {
+        let Some(job) = self.cache.jobs.get(id) else { return };
+        let (age_s, allowed_s) = (self.age_s(job), self.allowed_s(job));
+        tracing::info!(job = %id, class = %job.record.spec.class, age_s, allowed_s, "job ended");
+    }
+
+    /// A slice's record of a job changed in the cache.
+    pub(crate) fn slice_changed(&mut self, id: &JobId) {
+        self.check_finished(id);
+    }
+}
+
+fn log_job(id: &JobId, job: &Job) {
+    let spec = &job.record.spec;
+    tracing::debug!(
+        job = %id,
+        tasks = spec.task_count,
+        cpus = spec.cpus,
+        estimated_run_s = spec.estimated_run_s,
+        plan = ?job.record.plan,
+        "job changed"
+    );
+}
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -5,12 +5,14 @@
 //! never writes to the store.
 
 use crate::coordination::membership::startup::Milestone;
-use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::store_client::pending_requests::{LoadProgress, PendingRequest};
 use crate::coordination::store_client::CacheSync;
 use crate::coordination::Core;
 use crate::protocol::state::{StoreRequest, StoreResponse, WatchEvent, WatchEvents};
+use crate::storage::cache::CacheChange;
 use crate::storage::records::ROOT;
 use crate::units::{Millis, MonotonicTime, Revision, ShardId};
+use serde_json::Value;
 use std::collections::BTreeSet;
 
 /// Longest that one watch request may wait for a change, in milliseconds.
@@ -26,7 +28,7 @@
         match self.store.sync {
             CacheSync::Unread => {
                 self.store.sync = CacheSync::Loading;
-                self.load_page(None, BTreeSet::new(), None, self.now);
+                self.load_page(None, LoadProgress { seen: BTreeSet::new(), revision: None, since: self.now });
             }
             CacheSync::Loaded if self.now >= self.store.next_watch => {
                 self.store.sync = CacheSync::Watching;
@@ -37,16 +39,9 @@
     }
 
     /// Asks for the page of records after the key `after`.
-    fn load_page(
-        &mut self,
-        after: Option<String>,
-        seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-    ) {
+    fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
         self.store.charge_read(self.now);
-        let what = PendingRequest::Load { seen, first, since };
-        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, what);
+        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
@@ -58,73 +53,87 @@
     }
 
     /// Takes a page of records; the last one completes the load.
-    pub(crate) fn load_answer(
-        &mut self,
-        mut seen: BTreeSet<String>,
-        first: Option<Revision>,
-        since: MonotonicTime,
-        answer: StoreResponse,
-    ) {
+    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StoreResponse) {
         let StoreResponse::Page(page) = answer else {
             self.store.sync = CacheSync::Unread;
             return self.store.pause(self.now);
         };
         // Changes made while the pages were read come again by the watch,
         // which begins at the first page's revision.
-        let first = first.unwrap_or(page.revision);
-        let last = page.items.last().map(|i| i.key.clone());
+        let revision = *progress.revision.get_or_insert(page.revision);
+        let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
-            let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-            seen.insert(item.key);
-            self.changed(changed);
+            self.apply_record(&item.key, Some(item.value), item.version);
+            progress.seen.insert(item.key);
         }
-        match last {
-            Some(after) if page.truncated => self.load_page(Some(after), seen, Some(first), since),
-            _ => self.finish_load(&seen, first, since),
+        match last_key {
+            Some(after) if page.truncated => self.load_page(Some(after), progress),
+            _ => self.finish_load(&progress, revision),
         }
     }
 
-    /// All records have been read, as of revision `first`, the first page's.
-    fn finish_load(&mut self, seen: &BTreeSet<String>, first: Revision, since: MonotonicTime) {
-        self.cache.forget_missing(seen, first);
-        self.cache.revision = first;
+    /// All records have been read, as of the first page's revision.
+    fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
+        self.cache.forget_missing(&progress.seen, revision);
+        self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
         // The first page is as old as when it was asked for, however long the others took.
-        self.store.last_read = Some(since);
+        self.store.last_read = Some(progress.since);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
         }
         self.activate_ready_shards();
-        tracing::info!("read {} records up to revision {first}", seen.len());
+        tracing::info!(records = progress.seen.len(), %revision, "loaded all records");
         self.milestone_reached(Milestone::RecordsRead);
     }
 
     /// Takes what a watch that was sent at `sent` brought.
-    pub(crate) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
+    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
         match answer {
-            StoreResponse::WatchEvents(news) => self.take_watch_events(sent, news),
+            StoreResponse::WatchEvents(events) => self.take_watch_events(sent, events),
             StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
             _ => self.store.pause(self.now),
         }
     }
 
-    fn take_watch_events(&mut self, sent: MonotonicTime, news: WatchEvents) {
-        let pause = if news.events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
+    fn take_watch_events(&mut self, sent: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
+        let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
         self.store.next_watch = self.now + pause;
-        self.cache.revision = self.cache.revision.max(news.revision);
-        for event in news.events {
-            let changed = match event {
-                WatchEvent::Put { key, value, version } => self.cache.apply(&key, Some(value), version),
-                WatchEvent::Delete { key, version } => self.cache.apply(&key, None, version),
-            };
-            self.changed(changed);
+        self.cache.revision = self.cache.revision.max(revision);
+        for event in events {
+            match event {
+                WatchEvent::Put { key, value, version } => self.apply_record(&key, Some(value), version),
+                WatchEvent::Delete { key, version } => self.apply_record(&key, None, version),
+            }
         }
         // The answer shows the records as of when it was asked for, or later.
         self.store.last_read = Some(self.store.last_read.map_or(sent, |at| at.max(sent)));
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
+
+    /// Takes a key's value as of a revision, or its absence, into the cache, and
+    /// lets whoever goes by it act on the change.
+    pub(super) fn apply_record(&mut self, key: &str, value: Option<Value>, at: Revision) {
+        let change = self.cache.apply(key, value, at);
+        self.changed(change);
+    }
+
+    /// Lets the concern that goes by a record act on its change.
+    pub(crate) fn changed(&mut self, change: CacheChange) {
+        match change {
+            CacheChange::Owner(shard) => self.owner_changed(shard),
+            CacheChange::Job(job, change) => self.job_changed(&job, change),
+            CacheChange::Slice(job, _) => self.slice_changed(&job),
+            CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
+            CacheChange::Fleet => self.fleet_changed(),
+            CacheChange::Other => self.catalog_changed(),
+            CacheChange::JobGone(job) => self.dependency_graph.record_removed(&job),
+            CacheChange::Node(node) => self.node_changed(&node),
+            CacheChange::Leader | CacheChange::Nothing => {}
+        }
+    }
 }
 
 #[cfg(test)]
