--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -2,11 +2,11 @@
 //!
 //!     cargo bench --bench cost [-- [overload] MACHINES...]
 //!
-//! Drives five controllers in virtual time with the simulated cluster of the tests: work for all machines,
-//! a burst, and a crash. With `overload` there are seven controllers and five times the work from the
-//! start, most of which waits. The times are real ones of this machine: they are printed, and nothing is
-//! asserted about them. What matters is how they grow: the cost of a heartbeat and of a change must not
-//! rise with the number of machines.
+//! Drives five controllers in virtual time in the simulated cluster of the tests: work for all
+//! machines, a burst, and a crash; with `overload` seven of them with five times the work from the
+//! start on, most of which waits. The times are real ones of this machine, so they are printed and
+//! nothing checks them. What matters is how they grow: the cost of a heartbeat and of a change must
+//! not follow the number of machines.
 
 #[path = "../tests/simulator/mod.rs"]
 #[allow(dead_code)]
