--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -8,7 +8,9 @@
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::Versioned;
-use crate::storage::records::{node_key, FeatureLevel, FeatureLevelRecord, NodeRecord, FEATURE_LEVEL_KEY, LEADER_KEY};
+use crate::storage::records::{
+    encode, node_key, FeatureLevel, FeatureLevelRecord, NodeRecord, FEATURE_LEVEL_KEY, LEADER_KEY,
+};
 use crate::units::{Millis, MonotonicTime, NodeName, Revision};
 use std::collections::BTreeMap;
 
@@ -88,7 +90,7 @@
             return;
         }
         let conditions = self.feature_level_conditions(&nodes);
-        let Ok(value) = serde_json::to_value(FeatureLevelRecord { level: SUPPORTED_LEVEL }) else { return };
+        let value = encode(&FeatureLevelRecord { level: SUPPORTED_LEVEL });
         tracing::info!(level = SUPPORTED_LEVEL.0, "raised feature level: all controllers support it");
         self.submit_transaction(Transaction {
             conditions,
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -6,7 +6,7 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, StoreRequest, StoreResponse, Transaction};
-use crate::storage::records::{node_key, LeaseHolderRecord, NodeRecord};
+use crate::storage::records::{encode, node_key, LeaseHolderRecord, NodeRecord};
 use crate::units::{LeaseId, Millis, MonotonicTime, NodeName, Revision};
 
 /// How soon a renewal is tried again that got no answer or was refused.
@@ -135,7 +135,7 @@
         if announced || self.has_released_shards() || self.store.is_key_busy(&key) {
             return;
         }
-        let Ok(value) = serde_json::to_value(NodeRecord { lease, level: SUPPORTED_LEVEL }) else { return };
+        let value = encode(&NodeRecord { lease, level: SUPPORTED_LEVEL });
         // The condition keeps a transaction that is carried out late from undoing a later one.
         let conditions = vec![Condition { key: key.clone(), version: held.map_or(Revision(0), |held| held.version) }];
         self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
@@ -143,7 +143,7 @@
 
     /// Makes a controller the holder of a key, under that controller's lease, if the key still has this version.
     pub(super) fn write_lease_holder(&mut self, key: String, version: Revision, node: NodeName, lease: LeaseId) {
-        let Ok(value) = serde_json::to_value(LeaseHolderRecord { node, lease }) else { return };
+        let value = encode(&LeaseHolderRecord { node, lease });
         let conditions = vec![Condition { key: key.clone(), version }];
         self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
     }
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -1,11 +1,11 @@
-//! What controllers tell one another: each broadcasts its status at fixed intervals, and a hint whenever there are new
+//! What controllers say to one another: each broadcasts its status at fixed intervals, and a hint whenever there are new
 //! records to read. Driven by the tick, by transactions and by incoming statuses. A status is a hint and may be lost,
 //! late or repeated; the one thing it decides is that an owner with a lower fencing token stops.
 
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::{Core, Output, STATUS_INTERVAL};
 use crate::protocol::peer::{MachineAge, PeerStatus, ShardStatus, TeamDemand};
-use crate::storage::records::{owner_key, LeaseHolderRecord};
+use crate::storage::records::{encode, owner_key, LeaseHolderRecord};
 use crate::units::{LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
 
 /// Every so many statuses the leader sends the ages of all machines.
@@ -143,9 +143,7 @@
         tracing::info!(shard = %shard, token = status.token, node = %node, "lost shard to a newer owner");
         self.drop_shard(shard);
         let holder = LeaseHolderRecord { node: node.clone(), lease: LeaseId(0) };
-        if let Ok(value) = serde_json::to_value(holder) {
-            self.cache.apply(&owner_key(shard), Some(value), Revision(status.token));
-        }
+        self.cache.apply(&owner_key(shard), Some(encode(&holder)), Revision(status.token));
     }
 
     /// Takes over ages of machines that were started before this controller first heard of them.
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -19,7 +19,7 @@
 use crate::coordination::{Core, Response, STATUS_INTERVAL};
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::protocol::workers::{Command, Heartbeat, TaskState, TaskStatus};
-use crate::storage::records::{lease_proxy_key, owner_key, NodeRecord};
+use crate::storage::records::{encode, lease_proxy_key, owner_key, NodeRecord};
 use crate::units::{FencingToken, LeaseId, Millis, NodeName, Revision, ShardId};
 
 /// What delay may add to two status intervals.
@@ -63,7 +63,7 @@
         let is_registered = record.is_some_and(|record| record.lease == lease);
         let is_silent = *owner != self.node_name && !self.peer_heard_within(owner, self.peer_silence_limit());
         if is_silent && !is_registered {
-            let Ok(value) = serde_json::to_value(NodeRecord { lease, level: SUPPORTED_LEVEL }) else { return };
+            let value = encode(&NodeRecord { lease, level: SUPPORTED_LEVEL });
             tracing::info!(shard = %shard, node = %owner, "registering as lease proxy: the owner is not heard");
             let conditions = vec![Condition { key: owner_key(shard), version: owner_version }];
             self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -8,7 +8,7 @@
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::settings::Team;
 use crate::storage::names::{InternedName, NameInterner};
-use crate::storage::records::{owner_key, quota_key, QuotaRecord, RecordKey};
+use crate::storage::records::{encode, owner_key, quota_key, QuotaRecord, RecordKey};
 use crate::units::{ComputeAmount, JobId, Revision, ShardId};
 use std::collections::BTreeMap;
 
@@ -222,8 +222,7 @@
             share.cpus += amount.cpus;
             share.gpus += amount.gpus;
         }
-        let (giving_value, receiving_value) =
-            (serde_json::to_value(&giving).ok()?, serde_json::to_value(&receiving).ok()?);
+        let (giving_value, receiving_value) = (encode(&giving), encode(&receiving));
         if !self.fits_value(&giving_value) || !self.fits_value(&receiving_value) {
             return None;
         }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -19,6 +19,7 @@
 use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
 use crate::units::{ComputeAmount, JobId, LeaseId, MachineId, NodeName, ShardId};
 use serde::{Deserialize, Serialize};
+use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// A controller that is alive, or that renews leases for another owner's workers,
@@ -191,3 +192,8 @@
     #[serde(default)]
     pub gone: Vec<MachineId>,
 }
+
+/// The value that a record is stored as.
+pub fn encode<T: Serialize>(record: &T) -> Value {
+    serde_json::to_value(record).expect("a record has text keys and plain fields only, which always serialize")
+}
