--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,8 @@
-//! The core: a state machine without I/O, clocks or randomness. Inputs and
-//! the time go in; what to send, write and answer comes out.
+//! The core: a pure state machine that decides everything a controller does.
+//!
+//! This module owns [`Core`] and the order of its steps; the modules below own one concern each. The transport
+//! layer calls [`Core::handle`] with each input and the time, and carries out the outputs. Nothing here does I/O
+//! or reads a clock, so tests run the same code in virtual time.
 
 pub(crate) mod fleet;
 pub(crate) mod heartbeats;
@@ -10,13 +13,20 @@
 pub(crate) mod scheduling;
 pub(crate) mod shards;
 pub(crate) mod store_client;
+mod timing;
 
+use crate::coordination::fleet::catalog::MachineCatalog;
+use crate::coordination::fleet::estimates::Estimates;
+use crate::coordination::fleet::Fleet;
+use crate::coordination::heartbeats::deferred_responses::DeferredResponses;
 use crate::coordination::jobs::completion::CompletedJobs;
 use crate::coordination::jobs::dependency_graph::DependencyGraph;
 use crate::coordination::jobs::dependency_lookup::DependencyLookups;
 use crate::coordination::jobs::dependency_release::DependencyRelease;
 use crate::coordination::jobs::status_query::StatusQueries;
 use crate::coordination::membership::Membership;
+use crate::coordination::scheduling::objectives::Objectives;
+use crate::coordination::scheduling::unplaceable_services::UnplaceableServices;
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::shards::shard_quota::TeamGuarantee;
 use crate::coordination::store_client::StoreClient;
@@ -27,42 +37,26 @@
 pub use jobs::replicas::{Replica, ReplicaState};
 pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
 use std::collections::BTreeMap;
+use timing::Timing;
 
-/// How often controllers tell one another how they are.
+/// How often a controller sends its status to its peers.
 const STATUS_INTERVAL: Millis = Millis(1000);
 
-/// A pause between inputs that cannot be chance: ticks come far more often.
+/// A pause between two inputs that counts as a jump of the clock: ticks come far more often.
 const CLOCK_JUMP: Millis = Millis(1000);
 
-/// Lengths of time that the rules rest on, derived from the settings.
-#[derive(Debug, Clone, Copy)]
-pub struct Timing {
-    /// How long a controller's lease lasts unrenewed.
-    pub ttl: Millis,
-    pub renew_every: Millis,
-    /// A worker's lease, with room for drifting clocks.
-    pub worker_lease: Millis,
-    /// How long an owner cut off from the state service may go on answering
-    /// workers. Their leases then run out before a cancellation it cannot
-    /// have heard of is due: horizon + lease + margin <= cancel.
-    pub store_isolation_limit: Millis,
-    /// How old the last read may be for starts to be sent.
-    pub fresh: Millis,
-}
+/// Pause between two runs of the housekeeping steps.
+const HOUSEKEEPING_INTERVAL: Millis = Millis(500);
 
-impl Timing {
-    fn of(settings: &Settings) -> Timing {
-        let w = &settings.cluster.workers;
-        Timing {
-            ttl: Millis::secs((w.lease_s * 0.4).clamp(1.0, 60.0)),
-            renew_every: Millis::secs((w.lease_s * 0.1).clamp(0.25, 15.0)),
-            worker_lease: Millis::secs(w.longest_lease_s()),
-            store_isolation_limit: Millis::secs(w.store_isolation_limit_s()),
-            fresh: Millis::secs((w.lease_s * 0.3).max(1.0)),
-        }
-    }
-}
+/// Pause between two ticks.
+const TICK_INTERVAL: Millis = Millis(50);
+
+/// The share of the store's rate limits that all controllers use together; each has an equal part of it.
+const RATE_LIMIT_SHARE: f64 = 0.9;
 
+/// One controller's state machine. It does no I/O, reads no clock and draws no random numbers: everything that
+/// it knows came in as an [`Input`], and everything that it does goes out as an [`Output`]. Its fields are open
+/// to the modules below this one; each concern keeps its own state in a type with private fields.
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
@@ -70,9 +64,9 @@
     node_name: NodeName,
     shard_count: u32,
     now: MonotonicTime,
-    /// When this life of the node began.
+    /// When this process started.
     began: MonotonicTime,
-    /// When it last went on after standing still.
+    /// When the clock last jumped.
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
     out: Vec<Output>,
@@ -83,41 +77,42 @@
     membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
-    /// A job came that is to be cut and dealt; it must not wait for the next housekeeping.
+    /// A job arrived whose slices are to be assigned before the next housekeeping.
     assign_soon: bool,
     next_assignment: MonotonicTime,
-    catalog: crate::coordination::fleet::catalog::MachineCatalog,
-    fleet: crate::coordination::fleet::Fleet,
-    unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices,
-    estimates: crate::coordination::fleet::estimates::Estimates,
-    objectives: crate::coordination::scheduling::objectives::Objectives,
+    catalog: MachineCatalog,
+    fleet: Fleet,
+    unplaceable_services: UnplaceableServices,
+    estimates: Estimates,
+    objectives: Objectives,
     guarantees: Vec<TeamGuarantee>,
     status_queries: StatusQueries,
     dependency_graph: DependencyGraph,
     dependency_release: DependencyRelease,
     dependency_lookups: DependencyLookups,
-    deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses,
+    deferred_responses: DeferredResponses,
 }
 
 impl Core {
-    pub fn new(settings: Settings, tuning: Tuning) -> Core {
-        let mut settings = settings;
+    /// A core that knows nothing yet but its settings. Limits of the store that are announced for later hold from
+    /// the start, so that nothing is begun that could not be finished under them.
+    pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
         settings.cluster.state = settings.cluster.state.least();
         let names = settings.node_names();
         let share = names.len().max(1) as f64;
         let state = &settings.cluster.state;
         let mut cache = StateCache::default();
-        let objectives = crate::coordination::scheduling::objectives::Objectives::read(
-            &settings.cluster.objectives,
-            &mut cache.names,
-        );
-        let fleet = crate::coordination::fleet::Fleet::new(settings.cluster.cloud.rps);
+        let objectives = Objectives::read(&settings.cluster.objectives, &mut cache.names);
+        let fleet = Fleet::new(settings.cluster.cloud.rps);
         let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
             timing: Timing::of(&settings),
-            store: StoreClient::new(state.rps * 0.9 / share, (state.write_rps * 0.9 / share).max(1.0)),
+            store: StoreClient::new(
+                state.rps * RATE_LIMIT_SHARE / share,
+                (state.write_rps * RATE_LIMIT_SHARE / share).max(1.0),
+            ),
             membership: Membership::new(settings.peers.iter().map(|peer| NodeName::new(&peer.node))),
             settings,
             tuning,
@@ -135,20 +130,20 @@
             next_housekeeping: MonotonicTime(0),
             assign_soon: false,
             next_assignment: MonotonicTime(0),
-            catalog: crate::coordination::fleet::catalog::MachineCatalog::default(),
+            catalog: MachineCatalog::default(),
             fleet,
-            unplaceable_services: crate::coordination::scheduling::unplaceable_services::UnplaceableServices::default(),
-            estimates: crate::coordination::fleet::estimates::Estimates::default(),
+            unplaceable_services: UnplaceableServices::default(),
+            estimates: Estimates::default(),
             status_queries: StatusQueries::default(),
             dependency_graph: DependencyGraph::default(),
             dependency_release: DependencyRelease::default(),
             dependency_lookups: DependencyLookups::default(),
-            deferred_responses: crate::coordination::heartbeats::deferred_responses::DeferredResponses::default(),
+            deferred_responses: DeferredResponses::default(),
         }
     }
 
-    /// Takes one input at a time of this node's steady clock, with the time
-    /// of day for estimates of age, and returns what is to be done.
+    /// Handles one input and returns what is to be sent, written and answered. `now` is this process's monotonic
+    /// clock; the time of day (milliseconds since the epoch) serves estimates of age only.
     pub fn handle(&mut self, now: MonotonicTime, time_of_day_ms: u64, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
@@ -170,12 +165,11 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Nothing came for much longer than the pause between ticks: this node
-    /// stood still while its clocks ran on. What it did not hear meanwhile is
-    /// no proof of anybody's silence, and what ran meanwhile took it no longer.
-    /// Leases are another matter: they ran out whether or not it stood.
+    /// No input came for much longer than the pause between ticks: this process was suspended while its clocks ran
+    /// on. That nothing was received meanwhile proves no peer or machine silent, and does not make runs longer.
+    /// Leases do run out during a jump.
     fn clock_jumped(&mut self, gap: Millis) {
-        tracing::info!("stood still for {:.1} s", gap.as_secs());
+        tracing::info!(gap_s = gap.as_secs(), "clock jumped: this process was suspended");
         self.resumed_at = self.now;
         self.membership.clock_jumped(gap);
         self.fleet.clock_jumped(gap);
@@ -183,14 +177,14 @@
 
     /// How long the caller may wait before the next tick.
     pub fn next_tick(&self) -> Millis {
-        Millis(50)
+        TICK_INTERVAL
     }
 
     fn tick(&mut self) {
         self.tick_membership();
         self.check_milestones();
         if self.now >= self.next_housekeeping {
-            self.next_housekeeping = self.now + Millis(500);
+            self.next_housekeeping = self.now + HOUSEKEEPING_INTERVAL;
             self.housekeeping();
         }
         self.look_up_unknown_dependencies();
@@ -226,6 +220,7 @@
         self.archive_ended_jobs();
     }
 
+    /// Answers a request of a user or worker.
     fn response(&mut self, request: RequestId, response: Response) {
         self.out.push(Output::Response(request, response));
     }
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -17,10 +17,10 @@
     fields
 }
 
-/// A node that stood still took its peers to be silent and its machines to
-/// be idle, and exits found afterwards for runs as much longer.
+/// A suspended process once took its peers to be silent and its machines to be idle, and runs whose exits it
+/// found afterwards to be longer by the pause.
 #[test]
-fn a_standstill_is_nobodys_silence_and_no_run_time() {
+fn a_clock_jump_proves_no_peer_silent() {
     let mut core = core();
     core.handle(MonotonicTime(900), 0, Input::Tick);
     core.handle(MonotonicTime(1000), 0, Input::PeerStatus(PeerStatus { from: "n1".into(), ..PeerStatus::default() }));
