--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -69,7 +69,7 @@
         self.shard_release.heartbeat_accepted(now, machine, receives_responses);
     }
 
-    /// This process stood still for `gap`: what peers sent meanwhile is still to come.
+    /// This process was suspended for `gap`: what peers sent meanwhile is still to come.
     pub(crate) fn clock_jumped(&mut self, gap: Millis) {
         self.peers.clock_jumped(gap);
     }
--- a/src/coordination/membership/peers.rs
+++ b/src/coordination/membership/peers.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// This process stood still for `gap`, which is no silence of its peers.
+    /// This process was suspended for `gap`: its peers were not silent for that time.
     pub(super) fn clock_jumped(&mut self, gap: Millis) {
         for peer in self.by_name.values_mut() {
             peer.heard = peer.heard.map(|at| at + gap);
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -4,7 +4,7 @@
 //! workers' leases run out. An owner that hears none of its workers any more, while the store and its peers answer,
 //! withdraws its node record and hands its shards over before that. So does an owner whose workers reach it but don't
 //! receive its responses. It takes shards again after a pause, longer each time; in the first case also as soon as a
-//! worker reaches it (in the second nothing but a new try can tell). Called on each membership tick, told of each
+//! worker reaches it (in the second nothing but a new try can tell). Called on each membership tick and with each
 //! heartbeat. Never decides that a machine is lost: see `shards::machine_expiry`.
 
 use crate::coordination::Core;
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -2,10 +2,10 @@
 use crate::protocol::state::StoreResponse;
 use crate::units::{FencingToken, MonotonicTime};
 
-/// A gift without an answer was sent again; that this was refused passed for
-/// the gift not being carried out, which it might be all the same, later.
+/// A quota transfer without an answer was sent again, and the refusal of the second was taken to mean that the first
+/// was not carried out; but it might still be carried out later.
 #[test]
-fn a_gift_in_doubt_counts_as_given_until_it_is_known() {
+fn an_unresolved_quota_transfer_counts_as_carried_out_until_its_outcome_is_known() {
     let mut core = crate::coordination::tests::core();
     core.settings.cluster.teams =
         serde_json::from_value(serde_json::json!([{"name": "red", "cpus_max": 24.0}])).expect("teams");
