--- a/crates/connection-limits/src/connection_limiter.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -124,7 +124,7 @@
     }
 
     /// Connections kept for workers now: what they needed of late and a margin, at
-    /// least the budget's share and at most [`MAX_WORKER_SHARE`] of all.
+    /// least the budget's share and at most three quarters of all.
     pub fn reserved_for_workers(&self, now: Millis) -> usize {
         let needed = self.worker_peak.decayed(now).max(self.connections.workers() as f64);
         let most = (self.budget.connections as f64 * MAX_WORKER_SHARE) as usize;
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -3,7 +3,7 @@
 //! A process has so many threads, sockets and so much memory, and all connections
 //! share them. [`ResourceBudget`] derives one budget from the limits; [`ConnectionLimiter`]
 //! keeps to it, as a state machine without sockets, threads or clocks: the caller says what
-//! happens to connections and when, and is told which to accept and which to close.
+//! happens to connections and when, and learns which to accept and which to close.
 //!
 //! Users are refused first and workers last. A connection does not say who is
 //! behind it before its first request, so unidentified connections have a share of their own,
--- a/crates/connection-limits/src/resource_budget.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// If threads or sockets leave room for fewer than [`MIN_CONNECTIONS`] connections.
+    /// If threads or sockets leave room for fewer than eight connections.
     pub fn new(limits: Limits, reserved: ReservedResources) -> Result<ResourceBudget, BudgetError> {
         let threads = remaining(Resource::Threads, limits.threads, reserved.threads)?;
         let sockets = remaining(Resource::Sockets, limits.sockets, reserved.sockets)?;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -12,7 +12,7 @@
 //! | `peers` | talks with the other controllers in both directions |
 //!
 //! With roll-outs turned on, `tillercleat_rollout` starts threads of its own, which call in through
-//! [`rollouts`].
+//! `rollouts`.
 //!
 //! The program runs until it is killed: no thread is ever asked to end, and none is joined. All durable
 //! state is in the store, so that a kill at any moment loses nothing.
