--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
-use crate::coordination::Input;
+use crate::coordination::store_client::pending_requests::PendingRequest;
+use crate::coordination::{CloudAnswer, Input};
 
 /// A fleet that shrank returned more machines than the record has room for;
 /// the list, which lags, named them still, and they counted as room again.
 #[test]
-fn a_list_that_lags_brings_no_returned_machine_back() {
+fn a_lagging_list_does_not_bring_returned_machines_back() {
     let mut core = crate::coordination::tests::core();
     core.handle(MonotonicTime(1000), 0, Input::Tick);
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
@@ -12,8 +13,8 @@
         let call = core.store.register(PendingRequest::Return(some.to_vec()), core.now);
         core.cloud_answer(call, CloudAnswer::Returned);
         core.write_fleet();
-        while core.fleet.gone.len() > 10 {
-            core.fleet.gone.pop_first();
+        while core.fleet.inventory.confirmed_returns.len() > 10 {
+            core.fleet.inventory.confirmed_returns.pop_first();
         }
     }
     let listed = |machine: &MachineId| ListedMachine {
@@ -27,5 +28,5 @@
     let machines = names.iter().map(listed).collect();
     let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, truncated: false });
     core.list_answer(vec![], page);
-    assert_eq!(core.fleet.machines.len(), 0);
+    assert_eq!(core.fleet.inventory.machines.len(), 0);
 }
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -15,7 +15,7 @@
     /// Records a heartbeat and answers it, at once or within a short time.
     pub(crate) fn handle_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let shard = self.shard_of(&heartbeat.machine);
-        self.shard_release.heard(self.now);
+        self.membership.heartbeat_arrived(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
             let response = self.answer_foreign_heartbeat(shard, &heartbeat);
             return self.response(request, response);
@@ -51,10 +51,10 @@
         }
         // The response to this heartbeat renews the worker's lease.
         machine.last_heartbeat = now;
-        let has_peers = !self.peers.is_empty();
+        let has_peers = !self.membership.peers().is_empty();
         let lease = self.timing.worker_lease;
         let received_response = machine.reachability.record_heartbeat(now, previous, heartbeat.id(), has_peers, lease);
-        self.shard_release.reported(now, &heartbeat.machine, received_response);
+        self.membership.heartbeat_accepted(now, &heartbeat.machine, received_response);
         if heartbeat.agent_epoch > machine.agent_epoch {
             machine.reported_tasks.clear();
             machine.starts_sent.clear();
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -196,7 +196,7 @@
         let Some(machine) = owned_shard.and_then(|owned_shard| owned_shard.machines.get_mut(name)) else { return };
         machine.failed_jobs.insert(key.0.clone(), self.now);
         tracing::info!(job = %key.0, task = key.1, attempt = %attempt, machine = %name, "task failed");
-        self.note_error(key, attempt);
+        self.record_replica_failure(key, attempt);
         self.estimates.record_failure(&key.0, name, self.now);
         self.update_faulty_machine(shard, name);
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -65,7 +65,7 @@
     Failed,
 }
 
-/// What the core is told, one at a time.
+/// What the core handles, one at a time.
 #[derive(Debug)]
 pub enum Input {
     /// Time passed.
@@ -139,12 +139,6 @@
     Redirect(Option<NodeName>),
 }
 
-impl From<Refusal> for Response {
-    fn from(refusal: Refusal) -> Response {
-        Response::Error(refusal)
-    }
-}
-
 /// What the core wants done, in this order.
 #[derive(Debug)]
 pub enum Output {
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::protocol::peer::PeerStatus;
 use crate::storage::records;
 use crate::units::MachineId;
 
@@ -16,10 +17,10 @@
     fields
 }
 
-/// A node that stood still took its peers to be silent and its machines to
-/// be idle, and exits found afterwards for runs as much longer.
+/// A suspended process once took its peers to be silent and its machines to be idle, and runs whose exits it
+/// found afterwards to be longer by the pause.
 #[test]
-fn a_standstill_is_nobodys_silence_and_no_run_time() {
+fn a_clock_jump_proves_no_peer_silent() {
     let mut core = core();
     core.handle(MonotonicTime(900), 0, Input::Tick);
     core.handle(MonotonicTime(1000), 0, Input::PeerStatus(PeerStatus { from: "n1".into(), ..PeerStatus::default() }));
@@ -27,7 +28,7 @@
     assert_eq!(core.resumed_at, MonotonicTime(0));
     core.handle(MonotonicTime(21_050), 20_000, Input::Tick);
     assert_eq!(core.resumed_at, MonotonicTime(21_050));
-    let heard = core.peers[&NodeName::new("n1")].heard;
+    let heard = core.membership.peers().last_heard(&NodeName::new("n1"));
     assert_eq!(heard, Some(MonotonicTime(21_000)));
 }
 
--- a/src/storage/cache/slice.rs
+++ b/src/storage/cache/slice.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Slice {
     held: Versioned<SliceRecord>,
-    /// What the shard's owner wants to be durable; none: untouched.
+    /// What the shard's owner desires to be durable; none: not taken up.
     desired: Option<SliceRecord>,
     counts: TaskCounts,
 }
@@ -120,7 +120,7 @@
     }
 
     /// True if the owner has changes that are not durable yet.
-    pub fn dirty(&self) -> bool {
+    pub fn has_unwritten_changes(&self) -> bool {
         match (&self.desired, &self.held.record) {
             (None, _) => false,
             // An untouched slice needs no record: it may still be assigned elsewhere.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -5,18 +5,21 @@
 //! change; records of other versions are read side by side with these.
 
 mod compact;
+mod error;
 mod keys;
 mod slice;
 
+pub use error::RecordError;
 pub use keys::{
     archived_job_key, job_key, lease_proxy_key, node_key, owner_key, quota_key, slice_key, RecordKey, CATALOG_KEY,
     FEATURE_LEVEL_KEY, FLEET_KEY, LEADER_KEY, ROOT,
 };
-pub use slice::{RecordError, SliceRecord, TaskRecord};
+pub use slice::{SliceRecord, TaskRecord};
 
 use crate::protocol::users::{job_id_from_suffix, job_id_suffix, JobSpec};
 use crate::units::{ComputeAmount, JobId, LeaseId, MachineId, NodeName, ShardId};
 use serde::{Deserialize, Serialize};
+use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// A controller that is alive, or that renews leases for another owner's workers,
@@ -189,3 +192,8 @@
     #[serde(default)]
     pub gone: Vec<MachineId>,
 }
+
+/// The value that a record is stored as.
+pub fn encode<T: Serialize>(record: &T) -> Value {
+    serde_json::to_value(record).expect("a record has text keys and plain fields only, which always serialize")
+}
