--- a/crates/rollout/src/driver/checks.rs
+++ b/crates/rollout/src/driver/checks.rs
@@ -1,9 +1,11 @@
 //! Which checks run when. A service whose checks hang takes a share of the
 //! slots, never all of them, and nobody waits for a slot longer than others.
 
-use super::*;
+use super::{Driver, Output, Pending};
 use crate::file::Check;
-use crate::ports::Verdict;
+use crate::ports::{Answer, Call, Verdict};
+use crate::units::{CheckId, Millis, ReplicaKey};
+use std::collections::BTreeMap;
 
 /// A check that takes at least this share of its time-out is slow.
 const SLOW: f64 = 0.8;
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -2,10 +2,11 @@
 //! durable is carried out, as often as it takes.
 
 use super::tracked::JobWork;
-use super::*;
-use crate::ports::{Commit, JobFate, Order};
-use crate::reconcile::{reconcile, Observations, Seen};
-use crate::record::{RolloutProgress, Way};
+use super::{service_key, Driver, Note, Pending, BACK_OFF, DRIVER_KEY, MOST_PER_TICK};
+use crate::ports::{Answer, Call, Commit, JobFate, Order};
+use crate::reconcile::{reconcile, Event, Observations, Seen};
+use crate::record::{RolloutProgress, Service, Way};
+use crate::units::{JobId, Millis};
 
 /// Submissions and withdrawals under way at the same time, over all services.
 const MOST_JOB_CALLS: usize = 8;
--- a/crates/rollout/src/driver/leadership.rs
+++ b/crates/rollout/src/driver/leadership.rs
@@ -2,9 +2,9 @@
 //! of a driver is conditional on it, so that one whose lease ran out while it
 //! was frozen or cut off changes nothing any more.
 
-use super::*;
-use crate::ports::Commit;
-use crate::units::LeaseId;
+use super::{service_key, Claim, Driver, Note, Pending, BACK_OFF, DRIVER_KEY, SERVICES};
+use crate::ports::{Answer, Call, Commit};
+use crate::units::{LeaseId, Millis, Stamp};
 
 /// How long a watch waits for news.
 const WATCH_WAIT: Millis = Millis(10_000);
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -1,11 +1,13 @@
 //! A service as its driver knows it: the durable record, and what is seen.
 
-use super::*;
 use crate::file::Check;
 use crate::health::Health;
 use crate::ports::{Standing, Verdict};
 use crate::reconcile::{Passed, Seen};
-use crate::record::{Member, RolloutProgress, Way};
+use crate::record::{Member, RolloutProgress, Service, Way};
+use crate::units::{JobId, Millis, Stamp};
+use serde::Serialize;
+use std::collections::BTreeMap;
 
 /// What was done about a member's job in this reign.
 #[derive(Debug, Default)]
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// The world around roll-outs, as a controller provides it.
-pub trait Site: Send + Sync + 'static {
+pub trait ControllerApi: Send + Sync + 'static {
     /// Makes a call and waits for what comes of it, within bounded time.
     fn call(&self, call: &Call) -> Answer;
 }
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// If the listener's address can't be had, or a thread can't be started.
-pub fn start(settings: &Settings, node: &str, value_bytes: usize, site: Arc<dyn Site>) -> std::io::Result<()> {
+pub fn start(settings: &Settings, node: &str, value_bytes: usize, site: Arc<dyn ControllerApi>) -> std::io::Result<()> {
     let (events, inbox) = sync_channel(QUEUE);
     let metrics = Arc::new(Metrics::default());
     listen::start(settings, &events, metrics.clone())?;
@@ -90,7 +90,11 @@
     Ok(sender)
 }
 
-fn calls(threads: usize, site: &Arc<dyn Site>, events: &SyncSender<Event>) -> std::io::Result<SyncSender<Job>> {
+fn calls(
+    threads: usize,
+    site: &Arc<dyn ControllerApi>,
+    events: &SyncSender<Event>,
+) -> std::io::Result<SyncSender<Job>> {
     let (site, events) = (site.clone(), events.clone());
     share("rollout-call", threads, MOST_CALLS, move |(caller, id, call): Job| {
         let answer = Box::new((id, site.call(&call)));
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -17,7 +17,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tillercleat_rollout::ports::{Answer, Call, ReplicaSeen};
-use tillercleat_rollout::runtime::Site;
+use tillercleat_rollout::runtime::ControllerApi;
 use tillercleat_rollout::units::JobId as RolloutJobId;
 
 /// How long this controller's core may take to answer.
@@ -94,7 +94,7 @@
     }
 }
 
-impl Site for ControllerSite {
+impl ControllerApi for ControllerSite {
     fn call(&self, call: &Call) -> Answer {
         match call {
             Call::Submit { job, order } => {
