--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -14,21 +14,27 @@
 /// What an operator asks.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRequest {
+    /// All services, without their members.
     List,
+    /// One service by name, with its driver's observations where known.
     Status(String),
+    /// A command on the service of this name.
     Command(String, Command),
 }
 
 /// What an operator is told.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorResponse {
+    /// The HTTP status code.
     pub status: u16,
+    /// The JSON body.
     pub body: Value,
     /// Seconds after which to ask again, if it may be different then.
     pub retry_after_s: Option<u32>,
 }
 
 impl OperatorResponse {
+    /// A final refusal, with its HTTP status and the reason.
     pub fn problem(status: u16, why: &str) -> OperatorResponse {
         OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
@@ -55,7 +61,9 @@
 /// What comes of an input: calls to make, and replies.
 #[derive(Debug, Default)]
 pub struct HandlerOutput {
+    /// Calls to make; each answer goes to [`CommandHandler::answer`].
     pub calls: Vec<(CallId, Call)>,
+    /// Responses to requests taken earlier, each sent once.
     pub replies: Vec<(RequestId, OperatorResponse)>,
 }
 
--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -58,6 +58,7 @@
 /// The driver's claim, as others read it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
+    /// Name of the controller that drives.
     pub node: String,
     /// Where the driver's operators' listener is.
     pub listen: String,
@@ -68,7 +69,9 @@
 /// What the driver wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
+    /// A call to make; its answer goes to [`Driver::answer`].
     Call(CallId, Call),
+    /// A health check to run; its verdict goes to [`Driver::verdict`].
     Probe(CheckId, Probe),
     /// Something to be noted; it changes nothing.
     Note(Note),
@@ -79,17 +82,24 @@
 pub enum Note {
     /// This node begins to drive, with this claim.
     Drives(Stamp),
+    /// This node no longer drives.
     Resigned,
     /// A service's record changed as decided here.
     Changed {
+        /// Name of the service.
         service: String,
+        /// Number of the service's roll-out.
         number: u64,
+        /// The step after the change, counted from 0.
         step: u32,
+        /// What the change was.
         event: Event,
     },
     /// A record can't be read: it is left alone.
     Unreadable {
+        /// Name of the service.
         service: String,
+        /// The parser's error.
         why: String,
     },
 }
@@ -156,6 +166,7 @@
 }
 
 impl Driver {
+    /// A driver that holds no claim and knows no service.
     pub fn new(config: Config) -> Driver {
         Driver {
             config,
--- a/crates/rollout/src/driver/checks.rs
+++ b/crates/rollout/src/driver/checks.rs
@@ -3,13 +3,23 @@
 
 use super::{Driver, Output, Pending};
 use crate::file::Check;
-use crate::ports::{Answer, Call, Verdict};
+use crate::ports::{Answer, Call, Probe, Verdict};
 use crate::units::{CheckId, Millis, ReplicaKey};
 use std::collections::BTreeMap;
 
 /// A check that takes at least this share of its time-out is slow.
 const SLOW: f64 = 0.8;
 
+/// A check that could begin now.
+struct DueCheck {
+    service: String,
+    replica: ReplicaKey,
+    attempt: u64,
+    probe: Probe,
+    /// The service's last check was slow.
+    slow: bool,
+}
+
 /// A check that was begun.
 #[derive(Debug)]
 pub(super) struct UnderWay {
@@ -24,24 +34,12 @@
 impl Driver {
     /// Begins the checks that are due, as far as there are slots.
     pub(super) fn begin_checks(&mut self, names: &[String]) {
-        let now = self.now;
         let slots = self.config.checks.max(1);
         let mut free = slots.saturating_sub(self.under_way.len());
         if free == 0 {
             return;
         }
-        let mut due = vec![];
-        for name in names {
-            let Some(tracked) = self.services.get_mut(name) else { continue };
-            for member in tracked.record.members.iter().filter(|m| !m.retiring) {
-                let Some(version) = tracked.record.versions.get(&member.version) else { continue };
-                let found = tracked.health.due(now, member, &version.check);
-                due.extend(
-                    found.into_iter().map(|(at, key, attempt, probe)| (at, name, key, attempt, probe, tracked.slow)),
-                );
-            }
-        }
-        due.sort_by(|a, b| (a.0, &a.2).cmp(&(b.0, &b.2)));
+        let due = self.due_checks(names);
         // Services without slow checks are never kept waiting by slow ones.
         let slow_slots = (slots / 2).max(1);
         // Nor may one that begins to hang take all of them before that is known,
@@ -52,30 +50,54 @@
             *busy.entry(under_way.service.clone()).or_default() += 1;
         }
         let mut slow_busy = self.under_way.values().filter(|u| u.slow).count();
-        for (_, name, replica, attempt, probe, slow) in due {
+        for DueCheck { service, replica, attempt, probe, slow } in due {
             if free == 0 {
                 break;
             }
             if slow && slow_busy >= slow_slots && slots > 1 {
                 continue;
             }
-            let its_busy = busy.entry(name.clone()).or_default();
+            let its_busy = busy.entry(service.clone()).or_default();
             if *its_busy >= most_each {
                 continue;
             }
             *its_busy += 1;
             slow_busy += usize::from(slow);
             free -= 1;
-            if let Some(tracked) = self.services.get_mut(name) {
-                tracked.health.begun(now, &replica, &probe.check);
+            self.begin_check(DueCheck { service, replica, attempt, probe, slow });
+        }
+    }
+
+    /// Checks that are due in these services, the most overdue first.
+    fn due_checks(&mut self, names: &[String]) -> Vec<DueCheck> {
+        let now = self.now;
+        let mut due = vec![];
+        for name in names {
+            let Some(tracked) = self.services.get_mut(name) else { continue };
+            for member in tracked.record.members.iter().filter(|m| !m.retiring) {
+                let Some(version) = tracked.record.versions.get(&member.version) else { continue };
+                for (due_at, replica, attempt, probe) in tracked.health.due(now, member, &version.check) {
+                    let check = DueCheck { service: name.clone(), replica, attempt, probe, slow: tracked.slow };
+                    due.push((due_at, check));
+                }
             }
-            self.last_check += 1;
-            let id = CheckId(self.last_check);
-            let under_way =
-                UnderWay { service: name.clone(), replica, attempt, addr: probe.addr.clone(), begun: now, slow };
-            self.under_way.insert(id, under_way);
-            self.out.push(Output::Probe(id, probe));
         }
+        due.sort_by(|a, b| (a.0, &a.1.replica).cmp(&(b.0, &b.1.replica)));
+        due.into_iter().map(|(_, check)| check).collect()
+    }
+
+    /// Takes a slot for a check and has it run.
+    fn begin_check(&mut self, due: DueCheck) {
+        let DueCheck { service, replica, attempt, probe, slow } = due;
+        let now = self.now;
+        if let Some(tracked) = self.services.get_mut(&service) {
+            tracked.health.begun(now, &replica, &probe.check);
+        }
+        self.last_check += 1;
+        let id = CheckId(self.last_check);
+        let addr = probe.addr.clone();
+        self.under_way.insert(id, UnderWay { service, replica, attempt, addr, begun: now, slow });
+        self.out.push(Output::Probe(id, probe));
     }
 
     /// Takes in what a check found.
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -44,14 +44,23 @@
 /// A replica as it is seen now.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LiveReplica {
+    /// The job that the replica belongs to.
     pub job: JobId,
+    /// The replica's number within its job.
     pub index: u32,
+    /// Name of the version that it runs.
     pub version: String,
+    /// Its life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
     pub standing: &'static str,
+    /// Address of its machine without a port; empty if unknown.
     pub host: String,
+    /// Zone of its machine; empty if unknown.
     pub zone: String,
+    /// Whether it passed enough checks in a row to be ready.
     pub ready: bool,
+    /// Checks passed in a row by this attempt.
     pub passes: u32,
+    /// Failures counted in this step.
     pub failures: u32,
     /// The last verdict, and how long ago it came in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -61,8 +70,11 @@
 /// What the driver sees of a service beyond its record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Live {
+    /// Time spent in the step, in seconds.
     pub spent_s: f64,
+    /// Time for which the step's replicas have been healthy, in seconds.
     pub baked_s: f64,
+    /// The service's known replicas.
     pub replicas: Vec<LiveReplica>,
 }
 
--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -57,6 +57,7 @@
 }
 
 /// What a replica runs and takes of its machine.
+#[allow(missing_docs, reason = "doc comments would become part of the published schema")]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Job {
@@ -85,6 +86,7 @@
 }
 
 /// A job's rank.
+#[allow(missing_docs, reason = "doc comments would become part of the published schema")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
@@ -96,6 +98,7 @@
 }
 
 /// How a replica shows that it is well.
+#[allow(missing_docs, reason = "doc comments would become part of the published schema")]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Check {
@@ -186,7 +189,9 @@
 /// Something wrong in a roll-out, with the field that it is about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
+    /// Path of the field, as in `step[0].share`.
     pub field: String,
+    /// The rule that the field breaks.
     pub why: String,
 }
 
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -17,6 +17,7 @@
 /// What is known of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
+    /// The latest status from the owner of its shard; `None` before the first.
     pub seen: Option<ReplicaSeen>,
     /// Checks passed in a row by this attempt.
     pub passes: u32,
@@ -24,9 +25,11 @@
     pub fails: u32,
     /// Failures in this step, of checks once ready and of attempts.
     pub failures: u32,
+    /// Whether it has passed enough checks in a row and not failed too many since.
     pub ready: bool,
     /// This attempt was ready at some time.
     pub was_ready: bool,
+    /// The last verdict, and when it came.
     pub last: Option<(Millis, Verdict)>,
     /// When a check last got through to it from here.
     contact: Option<Millis>,
@@ -86,6 +89,7 @@
 }
 
 impl Health {
+    /// All known replicas, ordered by key.
     pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaKey, &Replica)> {
         self.replicas.iter()
     }
--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -24,8 +24,11 @@
 /// What a request asks for, or the answer it gets at once.
 #[derive(Debug, PartialEq)]
 pub enum Routed {
+    /// A request for the command handler.
     OperatorRequest(OperatorRequest),
+    /// The metrics in text format.
     Metrics,
+    /// A response that needs nobody else.
     Answer(OperatorResponse),
 }
 
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -48,6 +48,7 @@
 }
 
 impl Metrics {
+    /// Counts a check's verdict and how long it took.
     pub fn checked(&self, verdict: &Verdict, took: Duration) {
         let result = match verdict {
             Verdict::Pass => "passed",
@@ -58,6 +59,7 @@
         self.check_times.observe(took.as_secs_f64());
     }
 
+    /// Counts what the driver noted.
     pub fn noted(&self, note: &Note) {
         match note {
             Note::Drives(_) => drop(self.driving.set(1)),
--- a/crates/rollout/src/reconcile.rs
+++ b/crates/rollout/src/reconcile.rs
@@ -36,7 +36,9 @@
 /// than the record, and more as time goes by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Passed {
+    /// Time spent in the step.
     pub spent: Millis,
+    /// Time for which the step's replicas have been healthy.
     pub baked: Millis,
 }
 
@@ -45,23 +47,32 @@
 pub enum Event {
     /// Replicas of a version were added to the books.
     Added {
+        /// How many.
         replicas: u32,
+        /// Their version.
         version: VersionNo,
     },
     /// Replicas are to be withdrawn.
     Retired {
+        /// How many.
         replicas: u32,
+        /// Their version.
         version: VersionNo,
     },
     /// Withdrawn members left the books.
     Gone(usize),
     /// All of a step's replicas are well: its bake time counts.
     Baking(u32),
+    /// This step passed, counted from 0.
     Passed(u32),
+    /// A step failed.
     Failed {
+        /// The step, counted from 0.
         step: u32,
+        /// Why it failed.
         reason: String,
     },
+    /// The roll-out ended or was halted.
     Ended(RolloutProgress),
 }
 
@@ -72,6 +83,7 @@
 pub struct Observations<'a> {
     /// What is seen of each member; nothing: not known.
     pub seen: &'a dyn Fn(&JobId) -> Seen,
+    /// Time that has passed in the current step.
     pub passed: Passed,
 }
 
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -15,24 +15,33 @@
 /// A version of a service, for as long as a member or a way back needs it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Version {
+    /// The operators' name of the version.
     pub name: String,
+    /// Replicas that the service has when all of them run this version.
     pub replicas: u32,
+    /// Replicas per job.
     pub group: u32,
+    /// What each replica runs.
     pub job: Job,
+    /// How each replica is checked.
     pub check: Check,
 }
 
 /// A job of the service: a group of replicas that come and go together.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
+    /// Id of the job.
     pub job: JobId,
+    /// Version that the replicas run.
     #[serde(rename = "v")]
     pub version: VersionNo,
+    /// Number of replicas.
     #[serde(rename = "n")]
     pub replicas: u32,
     /// The step that brought it, counted from 0.
     #[serde(rename = "s")]
     pub step: u32,
+    /// The only zone allowed, if any.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// It is to be withdrawn, and never comes back.
@@ -45,9 +54,12 @@
 pub struct StepPlan {
     /// Replicas of the new version after this step.
     pub target: u32,
+    /// Zone for this step's replicas, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// How long the replicas must stay healthy.
     pub bake: Millis,
+    /// How long the step may take in all.
     pub deadline: Millis,
 }
 
@@ -67,6 +79,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RolloutProgress {
+    /// The driver takes it further.
     Going,
     /// By an operator: no step goes on, but a failure still counts.
     Paused,
@@ -83,8 +96,11 @@
 pub struct Rolling {
     /// Counts the service's roll-outs from 1.
     pub number: u64,
+    /// The version to roll out.
     pub to: VersionNo,
+    /// The steps, in order.
     pub steps: Vec<StepPlan>,
+    /// What a failed step leads to.
     pub on_failure: OnFailure,
     /// Never fewer replicas than this are left by our own doing.
     pub floor: u32,
@@ -92,8 +108,11 @@
     pub ceiling: u32,
     /// Replicas of other versions at the start.
     pub from: u32,
+    /// The current step, counted from 0.
     pub step: u32,
+    /// Which way it goes.
     pub way: Way,
+    /// Whether it goes on.
     pub course: RolloutProgress,
     /// Time spent on the step, as far as it is durable.
     pub spent: Millis,
@@ -105,11 +124,38 @@
 }
 
 impl Rolling {
+    /// A roll-out at the start of its first step. `from` counts the replicas of
+    /// other versions; `ceiling` bounds the replicas of all versions.
+    fn begin(file: &RollOut, number: u64, to: VersionNo, from: u32, ceiling: u32) -> Rolling {
+        let steps = file.steps.iter().zip(file.targets()).map(|(step, target)| StepPlan {
+            target,
+            zone: step.zone.clone(),
+            bake: Millis::secs(step.bake_s),
+            deadline: Millis::secs(step.deadline_s),
+        });
+        Rolling {
+            number,
+            to,
+            steps: steps.collect(),
+            on_failure: file.on_failure,
+            floor: from.min(file.replicas).saturating_sub(file.max_unavailable),
+            ceiling,
+            from,
+            step: 0,
+            way: Way::Raising,
+            course: RolloutProgress::Going,
+            spent: Millis(0),
+            baked: Millis(0),
+            reason: None,
+        }
+    }
+
     /// True while replicas may come or go.
     pub fn active(&self) -> bool {
         matches!(self.course, RolloutProgress::Going | RolloutProgress::Paused)
     }
 
+    /// The plan of the current step.
     pub fn plan(&self) -> Option<&StepPlan> {
         self.steps.get(self.step as usize)
     }
@@ -125,9 +171,13 @@
 /// A roll-out that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
+    /// The roll-out's number.
     pub number: u64,
+    /// Name of the version that was rolled out.
     pub version: String,
+    /// How it ended.
     pub course: RolloutProgress,
+    /// Why it was halted or reverted, if it was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
@@ -138,24 +188,34 @@
     /// The version that all replicas last had.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<VersionNo>,
+    /// Versions that members or the roll-out refer to.
     pub versions: BTreeMap<VersionNo, Version>,
+    /// The jobs of the service, retiring ones included.
     pub members: Vec<Member>,
+    /// The current or last roll-out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rolling: Option<Rolling>,
+    /// Earlier roll-outs, oldest first; the last few are kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub past: Vec<Outcome>,
     /// The newest version and roll-out there ever were.
     pub last_version: VersionNo,
+    /// The highest roll-out number given so far.
     pub last_number: u64,
 }
 
 /// What an operator wants of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
+    /// Start a roll-out.
     Start(Box<RollOut>),
+    /// Hold the roll-out back; failures still count.
     Pause,
+    /// Go on after a pause or halt.
     Resume,
+    /// Halt the roll-out where it is.
     Abort,
+    /// Return to the version before.
     Revert,
 }
 
@@ -164,13 +224,27 @@
 pub enum Refusal {
     /// Another roll-out of the service is under way.
     #[error("roll-out {number} to {version} is at step {step} of {steps}: abort or revert it first")]
-    Rolling { number: u64, version: String, step: u32, steps: usize },
+    Rolling {
+        /// Number of the roll-out under way.
+        number: u64,
+        /// Name of the version that it rolls out.
+        version: String,
+        /// Its current step, counted from 1.
+        step: u32,
+        /// How many steps it has.
+        steps: usize,
+    },
     /// There is nothing that the command could be about.
     #[error("{0}")]
     Nothing(&'static str),
     /// The service's record would not fit into one value.
     #[error("the service would need {members} jobs and has room for {room}: use a larger group")]
-    TooLarge { members: usize, room: usize },
+    TooLarge {
+        /// Jobs that the service could come to have.
+        members: usize,
+        /// Jobs that fit into its record.
+        room: usize,
+    },
 }
 
 impl Service {
@@ -184,6 +258,7 @@
         self.members.iter().map(|m| m.replicas).sum()
     }
 
+    /// Name of a version; `?` if it isn't known any more.
     pub fn version_name(&self, version: VersionNo) -> &str {
         self.versions.get(&version).map_or("?", |v| &v.name)
     }
@@ -252,34 +327,11 @@
         self.fits(file, ceiling, value_bytes)?;
         self.close();
         if self.base.is_none() {
-            // No roll-out ever ended well: the way back is to what there is most of.
-            let versions = self.versions.keys().copied();
-            let count = |v: VersionNo| self.staying().filter(|m| m.version == v).map(|m| m.replicas).sum::<u32>();
-            self.base = versions.map(|v| (count(v), v)).filter(|(n, _)| *n > 0).max().map(|(_, v)| v);
+            self.base = self.most_common_version();
         }
         self.last_version.0 += 1;
         self.last_number += 1;
-        let steps = file.steps.iter().zip(file.targets()).map(|(step, target)| StepPlan {
-            target,
-            zone: step.zone.clone(),
-            bake: Millis::secs(step.bake_s),
-            deadline: Millis::secs(step.deadline_s),
-        });
-        self.rolling = Some(Rolling {
-            number: self.last_number,
-            to: self.last_version,
-            steps: steps.collect(),
-            on_failure: file.on_failure,
-            floor: from.min(file.replicas).saturating_sub(file.max_unavailable),
-            ceiling,
-            from,
-            step: 0,
-            way: Way::Raising,
-            course: RolloutProgress::Going,
-            spent: Millis(0),
-            baked: Millis(0),
-            reason: None,
-        });
+        self.rolling = Some(Rolling::begin(file, self.last_number, self.last_version, from, ceiling));
         let version = Version {
             name: file.version.clone(),
             replicas: file.replicas,
@@ -292,6 +344,14 @@
         Ok(())
     }
 
+    /// The version that most replicas have: what a revert returns to as long as
+    /// no roll-out has ever succeeded.
+    fn most_common_version(&self) -> Option<VersionNo> {
+        let count = |v: VersionNo| self.staying().filter(|m| m.version == v).map(|m| m.replicas).sum::<u32>();
+        let counted = self.versions.keys().map(|version| (count(*version), *version));
+        counted.filter(|(replicas, _)| *replicas > 0).max().map(|(_, version)| version)
+    }
+
     /// Whether the record stays one value with as many members as there may be.
     fn fits(&self, file: &RollOut, ceiling: u32, value_bytes: usize) -> Result<(), Refusal> {
         let fixed = serde_json::to_vec(&(&self.versions, &self.past, file)).map_or(0, |text| text.len()) + 512;
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -16,10 +16,13 @@
 /// Why the settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// The file can't be read.
     #[error("cannot read {0}: {1}")]
     Read(String, std::io::Error),
+    /// The file is no TOML, or has unknown or missing keys.
     #[error("{0}: {1}")]
     Parse(String, String),
+    /// A value is out of range: file, field and rule.
     #[error("{0}: {1} {2}")]
     Value(String, &'static str, &'static str),
 }
