--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -4,13 +4,13 @@
 //! define. A step begins only when the one before has passed its checks for its
 //! whole bake time; a step that fails halts the roll-out, or reverts it.
 //!
-//! - [`file`]: what operators write, and what is wrong with it.
+//! - [`mod@file`]: what operators write, and what is wrong with it.
 //! - [`record`]: what is durable of a service, one value a service.
-//! - [`reconcile`]: what to change of the record next. Pure.
+//! - [`mod@reconcile`]: what to change of the record next. Pure.
 //! - [`health`]: what checks and reports say of each replica. Pure.
 //! - [`driver`], [`commands`]: whoever drives, and operators' commands, as state
 //!   machines that say which calls to make. Pure.
-//! - [`check`], [`runtime`], [`listen`]: sockets and threads around them.
+//! - [`mod@check`], [`runtime`], [`listen`]: sockets and threads around them.
 //!
 //! The record states intentions. Every effect follows from a record that is
 //! durable, and can be repeated without harm by anybody at any later time: a
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -98,32 +98,15 @@
     }
 }
 
-/// A service's record with every field set.
-fn service() -> Service {
-    let version = |name: &str, job, check| Version { name: name.into(), replicas: 10, group: 2, job, check };
-    let plain_job = Job { types: None, zone: None, ..job() };
-    let plain_check = Check { body: None, ..check() };
-    let member = |id: &str, version, zone: Option<&str>, retiring| Member {
-        job: JobId(id.into()),
-        version: VersionNo(version),
-        replicas: 2,
-        step: 1,
-        zone: zone.map(String::from),
-        retiring,
-    };
+/// A roll-out with every field set.
+fn rolling() -> Rolling {
     let step = |target, zone: Option<&str>| StepPlan {
         target,
         zone: zone.map(String::from),
         bake: Millis(60_500),
         deadline: Millis(600_500),
     };
-    let outcome = |number, course, reason: Option<&str>| Outcome {
-        number,
-        version: "v1".into(),
-        course,
-        reason: reason.map(String::from),
-    };
-    let rolling = Rolling {
+    Rolling {
         number: 5,
         to: VersionNo(2),
         steps: vec![step(2, Some("a")), step(10, None)],
@@ -137,6 +120,27 @@
         spent: Millis(1200),
         baked: Millis(700),
         reason: Some("step 1 failed".into()),
+    }
+}
+
+/// A service's record with every field set.
+fn service() -> Service {
+    let version = |name: &str, job, check| Version { name: name.into(), replicas: 10, group: 2, job, check };
+    let plain_job = Job { types: None, zone: None, ..job() };
+    let plain_check = Check { body: None, ..check() };
+    let member = |id: &str, version, zone: Option<&str>, retiring| Member {
+        job: JobId(id.into()),
+        version: VersionNo(version),
+        replicas: 2,
+        step: 1,
+        zone: zone.map(String::from),
+        retiring,
+    };
+    let outcome = |number, course, reason: Option<&str>| Outcome {
+        number,
+        version: "v1".into(),
+        course,
+        reason: reason.map(String::from),
     };
     Service {
         base: Some(VersionNo(1)),
@@ -146,7 +150,7 @@
         ]
         .into(),
         members: vec![member("wk-9000001", 1, None, true), member("wk-9000002", 2, Some("a"), false)],
-        rolling: Some(rolling),
+        rolling: Some(rolling()),
         past: vec![outcome(4, RolloutProgress::Old, Some("step 2 failed")), outcome(3, RolloutProgress::New, None)],
         last_version: VersionNo(2),
         last_number: 5,
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use tillercleat_rollout::commands::{CommandHandler, OperatorRequest, OperatorResponse};
 use tillercleat_rollout::driver::{Config, Driver, Output, DRIVER_KEY, SERVICES};
 use tillercleat_rollout::file::RollOut;
-use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, ReplicaSeen, Standing, Verdict};
+use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, Order, ReplicaSeen, Standing, Verdict};
 use tillercleat_rollout::record::{Command, Service};
 use tillercleat_rollout::units::{CallId, CheckId, JobId, LeaseId, Millis, RequestId, Stamp};
 
@@ -432,24 +432,8 @@
                 let changed = news.map(|c| (c.1.clone(), c.2.clone(), Stamp(c.0))).collect();
                 Answer::Changes { revision: Stamp(self.revision), changed }
             }
-            Call::Submit { job, order } => {
-                let begins = self.now + self.start_ms;
-                let known = self.jobs.entry(job.clone()).or_insert_with(|| Job {
-                    image: order.job.image.clone(),
-                    replicas: order.replicas,
-                    zone: order.zone.clone(),
-                    withdrawn: None,
-                    runs: vec![(1, begins, 0); order.replicas as usize],
-                });
-                Answer::Job(if known.withdrawn.is_some() { JobFate::Over } else { JobFate::Known })
-            }
-            Call::Withdraw { job } => match self.jobs.get_mut(job) {
-                None => Answer::Job(JobFate::Unknown),
-                Some(known) => {
-                    known.withdrawn.get_or_insert(self.now);
-                    Answer::Job(JobFate::Over)
-                }
-            },
+            Call::Submit { job, order } => self.submit(job, order),
+            Call::Withdraw { job } => self.withdraw(job),
             Call::Replicas { jobs } => self.replicas(jobs),
             Call::Reach { .. } => {
                 let others = self.nodes.iter().enumerate().filter(|(n, node)| *n != at && node.alive);
@@ -458,6 +442,28 @@
         }
     }
 
+    fn submit(&mut self, job: &JobId, order: &Order) -> Answer {
+        let begins = self.now + self.start_ms;
+        let known = self.jobs.entry(job.clone()).or_insert_with(|| Job {
+            image: order.job.image.clone(),
+            replicas: order.replicas,
+            zone: order.zone.clone(),
+            withdrawn: None,
+            runs: vec![(1, begins, 0); order.replicas as usize],
+        });
+        Answer::Job(if known.withdrawn.is_some() { JobFate::Over } else { JobFate::Known })
+    }
+
+    fn withdraw(&mut self, job: &JobId) -> Answer {
+        match self.jobs.get_mut(job) {
+            None => Answer::Job(JobFate::Unknown),
+            Some(known) => {
+                known.withdrawn.get_or_insert(self.now);
+                Answer::Job(JobFate::Over)
+            }
+        }
+    }
+
     fn replicas(&self, jobs: &[JobId]) -> Answer {
         let mut told = vec![];
         let known: Vec<(&JobId, &Job)> = self.jobs.iter().filter(|(_, j)| j.withdrawn.is_none()).collect();
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -4,9 +4,8 @@
 use tillercleat::protocol::workers::*;
 use tillercleat::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, MachineId};
 
-#[test]
-fn messages_of_workers_keep_their_words() {
-    let task = TaskName { job: JobId::new("wk-000412"), index: 3 };
+/// A heartbeat that lists a task in each state, and ended ones with each reason.
+fn heartbeat_with_every_state(task: &TaskName) -> Heartbeat {
     let states =
         [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving, TaskState::Exited].map(Some);
     let causes = [
@@ -28,7 +27,7 @@
         checkpoint_saved: why.map(|why| why == ExitReason::Stopped),
     };
     let tasks = states.iter().map(|state| told(state, None)).chain(causes.map(|why| told(&None, why)));
-    let heartbeat = Heartbeat {
+    Heartbeat {
         machine: MachineId::new("i-000001"),
         addr: "10.1.0.2:9000".into(),
         kind: "m8".into(),
@@ -39,7 +38,13 @@
         token: FencingToken(7),
         termination_notice_s: Some(30.0),
         tasks: tasks.collect(),
-    };
+    }
+}
+
+#[test]
+fn messages_of_workers_keep_their_words() {
+    let task = TaskName { job: JobId::new("wk-000412"), index: 3 };
+    let heartbeat = heartbeat_with_every_state(&task);
     let least = r#"{"deck":"i-1","endpoint":"e","hull":"m8","berth":"a","watch":1,"tally":2}"#;
     let least: Heartbeat = serde_json::from_str(least).expect("a report");
     let odd: Vec<ExitReason> = serde_json::from_str(r#"["incomplete","never heard of"]"#).expect("causes");
