--- a/crates/rollout/src/check.rs
+++ b/crates/rollout/src/check.rs
@@ -28,7 +28,7 @@
     };
     match probe.check.kind {
         CheckKind::Tcp | CheckKind::Up => Verdict::Pass,
-        CheckKind::Http => match ask(Connection::new(stream), addr, &probe.check, deadline) {
+        CheckKind::Http => match check_http(Connection::new(stream), addr, &probe.check, deadline) {
             Ok(verdict) => verdict,
             Err(HttpError::Io(e)) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {
                 Verdict::Fail("no whole answer in time".into())
@@ -42,7 +42,12 @@
     deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
 }
 
-fn ask(mut connection: Connection, addr: SocketAddr, check: &Check, deadline: Instant) -> Result<Verdict, HttpError> {
+fn check_http(
+    mut connection: Connection,
+    addr: SocketAddr,
+    check: &Check,
+    deadline: Instant,
+) -> Result<Verdict, HttpError> {
     let request = format!(
         "{} {} HTTP/1.1\r\nHost: {addr}\r\nUser-Agent: tillercleat\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
         check.method, check.path
--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -3,7 +3,7 @@
 
 use crate::driver::{service_key, Claim, DRIVER_KEY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
-use crate::record::{Command, RolloutProgress, Service, Way};
+use crate::record::{Command, Direction, RolloutProgress, Service};
 use crate::units::{CallId, RequestId, Stamp};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -47,8 +47,8 @@
 
 #[derive(Debug)]
 struct Waiting {
-    request: RequestId,
-    ask: OperatorRequest,
+    request_id: RequestId,
+    request: OperatorRequest,
     tries: u32,
     /// The record that was written, if one was.
     written: Option<Service>,
@@ -82,40 +82,40 @@
     }
 
     /// Takes a request.
-    pub fn ask(&mut self, request: RequestId, ask: OperatorRequest) -> HandlerOutput {
-        let call = match &ask {
+    pub fn handle_request(&mut self, request_id: RequestId, request: OperatorRequest) -> HandlerOutput {
+        let call = match &request {
             OperatorRequest::List => Call::List { prefix: SERVICES.into(), after: None },
             OperatorRequest::Status(name) | OperatorRequest::Command(name, _) => Call::Get { key: service_key(name) },
         };
-        let mut turn = HandlerOutput::default();
-        let waiting = Waiting { request, ask, tries: 0, written: None, rows: vec![], found: None };
-        self.call(call, waiting, &mut turn);
-        turn
+        let mut output = HandlerOutput::default();
+        let waiting = Waiting { request_id, request, tries: 0, written: None, rows: vec![], found: None };
+        self.call(call, waiting, &mut output);
+        output
     }
 
-    fn call(&mut self, call: Call, waiting: Waiting, turn: &mut HandlerOutput) {
+    fn call(&mut self, call: Call, waiting: Waiting, output: &mut HandlerOutput) {
         self.last_call += 1;
         let id = CallId(self.last_call);
         self.waiting.insert(id, waiting);
-        turn.calls.push((id, call));
+        output.calls.push((id, call));
     }
 
     /// Takes in the answer to a call.
     pub fn answer(&mut self, id: CallId, answer: Answer) -> HandlerOutput {
-        let mut turn = HandlerOutput::default();
-        let Some(waiting) = self.waiting.remove(&id) else { return turn };
-        let request = waiting.request;
-        let reply = match (&waiting.ask, waiting.written.is_some()) {
-            (_, true) => self.written(waiting, answer, &mut turn),
-            (OperatorRequest::List, _) => self.listed(waiting, answer, &mut turn),
-            (OperatorRequest::Status(_), _) => self.status(waiting, answer, &mut turn),
-            (OperatorRequest::Command(..), _) => self.read(waiting, answer, &mut turn),
+        let mut output = HandlerOutput::default();
+        let Some(waiting) = self.waiting.remove(&id) else { return output };
+        let request_id = waiting.request_id;
+        let reply = match (&waiting.request, waiting.written.is_some()) {
+            (_, true) => self.written(waiting, answer, &mut output),
+            (OperatorRequest::List, _) => self.listed(waiting, answer, &mut output),
+            (OperatorRequest::Status(_), _) => self.status(waiting, answer, &mut output),
+            (OperatorRequest::Command(..), _) => self.read(waiting, answer, &mut output),
         };
-        turn.replies.extend(reply.map(|reply| (request, reply)));
-        turn
+        output.replies.extend(reply.map(|reply| (request_id, reply)));
+        output
     }
 
-    fn listed(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
+    fn listed(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
         let Answer::Page { items, more, .. } = answer else { return Some(unreachable()) };
         let after = items.last().map(|item| item.key.clone());
         for item in items {
@@ -127,14 +127,14 @@
             }
         }
         if more && after.is_some() {
-            self.call(Call::List { prefix: SERVICES.into(), after }, waiting, turn);
+            self.call(Call::List { prefix: SERVICES.into(), after }, waiting, output);
             return None;
         }
         Some(OperatorResponse { status: 200, body: json!({ "services": waiting.rows }), retry_after_s: None })
     }
 
-    fn status(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let OperatorRequest::Status(name) = &waiting.ask else { return None };
+    fn status(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
+        let OperatorRequest::Status(name) = &waiting.request else { return None };
         if let Some(service) = &waiting.found {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
@@ -150,7 +150,7 @@
                 Err(error) => Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}"))),
                 Ok(service) => {
                     waiting.found = Some(service);
-                    self.call(Call::Get { key: DRIVER_KEY.into() }, waiting, turn);
+                    self.call(Call::Get { key: DRIVER_KEY.into() }, waiting, output);
                     None
                 }
             },
@@ -159,8 +159,8 @@
     }
 
     /// The record was read: the command is applied to it and written.
-    fn read(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let OperatorRequest::Command(name, command) = &waiting.ask else { return None };
+    fn read(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
+        let OperatorRequest::Command(name, command) = &waiting.request else { return None };
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Ok(service) => (service, item.stamp),
@@ -180,12 +180,17 @@
         let value = serde_json::to_value(&next).unwrap_or_default();
         let commit = Commit { when: vec![(key.clone(), stamp)], key, value, lease: None };
         waiting.written = Some(next);
-        self.call(Call::Commit(commit), waiting, turn);
+        self.call(Call::Commit(commit), waiting, output);
         None
     }
 
-    fn written(&mut self, mut waiting: Waiting, answer: Answer, turn: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let (OperatorRequest::Command(name, _), Some(service)) = (&waiting.ask, waiting.written.take()) else {
+    fn written(
+        &mut self,
+        mut waiting: Waiting,
+        answer: Answer,
+        output: &mut HandlerOutput,
+    ) -> Option<OperatorResponse> {
+        let (OperatorRequest::Command(name, _), Some(service)) = (&waiting.request, waiting.written.take()) else {
             return None;
         };
         match answer {
@@ -196,7 +201,7 @@
             Answer::Conflict if waiting.tries < TRIES => {
                 waiting.tries += 1;
                 let key = service_key(name);
-                self.call(Call::Get { key }, waiting, turn);
+                self.call(Call::Get { key }, waiting, output);
                 None
             }
             Answer::Conflict => Some(OperatorResponse::later("the record changes all the time")),
@@ -225,8 +230,8 @@
             "number": r.number,
             "to": service.version_name(r.to),
             "from": service.base.filter(|b| *b != r.to).map(|b| service.version_name(b)),
-            "course": r.course,
-            "way": match r.way { Way::Raising => "raising", Way::Baking => "baking", Way::Reverting => "reverting" },
+            "course": r.progress,
+            "way": match r.direction { Direction::Raising => "raising", Direction::Baking => "baking", Direction::Reverting => "reverting" },
             "step": r.step + 1,
             "steps": r.steps.len(),
             "target": plan.map(|p| p.target),
@@ -248,8 +253,8 @@
                 "step": m.step + 1, "zone": m.zone, "retiring": m.retiring})
         })
         .collect();
-    let state = service.rolling.as_ref().map_or("none", |r| match (r.course, r.way) {
-        (RolloutProgress::Going, Way::Reverting) => "reverting",
+    let state = service.rolling.as_ref().map_or("none", |r| match (r.progress, r.direction) {
+        (RolloutProgress::Going, Direction::Reverting) => "reverting",
         (RolloutProgress::Going, _) => "rolling",
         (RolloutProgress::Paused, _) => "paused",
         (RolloutProgress::Halted, _) => "halted",
--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tracked::Tracked;
-pub use tracked::{Live, LiveReplica};
+pub use tracked::{ReplicaStatus, ServiceStatus};
 
 /// Everything that roll-outs keep in the state service begins with this.
 pub const ROOT: &str = "o/";
@@ -83,7 +83,7 @@
     /// This node begins to drive, with this claim.
     Drives(Stamp),
     /// This node no longer drives.
-    Resigned,
+    SteppedDown,
     /// A service's record changed as decided here.
     Changed {
         /// Name of the service.
@@ -107,7 +107,7 @@
 /// What an answer is about.
 #[derive(Debug, Clone)]
 enum Pending {
-    Look,
+    ReadClaim,
     Grant,
     Claim,
     Renew(Millis),
@@ -139,7 +139,7 @@
     },
 }
 
-/// The driver of one controller, whether it drives or waits for its turn.
+/// The driver of one controller, whether it drives or stands by.
 #[derive(Debug)]
 pub struct Driver {
     config: Config,
@@ -194,15 +194,15 @@
     /// Lets time pass; `now` is this process's steady clock.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.tend_reign();
+        self.update_leadership();
         if self.drives() {
             self.watch();
             self.poll();
             let names: Vec<String> = self.services.iter().filter(|(_, t)| t.works()).map(|(n, _)| n.clone()).collect();
             for name in &names {
-                self.tend_rereads(name);
+                self.retry_reads(name);
                 self.pass_time(name);
-                self.tend_jobs(name);
+                self.sync_jobs(name);
                 self.reconcile(name);
             }
             self.begin_checks(&names);
@@ -216,7 +216,7 @@
         let Some(pending) = self.calls.remove(&id) else { return vec![] };
         let of_state = matches!(
             pending,
-            Pending::Look
+            Pending::ReadClaim
                 | Pending::Claim
                 | Pending::Renew(_)
                 | Pending::Load
@@ -227,8 +227,13 @@
             self.state_at = self.now;
         }
         match pending {
-            Pending::Look | Pending::Grant | Pending::Claim | Pending::Renew(_) | Pending::Load | Pending::Watch => {
-                self.reign_answer(pending, answer);
+            Pending::ReadClaim
+            | Pending::Grant
+            | Pending::Claim
+            | Pending::Renew(_)
+            | Pending::Load
+            | Pending::Watch => {
+                self.leadership_answer(pending, answer);
             }
             Pending::Reread(name) => self.reread(&name, answer),
             Pending::Verify => self.verified(&answer),
@@ -249,8 +254,8 @@
     }
 
     /// What is seen of a service's replicas, if this node drives.
-    pub fn live(&self, service: &str) -> Option<Live> {
-        self.services.get(service).filter(|_| self.drives()).map(|t| t.live(self.now))
+    pub fn service_status(&self, service: &str) -> Option<ServiceStatus> {
+        self.services.get(service).filter(|_| self.drives()).map(|t| t.service_status(self.now))
     }
 
     fn call(&mut self, call: Call, pending: Pending) {
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -4,8 +4,8 @@
 use super::tracked::JobWork;
 use super::{service_key, Driver, Note, Pending, BACK_OFF, DRIVER_KEY, MOST_PER_TICK};
 use crate::ports::{Answer, Call, Commit, JobFate, Order};
-use crate::reconcile::{reconcile, Event, Observations, Seen};
-use crate::record::{RolloutProgress, Service, Way};
+use crate::reconcile::{reconcile, Event, MemberStatus, Observations};
+use crate::record::{Direction, RolloutProgress, Service};
 use crate::units::{JobId, Millis};
 
 /// Submissions and withdrawals under way at the same time, over all services.
@@ -32,14 +32,14 @@
         let Some(tracked) = self.services.get_mut(name) else { return };
         let passed = Millis(now.since(tracked.last_tick).0.min(MOST_PER_TICK.0));
         tracked.last_tick = now;
-        let Some(rolling) = tracked.record.rolling.as_ref().filter(|r| r.course == RolloutProgress::Going) else {
+        let Some(rolling) = tracked.record.rolling.as_ref().filter(|r| r.progress == RolloutProgress::Going) else {
             return;
         };
         if reached {
             tracked.passed.spent = tracked.passed.spent + passed;
         }
-        if rolling.way == Way::Baking {
-            let seen = tracked.seen(now);
+        if rolling.direction == Direction::Baking {
+            let seen = tracked.member_statuses(now);
             let new = tracked.record.staying().filter(|m| m.version == rolling.to);
             let well = |job: &JobId| seen.get(job).map_or(0, |s| s.well);
             if new.into_iter().all(|m| well(&m.job) >= m.replicas) {
@@ -57,15 +57,15 @@
         if tracked.busy || now < tracked.next_write || writes >= MOST_WRITES {
             return;
         }
-        let seen = tracked.seen(now);
-        let of = |job: &JobId| seen.get(job).cloned().unwrap_or_else(Seen::default);
+        let seen = tracked.member_statuses(now);
+        let of = |job: &JobId| seen.get(job).cloned().unwrap_or_else(MemberStatus::default);
         let (digits, mut ids) = (&self.config.first_digits, self.ids);
         let mut fresh = || {
             ids += 1;
             JobId(format!("wk-{digits}{:012}{ids:06}", claim.0))
         };
-        let facts = Observations { seen: &of, passed: tracked.passed };
-        let Some((next, events)) = reconcile(&tracked.record, &facts, &mut fresh) else { return };
+        let observations = Observations { member_status: &of, passed: tracked.passed };
+        let Some((next, events)) = reconcile(&tracked.record, &observations, &mut fresh) else { return };
         self.ids = ids;
         let Ok(value) = serde_json::to_value(&next) else { return };
         tracked.busy = true;
@@ -130,7 +130,7 @@
     }
 
     /// Carries out what the durable record says of each member.
-    pub(super) fn tend_jobs(&mut self, name: &str) {
+    pub(super) fn sync_jobs(&mut self, name: &str) {
         let now = self.now;
         let job_calls = |p: &&Pending| matches!(p, Pending::Submit { .. } | Pending::Withdraw { .. });
         let mut room = MOST_JOB_CALLS.saturating_sub(self.calls.values().filter(job_calls).count());
@@ -257,12 +257,12 @@
             _ => true,
         };
         if self.drives() && !ours {
-            self.resign();
+            self.step_down();
         }
     }
 
     /// Reads again what could not be read before.
-    pub(super) fn tend_rereads(&mut self, name: &str) {
+    pub(super) fn retry_reads(&mut self, name: &str) {
         let now = self.now;
         let Some(tracked) = self.services.get_mut(name).filter(|t| t.reread && now >= t.next_write) else { return };
         tracked.reread = false;
--- a/crates/rollout/src/driver/leadership.rs
+++ b/crates/rollout/src/driver/leadership.rs
@@ -13,15 +13,15 @@
 #[derive(Debug)]
 pub(super) enum Leadership {
     /// Somebody else drives, or nobody does yet.
-    Away { look_at: Millis },
+    Standby { read_claim_at: Millis },
     /// A call on the way to a claim is under way.
-    Asking,
+    Claiming,
     /// The claim is ours; the records are being read.
     Loading {
         claim: Stamp,
         lease: LeaseId,
         after: Option<String>,
-        seen: Vec<String>,
+        listed_keys: Vec<String>,
         revision: Option<Stamp>,
         calling: bool,
         retry: Millis,
@@ -39,23 +39,31 @@
 
 impl Default for Leadership {
     fn default() -> Self {
-        Leadership::Away { look_at: Millis(0) }
+        Leadership::Standby { read_claim_at: Millis(0) }
     }
 }
 
 impl Leadership {
     fn load(claim: Stamp, lease: LeaseId, now: Millis) -> Leadership {
-        Leadership::Loading { claim, lease, after: None, seen: vec![], revision: None, calling: false, retry: now }
+        Leadership::Loading {
+            claim,
+            lease,
+            after: None,
+            listed_keys: vec![],
+            revision: None,
+            calling: false,
+            retry: now,
+        }
     }
 }
 
 impl Driver {
-    pub(super) fn tend_reign(&mut self) {
+    pub(super) fn update_leadership(&mut self) {
         let (now, quarter) = (self.now, Millis(self.config.ttl.0 / 4));
         match &mut self.leadership {
-            Leadership::Away { look_at } if now >= *look_at => {
-                self.leadership = Leadership::Asking;
-                self.call(Call::Get { key: DRIVER_KEY.into() }, Pending::Look);
+            Leadership::Standby { read_claim_at } if now >= *read_claim_at => {
+                self.leadership = Leadership::Claiming;
+                self.call(Call::Get { key: DRIVER_KEY.into() }, Pending::ReadClaim);
             }
             Leadership::Driving { lease, renewing, renew_at, .. } if !*renewing && now >= *renew_at => {
                 *renewing = true;
@@ -93,11 +101,11 @@
     }
 
     /// Stops driving; whatever is on its way stays harmless.
-    pub(super) fn resign(&mut self) {
-        if !matches!(self.leadership, Leadership::Away { .. } | Leadership::Asking) {
-            self.note(Note::Resigned);
+    pub(super) fn step_down(&mut self) {
+        if !matches!(self.leadership, Leadership::Standby { .. } | Leadership::Claiming) {
+            self.note(Note::SteppedDown);
         }
-        self.leadership = Leadership::Away { look_at: self.now + BACK_OFF };
+        self.leadership = Leadership::Standby { read_claim_at: self.now + BACK_OFF };
         self.services.clear();
         self.service_of.clear();
         self.under_way.clear();
@@ -105,9 +113,9 @@
         self.polling = false;
     }
 
-    pub(super) fn reign_answer(&mut self, pending: Pending, answer: Answer) {
+    pub(super) fn leadership_answer(&mut self, pending: Pending, answer: Answer) {
         match pending {
-            Pending::Look => self.looked(answer),
+            Pending::ReadClaim => self.claim_read(answer),
             Pending::Grant => match answer {
                 Answer::Granted(lease) => {
                     self.granted = Some(lease);
@@ -121,10 +129,10 @@
                     };
                     self.call(Call::Commit(commit), Pending::Claim);
                 }
-                _ => self.leadership = Leadership::Away { look_at: self.now + BACK_OFF },
+                _ => self.leadership = Leadership::Standby { read_claim_at: self.now + BACK_OFF },
             },
             // Whatever came of it, the key tells.
-            Pending::Claim => self.leadership = Leadership::Away { look_at: self.now },
+            Pending::Claim => self.leadership = Leadership::Standby { read_claim_at: self.now },
             Pending::Renew(sent) => self.renewed(sent, &answer),
             Pending::Load => self.loaded(answer),
             Pending::Watch => self.watched(answer),
@@ -132,7 +140,7 @@
         }
     }
 
-    fn looked(&mut self, answer: Answer) {
+    fn claim_read(&mut self, answer: Answer) {
         match answer {
             Answer::Missing => self.grant(Stamp(0)),
             Answer::Found(item) => {
@@ -144,10 +152,13 @@
                     // An earlier life of this node: claimed anew, so that its
                     // writes that are still on their way, and its ids, end here.
                     Some(_) => self.grant(item.stamp),
-                    None => self.leadership = Leadership::Away { look_at: self.now + Millis(self.config.ttl.0 / 3) },
+                    None => {
+                        self.leadership =
+                            Leadership::Standby { read_claim_at: self.now + Millis(self.config.ttl.0 / 3) }
+                    }
                 }
             }
-            _ => self.leadership = Leadership::Away { look_at: self.now + BACK_OFF },
+            _ => self.leadership = Leadership::Standby { read_claim_at: self.now + BACK_OFF },
         }
     }
 
@@ -168,13 +179,14 @@
             }
         }
         if gone {
-            self.resign();
+            self.step_down();
         }
     }
 
     fn loaded(&mut self, answer: Answer) {
         let now = self.now;
-        let Leadership::Loading { claim, lease, after, seen, revision, calling, retry } = &mut self.leadership else {
+        let Leadership::Loading { claim, lease, after, listed_keys, revision, calling, retry } = &mut self.leadership
+        else {
             return;
         };
         *calling = false;
@@ -185,14 +197,14 @@
         // News since the first page are read again from the watch.
         let from = *revision.get_or_insert(at);
         *after = items.last().map(|item| item.key.clone());
-        seen.extend(items.iter().map(|item| item.key.clone()));
+        listed_keys.extend(items.iter().map(|item| item.key.clone()));
         let (claim, lease) = (*claim, *lease);
-        let all = (!more || items.is_empty()).then(|| std::mem::take(seen));
+        let all = (!more || items.is_empty()).then(|| std::mem::take(listed_keys));
         for item in items {
             self.adopt(&item.key, Some(item.value), item.stamp);
         }
-        if let Some(seen) = all {
-            self.services.retain(|name, _| seen.contains(&service_key(name)));
+        if let Some(listed_keys) = all {
+            self.services.retain(|name, _| listed_keys.contains(&service_key(name)));
             self.leadership = Leadership::Driving {
                 claim,
                 lease,
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -3,8 +3,8 @@
 use crate::file::Check;
 use crate::health::Health;
 use crate::ports::{Standing, Verdict};
-use crate::reconcile::{Passed, Seen};
-use crate::record::{Member, RolloutProgress, Service, Way};
+use crate::reconcile::{MemberStatus, Passed};
+use crate::record::{Direction, Member, RolloutProgress, Service};
 use crate::units::{JobId, Millis, Stamp};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
 
 /// A replica as it is seen now.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct LiveReplica {
+pub struct ReplicaStatus {
     /// The job that the replica belongs to.
     pub job: JobId,
     /// The replica's number within its job.
@@ -69,13 +69,13 @@
 
 /// What the driver sees of a service beyond its record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Live {
+pub struct ServiceStatus {
     /// Time spent in the step, in seconds.
     pub spent_s: f64,
     /// Time for which the step's replicas have been healthy, in seconds.
     pub baked_s: f64,
     /// The service's known replicas.
-    pub replicas: Vec<LiveReplica>,
+    pub replicas: Vec<ReplicaStatus>,
 }
 
 impl Tracked {
@@ -100,7 +100,7 @@
             .record
             .rolling
             .as_ref()
-            .is_none_or(|r| matches!(r.course, RolloutProgress::New | RolloutProgress::Old));
+            .is_none_or(|r| matches!(r.progress, RolloutProgress::New | RolloutProgress::Old));
         !over || self.record.members.iter().any(|m| m.retiring)
     }
 
@@ -111,10 +111,10 @@
     /// Takes a durable record. Time seen but not durable yet is kept as long as
     /// the same step goes on.
     pub fn take(&mut self, record: Service, stamp: Stamp) {
-        let key = |s: &Service| s.rolling.as_ref().map(|r| (r.number, r.step, r.way == Way::Reverting));
-        let way = |s: &Service| s.rolling.as_ref().map(|r| r.way);
+        let key = |s: &Service| s.rolling.as_ref().map(|r| (r.number, r.step, r.direction == Direction::Reverting));
+        let direction = |s: &Service| s.rolling.as_ref().map(|r| r.direction);
         let same_step = key(&self.record) == key(&record);
-        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.course == RolloutProgress::Halted);
+        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
         let again = halted(&self.record) && !halted(&record);
         let durable = record.rolling.as_ref().map_or(Passed::default(), |r| Passed { spent: r.spent, baked: r.baked });
         if !same_step || again {
@@ -122,7 +122,7 @@
             self.passed = durable;
         } else {
             self.passed.spent = self.passed.spent.max(durable.spent);
-            let went_on = way(&self.record) == way(&record);
+            let went_on = direction(&self.record) == direction(&record);
             self.passed.baked = if went_on { self.passed.baked.max(durable.baked) } else { durable.baked };
         }
         self.stamp = stamp;
@@ -137,7 +137,7 @@
     }
 
     /// What is seen of each member.
-    pub fn seen(&self, now: Millis) -> BTreeMap<JobId, Seen> {
+    pub fn member_statuses(&self, now: Millis) -> BTreeMap<JobId, MemberStatus> {
         let of = |member: &Member| {
             let mut seen = self.check(member).map(|check| self.health.member(now, member, check)).unwrap_or_default();
             if let Some(work) = self.jobs.get(&member.job) {
@@ -152,14 +152,14 @@
         self.record.members.iter().map(of).collect()
     }
 
-    pub fn live(&self, now: Millis) -> Live {
+    pub fn service_status(&self, now: Millis) -> ServiceStatus {
         let version = |job: &JobId| {
             let member = self.record.members.iter().find(|m| m.job == *job);
             member.map_or_else(String::new, |m| self.record.version_name(m.version).to_string())
         };
         let replicas = self.health.replicas().map(|((job, index), replica)| {
             let seen = replica.seen.as_ref();
-            LiveReplica {
+            ReplicaStatus {
                 job: job.clone(),
                 index: *index,
                 version: version(job),
@@ -179,7 +179,7 @@
                 }),
             }
         });
-        Live {
+        ServiceStatus {
             spent_s: self.passed.spent.0 as f64 / 1000.0,
             baked_s: self.passed.baked.0 as f64 / 1000.0,
             replicas: replicas.collect(),
--- a/crates/rollout/src/events.rs
+++ b/crates/rollout/src/events.rs
@@ -8,7 +8,7 @@
 
 pub(crate) enum Event {
     Answer(Box<(CallId, Answer)>),
-    DeskAnswer(Box<(CallId, Answer)>),
+    CommandAnswer(Box<(CallId, Answer)>),
     Verdict(CheckId, Verdict),
     OperatorRequest(OperatorRequest, SyncSender<OperatorResponse>),
 }
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -6,7 +6,7 @@
 
 use crate::file::{Check, CheckKind};
 use crate::ports::{Probe, ReplicaSeen, Standing, Verdict};
-use crate::reconcile::Seen;
+use crate::reconcile::MemberStatus;
 use crate::record::Member;
 use crate::units::{JobId, Millis, ReplicaKey};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
 
 impl Replica {
     /// A new attempt has nothing to show for itself yet.
-    fn renew(&mut self) {
+    fn begin_attempt(&mut self) {
         self.passes = 0;
         self.fails = 0;
         self.ready = false;
@@ -110,29 +110,29 @@
 
     /// Takes in what an owner said of a replica when asked at `asked`; older
     /// words change nothing.
-    pub fn observe(&mut self, now: Millis, asked: Millis, told: ReplicaSeen, check: &Check) {
-        let replica = self.replicas.entry(told.replica.clone()).or_default();
+    pub fn observe(&mut self, now: Millis, asked: Millis, reported: ReplicaSeen, check: &Check) {
+        let replica = self.replicas.entry(reported.replica.clone()).or_default();
         let order = |s: &ReplicaSeen| (s.attempt, s.token);
-        if replica.seen.as_ref().is_some_and(|known| order(&told) < order(known)) {
+        if replica.seen.as_ref().is_some_and(|known| order(&reported) < order(known)) {
             return;
         }
-        if replica.seen.as_ref().is_some_and(|known| known.attempt != told.attempt) {
-            replica.renew();
+        if replica.seen.as_ref().is_some_and(|known| known.attempt != reported.attempt) {
+            replica.begin_attempt();
         }
-        if told.error > replica.error {
-            replica.error = told.error;
-            replica.renew();
+        if reported.error > replica.error {
+            replica.error = reported.error;
+            replica.begin_attempt();
             replica.failed("the replica failed by itself", check.failures_allowed);
         }
-        if told.standing == Standing::Ended {
+        if reported.standing == Standing::Ended {
             replica.fault.get_or_insert_with(|| "the replica ended by itself".into());
         }
-        let heard = asked.since(told.age);
-        let gone = !matches!(told.standing, Standing::Running | Standing::Leaving);
-        replica.seen = Some(told);
+        let heartbeat_at = asked.since(reported.age);
+        let gone = !matches!(reported.standing, Standing::Running | Standing::Leaving);
+        replica.seen = Some(reported);
         if gone {
-            replica.renew();
-        } else if replica.runs() && heard > replica.doubted_at {
+            replica.begin_attempt();
+        } else if replica.runs() && heartbeat_at > replica.doubted_at {
             for why in std::mem::take(&mut replica.doubts) {
                 replica.failed(&why, check.failures_allowed);
             }
@@ -221,9 +221,9 @@
     }
 
     /// What is seen of a member.
-    pub fn member(&self, now: Millis, member: &Member, check: &Check) -> Seen {
+    pub fn member(&self, now: Millis, member: &Member, check: &Check) -> MemberStatus {
         let lately = Millis::secs(2.0 * check.interval_s + check.timeout_s + 1.0);
-        let mut seen = Seen::default();
+        let mut seen = MemberStatus::default();
         for index in 0..member.replicas {
             let Some(replica) = self.replicas.get(&(member.job.clone(), index)) else { continue };
             let Some(standing) = replica.standing() else { continue };
--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -114,11 +114,11 @@
                 }
                 continue;
             }
-            Routed::OperatorRequest(ask) => {
-                let (to, told) = sync_channel(1);
-                let sent = events.try_send(Event::OperatorRequest(ask, to)).is_ok();
+            Routed::OperatorRequest(request) => {
+                let (to, responses) = sync_channel(1);
+                let sent = events.try_send(Event::OperatorRequest(request, to)).is_ok();
                 let reply = if sent {
-                    told.recv_timeout(ANSWER_WITHIN).ok()
+                    responses.recv_timeout(ANSWER_WITHIN).ok()
                 } else {
                     Some(OperatorResponse::later("overloaded"))
                 };
@@ -163,7 +163,7 @@
             let (its_open, events, metrics) = (open.clone(), events.clone(), metrics.clone());
             let thread = std::thread::Builder::new().name("operator".into()).stack_size(STACK).spawn(move || {
                 if let Err(error) = serve(stream, &events, &metrics) {
-                    tracing::debug!("an operator's connection ended: {error}");
+                    tracing::debug!(%error, "closed operator connection");
                 }
                 its_open.fetch_sub(1, Ordering::SeqCst);
             });
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -63,15 +63,15 @@
     pub fn noted(&self, note: &Note) {
         match note {
             Note::Drives(_) => drop(self.driving.set(1)),
-            Note::Resigned => drop(self.driving.set(0)),
+            Note::SteppedDown => drop(self.driving.set(0)),
             Note::Unreadable { .. } => {}
             Note::Changed { event, .. } => {
                 self.writes.inc();
                 match event {
                     Event::Passed(_) => drop(self.steps.get_or_create(&Result { result: "passed" }).inc()),
                     Event::Failed { .. } => drop(self.steps.get_or_create(&Result { result: "failed" }).inc()),
-                    Event::Ended(course) => {
-                        let result = match course {
+                    Event::Ended(progress) => {
+                        let result = match progress {
                             RolloutProgress::New => "new",
                             RolloutProgress::Old => "reverted",
                             _ => "halted",
--- a/crates/rollout/src/reconcile.rs
+++ b/crates/rollout/src/reconcile.rs
@@ -3,12 +3,12 @@
 //! same record.
 
 use crate::file::OnFailure;
-use crate::record::{Member, Rolling, RolloutProgress, Service, Way};
+use crate::record::{Direction, Member, Rollout, RolloutProgress, Service};
 use crate::units::{JobId, Millis, VersionNo};
 
 /// What is seen of a member, as counts of its replicas.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Seen {
+pub struct MemberStatus {
     /// Running, and ready by their checks.
     pub ready: u32,
     /// Ready, and passed their last check lately: these let a step go on.
@@ -25,7 +25,7 @@
     pub withdrawn: bool,
 }
 
-impl Seen {
+impl MemberStatus {
     /// Replicas that may be serving: what is not known to be lost counts.
     fn may_serve(&self, member: &Member) -> u32 {
         member.replicas.saturating_sub(self.lost)
@@ -82,39 +82,39 @@
 /// What goes into a decision beside the record.
 pub struct Observations<'a> {
     /// What is seen of each member; nothing: not known.
-    pub seen: &'a dyn Fn(&JobId) -> Seen,
+    pub member_status: &'a dyn Fn(&JobId) -> MemberStatus,
     /// Time that has passed in the current step.
     pub passed: Passed,
 }
 
 /// Decides on the next change of a service. `fresh` gives ids never used before.
-pub fn reconcile(service: &Service, facts: &Observations, fresh: &mut dyn FnMut() -> JobId) -> Change {
-    let mut work = Work { next: service.clone(), facts, fresh, events: vec![] };
-    work.bury();
-    let active = work.next.rolling.as_ref().is_some_and(Rolling::active);
+pub fn reconcile(service: &Service, observations: &Observations, fresh: &mut dyn FnMut() -> JobId) -> Change {
+    let mut work = Reconciliation { next: service.clone(), observations, fresh, events: vec![] };
+    work.remove_withdrawn();
+    let active = work.next.rolling.as_ref().is_some_and(Rollout::active);
     if active {
-        work.roll();
+        work.advance();
     }
     (work.next != *service).then_some((work.next, work.events))
 }
 
-struct Work<'a> {
+struct Reconciliation<'a> {
     next: Service,
-    facts: &'a Observations<'a>,
+    observations: &'a Observations<'a>,
     fresh: &'a mut dyn FnMut() -> JobId,
     events: Vec<Event>,
 }
 
-impl Work<'_> {
-    fn seen(&self, member: &Member) -> Seen {
-        (self.facts.seen)(&member.job)
+impl Reconciliation<'_> {
+    fn member_status(&self, member: &Member) -> MemberStatus {
+        (self.observations.member_status)(&member.job)
     }
 
     /// Members whose withdrawal was confirmed leave the books.
-    fn bury(&mut self) {
+    fn remove_withdrawn(&mut self) {
         let before = self.next.members.len();
-        let seen = self.facts.seen;
-        self.next.members.retain(|m| !m.retiring || !seen(&m.job).withdrawn);
+        let member_status = self.observations.member_status;
+        self.next.members.retain(|m| !m.retiring || !member_status(&m.job).withdrawn);
         let gone = before - self.next.members.len();
         if gone > 0 {
             self.events.push(Event::Gone(gone));
@@ -122,45 +122,46 @@
         }
     }
 
-    fn roll(&mut self) {
+    fn advance(&mut self) {
         let Some(rolling) = self.next.rolling.clone() else { return };
-        let faulted = match rolling.way {
-            Way::Reverting => None,
-            Way::Raising | Way::Baking => self.fault(&rolling).or_else(|| self.overdue(&rolling)),
+        let faulted = match rolling.direction {
+            Direction::Reverting => None,
+            Direction::Raising | Direction::Baking => self.fault(&rolling).or_else(|| self.overdue(&rolling)),
         };
-        if let Some((reason, course)) = faulted {
-            return self.fail(reason, course);
+        if let Some((reason, progress)) = faulted {
+            return self.fail(reason, progress);
         }
-        if rolling.course == RolloutProgress::Paused {
+        if rolling.progress == RolloutProgress::Paused {
             return;
         }
-        match rolling.way {
-            Way::Raising => self.raise(&rolling),
-            Way::Baking => self.bake(&rolling),
-            Way::Reverting => self.revert(&rolling),
+        match rolling.direction {
+            Direction::Raising => self.scale_up_new(&rolling),
+            Direction::Baking => self.bake(&rolling),
+            Direction::Reverting => self.revert(&rolling),
         }
     }
 
     /// Why the new version is to blame, if it is.
-    fn fault(&self, rolling: &Rolling) -> Option<(String, OnFailure)> {
+    fn fault(&self, rolling: &Rollout) -> Option<(String, OnFailure)> {
         let new = self.next.staying().filter(|m| m.version == rolling.to);
-        let fault = new.filter_map(|m| Some((m, self.seen(m).fault?))).next();
+        let fault = new.filter_map(|m| Some((m, self.member_status(m).fault?))).next();
         fault.map(|(member, why)| (format!("{}: {why}", member.job), rolling.on_failure))
     }
 
     /// Why a step that took too long did. A lack of machines or a cut of our
     /// own is no fault of the version's: going back would need the same.
-    fn overdue(&self, rolling: &Rolling) -> Option<(String, OnFailure)> {
+    fn overdue(&self, rolling: &Rollout) -> Option<(String, OnFailure)> {
         let plan = rolling.plan()?;
-        if self.facts.passed.spent < plan.deadline {
+        if self.observations.passed.spent < plan.deadline {
             return None;
         }
         let (mut unplaced, mut unreachable, mut slow) = (0, 0, 0);
         for member in self.next.staying().filter(|m| m.version == rolling.to) {
-            let seen = self.seen(member);
-            unplaced += seen.unplaced;
-            unreachable += seen.unreachable;
-            slow += member.replicas.saturating_sub(seen.well + seen.unplaced + seen.unreachable);
+            let member_status = self.member_status(member);
+            unplaced += member_status.unplaced;
+            unreachable += member_status.unreachable;
+            slow +=
+                member.replicas.saturating_sub(member_status.well + member_status.unplaced + member_status.unreachable);
         }
         let text = |what: String| format!("step {} was not done by its deadline: {what}", rolling.step + 1);
         Some(if slow > 0 {
@@ -174,25 +175,25 @@
         })
     }
 
-    fn fail(&mut self, reason: String, course: OnFailure) {
+    fn fail(&mut self, reason: String, progress: OnFailure) {
         let Some(rolling) = self.next.rolling.as_mut() else { return };
         let step = rolling.step;
         rolling.reason = Some(reason.clone());
-        match course {
-            OnFailure::Halt => rolling.course = RolloutProgress::Halted,
+        match progress {
+            OnFailure::Halt => rolling.progress = RolloutProgress::Halted,
             OnFailure::Revert => {
-                rolling.course = RolloutProgress::Going;
-                rolling.turn(Way::Reverting);
+                rolling.progress = RolloutProgress::Going;
+                rolling.begin_phase(Direction::Reverting);
             }
         }
         self.events.push(Event::Failed { step, reason });
-        if course == OnFailure::Halt {
+        if progress == OnFailure::Halt {
             self.events.push(Event::Ended(RolloutProgress::Halted));
         }
     }
 
     /// Brings out the step's replicas and lets old ones go, within the bounds.
-    fn raise(&mut self, rolling: &Rolling) {
+    fn scale_up_new(&mut self, rolling: &Rollout) {
         let Some(plan) = rolling.plan().cloned() else { return };
         let total = self.next.versions.get(&rolling.to).map_or(plan.target, |v| v.replicas);
         let new = self.count(|m| m.version == rolling.to);
@@ -203,7 +204,7 @@
         let left = u32::try_from(left).unwrap_or(u32::MAX);
         self.add(rolling, rolling.to, plan.target.saturating_sub(new), |_| plan.zone.clone());
         let mut order: Vec<Member> = self.next.staying().filter(|m| m.version != rolling.to).cloned().collect();
-        order.sort_by_key(|m| (self.seen(m).may_serve(m), plan.zone.is_some() && m.zone != plan.zone));
+        order.sort_by_key(|m| (self.member_status(m).may_serve(m), plan.zone.is_some() && m.zone != plan.zone));
         let excess = old.saturating_sub(left);
         let retired = self.retire(rolling, order, excess, false);
         if retired < excess || new < plan.target {
@@ -214,10 +215,10 @@
             }
         }
         if retired == 0 && self.settled() && self.all_well(rolling.to) {
-            let spent = self.facts.passed.spent;
+            let spent = self.observations.passed.spent;
             self.change(|r| {
                 // The step's own time goes on; only its bake begins.
-                r.way = Way::Baking;
+                r.direction = Direction::Baking;
                 r.spent = r.spent.max(spent);
                 r.baked = Millis(0);
             });
@@ -226,9 +227,9 @@
     }
 
     /// Waits until the step's replicas have stayed well for long enough.
-    fn bake(&mut self, rolling: &Rolling) {
+    fn bake(&mut self, rolling: &Rollout) {
         let Some(plan) = rolling.plan() else { return };
-        let passed = self.facts.passed;
+        let passed = self.observations.passed;
         if passed.baked < plan.bake || !self.all_well(rolling.to) {
             return self.note_progress(rolling, plan.bake);
         }
@@ -236,19 +237,19 @@
         if rolling.step as usize + 1 < rolling.steps.len() {
             return self.change(|r| {
                 r.step += 1;
-                r.turn(Way::Raising);
+                r.begin_phase(Direction::Raising);
             });
         }
-        self.change(|r| r.course = RolloutProgress::New);
+        self.change(|r| r.progress = RolloutProgress::New);
         self.next.base = Some(rolling.to);
         self.next.prune();
         self.events.push(Event::Ended(RolloutProgress::New));
     }
 
     /// Makes time durable now and then, so that a restart costs little of it.
-    fn note_progress(&mut self, rolling: &Rolling, bake: Millis) {
+    fn note_progress(&mut self, rolling: &Rollout, bake: Millis) {
         let piece = Millis((bake.0 / 8).max(2000));
-        let passed = self.facts.passed;
+        let passed = self.observations.passed;
         if passed.baked >= rolling.baked + piece || passed.spent >= rolling.spent + Millis(piece.0 * 4) {
             self.change(|r| {
                 r.baked = r.baked.max(passed.baked);
@@ -259,7 +260,7 @@
 
     /// Takes new replicas back, the last step's first and lost ones at once,
     /// and brings the old version's back.
-    fn revert(&mut self, rolling: &Rolling) {
+    fn revert(&mut self, rolling: &Rollout) {
         let back = self.next.base.filter(|b| *b != rolling.to);
         let wrong = |m: &Member| Some(m.version) != back;
         let mut order: Vec<Member> = self.next.staying().filter(|m| wrong(m)).cloned().collect();
@@ -282,15 +283,15 @@
         self.retire(rolling, order, all, true);
         let done = self.next.staying().all(|m| !wrong(m)) && self.settled();
         if done && back.is_none_or(|back| self.all_well(back)) {
-            self.change(|r| r.course = RolloutProgress::Old);
+            self.change(|r| r.progress = RolloutProgress::Old);
             self.next.prune();
             return self.events.push(Event::Ended(RolloutProgress::Old));
         }
         let patience = rolling.steps.iter().map(|s| s.deadline).max().unwrap_or_default();
-        if self.facts.passed.spent >= patience {
+        if self.observations.passed.spent >= patience {
             let why = rolling.reason.clone().unwrap_or_default();
             self.change(|r| {
-                r.course = RolloutProgress::Halted;
+                r.progress = RolloutProgress::Halted;
                 r.reason = Some(format!("{why}; the version before was not all back by the deadline"));
             });
             self.events.push(Event::Ended(RolloutProgress::Halted));
@@ -299,7 +300,7 @@
         }
     }
 
-    fn change(&mut self, with: impl FnOnce(&mut Rolling)) {
+    fn change(&mut self, with: impl FnOnce(&mut Rollout)) {
         if let Some(rolling) = self.next.rolling.as_mut() {
             with(rolling);
         }
@@ -315,13 +316,13 @@
     }
 
     fn all_well(&self, version: VersionNo) -> bool {
-        self.next.staying().filter(|m| m.version == version).all(|m| self.seen(m).well >= m.replicas)
+        self.next.staying().filter(|m| m.version == version).all(|m| self.member_status(m).well >= m.replicas)
     }
 
     /// Adds replicas of a version as far as the ceiling allows.
     fn add(
         &mut self,
-        rolling: &Rolling,
+        rolling: &Rollout,
         version: VersionNo,
         mut missing: u32,
         mut zone: impl FnMut(Option<String>) -> Option<String>,
@@ -348,13 +349,13 @@
     /// Marks members to be withdrawn, `most` replicas in all, as far as the
     /// floor allows; those of no use cost nothing. In order, none healthy is
     /// passed over for a later one. Returns how many replicas were marked.
-    fn retire(&mut self, rolling: &Rolling, order: Vec<Member>, most: u32, in_order: bool) -> u32 {
-        let mut available: u32 = self.next.staying().map(|m| self.seen(m).ready.min(m.replicas)).sum();
+    fn retire(&mut self, rolling: &Rollout, order: Vec<Member>, most: u32, in_order: bool) -> u32 {
+        let mut available: u32 = self.next.staying().map(|m| self.member_status(m).ready.min(m.replicas)).sum();
         let mut retired = 0;
         let mut blocked = false;
         for member in order {
-            let seen = self.seen(&member);
-            let cost = seen.may_serve(&member);
+            let member_status = self.member_status(&member);
+            let cost = member_status.may_serve(&member);
             if retired + member.replicas > most || (blocked && cost > 0) {
                 continue;
             }
@@ -362,7 +363,7 @@
                 blocked = in_order;
                 continue;
             }
-            available -= seen.ready.min(cost).min(available);
+            available -= member_status.ready.min(cost).min(available);
             retired += member.replicas;
             if let Some(found) = self.next.members.iter_mut().find(|m| m.job == member.job) {
                 found.retiring = true;
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -66,7 +66,7 @@
 /// Which way a roll-out goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Way {
+pub enum Direction {
     /// To the new version; the step's replicas are being brought out.
     Raising,
     /// To the new version; the step's replicas must stay well.
@@ -93,7 +93,7 @@
 
 /// A roll-out, from its start to its end and beyond.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Rolling {
+pub struct Rollout {
     /// Counts the service's roll-outs from 1.
     pub number: u64,
     /// The version to roll out.
@@ -111,9 +111,11 @@
     /// The current step, counted from 0.
     pub step: u32,
     /// Which way it goes.
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub direction: Direction,
     /// Whether it goes on.
-    pub course: RolloutProgress,
+    #[serde(rename = "course")]
+    pub progress: RolloutProgress,
     /// Time spent on the step, as far as it is durable.
     pub spent: Millis,
     /// Time that the step's replicas have stayed well, as far as it is durable.
@@ -123,17 +125,17 @@
     pub reason: Option<String>,
 }
 
-impl Rolling {
+impl Rollout {
     /// A roll-out at the start of its first step. `from` counts the replicas of
     /// other versions; `ceiling` bounds the replicas of all versions.
-    fn begin(file: &RollOut, number: u64, to: VersionNo, from: u32, ceiling: u32) -> Rolling {
+    fn begin(file: &RollOut, number: u64, to: VersionNo, from: u32, ceiling: u32) -> Rollout {
         let steps = file.steps.iter().zip(file.targets()).map(|(step, target)| StepPlan {
             target,
             zone: step.zone.clone(),
             bake: Millis::secs(step.bake_s),
             deadline: Millis::secs(step.deadline_s),
         });
-        Rolling {
+        Rollout {
             number,
             to,
             steps: steps.collect(),
@@ -142,8 +144,8 @@
             ceiling,
             from,
             step: 0,
-            way: Way::Raising,
-            course: RolloutProgress::Going,
+            direction: Direction::Raising,
+            progress: RolloutProgress::Going,
             spent: Millis(0),
             baked: Millis(0),
             reason: None,
@@ -152,7 +154,7 @@
 
     /// True while replicas may come or go.
     pub fn active(&self) -> bool {
-        matches!(self.course, RolloutProgress::Going | RolloutProgress::Paused)
+        matches!(self.progress, RolloutProgress::Going | RolloutProgress::Paused)
     }
 
     /// The plan of the current step.
@@ -161,8 +163,8 @@
     }
 
     /// Begins whatever comes next: its time counts from nothing.
-    pub(crate) fn turn(&mut self, way: Way) {
-        self.way = way;
+    pub(crate) fn begin_phase(&mut self, direction: Direction) {
+        self.direction = direction;
         self.spent = Millis(0);
         self.baked = Millis(0);
     }
@@ -176,7 +178,8 @@
     /// Name of the version that was rolled out.
     pub version: String,
     /// How it ended.
-    pub course: RolloutProgress,
+    #[serde(rename = "course")]
+    pub progress: RolloutProgress,
     /// Why it was halted or reverted, if it was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
@@ -194,7 +197,7 @@
     pub members: Vec<Member>,
     /// The current or last roll-out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rolling: Option<Rolling>,
+    pub rolling: Option<Rollout>,
     /// Earlier roll-outs, oldest first; the last few are kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub past: Vec<Outcome>,
@@ -224,7 +227,7 @@
 pub enum Refusal {
     /// Another roll-out of the service is under way.
     #[error("roll-out {number} to {version} is at step {step} of {steps}: abort or revert it first")]
-    Rolling {
+    RolloutActive {
         /// Number of the roll-out under way.
         number: u64,
         /// Name of the version that it rolls out.
@@ -275,18 +278,19 @@
             return Ok(next);
         }
         let Some(rolling) = next.rolling.as_mut() else { return Err(Refusal::Nothing("no roll-out was ever started")) };
-        match (command, rolling.course) {
+        match (command, rolling.progress) {
             (_, RolloutProgress::New) => {
                 return Err(Refusal::Nothing("the roll-out is over: start one to another version"))
             }
             (_, RolloutProgress::Old) => return Err(Refusal::Nothing("the roll-out was reverted")),
-            (Command::Pause, RolloutProgress::Going) => rolling.course = RolloutProgress::Paused,
+            (Command::Pause, RolloutProgress::Going) => rolling.progress = RolloutProgress::Paused,
             (Command::Pause, _) => return Err(Refusal::Nothing("the roll-out does not go on as it is")),
-            (Command::Resume, RolloutProgress::Paused) => rolling.course = RolloutProgress::Going,
+            (Command::Resume, RolloutProgress::Paused) => rolling.progress = RolloutProgress::Going,
             (Command::Resume, RolloutProgress::Halted) => {
-                let way = if rolling.way == Way::Reverting { Way::Reverting } else { Way::Raising };
-                rolling.turn(way);
-                rolling.course = RolloutProgress::Going;
+                let direction =
+                    if rolling.direction == Direction::Reverting { Direction::Reverting } else { Direction::Raising };
+                rolling.begin_phase(direction);
+                rolling.progress = RolloutProgress::Going;
                 rolling.reason = None;
             }
             (Command::Resume, _) => return Err(Refusal::Nothing("the roll-out goes on already")),
@@ -294,15 +298,17 @@
                 return Err(Refusal::Nothing("the roll-out is halted already"))
             }
             (Command::Abort, _) => {
-                rolling.course = RolloutProgress::Halted;
+                rolling.progress = RolloutProgress::Halted;
                 rolling.reason = Some("aborted by an operator".into());
             }
-            (Command::Revert, _) if rolling.way == Way::Reverting && rolling.course == RolloutProgress::Going => {
+            (Command::Revert, _)
+                if rolling.direction == Direction::Reverting && rolling.progress == RolloutProgress::Going =>
+            {
                 return Err(Refusal::Nothing("the roll-out is being reverted already"));
             }
             (Command::Revert, _) => {
-                rolling.turn(Way::Reverting);
-                rolling.course = RolloutProgress::Going;
+                rolling.begin_phase(Direction::Reverting);
+                rolling.progress = RolloutProgress::Going;
                 rolling.reason = Some("reverted by an operator".into());
             }
             (Command::Start(_), _) => unreachable!("handled above"),
@@ -312,7 +318,7 @@
 
     fn start(&mut self, file: &RollOut, value_bytes: usize) -> Result<(), Refusal> {
         if let Some(rolling) = self.rolling.as_ref().filter(|r| r.active()) {
-            return Err(Refusal::Rolling {
+            return Err(Refusal::RolloutActive {
                 number: rolling.number,
                 version: self.version_name(rolling.to).to_string(),
                 step: rolling.step + 1,
@@ -331,7 +337,7 @@
         }
         self.last_version.0 += 1;
         self.last_number += 1;
-        self.rolling = Some(Rolling::begin(file, self.last_number, self.last_version, from, ceiling));
+        self.rolling = Some(Rollout::begin(file, self.last_number, self.last_version, from, ceiling));
         let version = Version {
             name: file.version.clone(),
             replicas: file.replicas,
@@ -368,7 +374,12 @@
     fn close(&mut self) {
         if let Some(rolling) = self.rolling.take() {
             let version = self.version_name(rolling.to).to_string();
-            self.past.push(Outcome { number: rolling.number, version, course: rolling.course, reason: rolling.reason });
+            self.past.push(Outcome {
+                number: rolling.number,
+                version,
+                progress: rolling.progress,
+                reason: rolling.reason,
+            });
             let extra = self.past.len().saturating_sub(REMEMBERED);
             self.past.drain(..extra);
         }
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -44,25 +44,30 @@
 /// # Errors
 ///
 /// If the listener's address can't be had, or a thread can't be started.
-pub fn start(settings: &Settings, node: &str, value_bytes: usize, site: Arc<dyn ControllerApi>) -> std::io::Result<()> {
+pub fn start(
+    settings: &Settings,
+    node: &str,
+    value_bytes: usize,
+    controller: Arc<dyn ControllerApi>,
+) -> std::io::Result<()> {
     let (events, inbox) = sync_channel(QUEUE);
     let metrics = Arc::new(Metrics::default());
     listen::start(settings, &events, metrics.clone())?;
-    let lane = |threads| calls(threads, &site, &events);
-    let lanes = Lanes { watch: lane(1)?, lease: lane(1)?, other: lane(CALLERS)? };
+    let queue = |threads| calls(threads, &controller, &events);
+    let queues = CallQueues { watch: queue(1)?, lease: queue(1)?, other: queue(CALLERS)? };
     let probes = checks(settings.checks, &events, &metrics)?;
     let driver = Driver::new(settings.config(node));
-    let owner = Owner {
+    let event_loop = EventLoop {
         driver,
         commands: CommandHandler::new(value_bytes),
-        lanes,
+        queues,
         probes,
         metrics,
-        asking: HashMap::new(),
+        pending_requests: HashMap::new(),
         last_request: 0,
         begin: Instant::now(),
     };
-    spawn("rollouts", move || owner.run(&inbox))
+    spawn("rollouts", move || event_loop.run(&inbox))
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
@@ -92,13 +97,13 @@
 
 fn calls(
     threads: usize,
-    site: &Arc<dyn ControllerApi>,
+    controller: &Arc<dyn ControllerApi>,
     events: &SyncSender<Event>,
 ) -> std::io::Result<SyncSender<Job>> {
-    let (site, events) = (site.clone(), events.clone());
+    let (controller, events) = (controller.clone(), events.clone());
     share("rollout-call", threads, MOST_CALLS, move |(caller, id, call): Job| {
-        let answer = Box::new((id, site.call(&call)));
-        let event = if caller == Caller::Driver { Event::Answer(answer) } else { Event::DeskAnswer(answer) };
+        let answer = Box::new((id, controller.call(&call)));
+        let event = if caller == Caller::Driver { Event::Answer(answer) } else { Event::CommandAnswer(answer) };
         events.send(event).is_ok()
     })
 }
@@ -114,44 +119,44 @@
         let begin = Instant::now();
         let verdict = check::carry_out(&probe);
         metrics.checked(&verdict, begin.elapsed());
-        span.in_scope(|| tracing::debug!("{verdict:?} after {} ms", begin.elapsed().as_millis()));
+        span.in_scope(|| tracing::debug!(?verdict, took_s = begin.elapsed().as_secs_f64(), "finished health check"));
         events.send(Event::Verdict(id, verdict)).is_ok()
     })
 }
 
 /// Queues for calls: watches and renewals are held up by nothing else.
-struct Lanes {
+struct CallQueues {
     watch: SyncSender<Job>,
     lease: SyncSender<Job>,
     other: SyncSender<Job>,
 }
 
-impl Lanes {
+impl CallQueues {
     /// Queues a call; what finds its queue full was not carried out.
     fn send(&self, caller: Caller, id: CallId, call: Call) -> bool {
-        let lane = match call {
+        let queue = match call {
             Call::Watch { .. } => &self.watch,
             Call::Grant { .. } | Call::Renew { .. } => &self.lease,
             _ => &self.other,
         };
-        lane.try_send((caller, id, call)).is_ok()
+        queue.try_send((caller, id, call)).is_ok()
     }
 }
 
 /// The thread that owns the state machines.
-struct Owner {
+struct EventLoop {
     driver: Driver,
     commands: CommandHandler,
-    lanes: Lanes,
+    queues: CallQueues,
     probes: SyncSender<(CheckId, Probe)>,
     metrics: Arc<Metrics>,
     /// Requests of operators, and the service whose status they ask for.
-    asking: HashMap<RequestId, (SyncSender<OperatorResponse>, Option<String>)>,
+    pending_requests: HashMap<RequestId, (SyncSender<OperatorResponse>, Option<String>)>,
     last_request: u64,
     begin: Instant,
 }
 
-impl Owner {
+impl EventLoop {
     fn run(mut self, inbox: &Receiver<Event>) {
         let tick = Duration::from_millis(Driver::TICK.0);
         let mut next = Instant::now();
@@ -163,21 +168,21 @@
                     let outputs = self.driver.answer(now, answer.0, answer.1);
                     self.carry_out(now, outputs);
                 }
-                Ok(Event::DeskAnswer(answer)) => {
-                    let turn = self.commands.answer(answer.0, answer.1);
-                    self.turn(turn);
+                Ok(Event::CommandAnswer(answer)) => {
+                    let output = self.commands.answer(answer.0, answer.1);
+                    self.deliver(output);
                 }
                 Ok(Event::Verdict(id, verdict)) => {
                     let outputs = self.driver.verdict(now, id, verdict);
                     self.carry_out(now, outputs);
                 }
-                Ok(Event::OperatorRequest(ask, to)) => {
+                Ok(Event::OperatorRequest(request, to)) => {
                     self.last_request += 1;
-                    let request = RequestId(self.last_request);
-                    let of = if let OperatorRequest::Status(name) = &ask { Some(name.clone()) } else { None };
-                    self.asking.insert(request, (to, of));
-                    let turn = self.commands.ask(request, ask);
-                    self.turn(turn);
+                    let request_id = RequestId(self.last_request);
+                    let of = if let OperatorRequest::Status(name) = &request { Some(name.clone()) } else { None };
+                    self.pending_requests.insert(request_id, (to, of));
+                    let output = self.commands.handle_request(request_id, request);
+                    self.deliver(output);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -196,7 +201,7 @@
         while let Some(output) = outputs.pop_front() {
             match output {
                 Output::Call(id, call) => {
-                    if !self.lanes.send(Caller::Driver, id, call) {
+                    if !self.queues.send(Caller::Driver, id, call) {
                         outputs.extend(self.driver.answer(now, id, Answer::Refused));
                     }
                 }
@@ -214,20 +219,21 @@
         }
     }
 
-    fn turn(&mut self, turn: HandlerOutput) {
-        let mut turns = vec![turn];
-        while let Some(turn) = turns.pop() {
-            for (request, mut reply) in turn.replies {
-                if let Some((to, service)) = self.asking.remove(&request) {
-                    if let Some(live) = service.and_then(|name| self.driver.live(&name)) {
+    /// Sends replies to the operators, and queues the calls of commands.
+    fn deliver(&mut self, output: HandlerOutput) {
+        let mut outputs = vec![output];
+        while let Some(output) = outputs.pop() {
+            for (request, mut reply) in output.replies {
+                if let Some((to, service)) = self.pending_requests.remove(&request) {
+                    if let Some(live) = service.and_then(|name| self.driver.service_status(&name)) {
                         reply.body["live"] = json!(live);
                     }
                     let _ = to.try_send(reply);
                 }
             }
-            for (id, call) in turn.calls {
-                if !self.lanes.send(Caller::CommandHandler, id, call) {
-                    turns.push(self.commands.answer(id, Answer::Refused));
+            for (id, call) in output.calls {
+                if !self.queues.send(Caller::CommandHandler, id, call) {
+                    outputs.push(self.commands.answer(id, Answer::Refused));
                 }
             }
         }
@@ -237,14 +243,14 @@
 /// One line a change, within spans whose ids stay the same wherever it is driven.
 fn log(note: &Note) {
     match note {
-        Note::Drives(claim) => tracing::info!("drives the roll-outs, claim {claim}"),
-        Note::Resigned => tracing::info!("drives no longer"),
-        Note::Unreadable { service, why } => tracing::error!("the record of {service} can't be read: {why}"),
+        Note::Drives(claim) => tracing::info!(%claim, "became leader of roll-outs"),
+        Note::SteppedDown => tracing::info!("lost leadership of roll-outs"),
+        Note::Unreadable { service, why } => tracing::error!(%service, error = %why, "failed to read service record"),
         Note::Changed { service, number, step, event } => {
-            let roll = tracing::info_span!("rollout", id = %format_args!("{service}#{number}"));
-            let _roll = roll.enter();
-            let step = tracing::info_span!("step", id = step + 1);
-            step.in_scope(|| tracing::info!("{event:?}"));
+            let rollout_span = tracing::info_span!("rollout", id = %format_args!("{service}#{number}"));
+            let _entered = rollout_span.enter();
+            let step_span = tracing::info_span!("step", id = step + 1);
+            step_span.in_scope(|| tracing::info!(?event, "changed rollout"));
         }
     }
 }
--- a/crates/rollout/tests/driving.rs
+++ b/crates/rollout/tests/driving.rs
@@ -3,20 +3,20 @@
 
 mod world;
 
-use tillercleat_rollout::record::{Command, RolloutProgress, Service, Way};
+use tillercleat_rollout::record::{Command, Direction, RolloutProgress, Service};
 use world::{file, Chances, RolloutStrategy, World};
 
 const NAME: &str = "routeplan";
 const HOUR: u64 = 3_600_000;
 
-fn course(world: &World) -> RolloutProgress {
+fn progress(world: &World) -> RolloutProgress {
     let rolling = world.service(NAME).and_then(|s| s.rolling).expect("a roll-out");
-    rolling.course
+    rolling.progress
 }
 
 fn over(world: &mut World) -> bool {
     let settled = world.service(NAME).is_some_and(|s| s.members.iter().all(|m| !m.retiring));
-    settled && matches!(course(world), RolloutProgress::New | RolloutProgress::Old | RolloutProgress::Halted)
+    settled && matches!(progress(world), RolloutProgress::New | RolloutProgress::Old | RolloutProgress::Halted)
 }
 
 /// A world in which all six replicas have the first version.
@@ -24,7 +24,7 @@
     let mut world = World::new(seed, nodes);
     assert_eq!(world.start(&file("v1", "")).status, 200);
     assert!(world.run(HOUR, over), "the first version never came out");
-    assert_eq!((course(&world), world.running("v1")), (RolloutProgress::New, 6));
+    assert_eq!((progress(&world), world.running("v1")), (RolloutProgress::New, 6));
     world
 }
 
@@ -38,10 +38,14 @@
             continue;
         }
         if after.step != before.step {
-            assert_eq!((after.step, before.way), (before.step + 1, Way::Baking), "a step was skipped or repeated");
+            assert_eq!(
+                (after.step, before.direction),
+                (before.step + 1, Direction::Baking),
+                "a step was skipped or repeated"
+            );
         }
-        if before.way == Way::Reverting {
-            assert_eq!(after.way, Way::Reverting);
+        if before.direction == Direction::Reverting {
+            assert_eq!(after.direction, Direction::Reverting);
         }
     }
     // Each id stands for one job of one version, for ever.
@@ -68,7 +72,7 @@
     });
     assert!(ended, "never ends: {:#?}", world.service(NAME));
     judge(world);
-    course(world)
+    progress(world)
 }
 
 #[test]
@@ -137,7 +141,7 @@
     let (mut began, mut next, mut ended) = (None, 0, false);
     roll(&mut world, |w| {
         let rolling = w.service(NAME).and_then(|s| s.rolling).expect("a roll-out");
-        if rolling.step == 0 && rolling.way == Way::Baking {
+        if rolling.step == 0 && rolling.direction == Direction::Baking {
             began.get_or_insert(w.now);
             if w.now >= next && !ended {
                 w.end(0);
@@ -192,10 +196,10 @@
     world.run(1500, |_| false);
     assert_eq!(world.command(NAME, Command::Abort).status, 200);
     world.run(30_000, |_| false);
-    assert_eq!(course(&world), RolloutProgress::Halted);
+    assert_eq!(progress(&world), RolloutProgress::Halted);
     assert_eq!(world.command(NAME, Command::Resume).status, 200);
     assert!(world.run(HOUR, over));
-    assert_eq!((course(&world), world.running("v1"), world.running("v2")), (RolloutProgress::Old, 6, 0));
+    assert_eq!((progress(&world), world.running("v1"), world.running("v2")), (RolloutProgress::Old, 6, 0));
     assert_eq!(world.command(NAME, Command::Resume).status, 409);
     assert_eq!(world.command("nothing", Command::Pause).status, 404);
     judge(&world);
@@ -209,7 +213,7 @@
     let mut lost = 0;
     let ended = roll(&mut world, |w| {
         let service = w.service(NAME).expect("a record");
-        let baking = service.rolling.as_ref().is_some_and(|r| r.way == Way::Baking);
+        let baking = service.rolling.as_ref().is_some_and(|r| r.direction == Direction::Baking);
         if baking && lost < 4 && w.random(60) == 0 {
             if let Some(member) = service.staying().find(|m| m.version.0 == 2) {
                 w.lose(&member.job.clone(), 0, 5000);
@@ -256,17 +260,17 @@
         let ended = world.run(HOUR, |w| {
             let service = w.service(NAME).expect("a record");
             let in_zone = |w: &World| w.jobs.values().filter(|j| j.zone.as_deref() == Some("a")).count();
-            if !lost && service.rolling.as_ref().is_some_and(|r| r.step == 1 && r.way == Way::Baking) {
+            if !lost && service.rolling.as_ref().is_some_and(|r| r.step == 1 && r.direction == Direction::Baking) {
                 assert_eq!(in_zone(w), 2, "the step's replicas are not where they should be");
                 let jobs: Vec<_> = service.staying().filter(|m| m.zone.is_some()).map(|m| m.job.clone()).collect();
                 jobs.iter().for_each(|job| w.lose(job, 0, away));
                 lost = true;
             }
-            assert!(!lost || w.running("v1") >= 3 || course(w) == RolloutProgress::New || step(w) > 1);
+            assert!(!lost || w.running("v1") >= 3 || progress(w) == RolloutProgress::New || step(w) > 1);
             over(w)
         });
         assert!(ended && lost);
-        assert_eq!(course(&world), wanted);
+        assert_eq!(progress(&world), wanted);
     }
 }
 
@@ -283,7 +287,7 @@
     world.run(300, |_| false);
     assert_eq!(world.command(NAME, Command::Revert).status, 200);
     assert!(world.run(HOUR, over));
-    assert_eq!(course(&world), RolloutProgress::Old);
+    assert_eq!(progress(&world), RolloutProgress::Old);
     world.run(90_000, |_| false);
     judge(&world);
     assert_eq!((world.running("v1"), world.running("v2")), (6, 0));
@@ -307,7 +311,7 @@
         world.start(&file("v1", ""));
         world.start(&second("v1"));
         let done = |w: &World, name: &str| {
-            w.service(name).and_then(|s| s.rolling).is_some_and(|r| r.course == RolloutProgress::New)
+            w.service(name).and_then(|s| s.rolling).is_some_and(|r| r.progress == RolloutProgress::New)
         };
         assert!(world.run(HOUR, |w| done(w, NAME) && done(w, "second")));
         let mut hanging = file("bad", "");
@@ -325,7 +329,7 @@
         assert!(world.run(HOUR, |w| w
             .service("second")
             .and_then(|s| s.rolling)
-            .is_some_and(|r| r.number == 2 && r.course == RolloutProgress::New)));
+            .is_some_and(|r| r.number == 2 && r.progress == RolloutProgress::New)));
         world.now - begin
     };
     let (alone, beside) = (time_of_second(false), time_of_second(true));
--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use tillercleat_rollout::file::RollOut;
-use tillercleat_rollout::reconcile::{reconcile, Observations, Passed, Seen};
-use tillercleat_rollout::record::{Command, Member, Rolling, RolloutProgress, Service, Way};
+use tillercleat_rollout::reconcile::{reconcile, MemberStatus, Observations, Passed};
+use tillercleat_rollout::record::{Command, Direction, Member, Rollout, RolloutProgress, Service};
 use tillercleat_rollout::units::{JobId, Millis};
 
 /// How a member fares. `Fresh`: nothing is known.
@@ -26,7 +26,7 @@
     ids: u32,
 }
 
-type Key = (Vec<Member>, Option<Rolling>, BTreeMap<JobId, Fare>, Passed, bool);
+type Key = (Vec<Member>, Option<Rollout>, BTreeMap<JobId, Fare>, Passed, bool);
 
 const BAKE: Millis = Millis(4000);
 const DEADLINE: Millis = Millis(10_000);
@@ -57,9 +57,9 @@
         self.service.staying().filter(|m| self.fare(&m.job) == Fare::Ready).map(|m| m.replicas).sum()
     }
 
-    fn seen(&self, job: &JobId) -> Seen {
+    fn seen(&self, job: &JobId) -> MemberStatus {
         let is = |fare| u32::from(self.fare(job) == fare);
-        Seen {
+        MemberStatus {
             ready: is(Fare::Ready),
             well: is(Fare::Ready),
             lost: is(Fare::Lost) + is(Fare::Bad),
@@ -70,7 +70,7 @@
         }
     }
 
-    fn rolling(&self) -> &Rolling {
+    fn rolling(&self) -> &Rollout {
         self.service.rolling.as_ref().expect("a roll-out")
     }
 
@@ -82,14 +82,15 @@
             JobId(format!("wk-{ids}"))
         };
         let seen = |job: &JobId| self.seen(job);
-        let (service, _) = reconcile(&self.service, &Observations { seen: &seen, passed: self.passed }, &mut fresh)?;
+        let (service, _) =
+            reconcile(&self.service, &Observations { member_status: &seen, passed: self.passed }, &mut fresh)?;
         next.ids = ids;
-        let before = (self.rolling().step, self.rolling().way == Way::Reverting);
+        let before = (self.rolling().step, self.rolling().direction == Direction::Reverting);
         next.service = service;
-        let after = (next.rolling().step, next.rolling().way == Way::Reverting);
+        let after = (next.rolling().step, next.rolling().direction == Direction::Reverting);
         if before != after {
             next.passed = Passed::default();
-        } else if self.rolling().way != next.rolling().way {
+        } else if self.rolling().direction != next.rolling().direction {
             next.passed.baked = Millis(0);
         }
         next.fares.retain(|job, _| next.service.members.iter().any(|m| m.job == *job));
@@ -114,9 +115,9 @@
                 found.push(next);
             }
         }
-        if rolling.course == RolloutProgress::Going {
+        if rolling.progress == RolloutProgress::Going {
             let well = self.service.staying().all(|m| m.version != rolling.to || self.fare(&m.job) == Fare::Ready);
-            if rolling.way == Way::Baking && well && self.passed.baked < BAKE {
+            if rolling.direction == Direction::Baking && well && self.passed.baked < BAKE {
                 let mut next = self.clone();
                 next.passed.baked = BAKE;
                 found.push(next);
@@ -127,14 +128,14 @@
                 found.push(next);
             }
         }
-        if rolling.course == RolloutProgress::Paused {
+        if rolling.progress == RolloutProgress::Paused {
             let service = self.service.command(&Command::Resume, 64 * 1024).expect("resumes");
             found.push(World { service, ..self.clone() });
         }
         if !self.commanded {
             for command in [Command::Pause, Command::Abort, Command::Revert] {
                 if let Ok(service) = self.service.command(&command, 64 * 1024) {
-                    let turned = service.rolling.as_ref().is_some_and(|r| r.way != rolling.way);
+                    let turned = service.rolling.as_ref().is_some_and(|r| r.direction != rolling.direction);
                     let passed = if turned { Passed::default() } else { self.passed };
                     found.push(World { service, commanded: true, passed, ..self.clone() });
                 }
@@ -159,18 +160,21 @@
     }
     if after.step != before.step {
         assert_eq!(after.step, before.step + 1, "a step was skipped or begun twice");
-        assert!(before.way == Way::Baking && before.course == RolloutProgress::Going, "{before:?} to {after:?}");
+        assert!(
+            before.direction == Direction::Baking && before.progress == RolloutProgress::Going,
+            "{before:?} to {after:?}"
+        );
         let mut new = from.service.staying().filter(|m| m.version == before.to);
         assert!(new.all(|m| from.fare(&m.job) == Fare::Ready), "a step passed with replicas not well");
         assert!(from.passed.baked >= BAKE, "a step passed before its time");
     }
-    if before.way == Way::Reverting {
-        assert_eq!(after.way, Way::Reverting, "a roll-out that turned back went on");
+    if before.direction == Direction::Reverting {
+        assert_eq!(after.direction, Direction::Reverting, "a roll-out that turned back went on");
     }
-    if matches!(after.course, RolloutProgress::New) {
+    if matches!(after.progress, RolloutProgress::New) {
         assert!(to.service.staying().all(|m| m.version == after.to) && after.reason.is_none());
     }
-    if matches!(after.course, RolloutProgress::Halted | RolloutProgress::Old) {
+    if matches!(after.progress, RolloutProgress::Halted | RolloutProgress::Old) {
         assert!(after.reason.is_some(), "ended without a reason: {after:?}");
     }
 }
@@ -185,7 +189,7 @@
     while let Some((at, world)) = queue.pop_front() {
         if !world.rolling().active() {
             over.push(at);
-            *ends.entry(world.rolling().course).or_default() += 1;
+            *ends.entry(world.rolling().progress).or_default() += 1;
         }
         for next in world.successors(may_go_bad) {
             check(&world, &next);
@@ -225,7 +229,7 @@
         }
         world.passed.baked = BAKE;
     }
-    assert_eq!(world.rolling().course, RolloutProgress::New);
+    assert_eq!(world.rolling().progress, RolloutProgress::New);
     world
 }
 
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -117,13 +117,13 @@
         bake: Millis(60_500),
         deadline: Millis(600_500),
     };
-    let outcome = |number, course, reason: Option<&str>| Outcome {
+    let outcome = |number, progress, reason: Option<&str>| Outcome {
         number,
         version: "v1".into(),
-        course,
+        progress,
         reason: reason.map(String::from),
     };
-    let rolling = Rolling {
+    let rolling = Rollout {
         number: 5,
         to: VersionNo(2),
         steps: vec![step(2, Some("a")), step(10, None)],
@@ -132,8 +132,8 @@
         ceiling: 14,
         from: 10,
         step: 1,
-        way: Way::Baking,
-        course: RolloutProgress::Going,
+        direction: Direction::Baking,
+        progress: RolloutProgress::Going,
         spent: Millis(1200),
         baked: Millis(700),
         reason: Some("step 1 failed".into()),
@@ -169,8 +169,8 @@
         stored(DRIVER_KEY, &claim),
         stored(&service_key("routeplan"), &service()),
         stored(&service_key("empty"), &Service::default()),
-        words(&courses.map(|course| stored("", &course))),
-        words(&[Way::Raising, Way::Baking, Way::Reverting].map(|way| stored("", &way))),
+        words(&courses.map(|progress| stored("", &progress))),
+        words(&[Direction::Raising, Direction::Baking, Direction::Reverting].map(|way| stored("", &way))),
         words(&[OnFailure::Revert, OnFailure::Halt].map(|way| stored("", &way))),
         words(&[Priority::Low, Priority::Normal, Priority::High, Priority::Critical].map(|rank| stored("", &rank))),
         words(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -166,14 +166,14 @@
     /// An operator's command, carried out at once; waits out outages.
     pub fn command(&mut self, name: &str, command: Command) -> OperatorResponse {
         let mut commands = CommandHandler::new(64 * 1024);
-        let mut turn = commands.ask(RequestId(1), OperatorRequest::Command(name.into(), command));
+        let mut output = commands.handle_request(RequestId(1), OperatorRequest::Command(name.into(), command));
         loop {
-            if let Some((_, reply)) = turn.replies.pop() {
+            if let Some((_, reply)) = output.replies.pop() {
                 return reply;
             }
-            let (id, call) = turn.calls.pop().expect("a call or a reply");
+            let (id, call) = output.calls.pop().expect("a call or a reply");
             let answer = self.carry(0, &call);
-            turn = commands.answer(id, answer);
+            output = commands.answer(id, answer);
         }
     }
 
