--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -99,14 +99,14 @@
 }
 
 /// A roll-out with every field set.
-fn rolling() -> Rolling {
+fn rollout() -> Rollout {
     let step = |target, zone: Option<&str>| StepPlan {
         target,
         zone: zone.map(String::from),
         bake: Millis(60_500),
         deadline: Millis(600_500),
     };
-    Rolling {
+    Rollout {
         number: 5,
         to: VersionNo(2),
         steps: vec![step(2, Some("a")), step(10, None)],
@@ -115,8 +115,8 @@
         ceiling: 14,
         from: 10,
         step: 1,
-        way: Way::Baking,
-        course: RolloutProgress::Going,
+        direction: Direction::Baking,
+        progress: RolloutProgress::Going,
         spent: Millis(1200),
         baked: Millis(700),
         reason: Some("step 1 failed".into()),
@@ -136,10 +136,10 @@
         zone: zone.map(String::from),
         retiring,
     };
-    let outcome = |number, course, reason: Option<&str>| Outcome {
+    let outcome = |number, progress, reason: Option<&str>| Outcome {
         number,
         version: "v1".into(),
-        course,
+        progress,
         reason: reason.map(String::from),
     };
     Service {
@@ -150,7 +150,7 @@
         ]
         .into(),
         members: vec![member("wk-9000001", 1, None, true), member("wk-9000002", 2, Some("a"), false)],
-        rolling: Some(rolling()),
+        rolling: Some(rollout()),
         past: vec![outcome(4, RolloutProgress::Old, Some("step 2 failed")), outcome(3, RolloutProgress::New, None)],
         last_version: VersionNo(2),
         last_number: 5,
@@ -173,8 +173,8 @@
         stored(DRIVER_KEY, &claim),
         stored(&service_key("routeplan"), &service()),
         stored(&service_key("empty"), &Service::default()),
-        words(&courses.map(|course| stored("", &course))),
-        words(&[Way::Raising, Way::Baking, Way::Reverting].map(|way| stored("", &way))),
+        words(&courses.map(|progress| stored("", &progress))),
+        words(&[Direction::Raising, Direction::Baking, Direction::Reverting].map(|way| stored("", &way))),
         words(&[OnFailure::Revert, OnFailure::Halt].map(|way| stored("", &way))),
         words(&[Priority::Low, Priority::Normal, Priority::High, Priority::Critical].map(|rank| stored("", &rank))),
         words(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
