--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -21,16 +21,16 @@
 const CHANGES_PER_JOB: usize = 2;
 
 /// Jobs are archived only while more than this share of a second's writes is unused.
-const IDLE_S: f64 = 0.8;
+const MIN_UNUSED_WRITES_S: f64 = 0.8;
 
 /// The share of a second's writes that one transaction may use.
-const USABLE_S: f64 = 0.5;
+const MAX_WRITES_S: f64 = 0.5;
 
 impl Core {
     /// Moves old ended jobs out of the watched records, with writes that nothing else needs. Does
     /// nothing unless this node leads.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.store.writes_above(self.now, IDLE_S);
+        let idle = self.store.writes_above(self.now, MIN_UNUSED_WRITES_S);
         if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
@@ -38,7 +38,7 @@
         let mut transaction = Transaction { conditions: vec![leads], changes: vec![] };
         let jobs = self.cache.jobs.iter();
         let archivable = jobs.filter_map(|(id, job)| Some((id, job, self.archivable_outcome(id, job)?)));
-        for (id, job, end) in archivable.take(self.max_archived_at_once()) {
+        for (id, job, end) in archivable.take(self.max_jobs_per_transaction()) {
             let value = match serde_json::to_value(ArchivedJob { end, tasks: job.record.spec.task_count }) {
                 Ok(value) => value,
                 Err(error) => {
@@ -64,8 +64,8 @@
         archivable.then_some(end)
     }
 
-    fn max_archived_at_once(&self) -> usize {
-        let usable_writes = (USABLE_S * self.store.writes_per_s()) as usize;
+    fn max_jobs_per_transaction(&self) -> usize {
+        let usable_writes = (MAX_WRITES_S * self.store.writes_per_s()) as usize;
         let allowed = self.settings.cluster.state.txn_ops.min(usable_writes);
         MAX_PER_TRANSACTION.min(allowed / CHANGES_PER_JOB)
     }
@@ -83,10 +83,16 @@
     }
 
     /// Answers with the state of a job that was looked up in the archive.
-    pub(crate) fn archived_answer(&mut self, request: RequestId, job: JobId, accepted: bool, answer: StoreResponse) {
+    pub(crate) fn handle_archive_read(
+        &mut self,
+        request: RequestId,
+        job: JobId,
+        accepted: bool,
+        answer: StoreResponse,
+    ) {
         match answer {
             StoreResponse::Missing(_) if !accepted => self.refuse(request, Refusal::JobNotFound),
-            StoreResponse::Found(_) => match self.take_archived(&job, answer) {
+            StoreResponse::Found(_) => match self.cache_archived_job(&job, answer) {
                 Some(_) => self.answer_known_job(request, &job),
                 None => self.refuse(request, Refusal::JobUnreadable),
             },
@@ -97,7 +103,7 @@
     }
 
     /// Takes an archived job that was read into the cache. None if the answer holds no such record.
-    pub(crate) fn take_archived(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
+    pub(crate) fn cache_archived_job(&mut self, id: &JobId, answer: StoreResponse) -> Option<ArchivedJob> {
         let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -12,7 +12,7 @@
 use crate::units::{JobId, RequestId, Revision};
 
 /// Attempts to write a cancellation while other changes of the job come between.
-const CANCEL_TRIES: u32 = 4;
+const MAX_CANCEL_ATTEMPTS: u32 = 4;
 
 impl Core {
     /// Cancels a job for its user.
@@ -22,12 +22,12 @@
         }
         if self.try_charge_request(request) {
             let call = StoreRequest::Get { key: job_key(&job) };
-            self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
+            self.call_state(call, PendingRequest::CancelRead { request, job, tries: MAX_CANCEL_ATTEMPTS });
         }
     }
 
     /// Writes the cancellation of a job whose record was read, unless it has ended.
-    pub(crate) fn cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StoreResponse) {
+    pub(crate) fn handle_cancel_read(&mut self, request: RequestId, job: JobId, tries: u32, answer: StoreResponse) {
         if matches!(answer, StoreResponse::Missing(_)) && !self.cache.jobs.contains_key(&job) {
             return self.look_up_archived(request, job, false);
         }
@@ -35,7 +35,7 @@
             StoreResponse::Found(item) => item.version,
             _ => Revision(0),
         };
-        let Some((id, record)) = self.take_job(answer) else {
+        let Some((id, record)) = self.cache_job_record(answer) else {
             return self.refuse(request, Refusal::StoreUnavailable);
         };
         if self.final_state(&id).is_some() {
@@ -61,7 +61,7 @@
     }
 
     /// Answers once the cancellation is durable, or reads the record again.
-    pub(crate) fn cancel_written(
+    pub(crate) fn handle_cancel_write(
         &mut self,
         request: RequestId,
         job: JobId,
--- a/src/coordination/jobs/completion.rs
+++ b/src/coordination/jobs/completion.rs
@@ -33,7 +33,7 @@
 
 impl Core {
     /// Notes a job as completed if all its slices are durably done and this node owns the first.
-    pub(crate) fn check_finished(&mut self, id: &JobId) {
+    pub(crate) fn check_job_completion(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else { return };
         if job.record.end.is_some() || job.slices().is_empty() {
             return;
@@ -45,7 +45,7 @@
     }
 
     /// Writes the ends of completed jobs, again each time until the cache shows them.
-    pub(crate) fn finish_jobs(&mut self) {
+    pub(crate) fn write_job_completions(&mut self) {
         for id in self.completed_jobs.ids() {
             let Some(job) = self.cache.jobs.get(&id).filter(|job| job.record.end.is_none()) else {
                 self.completed_jobs.remove(&id);
--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -91,7 +91,7 @@
     }
 
     /// Goes on with the check once a dependency was read.
-    pub(crate) fn dependency_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
+    pub(crate) fn handle_dependency_read(&mut self, mut check: DependencyCheck, answer: StoreResponse) {
         let Some(id) = check.unchecked.last().cloned() else { return self.check_dependencies(check) };
         match answer {
             StoreResponse::Missing(_) if !check.in_archive => {
@@ -103,7 +103,7 @@
                 self.refuse_unless_known(check.request, check.spec.id, reason.into());
             }
             StoreResponse::Found(_) => {
-                if self.take_job_or_archived(&id, check.in_archive, answer) {
+                if self.cache_job_or_archived(&id, check.in_archive, answer) {
                     self.check_dependencies(check);
                 } else {
                     self.refuse(check.request, Refusal::DependencyUnreadable);
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -99,23 +99,23 @@
     }
 
     /// A job has a record, possibly again: it need not be looked up.
-    pub fn found(&mut self, id: &JobId) {
+    pub fn mark_known(&mut self, id: &JobId) {
         self.unknown.remove(id);
     }
 
     /// A job ended, for good.
-    pub fn ended(&mut self, id: &JobId, outcome: JobOutcome) {
+    pub fn mark_ended(&mut self, id: &JobId, outcome: JobOutcome) {
         self.unknown.remove(id);
         let Some(dependency) = self.dependencies.get(id) else { return };
         for dependent in dependency.dependents.clone() {
             match outcome {
                 JobOutcome::Cancelled => self.cancel(&dependent),
-                JobOutcome::Done => self.dependency_done(&dependent, id),
+                JobOutcome::Done => self.mark_dependency_done(&dependent, id),
             }
         }
     }
 
-    fn dependency_done(&mut self, id: &JobId, dependency: &JobId) {
+    fn mark_dependency_done(&mut self, id: &JobId, dependency: &JobId) {
         let Some(dependent) = self.dependents.get_mut(id) else { return };
         dependent.unfinished.remove(dependency);
         if dependent.unfinished.is_empty() && !dependent.cancelled {
@@ -124,7 +124,7 @@
     }
 
     /// The record of a job is no longer held. If its end was not seen before, it must be looked up.
-    pub fn record_removed(&mut self, id: &JobId) {
+    pub fn mark_record_removed(&mut self, id: &JobId) {
         let Some(dependency) = self.dependencies.get(id) else { return };
         let waits = |dependent: &JobId| {
             self.dependents.get(dependent).is_some_and(|d| !d.cancelled && d.unfinished.contains(id))
@@ -173,7 +173,7 @@
     /// Works out anew what these jobs inherit, and passes changes on to their own dependencies.
     fn propagate_priority(&mut self, mut names: Vec<JobId>) {
         while let Some(name) = names.pop() {
-            let Some(inherited) = self.inheritance_of(&name) else { continue };
+            let Some(inherited) = self.compute_inherited_priority(&name) else { continue };
             let Some(dependency) = self.dependencies.get_mut(&name) else { continue };
             if dependency.inherited_priority == inherited {
                 continue;
@@ -188,12 +188,12 @@
 
     /// The priority that a job inherits from those that depend on it, if any priority. None if
     /// nothing depends on the job.
-    fn inheritance_of(&self, name: &JobId) -> Option<Option<EffectivePriority>> {
+    fn compute_inherited_priority(&self, name: &JobId) -> Option<Option<EffectivePriority>> {
         let dependency = self.dependencies.get(name)?;
         let priorities = dependency.dependents.iter().filter_map(|id| {
             let dependent = self.dependents.get(id).filter(|d| !d.cancelled)?;
             let own = dependent.job.own_priority;
-            let effective = self.effective_priority(id).map_or(own, |inherited| inherited.join(own));
+            let effective = self.inherited_priority(id).map_or(own, |inherited| inherited.join(own));
             Some(effective.before(dependent.job.expected_ms))
         });
         Some(priorities.reduce(EffectivePriority::join))
@@ -229,7 +229,7 @@
     }
 
     /// The priority that a job inherits from those that depend on it, if any do.
-    pub fn effective_priority(&self, id: &JobId) -> Option<EffectivePriority> {
+    pub fn inherited_priority(&self, id: &JobId) -> Option<EffectivePriority> {
         self.dependencies.get(id)?.inherited_priority
     }
 
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -68,13 +68,13 @@
             } else if model.end[n].is_none() && (!done || !model.waits[n]) {
                 let end = if done { JobOutcome::Done } else { JobOutcome::Cancelled };
                 (model.end[n], model.waits[n]) = (Some(end), false);
-                dependency_graph.ended(&id(n), end);
+                dependency_graph.mark_ended(&id(n), end);
                 dependency_graph.remove(&id(n));
             }
             for n in 0..came {
                 prop_assert_eq!(dependency_graph.is_cancelled(&id(n)), model.waits[n] && model.cancelled(n));
                 prop_assert_eq!(dependency_graph.is_ready(&id(n)), model.ready(n));
-                prop_assert_eq!(dependency_graph.effective_priority(&id(n)), model.effective_priority(n));
+                prop_assert_eq!(dependency_graph.inherited_priority(&id(n)), model.effective_priority(n));
             }
         }
     }
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -26,12 +26,12 @@
         !self.in_flight && now >= self.not_before
     }
 
-    fn started(&mut self, id: &JobId) {
+    fn start(&mut self, id: &JobId) {
         self.in_flight = true;
         self.last = Some(id.clone());
     }
 
-    fn ended(&mut self) {
+    fn finish(&mut self) {
         self.in_flight = false;
     }
 
@@ -48,17 +48,17 @@
         }
         let next = self.dependency_graph.next_unknown(self.dependency_lookups.last.as_ref());
         let Some(id) = next.cloned() else { return };
-        self.dependency_lookups.started(&id);
+        self.dependency_lookups.start(&id);
         self.store.charge_read(self.now);
         self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
     /// Takes the outcome of a job that was looked up into the dependency graph.
-    pub(crate) fn dependency_looked_up(&mut self, id: JobId, answer: StoreResponse) {
-        self.dependency_lookups.ended();
-        match self.take_archived(&id, answer) {
+    pub(crate) fn handle_dependency_lookup(&mut self, id: JobId, answer: StoreResponse) {
+        self.dependency_lookups.finish();
+        match self.cache_archived_job(&id, answer) {
             Some(record) => {
-                self.dependency_graph.ended(&id, record.end);
+                self.dependency_graph.mark_ended(&id, record.end);
                 self.dependency_release.request();
             }
             None => self.dependency_lookups.pause(self.now),
--- a/src/coordination/jobs/dependency_lookup/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -23,6 +23,6 @@
     assert_eq!(answered_state(&mut core), None);
     let value = serde_json::json!({"end": "cancelled", "tasks": 1});
     let item = Item { key: "f/wk-000001".into(), value, version: Revision(3) };
-    core.dependency_looked_up(first, StoreResponse::Found(item));
+    core.handle_dependency_lookup(first, StoreResponse::Found(item));
     assert_eq!(answered_state(&mut core), Some(crate::protocol::users::JobState::Cancelled));
 }
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -28,16 +28,16 @@
 
 /// What a task takes beside its run time, in seconds: pulling its image and finding a machine. For
 /// estimates of when the jobs that others depend on are due.
-const STEP_OVERHEAD_S: f64 = 4.0;
+const TASK_OVERHEAD_S: f64 = 4.0;
 
 /// The last task of a job to end takes longer than most, by this factor.
 const LAST_TASK_FACTOR: f64 = 1.5;
 
 /// Jobs are released on credit, until this share of a second's writes is owed.
-const CREDIT_S: f64 = 0.5;
+const MAX_CREDIT_S: f64 = 0.5;
 
 /// Outcomes are written only while more than this share of a second's writes is unused.
-const IDLE_S: f64 = 0.5;
+const MIN_UNUSED_WRITES_S: f64 = 0.5;
 
 /// When ready jobs became so, and which of them a transaction was sent for.
 #[derive(Debug, Default)]
@@ -94,20 +94,20 @@
     pub(crate) fn track_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else { return };
         if let Some(end) = job.record.end {
-            self.dependency_graph.ended(id, end);
+            self.dependency_graph.mark_ended(id, end);
             self.dependency_graph.remove(id);
         } else if job.record.waits() {
             let waiting = self.waiting_job(job);
             let cache = &self.cache;
-            self.dependency_graph.found(id);
+            self.dependency_graph.mark_known(id);
             self.dependency_graph.add(id, waiting, |dependency| dependency_state(cache, dependency));
         } else {
-            self.dependency_graph.found(id);
+            self.dependency_graph.mark_known(id);
             self.dependency_graph.remove(id);
         }
         for changed in self.dependency_graph.take_reprioritized().iter().chain([id]) {
             if let Some(job) = self.cache.jobs.get_mut(changed) {
-                job.effective_priority = self.dependency_graph.effective_priority(changed);
+                job.effective_priority = self.dependency_graph.inherited_priority(changed);
             }
         }
         if self.dependency_graph.ready().next().is_some() {
@@ -119,7 +119,7 @@
         let (record, spec) = (&job.record, &job.record.spec);
         let due_ms = |deadline_s: f64| record.at + (deadline_s * 1000.0) as u64;
         let own_priority = EffectivePriority { priority: spec.priority, due_ms: spec.deadline_s.map(due_ms) };
-        let expected_s = self.estimates.run_time(job) * LAST_TASK_FACTOR + STEP_OVERHEAD_S;
+        let expected_s = self.estimates.run_time(job) * LAST_TASK_FACTOR + TASK_OVERHEAD_S;
         WaitingJob {
             dependencies: record.dependencies.0.clone(),
             own_priority,
@@ -131,15 +131,15 @@
     pub(crate) fn release_ready_jobs(&mut self) {
         self.dependency_release.requested = false;
         // Like submissions, releases go before other writes.
-        let affordable = self.store.writes_above(self.now, -CREDIT_S);
+        let affordable = self.store.writes_above(self.now, -MAX_CREDIT_S);
         if !affordable || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let candidates = self.dependency_release.candidates(&self.dependency_graph, self.now);
-        let chosen = self.choose_changeable(candidates);
+        let chosen = self.select_candidates(candidates);
         self.dependency_release.note_attempt(&self.dependency_graph, &chosen, self.now);
         self.rewrite_waiting_jobs(&chosen, |core, record| JobRecord {
-            plan: core.first_plan(&record.spec),
+            plan: core.initial_plan(&record.spec),
             dependencies: Dependencies::default(),
             ready: Some(core.time_of_day_ms.max(record.at)),
             ..record.clone()
@@ -148,13 +148,13 @@
 
     /// Writes the ends of jobs that were cancelled through a dependency, with writes that nothing
     /// else needs: users are answered without them.
-    pub(crate) fn write_dependency_outcomes(&mut self) {
-        let idle = self.store.writes_above(self.now, IDLE_S);
+    pub(crate) fn write_dependency_cancellations(&mut self) {
+        let idle = self.store.writes_above(self.now, MIN_UNUSED_WRITES_S);
         if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
         let candidates = self.dependency_graph.cancelled().map(|id| Candidate { id, overdue: false }).collect();
-        let chosen = self.choose_changeable(candidates);
+        let chosen = self.select_candidates(candidates);
         self.rewrite_waiting_jobs(&chosen, |_, record| JobRecord {
             end: Some(JobOutcome::Cancelled),
             dependencies: Dependencies::default(),
@@ -163,7 +163,7 @@
     }
 
     /// Of these jobs, as many as fit into a transaction and that this node may change now.
-    fn choose_changeable(&self, candidates: Vec<Candidate>) -> Vec<JobId> {
+    fn select_candidates(&self, candidates: Vec<Candidate>) -> Vec<JobId> {
         let most = MAX_PER_TRANSACTION.min(self.settings.cluster.state.txn_ops);
         let changeable = |candidate: &Candidate| {
             !self.store.is_key_busy(&job_key(candidate.id))
--- a/src/coordination/jobs/health.rs
+++ b/src/coordination/jobs/health.rs
@@ -6,7 +6,7 @@
 use crate::units::{Millis, MonotonicTime, RequestId};
 
 /// How old the last answer of the store may be to count as recent.
-const RECENT: Millis = Millis(3000);
+const MAX_STORE_ANSWER_AGE: Millis = Millis(3000);
 
 impl Core {
     /// Answers a health check.
@@ -28,7 +28,7 @@
     }
 
     fn is_recent(&self, at: Option<MonotonicTime>) -> bool {
-        at.is_some_and(|at| self.now.since(at) < RECENT)
+        at.is_some_and(|at| self.now.since(at) < MAX_STORE_ANSWER_AGE)
     }
 }
 
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -10,7 +10,7 @@
 use crate::units::{Attempt, FencingToken, JobId, Millis, ShardId};
 
 /// The most replicas whose failures are remembered.
-const MAX_FAILURES: usize = 4096;
+const MAX_RECORDED_FAILURES: usize = 4096;
 
 /// What an owner knows of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,9 +43,9 @@
     /// The machine's zone; empty while the replica is on no known machine.
     pub zone: String,
     /// How long ago its machine's last heartbeat came.
-    pub age: Millis,
+    pub heartbeat_age: Millis,
     /// The last attempt known to have failed by its own fault.
-    pub error: Option<Attempt>,
+    pub failed_attempt: Option<Attempt>,
     /// The owner's fencing token: of two owners' answers, that with the higher one counts.
     pub token: FencingToken,
 }
@@ -86,8 +86,8 @@
             state,
             addr: machine.map(|machine| machine.addr.clone()).unwrap_or_default(),
             zone: machine.map(|machine| machine.zone.clone()).unwrap_or_default(),
-            age: machine.map_or(Millis(u64::MAX), |machine| self.now.since(machine.last_heartbeat)),
-            error: self.estimates.failed_attempt(&key),
+            heartbeat_age: machine.map_or(Millis(u64::MAX), |machine| self.now.since(machine.last_heartbeat)),
+            failed_attempt: self.estimates.failed_attempt(&key),
             token: owned_shard.token,
             job: key.0,
         })
@@ -96,7 +96,7 @@
     /// Notes that an attempt of a task failed, if the task is a service's replica.
     pub(crate) fn record_replica_failure(&mut self, key: &TaskKey, attempt: Attempt) {
         let service = self.cache.jobs.get(&key.0).is_some_and(|job| job.record.spec.kind == JobKind::Standing);
-        if service && self.estimates.failed_attempt_count() < MAX_FAILURES {
+        if service && self.estimates.failed_attempt_count() < MAX_RECORDED_FAILURES {
             self.estimates.record_failed_attempt(key.clone(), attempt);
         }
     }
--- a/src/coordination/jobs/slice_sizing.rs
+++ b/src/coordination/jobs/slice_sizing.rs
@@ -15,7 +15,7 @@
 pub(crate) const TASK_BYTES: u32 = 32;
 
 /// Upper estimate of what a plan takes beside its list of shards, in bytes.
-const PLAN_BYTES: usize = 32;
+const PLAN_OVERHEAD_BYTES: usize = 32;
 
 /// Bytes in a kilobyte of the settings.
 const BYTES_PER_KB: f64 = 1024.0;
@@ -26,11 +26,11 @@
 impl Core {
     /// The plan of a job that has one slice or must stay whole: all of it goes to the shard that its
     /// id hashes to. None for other arrays, which the leader assigns.
-    pub(crate) fn first_plan(&self, spec: &JobSpec) -> Option<SlicePlan> {
+    pub(crate) fn initial_plan(&self, spec: &JobSpec) -> Option<SlicePlan> {
         let size = self.slice_size(spec.task_count);
-        let home = ShardId::of(spec.id.as_str(), self.shard_count);
+        let home_shard = ShardId::of(spec.id.as_str(), self.shard_count);
         let slices = spec.task_count.div_ceil(size) as usize;
-        (slices == 1 || spec.whole()).then(|| SlicePlan { size, shards: vec![home; slices] })
+        (slices == 1 || spec.whole()).then(|| SlicePlan { size, shards: vec![home_shard; slices] })
     }
 
     /// Tasks per slice. Larger jobs get larger slices, so that their tasks share writes, as far as a
@@ -56,7 +56,7 @@
 
     /// Upper estimate of what the plan of a job with so many tasks takes, in bytes.
     pub(crate) fn plan_bytes(&self, tasks: u32) -> usize {
-        tasks.div_ceil(self.slice_size(tasks)) as usize * self.shard_entry_bytes() + PLAN_BYTES
+        tasks.div_ceil(self.slice_size(tasks)) as usize * self.shard_entry_bytes() + PLAN_OVERHEAD_BYTES
     }
 
     /// What the number of a shard and a comma take in a plan, in bytes.
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -22,7 +22,7 @@
 
 /// If the store has answered nothing for this long, queries are refused at once: watches alone bring
 /// several answers in that time.
-const STORE_SILENCE: Millis = Millis(2500);
+const MAX_STORE_SILENCE: Millis = Millis(2500);
 
 /// A key that never exists: reading it tells the revision.
 const PROBE_KEY: &str = "t/q";
@@ -101,7 +101,7 @@
         self.unprobed.drain(..).collect()
     }
 
-    fn probe_ended(&mut self) {
+    fn end_probe(&mut self) {
         self.probe_in_flight = false;
     }
 
@@ -112,15 +112,15 @@
 
 impl Core {
     /// Answers a user's query: at once if the job has ended, which cannot change.
-    pub(crate) fn query(&mut self, request: RequestId, job: JobId) {
+    pub(crate) fn handle_status_query(&mut self, request: RequestId, job: JobId) {
         if self.final_state(&job).is_some() {
             return self.answer_known_job(request, &job);
         }
-        self.query_status(request, job);
+        self.enqueue_status_query(request, job);
     }
 
     /// Answers with the state of a job once the cache is as new as this moment.
-    pub(crate) fn query_status(&mut self, request: RequestId, job: JobId) {
+    pub(crate) fn enqueue_status_query(&mut self, request: RequestId, job: JobId) {
         if self.store.is_loaded() && self.is_store_silent() {
             return self.refuse(request, Refusal::StoreUnavailable);
         }
@@ -134,7 +134,7 @@
     /// suspended.
     fn is_store_silent(&self) -> bool {
         let last_answer = self.store.last_answer().map(|at| at.max(self.resumed_at));
-        last_answer.is_none_or(|at| self.now.since(at) > STORE_SILENCE)
+        last_answer.is_none_or(|at| self.now.since(at) > MAX_STORE_SILENCE)
     }
 
     /// Refuses queries that have waited too long and sends a probe for the others. Called after each
@@ -152,8 +152,8 @@
     }
 
     /// Holds the queries that a probe was sent for until the cache has reached its revision.
-    pub(crate) fn probe_answered(&mut self, queries: Vec<StatusQuery>, answer: StoreResponse) {
-        self.status_queries.probe_ended();
+    pub(crate) fn handle_probe(&mut self, queries: Vec<StatusQuery>, answer: StoreResponse) {
+        self.status_queries.end_probe();
         let StoreResponse::Missing(revision) = answer else { return self.refuse_queries(queries) };
         self.status_queries.hold_until(revision, queries);
         if self.cache.revision < revision {
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -14,10 +14,10 @@
 use crate::units::{JobId, RequestId, Revision};
 
 /// Upper estimate of what a job's record grows by when the job becomes ready and ends, in bytes.
-const END_BYTES: usize = 64;
+const MAX_RECORD_GROWTH_BYTES: usize = 64;
 
 /// Submissions are accepted on credit, until this share of a second's requests is owed.
-const CREDIT_S: f64 = 0.5;
+const MAX_CREDIT_S: f64 = 0.5;
 
 impl Core {
     /// Serves a user's request.
@@ -28,7 +28,7 @@
             ClientRequest::Malformed { id, reason } => {
                 self.refuse_unless_known(request, id, Refusal::Malformed(reason))
             }
-            ClientRequest::Query(job) => self.query(request, job),
+            ClientRequest::Query(job) => self.handle_status_query(request, job),
             ClientRequest::Cancel(job) => self.cancel(request, job),
         }
     }
@@ -44,7 +44,7 @@
             return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Acceptance goes before other requests to the store.
-        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -CREDIT_S) {
+        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -MAX_CREDIT_S) {
             return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
@@ -61,7 +61,7 @@
             return true;
         }
         if self.cache.jobs.contains_key(job) {
-            self.query_status(request, job.clone());
+            self.enqueue_status_query(request, job.clone());
             return true;
         }
         false
@@ -69,7 +69,7 @@
 
     /// The first record of a job that may start at once.
     pub(crate) fn independent_job_record(&self, spec: &JobSpec) -> JobRecord {
-        JobRecord { plan: self.first_plan(spec), ..JobRecord::new(spec.clone(), self.time_of_day_ms) }
+        JobRecord { plan: self.initial_plan(spec), ..JobRecord::new(spec.clone(), self.time_of_day_ms) }
     }
 
     /// Stores the first record of a job.
@@ -77,7 +77,7 @@
         let Some(change) = put_job_record(&spec.id, &record) else {
             return self.refuse(request, Refusal::NotSerializable);
         };
-        if !self.fits(self.largest_size(&change, &record)) {
+        if !self.fits(self.max_record_bytes(&change, &record)) {
             return self.refuse_unless_known(request, spec.id, InfeasibleJob::RecordTooLarge.into());
         }
         self.store.charge_transaction(self.now, 1);
@@ -96,17 +96,17 @@
     }
 
     /// What a job's record may grow to once it has its plan and its end, in bytes.
-    fn largest_size(&self, first: &Change, record: &JobRecord) -> usize {
+    fn max_record_bytes(&self, first: &Change, record: &JobRecord) -> usize {
         let now = match first {
             Change::Put { value, .. } => value.to_string().len(),
             Change::Delete { .. } => 0,
         };
         let plan = if record.plan.is_none() { self.plan_bytes(record.spec.task_count) } else { 0 };
-        now + plan + END_BYTES
+        now + plan + MAX_RECORD_GROWTH_BYTES
     }
 
     /// Answers a submission whose record was to be stored, or reads what became of it.
-    pub(crate) fn submit_written(
+    pub(crate) fn handle_submit_write(
         &mut self,
         request: RequestId,
         transaction: Transaction,
@@ -136,7 +136,7 @@
     }
 
     /// Answers a submission from the record that was read, with this status.
-    pub(crate) fn submit_read(
+    pub(crate) fn handle_submit_read(
         &mut self,
         request: RequestId,
         job: JobId,
@@ -146,14 +146,14 @@
         if matches!(answer, StoreResponse::Missing(_)) {
             return self.look_up_archived(request, job, true);
         }
-        match self.take_job(answer) {
+        match self.cache_job_record(answer) {
             Some((id, record)) => self.answer_job(request, status, &id, Some(&record)),
             None => self.refuse(request, Refusal::StoreUnavailable),
         }
     }
 
     /// Takes a job's record that was read into the cache. None if the answer holds no record.
-    pub(crate) fn take_job(&mut self, answer: StoreResponse) -> Option<(JobId, JobRecord)> {
+    pub(crate) fn cache_job_record(&mut self, answer: StoreResponse) -> Option<(JobId, JobRecord)> {
         let StoreResponse::Found(item) = answer else { return None };
         let record: JobRecord = match serde_json::from_value(item.value.clone()) {
             Ok(record) => record,
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 
 /// Allowed rounding error when amounts are compared with a team's limit.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// A refusal that is held until reads show that its job isn't known.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     }
 
     /// Refuses the submission if its job was not found; otherwise answers with the job's state.
-    pub(crate) fn refused_job_read(&mut self, held: HeldRefusal, answer: StoreResponse) {
+    pub(crate) fn handle_refusal_lookup(&mut self, held: HeldRefusal, answer: StoreResponse) {
         match answer {
             StoreResponse::Missing(_) if !held.in_archive => {
                 self.look_up_refused_job(HeldRefusal { in_archive: true, ..held });
@@ -55,7 +55,7 @@
                 self.refuse(held.request, held.refusal);
             }
             StoreResponse::Found(_) => {
-                if self.take_job_or_archived(&held.job, held.in_archive, answer) {
+                if self.cache_job_or_archived(&held.job, held.in_archive, answer) {
                     self.answer_known_job(held.request, &held.job);
                 } else {
                     self.refuse(held.request, Refusal::JobUnreadable);
@@ -66,11 +66,11 @@
     }
 
     /// Takes a record that was read into the cache; false if it cannot be read.
-    pub(crate) fn take_job_or_archived(&mut self, job: &JobId, archived: bool, answer: StoreResponse) -> bool {
+    pub(crate) fn cache_job_or_archived(&mut self, job: &JobId, archived: bool, answer: StoreResponse) -> bool {
         if archived {
-            self.take_archived(job, answer).is_some()
+            self.cache_archived_job(job, answer).is_some()
         } else {
-            self.take_job(answer).is_some()
+            self.cache_job_record(answer).is_some()
         }
     }
 
@@ -89,12 +89,14 @@
             return Err(InfeasibleJob::NoMachineType);
         }
         // Tasks of an array may run one after the other.
-        let at_once = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
-        let exceeds = |limit: f64, each: f64| limit > 0.0 && each * f64::from(at_once) > limit + ROUNDING;
+        let concurrent_tasks = if spec.kind == JobKind::Array { 1 } else { spec.task_count };
+        let exceeds = |limit: f64, per_task: f64| {
+            limit > 0.0 && per_task * f64::from(concurrent_tasks) > limit + ROUNDING_TOLERANCE
+        };
         if exceeds(team.cpus_max, spec.cpus) || exceeds(team.gpus_max, spec.gpus) {
             return Err(InfeasibleJob::OverTeamLimit);
         }
-        if spec.apart && at_once > 1 && (spec.one_zone || zones.len() < 2) {
+        if spec.apart && concurrent_tasks > 1 && (spec.one_zone || zones.len() < 2) {
             return Err(InfeasibleJob::OneZoneOnly);
         }
         Ok(())
@@ -102,13 +104,13 @@
 
     /// The zones that a task may run in: those that sell an allowed machine type it fits into.
     fn possible_zones(&self, spec: &JobSpec) -> BTreeSet<&String> {
-        let fitting = self.catalog.types().filter(|machine_type| takes_task(machine_type, spec));
+        let fitting = self.catalog.types().filter(|machine_type| fits_task(machine_type, spec));
         let allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|only| only == *zone);
         fitting.flat_map(|machine_type| &machine_type.zones).filter(allowed).collect()
     }
 }
 
-fn takes_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
+fn fits_task(machine_type: &MachineType, spec: &JobSpec) -> bool {
     let allowed = spec.types.as_ref().is_none_or(|allowed| allowed.contains(&machine_type.name));
     allowed && machine_type.cpus >= spec.cpus && machine_type.gpus >= spec.gpus && machine_type.mem_gb >= spec.mem_gb
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -213,10 +213,10 @@
         self.run_leader_cycle();
         self.resolve_quota_transfers();
         self.rebalance_quotas();
-        self.finish_jobs();
+        self.write_job_completions();
         self.raise_feature_level();
         self.release_ready_jobs();
-        self.write_dependency_outcomes();
+        self.write_dependency_cancellations();
         self.archive_ended_jobs();
     }
 
--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -24,7 +24,7 @@
         }
         self.release_moved_slices(id);
         self.adopt_slices(id, None);
-        self.check_finished(id);
+        self.check_job_completion(id);
     }
 
     fn log_ended_job(&self, id: &JobId) {
@@ -35,7 +35,7 @@
 
     /// A slice's record of a job changed in the cache.
     pub(crate) fn slice_changed(&mut self, id: &JobId) {
-        self.check_finished(id);
+        self.check_job_completion(id);
     }
 }
 
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -48,7 +48,7 @@
             // The last slices of a job may have been done while nobody owned its first: no change would ever bring
             // that up again.
             for id in self.cache.active.clone() {
-                self.check_finished(&id);
+                self.check_job_completion(&id);
             }
         }
     }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -145,17 +145,19 @@
             }
             PendingRequest::Reread { key, shard } => self.reread_answer(key, shard, answer),
             PendingRequest::SubmitWrite { request, transaction, spec } => {
-                self.submit_written(request, transaction, spec, answer)
+                self.handle_submit_write(request, transaction, spec, answer)
             }
-            PendingRequest::SubmitRead { request, job, status } => self.submit_read(request, job, status, answer),
-            PendingRequest::Archived { request, job, known } => self.archived_answer(request, job, known, answer),
-            PendingRequest::RefusalLookUp(held) => self.refused_job_read(held, answer),
-            PendingRequest::DependencyCheck(check) => self.dependency_read(check, answer),
-            PendingRequest::DependencyLookUp(job) => self.dependency_looked_up(job, answer),
-            PendingRequest::Probe(queries) => self.probe_answered(queries, answer),
-            PendingRequest::CancelRead { request, job, tries } => self.cancel_read(request, job, tries, answer),
+            PendingRequest::SubmitRead { request, job, status } => {
+                self.handle_submit_read(request, job, status, answer)
+            }
+            PendingRequest::Archived { request, job, known } => self.handle_archive_read(request, job, known, answer),
+            PendingRequest::RefusalLookUp(held) => self.handle_refusal_lookup(held, answer),
+            PendingRequest::DependencyCheck(check) => self.handle_dependency_read(check, answer),
+            PendingRequest::DependencyLookUp(job) => self.handle_dependency_lookup(job, answer),
+            PendingRequest::Probe(queries) => self.handle_probe(queries, answer),
+            PendingRequest::CancelRead { request, job, tries } => self.handle_cancel_read(request, job, tries, answer),
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
-                self.cancel_written(request, job, transaction, tries, answer)
+                self.handle_cancel_write(request, job, transaction, tries, answer)
             }
             PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
             PendingRequest::Rent(_)
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -129,7 +129,7 @@
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
-            CacheChange::JobGone(job) => self.dependency_graph.record_removed(&job),
+            CacheChange::JobGone(job) => self.dependency_graph.mark_record_removed(&job),
             CacheChange::Node(node) => self.node_changed(&node),
             CacheChange::Leader | CacheChange::Nothing => {}
         }
--- a/src/transport/peers/service.rs
+++ b/src/transport/peers/service.rs
@@ -116,8 +116,8 @@
         state: state.into(),
         addr: replica.addr.clone(),
         zone: replica.zone.clone(),
-        failed_attempt: replica.error.map_or(0, |attempt| attempt.0),
+        failed_attempt: replica.failed_attempt.map_or(0, |attempt| attempt.0),
         token: replica.token.0,
-        age_ms: replica.age.0,
+        age_ms: replica.heartbeat_age.0,
     }
 }
