--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -237,7 +237,7 @@
             return None;
         }
         let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + running) };
-        let run_s = self.estimates.run_time(job).max(1.0);
+        let run_s = self.estimates.expected_run_s(job).max(1.0);
         let left_s = self.allowed_s(job) - self.age_s(job);
         let shares = CoreShares::of(spec.kind, run_s, left_s, window_s);
         let mut cpus = (f64::from(running) * shares.running + f64::from(waiting) * shares.waiting) * spec.cpus;
@@ -291,7 +291,7 @@
     /// True if a job with so much time left could not wait for a machine to come free and still be
     /// in time.
     fn cannot_wait_for_room(&self, job: &Job, left_s: f64, window_s: f64) -> bool {
-        let run_s = self.estimates.run_time(job);
+        let run_s = self.estimates.expected_run_s(job);
         job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIMES + window_s
     }
 
@@ -324,7 +324,7 @@
 
     fn load_of(&self, job: &Job) -> JobLoad {
         let spec = &job.record.spec;
-        JobLoad { cpus: spec.cpus * f64::from(spec.task_count), run_s: self.estimates.run_time(job) }
+        JobLoad { cpus: spec.cpus * f64::from(spec.task_count), run_s: self.estimates.expected_run_s(job) }
     }
 }
 
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -148,7 +148,7 @@
 
     /// The run time in seconds of a task of the job: its user's estimate, corrected by what its class
     /// has shown.
-    pub(crate) fn run_time(&self, job: &Job) -> f64 {
+    pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         let factor = self.run_time_ratios.get(&job.class).map_or(1.0, |ratio| ratio.factor);
         job.record.spec.estimated_run_s * factor
     }
@@ -195,7 +195,7 @@
 
     /// Seconds that a placed task still needs, with the time to start it.
     pub(crate) fn remaining_s(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
-        self.remaining_s_of_run(owned_shard, self.estimates.run_time(job), key)
+        self.remaining_s_of_run(owned_shard, self.estimates.expected_run_s(job), key)
     }
 
     /// The same for a task whose run time is known already.
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -119,7 +119,7 @@
         let (record, spec) = (&job.record, &job.record.spec);
         let due_ms = |deadline_s: f64| record.at + (deadline_s * 1000.0) as u64;
         let own_priority = EffectivePriority { priority: spec.priority, due_ms: spec.deadline_s.map(due_ms) };
-        let expected_s = self.estimates.run_time(job) * LAST_TASK_FACTOR + STEP_OVERHEAD_S;
+        let expected_s = self.estimates.expected_run_s(job) * LAST_TASK_FACTOR + STEP_OVERHEAD_S;
         WaitingJob {
             dependencies: record.dependencies.0.clone(),
             own_priority,
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -150,7 +150,7 @@
             let found = match last {
                 Some((id, found)) if *id == key.0 => found,
                 _ => {
-                    let found = self.cache.jobs.get(&key.0).map(|job| (job, self.estimates.run_time(job)));
+                    let found = self.cache.jobs.get(&key.0).map(|job| (job, self.estimates.expected_run_s(job)));
                     last = Some((&key.0, found));
                     found
                 }
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -95,7 +95,7 @@
         guaranteed: &JobSet,
     ) -> QueuedJob<QueueRank, QueuedJobRef<'a>> {
         let spec = &job.record.spec;
-        let run_s = self.estimates.run_time(job);
+        let run_s = self.estimates.expected_run_s(job);
         let (done, on) = job.counts();
         let tasks_left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * RUNNING_WORK_SHARE;
         QueuedJob {
@@ -137,7 +137,7 @@
         // A deadline counts from the submission, however long the job waited.
         let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
         let own_s = deadline_s.unwrap_or_else(|| {
-            let soonest_s = self.age_s(job) + SOONEST_COMPLETION_SHARE * self.estimates.run_time(job);
+            let soonest_s = self.age_s(job) + SOONEST_COMPLETION_SHARE * self.estimates.expected_run_s(job);
             let objective_s = self.objectives.finish_within_s(&job.class, soonest_s);
             objective_s.unwrap_or(DEFAULT_ALLOWED_S + spec.estimated_run_s * DEFAULT_ALLOWED_RUNS)
         });
--- a/src/coordination/scheduling/placement_request.rs
+++ b/src/coordination/scheduling/placement_request.rs
@@ -70,7 +70,7 @@
             job,
             need,
             shape: shapes.number(&need),
-            run_s: self.estimates.run_time(job),
+            run_s: self.estimates.expected_run_s(job),
             quick_start,
             may_wait: may_wait && self.tuning.wait_for_busy_machines && job.record.spec.kind != JobKind::Standing,
         }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -205,7 +205,7 @@
         if guaranteed.contains(&unplaced.job) {
             return unplaced.wait_s > RECLAIM_WAIT_S;
         }
-        let spare_s = self.allowed_s(job) - self.age_s(job) - self.estimates.run_time(job);
+        let spare_s = self.allowed_s(job) - self.age_s(job) - self.estimates.expected_run_s(job);
         spare_s > -LATE_TOLERANCE_S && unplaced.wait_s + SPARE_MARGIN_S > spare_s && unplaced.wait_s > NEARLY_DONE_S
     }
 
