--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -106,7 +106,7 @@
 
 impl Estimates {
     /// Notes that a machine is gone, and whether it was lost rather than returned.
-    pub(crate) fn machine_gone(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
+    pub(crate) fn record_lifetime(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
         let age_s = now.since(machine.born).as_secs();
         self.lifetimes.entry(MachineFamily::of(machine)).or_default().add(Lifetime { age_s, lost });
     }
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -77,7 +77,7 @@
                 // The cloud numbers its machines: the first name is about the oldest one.
                 owned_shard.removed_machines.pop_first();
             }
-            self.estimates.machine_gone(&machine, self.now, unexpected);
+            self.estimates.record_lifetime(&machine, self.now, unexpected);
         }
         for key in keys {
             if let Some(TaskRecord::Placed(attempt, _)) = self.desired_task(&key).cloned() {
