--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -63,7 +63,7 @@
             let machines = self
                 .fleet
                 .machines()
-                .filter(|(name, machine)| machine.up == up && machine.spot == spot && !self.draining(name));
+                .filter(|(name, machine)| machine.up == up && machine.spot == spot && !self.is_draining(name));
             machines.filter_map(|(_, machine)| self.catalog.get(&machine.kind)).map(|kind| kind.cpus).sum()
         };
         let jobs = self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id));
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -84,12 +84,12 @@
 
 impl Core {
     /// True if the stored record names the machine as draining or as returned.
-    pub(crate) fn draining(&self, name: &MachineId) -> bool {
+    pub(crate) fn is_draining(&self, name: &MachineId) -> bool {
         self.fleet.inventory.is_draining(name)
     }
 
     /// True if the return of the machine was confirmed by the cloud and recorded.
-    pub(crate) fn returned(&self, name: &MachineId) -> bool {
+    pub(crate) fn is_returned(&self, name: &MachineId) -> bool {
         self.fleet.inventory.is_returned(name)
     }
 
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -87,7 +87,7 @@
         let mut surplus = self.surplus(demand);
         let mut names = vec![];
         for (name, machine) in self.machines_dearest_first(&used) {
-            let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !self.draining(name)) else { continue };
+            let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !self.is_draining(name)) else { continue };
             let candidate = DrainCandidate { name, machine, kind, used_cpus: used_cpus(&used, name) };
             let unneeded = self.is_unneeded(&candidate, &surplus);
             if unneeded {
--- a/src/coordination/fleet/shortfall.rs
+++ b/src/coordination/fleet/shortfall.rs
@@ -68,7 +68,7 @@
     fn available_machines(&self) -> Vec<AvailableMachine<'_>> {
         self.fleet
             .machines()
-            .filter(|(name, machine)| machine.is_usable() && !self.draining(name))
+            .filter(|(name, machine)| machine.is_usable() && !self.is_draining(name))
             .filter_map(|(name, machine)| Some(AvailableMachine { name, machine, cpus: self.countable_cpus(machine)? }))
             .collect()
     }
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -62,13 +62,13 @@
 
     /// True if the machine may be given work, as far as its own state goes.
     pub(super) fn is_usable(&self, name: &MachineId, machine: &Machine) -> bool {
-        machine.notice.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.draining(name)
+        machine.notice.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.is_draining(name)
     }
 
     /// All tasks that were on the machine are certainly gone: forgets the machine and lets its tasks be placed
     /// again.
     pub(crate) fn remove_lost_machine(&mut self, shard: ShardId, name: &MachineId) {
-        let unexpected = !self.returned(name);
+        let unexpected = !self.is_returned(name);
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let keys: Vec<TaskKey> = owned_shard.placed_tasks.get(name).into_iter().flatten().cloned().collect();
         if let Some(machine) = owned_shard.machines.remove(name) {
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -107,7 +107,7 @@
             && machine.notice.is_none()
             && self.now >= machine.cordoned_until
             && self.now.since(machine.last_heartbeat) < self.heartbeat_overdue_after()
-            && !self.draining(name)
+            && !self.is_draining(name)
     }
 
     /// A snapshot of one machine.
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -39,7 +39,7 @@
 
     fn remove_returned_machines(&mut self, shard: ShardId) {
         let names = self.owned_shards.get(&shard).into_iter().flat_map(OwnedShard::machine_names);
-        let returned: BTreeSet<MachineId> = names.filter(|name| self.returned(name)).cloned().collect();
+        let returned: BTreeSet<MachineId> = names.filter(|name| self.is_returned(name)).cloned().collect();
         for name in returned {
             tracing::info!(shard = %shard, machine = %name, "machine was returned");
             self.remove_lost_machine(shard, &name);
