--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -28,7 +28,7 @@
     /// The cloud lists it as failed, or its owner holds it for faulty.
     pub(crate) failed: bool,
     /// The cloud has announced that it takes it away.
-    pub(crate) leaving: bool,
+    pub(crate) terminating: bool,
     /// Its heartbeats arrive, but it receives no answer from its owner.
     pub(crate) downlink_lost: bool,
     /// This process rented it and has watched it boot since.
@@ -50,7 +50,7 @@
             created_at,
             up: false,
             failed: false,
-            leaving: false,
+            terminating: false,
             downlink_lost: false,
             rented_here: false,
             last_listed: None,
@@ -76,7 +76,7 @@
 
     /// True if tasks may be placed on it, now or once it is up.
     pub(super) fn is_usable(&self) -> bool {
-        !self.failed && !self.leaving && !self.downlink_lost
+        !self.failed && !self.terminating && !self.downlink_lost
     }
 }
 
@@ -169,7 +169,7 @@
     pub(super) fn apply_reports(&mut self, reported: &ReportedMachines) {
         for (name, machine) in &mut self.machines {
             machine.up |= reported.up.contains(name);
-            machine.leaving |= reported.leaving.contains(name);
+            machine.terminating |= reported.terminating.contains(name);
             machine.failed |= reported.faulty.contains(name);
             machine.downlink_lost = reported.downlink_lost.contains(name);
         }
--- a/src/coordination/fleet/machine_status.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -15,7 +15,7 @@
     /// Send heartbeats.
     pub(super) up: BTreeSet<MachineId>,
     /// The cloud has announced that it takes them away.
-    pub(super) leaving: BTreeSet<MachineId>,
+    pub(super) terminating: BTreeSet<MachineId>,
     /// Fail jobs that succeed elsewhere.
     pub(super) faulty: BTreeSet<MachineId>,
     /// Send heartbeats, but receive no answers.
@@ -28,7 +28,7 @@
         for (name, machine) in &shard.machines {
             self.up.insert(name.clone());
             if machine.notice.is_some() {
-                self.leaving.insert(name.clone());
+                self.terminating.insert(name.clone());
             }
             if machine.faulty {
                 self.faulty.insert(name.clone());
@@ -42,7 +42,7 @@
         for shard in &status.shards {
             self.up.extend(names(&shard.reporting_machines));
             self.downlink_lost.extend(names(&shard.downlink_lost_machines));
-            self.leaving.extend(names(&shard.terminating_machines));
+            self.terminating.extend(names(&shard.terminating_machines));
         }
     }
 }
--- a/src/coordination/leader/shard_capacity.rs
+++ b/src/coordination/leader/shard_capacity.rs
@@ -156,7 +156,7 @@
         let mut shards: Vec<Vec<MachineCapacity>> = (0..self.shard_count).map(|_| vec![]).collect();
         for (name, machine) in self.fleet.machines() {
             let Some(machine_type) = self.catalog.get(&machine.kind) else { continue };
-            if !machine.up || machine.leaving || machine.downlink_lost || self.is_draining(name) {
+            if !machine.up || machine.terminating || machine.downlink_lost || self.is_draining(name) {
                 continue;
             }
             let mut free = Resources::of_machine(machine_type);
