--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -25,6 +25,6 @@
             return;
         }
         self.fleet.inventory.confirm_returns(names, self.now);
-        self.write_fleet();
+        self.write_fleet_record();
     }
 }
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -14,32 +14,32 @@
 use std::collections::BTreeMap;
 
 /// How far back the usual load is learned from, in seconds.
-const USUAL_LOAD_WINDOW_S: f64 = 150.0;
+const RECENT_LOAD_WINDOW_S: f64 = 150.0;
 
 /// Tasks that one core is expected to run one after the other at the most.
-const MOST_TASKS_IN_SERIES: f64 = 4.0;
+const MAX_TASKS_IN_SERIES: f64 = 4.0;
 
 /// Room kept for peaks of the usual load, as a factor.
-const USUAL_LOAD_HEADROOM: f64 = 1.1;
+const RECENT_LOAD_HEADROOM_FACTOR: f64 = 1.1;
 
 /// Room kept for peaks of urgent work, in standard deviations of it.
-const URGENT_LOAD_DEVIATIONS: f64 = 0.5;
+const URGENT_HEADROOM_DEVIATIONS: f64 = 0.5;
 
 /// Boots slower than this many times the catalog's time are not planned for.
-const MOST_BOOT_SLOWDOWN: f64 = 4.0;
+const MAX_BOOT_SLOWDOWN_FACTOR: f64 = 4.0;
 
 /// What a machine takes beyond its boot until it is of use, in seconds.
-const FIRST_START_S: f64 = 10.0;
+const FIRST_TASK_DELAY_S: f64 = 10.0;
 
 /// What a task is taken to need beyond its run time, in seconds, and a margin on its run time.
 const TASK_OVERHEAD_S: f64 = 5.0;
-const RUN_TIME_MARGIN: f64 = 1.2;
+const RUN_TIME_MARGIN_FACTOR: f64 = 1.2;
 
 /// The share of its run time that a running task is taken to need still.
 const REMAINING_RUN_SHARE: f64 = 0.6;
 
 /// A job with less time left than this many run times and a boot can't wait for a machine to come free.
-const URGENT_RUN_TIMES: f64 = 2.2;
+const URGENT_RUN_TIME_FACTOR: f64 = 2.2;
 
 /// Cores that a group of jobs with the same constraints asks for.
 pub(crate) struct Demand {
@@ -147,8 +147,8 @@
             return CoreShares { running: 1.0, waiting: 1.0 };
         }
         // Tasks one after the other that fit into the time left.
-        let in_series = ((left_s - TASK_OVERHEAD_S) / (run_s * RUN_TIME_MARGIN + TASK_OVERHEAD_S)).floor();
-        let in_series = in_series.clamp(1.0, MOST_TASKS_IN_SERIES);
+        let in_series = ((left_s - TASK_OVERHEAD_S) / (run_s * RUN_TIME_MARGIN_FACTOR + TASK_OVERHEAD_S)).floor();
+        let in_series = in_series.clamp(1.0, MAX_TASKS_IN_SERIES);
         CoreShares {
             running: (run_s * REMAINING_RUN_SHARE / window_s).min(1.0),
             waiting: (run_s / window_s).min(1.0) / in_series,
@@ -164,7 +164,7 @@
 }
 
 /// What the jobs of late keep busy.
-struct UsualLoad {
+struct RecentLoad {
     /// Cores, on average.
     cpus: f64,
     /// Standard deviation of the cores of those that were urgent from their start.
@@ -190,7 +190,7 @@
     pub(super) fn demand(&self) -> Vec<Demand> {
         let window_s = self.planning_window_s();
         let mut groups = self.current_demand(window_s);
-        self.add_usual_load(&mut groups, window_s);
+        self.add_recent_load(&mut groups, window_s);
         self.add_start_reserve(&mut groups);
         let mut demand: Vec<Demand> = groups.into_values().filter(|group| group.cpus > 0.0).collect();
         demand.extend(self.unplaceable_demand());
@@ -205,15 +205,15 @@
     fn planning_window_s(&self) -> f64 {
         // Quick spells are not relied on, and slow ones not planned for without bound.
         let boot_s = |kind: &MachineType| {
-            self.slowest_usual_boot_s(kind).clamp(kind.provisioning_s, MOST_BOOT_SLOWDOWN * kind.provisioning_s)
+            self.slowest_typical_boot_s(kind).clamp(kind.provisioning_s, MAX_BOOT_SLOWDOWN_FACTOR * kind.provisioning_s)
         };
-        self.catalog.types().map(boot_s).fold(0.0, f64::max) + FIRST_START_S
+        self.catalog.types().map(boot_s).fold(0.0, f64::max) + FIRST_TASK_DELAY_S
     }
 
     /// The usual boot of a type in the zone where it is slowest.
-    fn slowest_usual_boot_s(&self, kind: &MachineType) -> f64 {
+    fn slowest_typical_boot_s(&self, kind: &MachineType) -> f64 {
         let times = &self.fleet.provisioning_times;
-        kind.zones.iter().map(|zone| times.usual_s(&kind.name, zone, kind.provisioning_s)).fold(0.0, f64::max)
+        kind.zones.iter().map(|zone| times.typical_s(&kind.name, zone, kind.provisioning_s)).fold(0.0, f64::max)
     }
 
     /// What the jobs there are ask for, by constraints.
@@ -262,16 +262,17 @@
     /// Raises demand to what the work of late has kept busy: it is likely to be asked for again, and
     /// renting ahead saves late starts and churn. All of it counts as urgent: a load that spot
     /// machines can't carry for good needs ordinary ones.
-    fn add_usual_load(&self, groups: &mut DemandGroups, window_s: f64) {
-        let usual = self.usual_load(window_s);
-        let usual_cpus = usual.cpus * USUAL_LOAD_HEADROOM + usual.urgent_deviation * URGENT_LOAD_DEVIATIONS;
+    fn add_recent_load(&self, groups: &mut DemandGroups, window_s: f64) {
+        let recent = self.recent_load(window_s);
+        let usual_cpus =
+            recent.cpus * RECENT_LOAD_HEADROOM_FACTOR + recent.urgent_deviation * URGENT_HEADROOM_DEVIATIONS;
         let current_cpus: f64 = groups.values().map(|group| group.cpus).sum();
         let urgent_cpus: f64 = groups.values().map(|group| group.urgent_cpus).sum();
         tracing::debug!(
             current_cpus,
             urgent_cpus,
             usual_cpus,
-            urgent_deviation_cpus = usual.urgent_deviation,
+            urgent_deviation_cpus = recent.urgent_deviation,
             "computed demand"
         );
         if let Some(group) = largest_group(groups) {
@@ -292,18 +293,18 @@
     /// in time.
     fn cannot_wait_for_room(&self, job: &Job, left_s: f64, window_s: f64) -> bool {
         let run_s = self.estimates.expected_run_s(job);
-        job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIMES + window_s
+        job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIME_FACTOR + window_s
     }
 
     /// What the arrays that were submitted of late keep busy.
-    fn usual_load(&self, window_s: f64) -> UsualLoad {
+    fn recent_load(&self, window_s: f64) -> RecentLoad {
         let mut core_seconds = 0.0;
         let mut urgent = vec![];
         let mut oldest_s: f64 = 0.0;
         for (id, job) in &self.cache.jobs {
             let age_s = self.age_s(job);
-            let of_late = age_s < USUAL_LOAD_WINDOW_S && job.record.spec.kind == JobKind::Array;
-            if !of_late || !self.keeps_machines_busy(id, job) {
+            let is_recent = age_s < RECENT_LOAD_WINDOW_S && job.record.spec.kind == JobKind::Array;
+            if !is_recent || !self.counts_as_load(id, job) {
                 continue;
             }
             let load = self.load_of(job);
@@ -313,12 +314,12 @@
             }
             oldest_s = oldest_s.max(age_s);
         }
-        let time_s = oldest_s.max(USUAL_LOAD_WINDOW_S / 3.0);
-        UsualLoad { cpus: core_seconds / time_s, urgent_deviation: load_deviation(&urgent, time_s) }
+        let time_s = oldest_s.max(RECENT_LOAD_WINDOW_S / 3.0);
+        RecentLoad { cpus: core_seconds / time_s, urgent_deviation: load_deviation(&urgent, time_s) }
     }
 
     /// False for jobs that were cancelled, that wait for others, or that fail wherever they run.
-    fn keeps_machines_busy(&self, id: &JobId, job: &Job) -> bool {
+    fn counts_as_load(&self, id: &JobId, job: &Job) -> bool {
         job.record.end != Some(JobOutcome::Cancelled) && !job.record.waits() && !self.fails_everywhere(id)
     }
 
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -16,26 +16,26 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// How many observations the users' estimates count for in the beginning.
-const ESTIMATE_WEIGHT: f64 = 3.0;
+const ESTIMATE_PRIOR_WEIGHT: f64 = 3.0;
 
 /// The most observations that a mean of run times remembers.
-const MOST_RUN_TIMES: f64 = 100.0;
+const MAX_RUN_TIME_WEIGHT: f64 = 100.0;
 
 /// Ratios of actual to estimated time beyond these count as these.
-const LEAST_RATIO: f64 = 0.1;
-const GREATEST_RATIO: f64 = 10.0;
+const MIN_RUN_TIME_RATIO: f64 = 0.1;
+const MAX_RUN_TIME_RATIO: f64 = 10.0;
 
 /// The most jobs that a mean of sizes remembers.
-const MOST_JOB_SIZES: f64 = 30.0;
+const MAX_JOB_SIZE_WEIGHT: f64 = 30.0;
 
 /// Tasks seen running this soon after ownership began may have started before it.
-const UNKNOWN_START: Millis = Millis(3000);
+const UNKNOWN_START_WINDOW: Millis = Millis(3000);
 
 /// Run times below this are not learned from.
-const LEAST_RUN_S: f64 = 0.5;
+const MIN_LEARNED_RUN_S: f64 = 0.5;
 
 /// What a placed task takes until it runs.
-const START_S: f64 = 2.0;
+const TASK_START_S: f64 = 2.0;
 
 /// Machines that share a history of lifetimes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -66,14 +66,14 @@
 }
 
 impl RunTimeRatio {
-    fn unknown() -> RunTimeRatio {
-        RunTimeRatio { mean_ln: 0.0, weight: ESTIMATE_WEIGHT, factor: 1.0 }
+    fn uncorrected() -> RunTimeRatio {
+        RunTimeRatio { mean_ln: 0.0, weight: ESTIMATE_PRIOR_WEIGHT, factor: 1.0 }
     }
 
     fn add(&mut self, ratio: f64) {
-        let ratio_ln = ratio.clamp(LEAST_RATIO, GREATEST_RATIO).ln();
+        let ratio_ln = ratio.clamp(MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO).ln();
         self.mean_ln = (self.mean_ln * self.weight + ratio_ln) / (self.weight + 1.0);
-        self.weight = (self.weight + 1.0).min(MOST_RUN_TIMES);
+        self.weight = (self.weight + 1.0).min(MAX_RUN_TIME_WEIGHT);
         self.factor = self.mean_ln.exp();
     }
 }
@@ -87,7 +87,7 @@
 
 impl MeanCpus {
     fn add(&mut self, cpus: f64) {
-        self.weight = (self.weight + 1.0).min(MOST_JOB_SIZES);
+        self.weight = (self.weight + 1.0).min(MAX_JOB_SIZE_WEIGHT);
         self.cpus += (cpus - self.cpus) / self.weight;
     }
 }
@@ -160,7 +160,7 @@
     }
 
     fn learn_ratio(&mut self, class: &InternedName, ratio: f64) {
-        self.run_time_ratios.entry(class.clone()).or_insert_with(RunTimeRatio::unknown).add(ratio);
+        self.run_time_ratios.entry(class.clone()).or_insert_with(RunTimeRatio::uncorrected).add(ratio);
     }
 }
 
@@ -172,13 +172,13 @@
         // A task that ran before this node owned the shard began at an unknown time, and one that ran
         // while this process did not ended at an unknown time. A pause of 20 s that was learned from
         // once made all later work seem half as long again, and machines were rented for it.
-        if started.since(owned_shard.owned_since) < UNKNOWN_START || *started < self.resumed_at {
+        if started.since(owned_shard.owned_since) < UNKNOWN_START_WINDOW || *started < self.resumed_at {
             return;
         }
         let ran_s = self.now.since(*started).as_secs();
         let Some(job) = self.cache.jobs.get(&key.0) else { return };
         let (class, estimated_s) = (job.class.clone(), job.record.spec.estimated_run_s);
-        if estimated_s > 0.0 && ran_s > LEAST_RUN_S {
+        if estimated_s > 0.0 && ran_s > MIN_LEARNED_RUN_S {
             self.estimates.learn_ratio(&class, ran_s / estimated_s);
         }
     }
@@ -202,7 +202,7 @@
     pub(crate) fn remaining_s_of_run(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
         match owned_shard.running_since.get(key) {
             Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
-            None => run_s + START_S,
+            None => run_s + TASK_START_S,
         }
     }
 }
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -16,23 +16,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that a job must fail on, with nothing done, to count as failing everywhere.
-const SEVERAL_MACHINES: usize = 3;
+const FAILS_EVERYWHERE_MIN_MACHINES: usize = 3;
 
 /// Sound jobs that a machine must fail to be faulty.
-const FAULTY_AFTER: usize = 2;
+const FAULTY_MIN_JOBS: usize = 2;
 
 /// The pause after the first try of a job that fails everywhere; doubled with each further try.
-const FIRST_BACKOFF_S: f64 = 5.0;
+const INITIAL_BACKOFF_S: f64 = 5.0;
 
 /// The longest pause between tries.
-const LONGEST_BACKOFF_S: f64 = 60.0;
+const MAX_BACKOFF_S: f64 = 60.0;
 
 /// How long a machine takes nothing new that failed several jobs of which it is not known yet
 /// whether they run elsewhere.
 const MACHINE_BACKOFF: Millis = Millis(5000);
 
 /// How long failures that did not recur are remembered.
-const FORGET_AFTER: Millis = Millis(600_000);
+const FAILURE_RETENTION: Millis = Millis(600_000);
 
 /// Failures of one job.
 #[derive(Debug)]
@@ -41,25 +41,25 @@
     /// The next pause between tries.
     backoff_s: f64,
     retry_at: MonotonicTime,
-    last: MonotonicTime,
+    last_failure_at: MonotonicTime,
 }
 
 impl JobFailures {
-    fn none(now: MonotonicTime) -> JobFailures {
-        JobFailures { machines: BTreeSet::new(), backoff_s: FIRST_BACKOFF_S, retry_at: now, last: now }
+    fn new(now: MonotonicTime) -> JobFailures {
+        JobFailures { machines: BTreeSet::new(), backoff_s: INITIAL_BACKOFF_S, retry_at: now, last_failure_at: now }
     }
 
     fn on_several_machines(&self) -> bool {
-        self.machines.len() >= SEVERAL_MACHINES
+        self.machines.len() >= FAILS_EVERYWHERE_MIN_MACHINES
     }
 
     fn add(&mut self, machine: &MachineId, now: MonotonicTime) {
-        self.last = now;
+        self.last_failure_at = now;
         self.machines.insert(machine.clone());
         // Tasks that ran side by side and failed together count as one try.
         if self.on_several_machines() && now >= self.retry_at {
             self.retry_at = now + Millis::secs(self.backoff_s);
-            self.backoff_s = (self.backoff_s * 2.0).min(LONGEST_BACKOFF_S);
+            self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
         }
     }
 }
@@ -73,7 +73,7 @@
 impl FailureHistory {
     /// Notes that a task of the job failed on the machine.
     pub(super) fn record(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
-        self.jobs.entry(job.clone()).or_insert_with(|| JobFailures::none(now)).add(machine, now);
+        self.jobs.entry(job.clone()).or_insert_with(|| JobFailures::new(now)).add(machine, now);
     }
 
     /// Drops failures on a machine that proved faulty: they say nothing of jobs.
@@ -91,8 +91,8 @@
         self.jobs.get(job).is_some_and(|failures| now < failures.retry_at)
     }
 
-    fn forget(&mut self, now: MonotonicTime, is_over: impl Fn(&JobId) -> bool) {
-        self.jobs.retain(|job, failures| now.since(failures.last) < FORGET_AFTER && !is_over(job));
+    fn prune(&mut self, now: MonotonicTime, has_ended: impl Fn(&JobId) -> bool) {
+        self.jobs.retain(|job, failures| now.since(failures.last_failure_at) < FAILURE_RETENTION && !has_ended(job));
     }
 }
 
@@ -123,13 +123,13 @@
         let jobs = || machine.failed_jobs.keys();
         let sound = jobs().filter(|job| self.has_succeeded(job)).count();
         let unknown = jobs().filter(|job| !self.has_succeeded(job) && !self.fails_everywhere(job)).count();
-        let faulty = sound >= FAULTY_AFTER;
-        let backs_off = sound + unknown >= FAULTY_AFTER;
+        let faulty = sound >= FAULTY_MIN_JOBS;
+        let needs_backoff = sound + unknown >= FAULTY_MIN_JOBS;
         let until = self.now + MACHINE_BACKOFF;
         let machine = self.owned_shards.get_mut(&shard).and_then(|owned_shard| owned_shard.machines.get_mut(name));
         if let Some(machine) = machine {
             machine.faulty = faulty;
-            if backs_off {
+            if needs_backoff {
                 machine.cordoned_until = until;
             }
         }
@@ -145,8 +145,8 @@
             self.update_faulty_machine(shard, &name);
         }
         let cache = &self.cache;
-        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.end.is_some());
-        self.estimates.failures.forget(self.now, ended);
+        let has_ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.end.is_some());
+        self.estimates.failures.prune(self.now, has_ended);
         let cancelled = |job: &JobId| cache.final_state(job) == Some(JobOutcome::Cancelled);
         for machine in self.owned_shards.values_mut().flat_map(|owned_shard| owned_shard.machines.values_mut()) {
             machine.failed_jobs.retain(|job, _| !cancelled(job));
@@ -158,9 +158,9 @@
         let mut faulty = vec![];
         for (shard, owned_shard) in &self.owned_shards {
             for (name, machine) in &owned_shard.machines {
-                let doubtful = !machine.faulty && machine.failed_jobs.len() >= FAULTY_AFTER;
+                let is_candidate = !machine.faulty && machine.failed_jobs.len() >= FAULTY_MIN_JOBS;
                 let sound_jobs = || machine.failed_jobs.keys().filter(|job| self.has_succeeded(job)).count();
-                if doubtful && sound_jobs() >= FAULTY_AFTER {
+                if is_candidate && sound_jobs() >= FAULTY_MIN_JOBS {
                     faulty.push((*shard, name.clone()));
                 }
             }
--- a/src/coordination/fleet/fault_attribution/tests.rs
+++ b/src/coordination/fleet/fault_attribution/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn tries_of_a_job_that_always_fails_become_rare() {
+fn retries_of_a_job_that_always_fails_back_off() {
     let job = JobId::new("wk-1");
     let mut failures = FailureHistory::default();
     let (mut now, mut tries) = (MonotonicTime(0), 0);
@@ -13,6 +13,6 @@
         now = now + Millis(100);
     }
     assert!((10..20).contains(&tries), "{tries} tries");
-    failures.forget(now + FORGET_AFTER, |_| false);
+    failures.prune(now + FAILURE_RETENTION, |_| false);
     assert!(!failures.failed_on_several(&job));
 }
--- a/src/coordination/fleet/fleet_record.rs
+++ b/src/coordination/fleet/fleet_record.rs
@@ -10,13 +10,13 @@
 use crate::units::MachineId;
 
 /// The share of a value that is planned to be used.
-const USED_SHARE_OF_VALUE: f64 = 0.9;
+const USED_VALUE_SHARE: f64 = 0.9;
 
 /// Bytes around each name: two quotes and a comma.
-const NAME_OVERHEAD: usize = 3;
+const NAME_OVERHEAD_BYTES: usize = 3;
 
 /// The length in bytes that names are taken to have at the least.
-const USUAL_NAME_LENGTH: usize = 12;
+const MIN_ASSUMED_NAME_BYTES: usize = 12;
 
 /// How many machines the record may name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,16 +29,16 @@
 
 impl FleetRecordCapacity {
     /// What a value of `value_kb` KiB holds if no name is longer than `longest` bytes.
-    fn within(value_kb: f64, longest: usize) -> FleetRecordCapacity {
-        let all = (value_kb * 1024.0 * USED_SHARE_OF_VALUE / (longest + NAME_OVERHEAD) as f64) as usize;
+    fn within(value_kb: f64, longest_name_bytes: usize) -> FleetRecordCapacity {
+        let all = (value_kb * 1024.0 * USED_VALUE_SHARE / (longest_name_bytes + NAME_OVERHEAD_BYTES) as f64) as usize;
         let gone = (all / 4).max(1);
         FleetRecordCapacity { drain: all.saturating_sub(gone).max(1), gone }
     }
 
     /// Drops the oldest of the returned machines that do not fit.
     fn keep_newest(&self, gone: &mut Vec<MachineId>) {
-        let over = gone.len().saturating_sub(self.gone);
-        gone.drain(..over);
+        let excess = gone.len().saturating_sub(self.gone);
+        gone.drain(..excess);
     }
 }
 
@@ -48,8 +48,8 @@
         let recorded = self.cache.fleet.record.iter().flat_map(|record| record.drain.iter().chain(&record.gone));
         let known = self.fleet.machines().map(|(name, _)| name);
         let names = recorded.chain(known).chain(self.fleet.inventory.confirmed_returns());
-        let longest = names.map(|name| name.as_str().len()).max().unwrap_or(0).max(USUAL_NAME_LENGTH);
-        FleetRecordCapacity::within(self.settings.cluster.state.value_kb, longest)
+        let longest_name_bytes = names.map(|name| name.as_str().len()).max().unwrap_or(0).max(MIN_ASSUMED_NAME_BYTES);
+        FleetRecordCapacity::within(self.settings.cluster.state.value_kb, longest_name_bytes)
     }
 
     /// The stored record, cut to what fits into one value now, whatever was written before.
@@ -62,7 +62,7 @@
     }
 
     /// Writes which machines are draining and which were returned, if that changed.
-    pub(super) fn write_fleet(&mut self) {
+    pub(super) fn write_fleet_record(&mut self) {
         if self.store.is_key_busy(FLEET_KEY) || !self.is_leader() {
             return;
         }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -128,8 +128,8 @@
     }
 
     /// Forgets the first confirmed returns, by name, until so many are left.
-    pub(super) fn trim_confirmed_returns(&mut self, most: usize) {
-        while self.confirmed_returns.len() > most {
+    pub(super) fn trim_confirmed_returns(&mut self, max_count: usize) {
+        while self.confirmed_returns.len() > max_count {
             self.confirmed_returns.pop_first();
         }
     }
@@ -151,7 +151,7 @@
     /// Adds a machine that reports to its owner, unless it is known or was returned of late: what
     /// owners know lags too.
     pub(super) fn add_reported(&mut self, name: &MachineId, machine: impl FnOnce() -> RentedMachine) {
-        if !self.machines.contains_key(name) && !self.was_returned_lately(name) {
+        if !self.machines.contains_key(name) && !self.was_recently_returned(name) {
             self.machines.insert(name.clone(), machine());
         }
     }
@@ -177,7 +177,7 @@
 
     /// Takes over an entry of the cloud's list, unless the machine was returned.
     pub(super) fn apply_listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
-        if self.was_returned_lately(&listed.machine) || self.is_returned(&listed.machine) {
+        if self.was_recently_returned(&listed.machine) || self.is_returned(&listed.machine) {
             return;
         }
         let pool = MachinePool { kind: listed.kind, zone: listed.zone, spot: listed.spot };
@@ -189,9 +189,9 @@
     }
 
     /// Forgets machines that no list has named for so long, and returns as old as that.
-    pub(super) fn forget_unlisted(&mut self, now: MonotonicTime, patience: Millis) {
-        self.machines.retain(|_, machine| now.since(machine.last_listed.unwrap_or(machine.created_at)) < patience);
-        self.recent_returns.retain(|_, returned_at| now.since(*returned_at) < patience);
+    pub(super) fn forget_unlisted(&mut self, now: MonotonicTime, retention: Millis) {
+        self.machines.retain(|_, machine| now.since(machine.last_listed.unwrap_or(machine.created_at)) < retention);
+        self.recent_returns.retain(|_, returned_at| now.since(*returned_at) < retention);
     }
 
     /// Notes which machines are without any task.
@@ -237,7 +237,7 @@
     }
 
     /// True if the machine was returned of late, whoever still names it.
-    fn was_returned_lately(&self, name: &MachineId) -> bool {
+    fn was_recently_returned(&self, name: &MachineId) -> bool {
         self.confirmed_returns.contains(name) || self.recent_returns.contains_key(name)
     }
 }
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -5,14 +5,14 @@
 /// A fleet that shrank returned more machines than the record has room for;
 /// the list, which lags, named them still, and they counted as room again.
 #[test]
-fn a_lagging_list_does_not_bring_returned_machines_back() {
+fn lagging_list_does_not_restore_returned_machines() {
     let mut core = crate::coordination::tests::core();
     core.handle(MonotonicTime(1000), 0, Input::Tick);
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
     for some in names.chunks(50) {
         let call = core.store.register(PendingRequest::Return(some.to_vec()), core.now);
         core.cloud_answer(call, CloudAnswer::Returned);
-        core.write_fleet();
+        core.write_fleet_record();
         while core.fleet.inventory.confirmed_returns.len() > 10 {
             core.fleet.inventory.confirmed_returns.pop_first();
         }
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -12,22 +12,22 @@
 const LIST_INTERVAL: Millis = Millis(2000);
 
 /// A machine is forgotten after so many times the list's lag without being named, and some seconds.
-const PATIENCE_LAGS: f64 = 2.5;
-const PATIENCE_EXTRA_S: f64 = 5.0;
+const UNLISTED_RETENTION_LAG_FACTOR: f64 = 2.5;
+const UNLISTED_RETENTION_MARGIN_S: f64 = 5.0;
 
 /// The progress of reading the list.
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     in_progress: bool,
     /// A full list has been read since this process started.
-    complete_once: bool,
+    completed_once: bool,
     started_at: MonotonicTime,
 }
 
 impl MachineListing {
     /// True if a full list has been read: without it nobody knows what is rented.
     pub(super) fn is_complete(&self) -> bool {
-        self.complete_once
+        self.completed_once
     }
 
     fn is_due(&self, now: MonotonicTime) -> bool {
@@ -41,7 +41,7 @@
 
     fn finish(&mut self) {
         self.in_progress = false;
-        self.complete_once = true;
+        self.completed_once = true;
     }
 
     fn abort(&mut self) {
@@ -75,7 +75,7 @@
             self.fleet.inventory.apply_listed(listed, self.now);
         }
         let lag_s = self.settings.cluster.cloud.list_lag_s;
-        let patience = Millis::secs(lag_s * PATIENCE_LAGS + PATIENCE_EXTRA_S);
-        self.fleet.inventory.forget_unlisted(self.now, patience);
+        let retention = Millis::secs(lag_s * UNLISTED_RETENTION_LAG_FACTOR + UNLISTED_RETENTION_MARGIN_S);
+        self.fleet.inventory.forget_unlisted(self.now, retention);
     }
 }
--- a/src/coordination/fleet/machine_pool.rs
+++ b/src/coordination/fleet/machine_pool.rs
@@ -6,19 +6,19 @@
 use std::collections::BTreeMap;
 
 /// The pause after the first refusal for lack of capacity; doubled with each further one.
-const FIRST_BACKOFF_S: f64 = 5.0;
+const INITIAL_BACKOFF_S: f64 = 5.0;
 
 /// The longest pause after refusals.
-const LONGEST_BACKOFF_S: f64 = 40.0;
+const MAX_BACKOFF_S: f64 = 40.0;
 
 /// Refusals after which the pause grows no more.
-const MOST_COUNTED_REFUSALS: u32 = 4;
+const MAX_COUNTED_REFUSALS: u32 = 4;
 
 /// The pause after a rental that got fewer machines than requested.
-const PARTIAL_BACKOFF: Millis = Millis(10_000);
+const PARTIAL_RENTAL_BACKOFF: Millis = Millis(10_000);
 
 /// The pause after a rental that got no answer.
-const FAILURE_BACKOFF: Millis = Millis(3000);
+const NO_ANSWER_BACKOFF: Millis = Millis(3000);
 
 /// Machines of one type in one zone that are rented on the same terms.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,30 +52,30 @@
     }
 
     /// True if any pool of spot machines is backing off now.
-    pub(super) fn any_spot(&self, now: MonotonicTime) -> bool {
+    pub(super) fn any_spot_backing_off(&self, now: MonotonicTime) -> bool {
         self.backoffs.iter().any(|(pool, backoff)| pool.spot && now < backoff.until)
     }
 
     /// The pool had all machines that were requested.
-    pub(super) fn rented_all(&mut self, pool: &MachinePool) {
+    pub(super) fn record_full_rental(&mut self, pool: &MachinePool) {
         self.backoffs.remove(pool);
     }
 
     /// The pool had only some of the machines that were requested.
-    pub(super) fn rented_some(&mut self, pool: MachinePool, now: MonotonicTime) {
-        self.backoffs.insert(pool, PoolBackoff { until: now + PARTIAL_BACKOFF, refusals: 0 });
+    pub(super) fn record_partial_rental(&mut self, pool: MachinePool, now: MonotonicTime) {
+        self.backoffs.insert(pool, PoolBackoff { until: now + PARTIAL_RENTAL_BACKOFF, refusals: 0 });
     }
 
     /// The pool had none; the pause grows with each refusal.
-    pub(super) fn refused(&mut self, pool: MachinePool, now: MonotonicTime) {
+    pub(super) fn record_refusal(&mut self, pool: MachinePool, now: MonotonicTime) {
         let refusals = self.backoffs.get(&pool).map_or(0, |backoff| backoff.refusals) + 1;
-        let doublings = refusals.min(MOST_COUNTED_REFUSALS) as i32 - 1;
-        let pause_s = (FIRST_BACKOFF_S * 2f64.powi(doublings)).min(LONGEST_BACKOFF_S);
+        let doublings = refusals.min(MAX_COUNTED_REFUSALS) as i32 - 1;
+        let pause_s = (INITIAL_BACKOFF_S * 2f64.powi(doublings)).min(MAX_BACKOFF_S);
         self.backoffs.insert(pool, PoolBackoff { until: now + Millis::secs(pause_s), refusals });
     }
 
     /// The cloud did not answer, whatever was tried.
-    pub(super) fn failed(&mut self, pool: MachinePool, now: MonotonicTime) {
-        self.backoffs.insert(pool, PoolBackoff { until: now + FAILURE_BACKOFF, refusals: 0 });
+    pub(super) fn record_no_answer(&mut self, pool: MachinePool, now: MonotonicTime) {
+        self.backoffs.insert(pool, PoolBackoff { until: now + NO_ANSWER_BACKOFF, refusals: 0 });
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -17,21 +17,21 @@
 use std::collections::{HashMap, HashSet};
 
 /// How long a machine is named as draining before it is returned, so that its owner knows.
-const DRAIN_NOTICE: Millis = Millis(2000);
+const MIN_DRAIN_TIME: Millis = Millis(2000);
 
 /// An ordinary machine is kept idle for a fraction of the time that a spot machine is: it costs
 /// several times as much.
 const ON_DEMAND_IDLE_DIVISOR: u64 = 4;
 
 /// How long beyond its boot an ordinary machine is left alone.
-const SETTLING_S: f64 = 45.0;
+const SETTLING_TIME_S: f64 = 45.0;
 
 /// An ordinary machine is left to run empty if less than this share of its cores is in use.
-const LOW_USE: f64 = 0.6;
+const LOW_USE_SHARE: f64 = 0.6;
 
 /// Cores that must be spare beyond those of an ordinary machine before it is left to run empty, as a
 /// share of its own.
-const ON_DEMAND_MARGIN: f64 = 0.25;
+const ON_DEMAND_MARGIN_SHARE: f64 = 0.25;
 
 /// A group that lacks no more than this many cores does not keep machines from being returned.
 const NEGLIGIBLE_CPUS: f64 = 0.5;
@@ -39,7 +39,7 @@
 /// Cores that could be done without, and the groups that still lack some.
 struct Surplus<'a> {
     spare_cpus: f64,
-    lacking_groups: Vec<&'a Demand>,
+    unmet_groups: Vec<&'a Demand>,
 }
 
 /// What is looked at when a machine is judged.
@@ -63,13 +63,13 @@
         for name in names {
             self.start_drain(&name);
         }
-        self.write_fleet();
+        self.write_fleet_record();
     }
 
     /// Returns machines that have been draining long enough for their owners to know and that
     /// nothing is on, or that failed.
     pub(super) fn return_drained(&mut self, busy: &HashSet<MachineId, FixedState>) {
-        self.write_fleet();
+        self.write_fleet_record();
         if self.fleet.returning {
             return;
         }
@@ -86,7 +86,7 @@
         let used = self.resources_in_use();
         let mut surplus = self.surplus(demand);
         let mut names = vec![];
-        for (name, machine) in self.machines_dearest_first(&used) {
+        for (name, machine) in self.machines_by_descending_price(&used) {
             let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !self.is_draining(name)) else { continue };
             let candidate = DrainCandidate { name, machine, kind, used_cpus: used_cpus(&used, name) };
             let unneeded = self.is_unneeded(&candidate, &surplus);
@@ -103,14 +103,13 @@
     fn surplus<'a>(&self, demand: &'a [Demand]) -> Surplus<'a> {
         let shortfall = self.shortfall(demand, |group| group.cpus);
         let groups = demand.iter().zip(&shortfall.missing_cpus);
-        let lacking_groups =
-            groups.filter(|(_, missing)| **missing > NEGLIGIBLE_CPUS).map(|(group, _)| group).collect();
-        Surplus { spare_cpus: shortfall.spare_cpus, lacking_groups }
+        let unmet_groups = groups.filter(|(_, missing)| **missing > NEGLIGIBLE_CPUS).map(|(group, _)| group).collect();
+        Surplus { spare_cpus: shortfall.spare_cpus, unmet_groups }
     }
 
     /// All machines in the order in which they are considered: by price per core, the highest first,
     /// and of equal price the least used first.
-    fn machines_dearest_first(
+    fn machines_by_descending_price(
         &self,
         used: &HashMap<&MachineId, Resources, FixedState>,
     ) -> Vec<(&MachineId, &RentedMachine)> {
@@ -129,9 +128,9 @@
     /// others are not, for they may be what keeps the cloud from having any that would serve it.
     fn is_unneeded(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let covered = surplus.spare_cpus >= candidate.kind.cpus && self.is_idle(candidate.machine);
-        let serves_lacking =
-            || surplus.lacking_groups.iter().any(|group| self.serves(group, candidate.name, candidate.machine));
-        (covered || self.is_dispensable(candidate, surplus)) && !serves_lacking()
+        let serves_unmet_group =
+            || surplus.unmet_groups.iter().any(|group| self.serves(group, candidate.name, candidate.machine));
+        (covered || self.is_dispensable(candidate, surplus)) && !serves_unmet_group()
     }
 
     /// True if the machine has been without tasks for long enough to be returned.
@@ -145,9 +144,13 @@
     /// it is left to run empty, rather than refilled for as long as there is any work.
     fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
-        let settled = machine.up && self.now.since(machine.created_at) > Millis::secs(kind.provisioning_s + SETTLING_S);
-        let margin_cpus = kind.cpus * ON_DEMAND_MARGIN;
-        settled && !machine.spot && used_cpus / kind.cpus < LOW_USE && surplus.spare_cpus >= kind.cpus + margin_cpus
+        let settled =
+            machine.up && self.now.since(machine.created_at) > Millis::secs(kind.provisioning_s + SETTLING_TIME_S);
+        let margin_cpus = kind.cpus * ON_DEMAND_MARGIN_SHARE;
+        settled
+            && !machine.spot
+            && used_cpus / kind.cpus < LOW_USE_SHARE
+            && surplus.spare_cpus >= kind.cpus + margin_cpus
     }
 
     /// True if a machine should have been up long ago.
@@ -184,7 +187,7 @@
             // The return is the proof that nothing is left there.
             let failed = self.fleet.machine(name).is_some_and(|machine| machine.failed);
             let lost = failed && drained_for >= lost_after;
-            if drained_for >= DRAIN_NOTICE && (lost || !busy.contains(name)) {
+            if drained_for >= MIN_DRAIN_TIME && (lost || !busy.contains(name)) {
                 names.push(name.clone());
             }
         }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -15,23 +15,23 @@
 use std::collections::BTreeMap;
 
 /// How long a machine is usually kept and paid for, in seconds.
-const USUAL_RENTAL_S: f64 = 300.0;
+const TYPICAL_RENTAL_S: f64 = 300.0;
 
 /// The share of a machine's cores that counts as of use at the least, however little memory it has.
-const LEAST_USEFUL_SHARE: f64 = 0.3;
+const MIN_USEFUL_SHARE: f64 = 0.3;
 
 /// The share of the time for image fetches that counts: some images are shared by tasks.
-const UNSHARED_FETCHES: f64 = 0.5;
+const UNSHARED_FETCH_SHARE: f64 = 0.5;
 
 /// What is added to the cost in a zone that holds the whole fleet, as a share of it.
-const ZONE_SPREAD_WEIGHT: f64 = 0.05;
+const ZONE_SPREAD_COST_SHARE: f64 = 0.05;
 
 /// How often a rental is repeated that got no answer.
-const RENTAL_RETRIES: u32 = 3;
+const MAX_RENTAL_RETRIES: u32 = 3;
 
 /// Divisors below this are taken as this: cores and memory of a task, and run time.
-const LEAST_TASK_SIZE: f64 = 1e-3;
-const LEAST_RUN_S: f64 = 1e-6;
+const MIN_TASK_SIZE: f64 = 1e-3;
+const MIN_RUN_S: f64 = 1e-6;
 
 /// A rental that is being recorded or requested.
 #[derive(Debug, Clone)]
@@ -73,7 +73,7 @@
     /// The factor by which cost is raised in a zone for what of the fleet is there already.
     fn cost_factor(&self, zone: &str) -> f64 {
         let cpus = self.by_zone.get(zone).copied().unwrap_or(0.0);
-        1.0 + ZONE_SPREAD_WEIGHT * cpus / self.total.max(1.0)
+        1.0 + ZONE_SPREAD_COST_SHARE * cpus / self.total.max(1.0)
     }
 }
 
@@ -128,18 +128,18 @@
                     self.fleet.inventory.add_rented(name, RentedMachine::rented(&pool, self.now));
                 }
                 if (rented as u32) < requested {
-                    self.fleet.pool_backoffs.rented_some(pool, self.now);
+                    self.fleet.pool_backoffs.record_partial_rental(pool, self.now);
                 } else {
-                    self.fleet.pool_backoffs.rented_all(&pool);
+                    self.fleet.pool_backoffs.record_full_rental(&pool);
                 }
             }
-            CloudAnswer::NoCapacity => self.fleet.pool_backoffs.refused(pool, self.now),
+            CloudAnswer::NoCapacity => self.fleet.pool_backoffs.record_refusal(pool, self.now),
             // It may have been carried out: a repetition under the same name gets the same machines.
             _ if rental.retries_left > 0 && self.is_leader() => {
                 self.fleet.renting = true;
                 self.request_rental(PendingRental { retries_left: rental.retries_left - 1, ..rental });
             }
-            _ => self.fleet.pool_backoffs.failed(pool, self.now),
+            _ => self.fleet.pool_backoffs.record_no_answer(pool, self.now),
         }
     }
 
@@ -177,8 +177,9 @@
     /// all and spot machines were refused of late, it would wait for nothing.
     fn may_wait_for_spot(&self, shortage: &GroupShortage) -> bool {
         let spot_sold = self.catalog.types().any(|kind| kind.spot_price.is_some());
-        let has_nothing = shortage.any_cpus >= shortage.group.cpus && self.fleet.pool_backoffs.any_spot(self.now);
-        shortage.group.spot_allowed && spot_sold && !has_nothing
+        let is_blocked =
+            shortage.any_cpus >= shortage.group.cpus && self.fleet.pool_backoffs.any_spot_backing_off(self.now);
+        shortage.group.spot_allowed && spot_sold && !is_blocked
     }
 
     /// True if machines of the pool serve the group and are to be had, as far as is known.
@@ -199,9 +200,9 @@
         let useful_cpus = useful_cpus(kind, group);
         let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(RENT_LIMIT));
         let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
-        let usual_boot_s = self.fleet.provisioning_times.usual_s(&pool.kind, &pool.zone, kind.provisioning_s);
-        let late_boot = (usual_boot_s - kind.provisioning_s).max(0.0) / USUAL_RENTAL_S;
-        let slowdown = 1.0 + UNSHARED_FETCHES * fetch_s / group.weighted_run_s.max(LEAST_RUN_S) + late_boot;
+        let typical_boot_s = self.fleet.provisioning_times.typical_s(&pool.kind, &pool.zone, kind.provisioning_s);
+        let late_boot = (typical_boot_s - kind.provisioning_s).max(0.0) / TYPICAL_RENTAL_S;
+        let slowdown = 1.0 + UNSHARED_FETCH_SHARE * fetch_s / group.weighted_run_s.max(MIN_RUN_S) + late_boot;
         let price = price_per_hour(kind, pool.spot);
         let cost = count * price * slowdown / (count * useful_cpus).min(missing_cpus);
         // At about equal cost the zone with less of the fleet: the loss of a zone should not take
@@ -224,7 +225,7 @@
         self.store.charge_transaction(self.now, 1);
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
-        let rental = PendingRental { request, retries_left: RENTAL_RETRIES };
+        let rental = PendingRental { request, retries_left: MAX_RENTAL_RETRIES };
         self.call_state(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::RentName { rental, transaction },
@@ -239,6 +240,6 @@
 /// Cores of a machine that its memory lets tasks of the group use.
 fn useful_cpus(kind: &MachineType, group: &Demand) -> f64 {
     let task = &group.largest_task;
-    let tasks = (kind.cpus / task.cpus.max(LEAST_TASK_SIZE)).min(kind.mem_gb / task.mem_gb.max(LEAST_TASK_SIZE));
-    (tasks.floor() * task.cpus).clamp(kind.cpus * LEAST_USEFUL_SHARE, kind.cpus)
+    let tasks = (kind.cpus / task.cpus.max(MIN_TASK_SIZE)).min(kind.mem_gb / task.mem_gb.max(MIN_TASK_SIZE));
+    (tasks.floor() * task.cpus).clamp(kind.cpus * MIN_USEFUL_SHARE, kind.cpus)
 }
--- a/src/coordination/fleet/shortfall.rs
+++ b/src/coordination/fleet/shortfall.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 
 /// What is sought beyond demand, since cores are spread over machines that tasks don't fill.
-const FRAGMENTATION_MARGIN: f64 = 1.05;
+const FRAGMENTATION_FACTOR: f64 = 1.05;
 
 /// What demand lacks of the fleet, and what the fleet has beyond demand.
 pub(super) struct Shortfall {
@@ -37,10 +37,10 @@
     /// Lets each group in turn take what serves it; `desired_cpus` says how much it asks for.
     pub(super) fn shortfall(&self, demand: &[Demand], desired_cpus: fn(&Demand) -> f64) -> Shortfall {
         let mut available = self.available_machines();
-        let any_of_one_shard = demand.iter().any(|group| group.shard.is_some());
-        let taken = if any_of_one_shard { self.resources_in_use() } else { HashMap::default() };
+        let has_shard_groups = demand.iter().any(|group| group.shard.is_some());
+        let taken = if has_shard_groups { self.resources_in_use() } else { HashMap::default() };
         let missing_cpus =
-            demand.iter().map(|group| self.allot(group, desired_cpus(group), &mut available, &taken)).collect();
+            demand.iter().map(|group| self.allocate(group, desired_cpus(group), &mut available, &taken)).collect();
         Shortfall { missing_cpus, spare_cpus: available.iter().map(|machine| machine.cpus).sum() }
     }
 
@@ -69,23 +69,23 @@
         self.fleet
             .machines()
             .filter(|(name, machine)| machine.is_usable() && !self.is_draining(name))
-            .filter_map(|(name, machine)| Some(AvailableMachine { name, machine, cpus: self.countable_cpus(machine)? }))
+            .filter_map(|(name, machine)| Some(AvailableMachine { name, machine, cpus: self.expected_cpus(machine)? }))
             .collect()
     }
 
     /// Cores that a machine may be counted on for: a late boot may never end.
-    fn countable_cpus(&self, machine: &RentedMachine) -> Option<f64> {
+    fn expected_cpus(&self, machine: &RentedMachine) -> Option<f64> {
         let kind = self.catalog.get(&machine.kind)?;
         if machine.up {
             return Some(kind.cpus);
         }
         let age_s = self.now.since(machine.created_at).as_secs();
         let times = &self.fleet.provisioning_times;
-        Some(kind.cpus * times.countable_share(&machine.kind, &machine.zone, kind.provisioning_s, age_s))
+        Some(kind.cpus * times.expected_share(&machine.kind, &machine.zone, kind.provisioning_s, age_s))
     }
 
     /// Takes cores that serve the group, and returns how many are still missing.
-    fn allot(
+    fn allocate(
         &self,
         group: &Demand,
         desired_cpus: f64,
@@ -93,7 +93,7 @@
         taken: &TakenResources,
     ) -> f64 {
         // A group of one shard asks for room for whole tasks, and for no more than that.
-        let margin = if group.shard.is_some() { 1.0 } else { FRAGMENTATION_MARGIN };
+        let margin = if group.shard.is_some() { 1.0 } else { FRAGMENTATION_FACTOR };
         let mut missing = desired_cpus * margin;
         for AvailableMachine { name, machine, cpus } in available {
             if missing <= 0.0 {
@@ -102,9 +102,9 @@
             if !self.serves(group, name, machine) || !self.has_room_for(group, name, machine, taken) {
                 continue;
             }
-            let share = cpus.min(missing);
-            *cpus -= share;
-            missing -= share;
+            let allocated = cpus.min(missing);
+            *cpus -= allocated;
+            missing -= allocated;
         }
         missing.max(0.0)
     }
