--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -1,7 +1,7 @@
-//! One pass of the autoscaler, run by the leader with each housekeeping: refresh the inventory,
-//! compute demand, then scale out, scale in and return.
+//! One pass of the autoscaler. The leader runs it with each housekeeping: it refreshes the
+//! inventory, computes demand, scales out, scales in and returns drained machines.
 //!
-//! Keeps the order of these steps. What each decides is in its own module.
+//! This module only orders the steps; each step is implemented in its own module.
 
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::provisioning_times::TypeInZone;
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, HashSet};
 
 impl Core {
-    /// Runs one pass. Nothing is rented or returned before a full list and the catalog are known.
+    /// Runs one pass. Rents and returns nothing until the full machine list and the catalog are known.
     pub(crate) fn manage_fleet(&mut self) {
         self.apply_machine_statuses();
         self.refresh_machine_list();
@@ -32,7 +32,7 @@
         self.return_drained(&busy);
     }
 
-    /// Learns from finished boots, and from the ages of those under way.
+    /// Updates the typical boot times from finished boots and from the ages of unfinished ones.
     fn learn_provisioning_times(&mut self) {
         let mut under_way: BTreeMap<TypeInZone, Vec<f64>> = BTreeMap::new();
         let booting = self.fleet.machines().filter(|(_, machine)| machine.is_watched_boot() && !machine.failed);
@@ -43,7 +43,7 @@
         self.fleet.provisioning_times.learn(&under_way);
     }
 
-    /// Machines that a task may be on, by what is durable or desired.
+    /// Returns the machines that a task may be on, according to the stored or the desired slices.
     fn busy_machines(&self) -> HashSet<MachineId, FixedState> {
         let mut busy: HashSet<&MachineId, FixedState> = HashSet::default();
         let jobs = self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id));
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,7 +1,7 @@
-//! The machine types that the cloud offers, and the stored copy of them for controllers that start
+//! The machine types that the cloud offers, and a stored copy of them for controllers that start
 //! while the cloud does not answer.
 //!
-//! Every controller reads the catalog once; the leader reads it again now and then and stores it.
+//! Every controller reads the catalog once; the leader refreshes it periodically and stores it.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudCall, Core};
@@ -11,17 +11,17 @@
 use crate::units::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// How long a leader that knows the catalog waits until it asks again.
+/// Interval at which the leader refreshes a known catalog.
 const REFRESH_INTERVAL: Millis = Millis(15_000);
 
-/// How long a controller that does not know it waits until it asks again.
+/// Interval at which a controller without a catalog requests it.
 const RETRY_INTERVAL: Millis = Millis(1000);
 
 /// The machine types on offer, by name.
 #[derive(Debug, Default)]
 pub(crate) struct MachineCatalog {
     types: BTreeMap<String, MachineType>,
-    /// When the cloud was last asked for its catalog.
+    /// Time of the last request to the cloud; absent before the first one.
     requested_at: Option<MonotonicTime>,
 }
 
@@ -31,17 +31,17 @@
         self.types = types.iter().map(|kind| (kind.name.clone(), kind.clone())).collect();
     }
 
-    /// True as long as no types are known, neither from the cloud nor from the store.
+    /// True until the types are known, from the cloud or from the store.
     pub(crate) fn is_empty(&self) -> bool {
         self.types.is_empty()
     }
 
-    /// The type of this name.
+    /// Returns the type with this name, if the cloud offers it.
     pub(crate) fn get(&self, name: &str) -> Option<&MachineType> {
         self.types.get(name)
     }
 
-    /// All types, by name.
+    /// Iterates over all types in the order of their names.
     pub(crate) fn types(&self) -> impl Iterator<Item = &MachineType> {
         self.types.values()
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// What an hour of a machine of the type costs. A type without spot machines has its ordinary price.
+/// Price of a machine of the type per hour. A type without a spot price costs the on-demand price.
 pub(super) fn price_per_hour(kind: &MachineType, spot: bool) -> f64 {
     if spot {
         kind.spot_price.unwrap_or(kind.price)
@@ -61,8 +61,8 @@
     }
 }
 
-/// True if both offer the same sizes in the same zones. Prices change all the time and are not
-/// worth a write.
+/// True if both catalogs offer the same sizes in the same zones. Prices are not compared: they change
+/// too often to write each change to the store.
 fn same_sizes_and_zones(a: &Catalog, b: &Catalog) -> bool {
     let same = |a: &MachineType, b: &MachineType| {
         a.name == b.name && a.cpus == b.cpus && a.gpus == b.gpus && a.mem_gb == b.mem_gb && a.zones == b.zones
@@ -71,7 +71,7 @@
 }
 
 impl Core {
-    /// Asks the cloud for its catalog if it is time to.
+    /// Requests the catalog from the cloud if a refresh is due.
     pub(crate) fn refresh_catalog(&mut self) {
         let needed = self.catalog.is_empty() || self.is_leader();
         if needed && self.catalog.is_due(self.now) {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Takes the cloud's catalog. The leader stores it if sizes or zones changed, so that a
-    /// controller that starts in an outage of the cloud knows them.
+    /// Applies the cloud's catalog. The leader stores it if sizes or zones changed, so that a
+    /// controller that starts during a cloud outage knows them.
     pub(super) fn apply_catalog(&mut self, catalog: Catalog) {
         self.catalog.set_types(&catalog.types);
         let stored = self.cache.catalog.record.as_ref();
@@ -92,7 +92,7 @@
         let value = match serde_json::to_value(&catalog) {
             Ok(value) => value,
             Err(error) => {
-                tracing::error!(%error, "could not encode the catalog");
+                tracing::error!(%error, "failed to encode the catalog");
                 return;
             }
         };
@@ -101,7 +101,7 @@
         self.submit_transaction(Transaction { conditions, changes });
     }
 
-    /// Takes the stored catalog until the cloud has answered with its own.
+    /// Applies the stored catalog unless the catalog is known already.
     pub(crate) fn catalog_changed(&mut self) {
         if let (true, Some(stored)) = (self.catalog.is_empty(), &self.cache.catalog.record) {
             self.catalog.set_types(&stored.types);
--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -1,11 +1,11 @@
-//! Answers of the cloud, each handed to the module that made the call.
+//! Dispatches each answer of the cloud to the module that made the call.
 
 use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
 use crate::coordination::{CloudAnswer, Core};
 use crate::units::{CallId, MachineId};
 
 impl Core {
-    /// Takes the answer to a call. A call that is not pending any more is ignored.
+    /// Handles the answer to a call. Ignores answers to calls that are no longer pending.
     pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
         let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
         match (what, answer) {
@@ -13,12 +13,13 @@
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
             (PendingRequest::Rent(rental), answer) => self.rental_answer(rental, answer),
             (PendingRequest::Return(names), answer) => self.return_answer(names, &answer),
-            // A catalog that could not be read is asked for again by and by.
-            _ => tracing::debug!("ignored an answer of the cloud that does not suit its call"),
+            // A failed catalog request is repeated when the next refresh is due.
+            _ => tracing::debug!("ignored a cloud answer that does not match its call"),
         }
     }
 
-    /// Returns that failed are tried again in a later pass: the machines are still draining.
+    /// Handles the answer to a return request. A later pass retries a failed one, because its
+    /// machines are still draining.
     fn return_answer(&mut self, names: Vec<MachineId>, answer: &CloudAnswer) {
         self.fleet.returning = false;
         if !matches!(answer, CloudAnswer::Returned) {
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,8 +1,7 @@
-//! Demand: the cores that work asks for, of the jobs there are and of those that are expected from
-//! the load of late.
+//! Demand: the cores that the current jobs need, raised to the load expected from recent jobs.
 //!
-//! Computed by the leader in each pass of the autoscaler. It looks at jobs only: which machines meet
-//! demand is for `shortfall`.
+//! The leader computes it in each pass of the autoscaler, from jobs alone; `shortfall` matches it
+//! with the machines.
 
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
@@ -13,65 +12,68 @@
 use crate::units::{JobId, ShardId};
 use std::collections::BTreeMap;
 
-/// How far back the usual load is learned from, in seconds.
+/// Age up to which submitted jobs count towards the recent load.
 const RECENT_LOAD_WINDOW_S: f64 = 150.0;
 
-/// Tasks that one core is expected to run one after the other at the most.
+/// Upper bound on the tasks that one core is planned to run in sequence.
 const MAX_TASKS_IN_SERIES: f64 = 4.0;
 
-/// Room kept for peaks of the usual load, as a factor.
+/// Headroom for peaks of the recent load.
 const RECENT_LOAD_HEADROOM_FACTOR: f64 = 1.1;
 
-/// Room kept for peaks of urgent work, in standard deviations of it.
+/// Headroom for peaks of urgent work, in standard deviations of its load.
 const URGENT_HEADROOM_DEVIATIONS: f64 = 0.5;
 
-/// Boots slower than this many times the catalog's time are not planned for.
+/// Upper bound on the planned boot time, as a multiple of the catalog's.
 const MAX_BOOT_SLOWDOWN_FACTOR: f64 = 4.0;
 
-/// What a machine takes beyond its boot until it is of use, in seconds.
+/// Time from the end of a machine's boot until it runs tasks.
 const FIRST_TASK_DELAY_S: f64 = 10.0;
 
-/// What a task is taken to need beyond its run time, in seconds, and a margin on its run time.
+/// Assumed time per task beyond its run time.
 const TASK_OVERHEAD_S: f64 = 5.0;
+
+/// Safety margin on run times when tasks are planned in sequence.
 const RUN_TIME_MARGIN_FACTOR: f64 = 1.2;
 
-/// The share of its run time that a running task is taken to need still.
+/// Assumed share of its run time that a running task has left.
 const REMAINING_RUN_SHARE: f64 = 0.6;
 
-/// A job with less time left than this many run times and a boot can't wait for a machine to come free.
+/// A job is urgent if the time to its deadline is less than this many run times plus the planning
+/// window: it can't wait for a busy machine to become free.
 const URGENT_RUN_TIME_FACTOR: f64 = 2.2;
 
-/// Cores that a group of jobs with the same constraints asks for.
+/// Cores that a group of jobs with the same constraints needs.
 pub(crate) struct Demand {
-    /// All cores.
+    /// Total, including the urgent cores.
     pub(crate) cpus: f64,
-    /// Of these, what can't wait for spot machines and is worth ordinary prices.
+    /// Part of `cpus` for work that can't wait for spot machines and justifies on-demand prices.
     pub(crate) urgent_cpus: f64,
-    /// The most of each resource that any task of the group takes.
+    /// Maximum of each resource over the tasks of the group.
     pub(crate) largest_task: Resources,
     /// Sum over jobs of cores times image size in gigabytes.
     pub(crate) weighted_image_gb: f64,
     /// Sum over jobs of cores times run time in seconds.
     pub(crate) weighted_run_s: f64,
-    /// The machine types that may be used; any if none are named.
+    /// Machine types that may be used; any type if absent.
     pub(crate) types: Option<Vec<String>>,
-    /// The only zone that may be used, if one is named.
+    /// The only zone that may be used; any zone if absent.
     pub(crate) zone: Option<String>,
     /// True if spot machines may be used.
     pub(crate) spot_allowed: bool,
-    /// If given, only machines of this shard serve, and only with room for a whole task.
+    /// If present, only machines of this shard count, and only those with room for a whole task.
     pub(crate) shard: Option<ShardId>,
 }
 
 impl Demand {
-    /// Room for one replica of a service in its shard.
+    /// Demand of one replica of a service in its shard.
     pub(crate) fn of_replica(spec: &JobSpec, zone: Option<String>, shard: ShardId) -> Demand {
         Demand {
             cpus: spec.cpus,
             urgent_cpus: spec.cpus,
             largest_task: Resources::of_task(spec),
             weighted_image_gb: spec.cpus * spec.image_gb,
-            // A service has no run time: a second.
+            // A service has no run time: counts as one second.
             weighted_run_s: spec.cpus,
             types: spec.types.clone(),
             zone,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// A group that asks for nothing yet.
+    /// Demand of a group without jobs.
     fn empty(constraints: &Constraints) -> Demand {
         Demand {
             cpus: 0.0,
@@ -106,7 +108,7 @@
     }
 }
 
-/// Which machines a job may use. Jobs with equal constraints form a group.
+/// Restrictions on the machines of a job. Jobs with equal constraints form a group.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Constraints {
     needs_gpus: bool,
@@ -128,14 +130,14 @@
 
 type DemandGroups = BTreeMap<Constraints, Demand>;
 
-/// What one job asks for.
+/// Demand of one job.
 struct JobDemand {
     cpus: f64,
     run_s: f64,
     urgent: bool,
 }
 
-/// The share of the planning window in which tasks of a job need their cores.
+/// Average share of the planning window for which a running or a waiting task needs its cores.
 struct CoreShares {
     running: f64,
     waiting: f64,
@@ -146,7 +148,7 @@
         if kind != JobKind::Array {
             return CoreShares { running: 1.0, waiting: 1.0 };
         }
-        // Tasks one after the other that fit into the time left.
+        // Number of tasks that one core can run in sequence in the time left.
         let in_series = ((left_s - TASK_OVERHEAD_S) / (run_s * RUN_TIME_MARGIN_FACTOR + TASK_OVERHEAD_S)).floor();
         let in_series = in_series.clamp(1.0, MAX_TASKS_IN_SERIES);
         CoreShares {
@@ -156,37 +158,37 @@
     }
 }
 
-/// All tasks of a job that came of late.
+/// Load of one recent job: cores of all its tasks together, and the run time of one task.
 #[derive(Debug, Clone, Copy)]
 struct JobLoad {
     cpus: f64,
     run_s: f64,
 }
 
-/// What the jobs of late keep busy.
+/// Cores that recently submitted jobs keep busy.
 struct RecentLoad {
-    /// Cores, on average.
+    /// Average number of cores.
     cpus: f64,
-    /// Standard deviation of the cores of those that were urgent from their start.
+    /// Standard deviation of the cores of jobs that were urgent when they were submitted.
     urgent_deviation: f64,
 }
 
-/// Standard deviation of the cores that jobs keep busy which come by chance, given those that came
-/// within `time_s`. Work that can't wait for a machine to boot needs room for its peaks, and the
-/// peaks of a few large jobs are higher than those of many small ones.
+/// Standard deviation of the cores kept busy by randomly arriving jobs, estimated from the jobs that
+/// arrived within `time_s`. Work that can't wait for a machine to boot needs headroom for its peaks,
+/// and a few large jobs have higher peaks than many small ones.
 fn load_deviation(jobs: &[JobLoad], time_s: f64) -> f64 {
     (jobs.iter().map(|job| job.cpus * job.cpus * job.run_s).sum::<f64>() / time_s.max(1.0)).sqrt()
 }
 
-/// The group that asks for most cores.
+/// Returns the group that needs the most cores.
 fn largest_group(groups: &mut DemandGroups) -> Option<&mut Demand> {
     groups.values_mut().max_by(|a, b| a.cpus.total_cmp(&b.cpus))
 }
 
 impl Core {
-    /// Cores asked for over the time that a new machine takes to be of use: for each task the share
-    /// of that time in which it needs a core, waiting work spread over the time it has left. What
-    /// ends sooner frees room by itself.
+    /// Returns the demand over the planning window, the time until a new machine runs tasks. Each
+    /// task counts with the share of that window in which it needs its cores, because a task that
+    /// ends earlier frees them; waiting tasks are spread over the time left to their deadline.
     pub(super) fn demand(&self) -> Vec<Demand> {
         let window_s = self.planning_window_s();
         let mut groups = self.current_demand(window_s);
@@ -194,29 +196,29 @@
         self.add_start_reserve(&mut groups);
         let mut demand: Vec<Demand> = groups.into_values().filter(|group| group.cpus > 0.0).collect();
         demand.extend(self.unplaceable_demand());
-        // The most constrained first: they take the machines that serve them.
+        // The most constrained groups come first, so that they get the few machines that suit them.
         demand.sort_by_key(|group| {
             (group.shard.is_none(), group.types.is_none(), group.zone.is_none(), group.spot_allowed)
         });
         demand
     }
 
-    /// How long a machine that is rented now takes to be of use, by the slowest type.
+    /// Returns the time in seconds until a machine rented now runs tasks, for the slowest type.
     fn planning_window_s(&self) -> f64 {
-        // Quick spells are not relied on, and slow ones not planned for without bound.
+        // At least the catalog's time, because quick boots may not last; at most a multiple of it.
         let boot_s = |kind: &MachineType| {
             self.slowest_typical_boot_s(kind).clamp(kind.provisioning_s, MAX_BOOT_SLOWDOWN_FACTOR * kind.provisioning_s)
         };
         self.catalog.types().map(boot_s).fold(0.0, f64::max) + FIRST_TASK_DELAY_S
     }
 
-    /// The usual boot of a type in the zone where it is slowest.
+    /// Returns the typical boot time of a type in its slowest zone.
     fn slowest_typical_boot_s(&self, kind: &MachineType) -> f64 {
         let times = &self.fleet.provisioning_times;
         kind.zones.iter().map(|zone| times.typical_s(&kind.name, zone, kind.provisioning_s)).fold(0.0, f64::max)
     }
 
-    /// What the jobs there are ask for, by constraints.
+    /// Returns the demand of the current jobs, grouped by constraints.
     fn current_demand(&self, window_s: f64) -> DemandGroups {
         let mut groups = DemandGroups::new();
         for id in &self.cache.active {
@@ -229,7 +231,7 @@
         groups
     }
 
-    /// What a job asks for; nothing if it fails wherever it runs, which more machines don't change.
+    /// Returns the demand of a job; none if it fails everywhere, since more machines would not help.
     fn job_demand(&self, id: &JobId, job: &Job, window_s: f64) -> Option<JobDemand> {
         let spec = &job.record.spec;
         let (done, running) = job.counts();
@@ -242,7 +244,7 @@
         let shares = CoreShares::of(spec.kind, run_s, left_s, window_s);
         let mut cpus = (f64::from(running) * shares.running + f64::from(waiting) * shares.waiting) * spec.cpus;
         if waiting > 0 {
-            // However much time it has, something must be there to run it.
+            // At least one task must be able to run, however much time the job has.
             cpus = cpus.max(spec.cpus);
         }
         let limit = self.team_limit_cpus(&spec.team);
@@ -253,15 +255,15 @@
         Some(JobDemand { cpus, run_s, urgent })
     }
 
-    /// The most cores that a team may use; 0 if there is no limit.
+    /// Maximum number of cores that a team may use; 0 if there is no limit.
     fn team_limit_cpus(&self, team: &str) -> f64 {
         let team = self.settings.cluster.teams.iter().find(|known| known.name == team);
         team.map_or(0.0, |team| team.cpus_max)
     }
 
-    /// Raises demand to what the work of late has kept busy: it is likely to be asked for again, and
-    /// renting ahead saves late starts and churn. All of it counts as urgent: a load that spot
-    /// machines can't carry for good needs ordinary ones.
+    /// Raises demand to the recent load: it is likely to recur, and renting ahead avoids late starts
+    /// and churn. All of it counts as urgent, because a load that spot machines can't carry
+    /// permanently needs on-demand machines.
     fn add_recent_load(&self, groups: &mut DemandGroups, window_s: f64) {
         let recent = self.recent_load(window_s);
         let usual_cpus =
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Adds the room that every shard keeps free for work that must start at once.
+    /// Adds the capacity that every shard keeps free for work that must start at once.
     fn add_start_reserve(&self, groups: &mut DemandGroups) {
         if let Some(group) = largest_group(groups) {
             let shards = f64::from(self.shard_count);
@@ -289,14 +291,14 @@
         }
     }
 
-    /// True if a job with so much time left could not wait for a machine to come free and still be
-    /// in time.
+    /// True if a job with `left_s` seconds to its deadline would miss it by waiting for a busy machine
+    /// to become free.
     fn cannot_wait_for_room(&self, job: &Job, left_s: f64, window_s: f64) -> bool {
         let run_s = self.estimates.expected_run_s(job);
         job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIME_FACTOR + window_s
     }
 
-    /// What the arrays that were submitted of late keep busy.
+    /// Returns the load of the arrays submitted within the recent-load window.
     fn recent_load(&self, window_s: f64) -> RecentLoad {
         let mut core_seconds = 0.0;
         let mut urgent = vec![];
@@ -318,7 +320,7 @@
         RecentLoad { cpus: core_seconds / time_s, urgent_deviation: load_deviation(&urgent, time_s) }
     }
 
-    /// False for jobs that were cancelled, that wait for others, or that fail wherever they run.
+    /// False for jobs that were cancelled, wait for dependencies or fail everywhere.
     fn counts_as_load(&self, id: &JobId, job: &Job) -> bool {
         job.record.end != Some(JobOutcome::Cancelled) && !job.record.waits() && !self.fails_everywhere(id)
     }
--- a/src/coordination/fleet/demand/tests.rs
+++ b/src/coordination/fleet/demand/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A flat share of headroom was too little for large jobs with tight
-/// deadlines, and too much for many small ones.
+/// Headroom as a fixed share of the load was too small for large jobs with tight deadlines, and too
+/// large for many small ones.
 #[test]
 fn load_of_few_large_jobs_deviates_more_than_of_many_small_ones() {
     let large = load_deviation(&[JobLoad { cpus: 200.0, run_s: 60.0 }; 10], 100.0);
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -1,8 +1,9 @@
-//! What this process has learned since it started: lifetimes of machines, run times compared with
-//! their estimates, the size of jobs that must start at once, and which jobs and replicas failed.
+//! Statistics that this process has collected since it started: lifetimes of machines, run times
+//! relative to their estimates, the size of jobs that must start at once, and failures of jobs and
+//! replicas.
 //!
-//! Fed by heartbeats and by changes of the cache, asked by scheduling, demand and jobs. Nothing of it
-//! is stored: a new owner learns anew.
+//! Heartbeats and changes of the cache update them; scheduling, demand and jobs read them. They are
+//! not stored: a new owner starts without them.
 
 use crate::coordination::fleet::fault_attribution::FailureHistory;
 use crate::coordination::scheduling::lifetimes::{Lifetime, LifetimeHistory};
@@ -15,29 +16,29 @@
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, HashMap};
 
-/// How many observations the users' estimates count for in the beginning.
+/// Initial weight of the users' estimates, in observations.
 const ESTIMATE_PRIOR_WEIGHT: f64 = 3.0;
 
-/// The most observations that a mean of run times remembers.
+/// Upper bound on the weight of past observations in a mean of run times, in observations.
 const MAX_RUN_TIME_WEIGHT: f64 = 100.0;
 
-/// Ratios of actual to estimated time beyond these count as these.
+/// Bounds to which ratios of actual to estimated run time are clamped.
 const MIN_RUN_TIME_RATIO: f64 = 0.1;
 const MAX_RUN_TIME_RATIO: f64 = 10.0;
 
-/// The most jobs that a mean of sizes remembers.
+/// Upper bound on the weight of past jobs in a mean of job sizes, in jobs.
 const MAX_JOB_SIZE_WEIGHT: f64 = 30.0;
 
-/// Tasks seen running this soon after ownership began may have started before it.
+/// A task first seen running within this time after ownership began may have started before that.
 const UNKNOWN_START_WINDOW: Millis = Millis(3000);
 
-/// Run times below this are not learned from.
+/// Shorter run times are not used to correct estimates.
 const MIN_LEARNED_RUN_S: f64 = 0.5;
 
-/// What a placed task takes until it runs.
+/// Assumed time from the placement of a task until it runs.
 const TASK_START_S: f64 = 2.0;
 
-/// Machines that share a history of lifetimes.
+/// Machines of the same type, price model and zone, which share a history of lifetimes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineFamily {
     kind: String,
@@ -55,13 +56,14 @@
     }
 }
 
-/// How a class's run times compare with its users' estimates.
+/// Ratio of actual to estimated run times of a class.
 #[derive(Debug)]
 struct RunTimeRatio {
-    /// Mean logarithm of actual over estimated time, and its weight.
+    /// Mean natural logarithm of actual over estimated time.
     mean_ln: f64,
+    /// Weight of the mean, in observations.
     weight: f64,
-    /// The factor that follows from it.
+    /// Correction factor for estimates: the exponential of `mean_ln`.
     factor: f64,
 }
 
@@ -78,7 +80,7 @@
     }
 }
 
-/// The mean size of a class's jobs, which forgets old ones.
+/// Moving average of the size of a class's jobs, in cores.
 #[derive(Debug, Default)]
 struct MeanCpus {
     cpus: f64,
@@ -92,70 +94,70 @@
     }
 }
 
-/// What this process has learned since it started.
+/// Statistics that this process has collected since it started.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
     lifetimes: BTreeMap<MachineFamily, LifetimeHistory>,
     run_time_ratios: HashMap<InternedName, RunTimeRatio, FixedState>,
-    /// By class that must start at once.
+    /// Mean job size of each class that must start at once.
     quick_start_jobs: BTreeMap<String, MeanCpus>,
     pub(super) failures: FailureHistory,
-    /// The last failed attempt of each replica of a service.
+    /// Latest failed attempt of each replica of a service.
     failed_attempts: BTreeMap<TaskKey, Attempt>,
 }
 
 impl Estimates {
-    /// Notes that a machine is gone, and whether it was lost rather than returned.
+    /// Records the lifetime of a machine that is gone; `lost` is false if it was returned.
     pub(crate) fn record_lifetime(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
         let age_s = now.since(machine.born).as_secs();
         self.lifetimes.entry(MachineFamily::of(machine)).or_default().add(Lifetime { age_s, lost });
     }
 
-    /// Notes the size of a job of a class that must start at once, in cores of all its tasks.
+    /// Records the size of a job of a class that must start at once, in cores of all its tasks.
     pub(crate) fn record_quick_start_job(&mut self, class: &str, cpus: f64) {
         self.quick_start_jobs.entry(class.to_string()).or_default().add(cpus);
     }
 
-    /// Cores of a usual job of each class that must start at once, in all.
+    /// Sums the mean job sizes, in cores, of all classes that must start at once.
     pub(crate) fn quick_start_cpus(&self) -> f64 {
         self.quick_start_jobs.values().map(|mean| mean.cpus).sum()
     }
 
-    /// Notes that a task of the job failed on the machine.
+    /// Records that a task of the job failed on the machine.
     pub(crate) fn record_failure(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
         self.failures.record(job, machine, now);
     }
 
-    /// The last attempt of a service's replica that failed.
+    /// Returns the latest failed attempt of a service's replica.
     pub(crate) fn failed_attempt(&self, replica: &TaskKey) -> Option<Attempt> {
         self.failed_attempts.get(replica).copied()
     }
 
-    /// How many replicas have a failed attempt.
+    /// Number of replicas with a failed attempt.
     pub(crate) fn failed_attempt_count(&self) -> usize {
         self.failed_attempts.len()
     }
 
-    /// Notes that an attempt of a service's replica failed.
+    /// Records a failed attempt of a service's replica.
     pub(crate) fn record_failed_attempt(&mut self, replica: TaskKey, attempt: Attempt) {
         self.failed_attempts.insert(replica, attempt);
     }
 
-    /// Keeps the failed attempts of those replicas only.
+    /// Keeps only the failed attempts of replicas for which `keep` returns true.
     pub(crate) fn retain_failed_attempts(&mut self, keep: impl Fn(&TaskKey) -> bool) {
         self.failed_attempts.retain(|replica, _| keep(replica));
     }
 
-    /// The run time in seconds of a task of the job: its user's estimate, corrected by what its class
-    /// has shown.
+    /// Expected run time in seconds of a task of the job: the user's estimate times the correction
+    /// factor of its class.
     pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         let factor = self.run_time_ratios.get(&job.class).map_or(1.0, |ratio| ratio.factor);
         job.record.spec.estimated_run_s * factor
     }
 
-    /// The lifetimes of machines like this one, if any ended.
+    /// Returns the lifetimes of machines of the same family, if any of them is gone.
     pub(crate) fn history(&self, machine: &Machine) -> Option<&LifetimeHistory> {
-        // A handful of families: looked through faster than a key is made.
+        // There are few families: a linear search is faster than building a key.
         self.lifetimes.iter().find(|(family, _)| family.includes(machine)).map(|(_, history)| history)
     }
 
@@ -165,13 +167,13 @@
 }
 
 impl Core {
-    /// Learns from the run time of a task that has just ended well.
+    /// Updates the run-time ratio of the class of a task that has just succeeded.
     pub(crate) fn learn_run_time(&mut self, shard: ShardId, key: &TaskKey) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let Some(started) = owned_shard.running_since.get(key) else { return };
-        // A task that ran before this node owned the shard began at an unknown time, and one that ran
-        // while this process did not ended at an unknown time. A pause of 20 s that was learned from
-        // once made all later work seem half as long again, and machines were rented for it.
+        // The start time is unknown if the task ran before this node owned the shard, and the end time
+        // is unknown if it ran while this process was suspended. Learning from a 20 s suspension once
+        // raised all later estimates by half, and machines were rented for them.
         if started.since(owned_shard.owned_since) < UNKNOWN_START_WINDOW || *started < self.resumed_at {
             return;
         }
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Rebuilds the lifetimes of all families, with the machines that are up now as censored.
+    /// Rebuilds the lifetime histories of all families, with the machines that are up now as censored
+    /// observations.
     pub(crate) fn rebuild_histories(&mut self) {
         for (family, history) in &mut self.estimates.lifetimes {
             let machines = self.owned_shards.values().flat_map(|shard| shard.machines.values());
@@ -193,12 +196,12 @@
         }
     }
 
-    /// Seconds that a placed task still needs, with the time to start it.
+    /// Remaining time in seconds of a placed task, including its start if it does not run yet.
     pub(crate) fn remaining_s(&self, owned_shard: &OwnedShard, job: &Job, key: &TaskKey) -> f64 {
         self.remaining_s_of_run(owned_shard, self.estimates.expected_run_s(job), key)
     }
 
-    /// The same for a task whose run time is known already.
+    /// Like `remaining_s`, for an expected run time that the caller has computed already.
     pub(crate) fn remaining_s_of_run(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
         match owned_shard.running_since.get(key) {
             Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -1,12 +1,12 @@
-//! Whose fault a failed task is: its job's or its machine's.
+//! Attribution of task failures to the job or to the machine.
 //!
 //! A job submitted with a mistake fails on every machine until its user cancels it; a faulty machine
-//! fails every task. The two are distinguished by what else happens: a job of which any task succeeded is
-//! sound, and a machine that fails several sound jobs is faulty. A job that failed on several machines
-//! while none of its tasks ever succeeded fails everywhere: it is tried with one task at a time at
-//! growing intervals, claims no guarantee and causes no rental.
+//! fails every task. Other results tell them apart: a job is sound if any of its tasks succeeded, and a
+//! machine is faulty if several sound jobs fail on it. A job fails everywhere if it failed on several
+//! machines and none of its tasks ever succeeded: it is retried with one task at a time at growing
+//! intervals, claims no guarantee and causes no rental.
 //!
-//! Heartbeats report failures; scheduling, demand and peer statuses ask.
+//! Heartbeats record failures; scheduling, demand and peer statuses read the result.
 
 use crate::coordination::Core;
 use crate::protocol::peer::PeerStatus;
@@ -15,30 +15,30 @@
 use crate::units::{JobId, MachineId, Millis, MonotonicTime, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that a job must fail on, with nothing done, to count as failing everywhere.
+/// Number of machines on which a job without any success must have failed to count as failing
+/// everywhere.
 const FAILS_EVERYWHERE_MIN_MACHINES: usize = 3;
 
-/// Sound jobs that a machine must fail to be faulty.
+/// Number of sound jobs that must have failed on a machine for it to count as faulty.
 const FAULTY_MIN_JOBS: usize = 2;
 
-/// The pause after the first try of a job that fails everywhere; doubled with each further try.
+/// First retry delay of a job that fails everywhere; doubles with each retry.
 const INITIAL_BACKOFF_S: f64 = 5.0;
 
-/// The longest pause between tries.
+/// Upper bound of the retry delay.
 const MAX_BACKOFF_S: f64 = 60.0;
 
-/// How long a machine takes nothing new that failed several jobs of which it is not known yet
-/// whether they run elsewhere.
+/// How long a machine gets no new tasks after enough jobs failed on it that are or may be sound.
 const MACHINE_BACKOFF: Millis = Millis(5000);
 
-/// How long failures that did not recur are remembered.
+/// How long the failures of a job are remembered after the latest one.
 const FAILURE_RETENTION: Millis = Millis(600_000);
 
 /// Failures of one job.
 #[derive(Debug)]
 struct JobFailures {
     machines: BTreeSet<MachineId>,
-    /// The next pause between tries.
+    /// Delay that follows the next retry, in seconds.
     backoff_s: f64,
     retry_at: MonotonicTime,
     last_failure_at: MonotonicTime,
@@ -56,7 +56,7 @@
     fn add(&mut self, machine: &MachineId, now: MonotonicTime) {
         self.last_failure_at = now;
         self.machines.insert(machine.clone());
-        // Tasks that ran side by side and failed together count as one try.
+        // Tasks that ran concurrently and failed together count as one retry.
         if self.on_several_machines() && now >= self.retry_at {
             self.retry_at = now + Millis::secs(self.backoff_s);
             self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
@@ -64,19 +64,19 @@
     }
 }
 
-/// Jobs that failed of late, as seen by this process.
+/// Recent failures of jobs, as observed by this process.
 #[derive(Debug, Default)]
 pub(super) struct FailureHistory {
     jobs: BTreeMap<JobId, JobFailures>,
 }
 
 impl FailureHistory {
-    /// Notes that a task of the job failed on the machine.
+    /// Records that a task of the job failed on the machine.
     pub(super) fn record(&mut self, job: &JobId, machine: &MachineId, now: MonotonicTime) {
         self.jobs.entry(job.clone()).or_insert_with(|| JobFailures::new(now)).add(machine, now);
     }
 
-    /// Drops failures on a machine that proved faulty: they say nothing of jobs.
+    /// Drops failures on a faulty machine: they are no evidence against the jobs.
     fn forget_machine(&mut self, machine: &MachineId) {
         for failures in self.jobs.values_mut() {
             failures.machines.remove(machine);
@@ -97,26 +97,29 @@
 }
 
 impl Core {
-    /// True if the job failed wherever it ran, as far as this node or a peer knows.
+    /// True if the job fails everywhere, as far as this node or a peer knows.
     pub(crate) fn fails_everywhere(&self, job: &JobId) -> bool {
         let reported = |status: &PeerStatus| status.failing_jobs.iter().any(|failing| failing == job.as_str());
         (self.estimates.failures.failed_on_several(job) || self.membership.peers().statuses().any(reported))
             && !self.has_succeeded(job)
     }
 
-    /// True if a job that fails everywhere is to wait: between tries, and for the end of its one task.
+    /// True if a job that fails everywhere must wait: for the next retry, or for its one placed task to
+    /// end.
     pub(crate) fn in_retry_backoff(&self, id: &JobId, job: &Job) -> bool {
         self.fails_everywhere(id) && (self.estimates.failures.in_backoff(id, self.now) || job.has_placed_tasks())
     }
 
-    /// Jobs that failed wherever they ran as seen here. Broadcast to peers, because the leader rents for all shards.
+    /// Returns the jobs that fail everywhere as observed by this process. They are broadcast to peers,
+    /// because the leader rents for all shards.
     pub(crate) fn failing_jobs(&self) -> Vec<String> {
         let failures = &self.estimates.failures;
         let failing = failures.jobs.keys().filter(|job| failures.failed_on_several(job));
         failing.filter(|job| !self.has_succeeded(job)).map(|job| job.to_string()).collect()
     }
 
-    /// Decides whether failures on a machine are its own fault.
+    /// Marks the machine as faulty if enough sound jobs failed on it, and cordons it for a while if
+    /// enough jobs failed on it that may be sound.
     pub(crate) fn update_faulty_machine(&mut self, shard: ShardId, name: &MachineId) {
         let machine = self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.machines.get(name));
         let Some(machine) = machine.filter(|machine| !machine.faulty) else { return };
@@ -139,7 +142,8 @@
         }
     }
 
-    /// Judges all machines anew: a task that succeeded elsewhere may show that its job is sound.
+    /// Re-evaluates all machines, since a success elsewhere may show that a failed job is sound, and
+    /// drops failures that no longer matter.
     pub(crate) fn update_faulty_machines(&mut self) {
         for (shard, name) in self.newly_faulty_machines() {
             self.update_faulty_machine(shard, &name);
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Machines that have failed enough sound jobs and are not marked as faulty yet.
+    /// Returns the machines on which enough sound jobs failed and that are not marked as faulty yet.
     fn newly_faulty_machines(&self) -> Vec<(ShardId, MachineId)> {
         let mut faulty = vec![];
         for (shard, owned_shard) in &self.owned_shards {
@@ -168,7 +172,7 @@
         faulty
     }
 
-    /// True if a task of the job ever succeeded: then failures are not its fault.
+    /// True if a task of the job ever succeeded, which makes the job sound.
     fn has_succeeded(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.counts().0 > 0)
     }
--- a/src/coordination/fleet/fleet_record.rs
+++ b/src/coordination/fleet/fleet_record.rs
@@ -1,41 +1,41 @@
-//! The stored record of the fleet: which machines are draining, which were returned of late, and
-//! the count behind the names of rentals.
+//! The stored record of the fleet: draining machines, recently returned machines, and the counter
+//! that rental request ids are made from.
 //!
-//! Written by the leader only, under its fencing condition; owners of shards follow it. A value of
-//! the store is bounded, so of a large fleet not all names fit at a time.
+//! Only the leader writes it, under its fencing condition; owners of shards follow it. The store
+//! bounds the size of a value, so the names of a large fleet do not all fit at once.
 
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::records::{FleetRecord, FLEET_KEY, LEADER_KEY};
 use crate::units::MachineId;
 
-/// The share of a value that is planned to be used.
+/// Share of the store's maximum value size that the record is planned to fill.
 const USED_VALUE_SHARE: f64 = 0.9;
 
-/// Bytes around each name: two quotes and a comma.
+/// Bytes that the encoding adds to each name: two quotes and a comma.
 const NAME_OVERHEAD_BYTES: usize = 3;
 
-/// The length in bytes that names are taken to have at the least.
+/// Lower bound for the assumed length of the longest name.
 const MIN_ASSUMED_NAME_BYTES: usize = 12;
 
-/// How many machines the record may name.
+/// Maximum number of machines that the record may name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct FleetRecordCapacity {
-    /// As draining.
+    /// Maximum number of draining machines.
     pub(super) drain: usize,
-    /// As returned of late.
+    /// Maximum number of recently returned machines.
     pub(super) gone: usize,
 }
 
 impl FleetRecordCapacity {
-    /// What a value of `value_kb` KiB holds if no name is longer than `longest` bytes.
+    /// Returns the capacity of a value of `value_kb` KiB if no name exceeds `longest_name_bytes`.
     fn within(value_kb: f64, longest_name_bytes: usize) -> FleetRecordCapacity {
         let all = (value_kb * 1024.0 * USED_VALUE_SHARE / (longest_name_bytes + NAME_OVERHEAD_BYTES) as f64) as usize;
         let gone = (all / 4).max(1);
         FleetRecordCapacity { drain: all.saturating_sub(gone).max(1), gone }
     }
 
-    /// Drops the oldest of the returned machines that do not fit.
+    /// Drops the oldest returned machines in excess of the capacity.
     fn keep_newest(&self, gone: &mut Vec<MachineId>) {
         let excess = gone.len().saturating_sub(self.gone);
         gone.drain(..excess);
@@ -43,7 +43,7 @@
 }
 
 impl Core {
-    /// How many names the record may hold, given the length of those that are known.
+    /// Returns the capacity of the record, given the longest name that is known.
     pub(super) fn fleet_record_capacity(&self) -> FleetRecordCapacity {
         let recorded = self.cache.fleet.record.iter().flat_map(|record| record.drain.iter().chain(&record.gone));
         let known = self.fleet.machines().map(|(name, _)| name);
@@ -52,7 +52,7 @@
         FleetRecordCapacity::within(self.settings.cluster.state.value_kb, longest_name_bytes)
     }
 
-    /// The stored record, cut to what fits into one value now, whatever was written before.
+    /// Returns the stored record, truncated to the current capacity: the stored one may exceed it.
     pub(super) fn fitted_fleet_record(&self) -> FleetRecord {
         let capacity = self.fleet_record_capacity();
         let mut record = self.cache.fleet.record.clone().unwrap_or_default();
@@ -61,7 +61,7 @@
         record
     }
 
-    /// Writes which machines are draining and which were returned, if that changed.
+    /// Stores which machines are draining and which were returned, if that changed.
     pub(super) fn write_fleet_record(&mut self) {
         if self.store.is_key_busy(FLEET_KEY) || !self.is_leader() {
             return;
@@ -79,19 +79,20 @@
         }
     }
 
-    /// The transaction that stores the record if this node still leads and nobody wrote meanwhile.
+    /// Returns the transaction that stores the record, on condition that this node still leads and the
+    /// stored record has not changed.
     pub(super) fn fleet_transaction(&self, record: &FleetRecord) -> Option<Transaction> {
         let conditions = vec![
             Condition { key: LEADER_KEY.into(), version: self.cache.leader.version },
             Condition { key: FLEET_KEY.into(), version: self.cache.fleet.version },
         ];
         let value = serde_json::to_value(record)
-            .inspect_err(|error| tracing::error!(%error, "could not encode the fleet record"))
+            .inspect_err(|error| tracing::error!(%error, "failed to encode the fleet record"))
             .ok()?;
         Some(Transaction { conditions, changes: vec![Change::put(FLEET_KEY.into(), value)] })
     }
 
-    /// Names machines chosen for return, as far as there is room; the rest are named when these
+    /// Adds the machines chosen for return up to the capacity; later writes add the rest once these
     /// are gone.
     fn add_drains(&self, record: &mut FleetRecord, capacity: FleetRecordCapacity) {
         for name in self.fleet.inventory.unrecorded_drains() {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Moves returned machines from the draining ones to the returned ones, and drops draining ones
-    /// that ended otherwise.
+    /// Moves returned machines from the draining to the returned ones, and drops draining machines
+    /// that are gone for another reason.
     fn add_returns(&self, record: &mut FleetRecord, capacity: FleetRecordCapacity) {
         for name in self.fleet.inventory.confirmed_returns() {
             record.drain.retain(|draining| draining != name);
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,8 +1,9 @@
-//! The rented machines as this controller knows them: from the cloud's list, from what owners of
-//! shards report, and from its own rentals and returns.
+//! The rented machines as this controller knows them, from the cloud's list, from the reports of
+//! shard owners, and from its own rentals and returns.
 //!
-//! Kept by the leader; other controllers follow only the names of the stored record. Makes no calls
-//! and decides nothing: the modules of this folder change it, other folders read it through `Fleet`.
+//! The leader keeps the inventory; other controllers follow only the names in the stored record. This
+//! module holds state only: the other modules of this folder update it, other folders read it through
+//! `Fleet`.
 
 use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::fleet::machine_status::ReportedMachines;
@@ -19,29 +20,29 @@
     pub(crate) kind: String,
     /// Name of the zone.
     pub(crate) zone: String,
-    /// True if the cloud may take it away.
+    /// True for spot machines, which the cloud may terminate at any time.
     pub(crate) spot: bool,
-    /// When it was rented: by the cloud's word, or else when this controller first knew of it.
+    /// When it was rented according to the cloud, or else when this controller first observed it.
     pub(crate) created_at: MonotonicTime,
-    /// It has been seen running, in the cloud's list or by its owner.
+    /// True once the cloud's list or its owner has reported it as running.
     pub(crate) up: bool,
-    /// The cloud lists it as failed, or its owner holds it for faulty.
+    /// True once the cloud lists it as failed or its owner reports it as faulty.
     pub(crate) failed: bool,
-    /// The cloud has announced that it takes it away.
+    /// True once the cloud has announced its termination.
     pub(crate) terminating: bool,
-    /// Its heartbeats arrive, but it receives no answer from its owner.
+    /// True while its owner receives its heartbeats but the answers do not reach the machine.
     pub(crate) downlink_lost: bool,
-    /// This process rented it and has watched it boot since.
+    /// True if this process rented it, and so has observed its boot from the start.
     pub(super) rented_here: bool,
     last_listed: Option<MonotonicTime>,
-    /// Since when it has been up without any task.
+    /// Since when it has been up without tasks; absent while it is busy or not up.
     pub(super) idle_since: Option<MonotonicTime>,
-    /// When it was chosen for return.
+    /// Since when it has been draining, as seen by this process; absent if it is not draining.
     drain_since: Option<MonotonicTime>,
 }
 
 impl RentedMachine {
-    /// A machine that is not known to be up.
+    /// Creates a machine that is not known to be up.
     fn new(pool: &MachinePool, created_at: MonotonicTime) -> RentedMachine {
         RentedMachine {
             kind: pool.kind.clone(),
@@ -59,49 +60,50 @@
         }
     }
 
-    /// A machine that this process has just rented.
+    /// Creates a machine that this process has just rented.
     pub(super) fn rented(pool: &MachinePool, now: MonotonicTime) -> RentedMachine {
         RentedMachine { rented_here: true, ..RentedMachine::new(pool, now) }
     }
 
-    /// A machine that reports to its owner.
+    /// Creates a machine that sends heartbeats to its owner.
     pub(super) fn running(pool: &MachinePool, created_at: MonotonicTime) -> RentedMachine {
         RentedMachine { up: true, ..RentedMachine::new(pool, created_at) }
     }
 
-    /// True if this process has seen its whole boot, and the boot is not over.
+    /// True if the machine is booting and this process has observed the boot from its start.
     pub(super) fn is_watched_boot(&self) -> bool {
         !self.up && self.rented_here
     }
 
-    /// True if tasks may be placed on it, now or once it is up.
+    /// True if tasks may be placed on the machine, now or once it is up.
     pub(super) fn is_usable(&self) -> bool {
         !self.failed && !self.terminating && !self.downlink_lost
     }
 }
 
-/// All rented machines, and the names of those that are draining or returned.
+/// All known rented machines, and the names of those that are draining or returned.
 #[derive(Debug, Default)]
 pub(super) struct Inventory {
     machines: BTreeMap<MachineId, RentedMachine>,
-    /// Names of the stored record, hashed: every machine is looked up in every scheduling cycle
-    /// and heartbeat.
+    /// Draining machines in the stored record. Hashed, because each scheduling cycle and heartbeat
+    /// looks up every machine.
     recorded_drains: HashSet<MachineId, FixedState>,
+    /// Returned machines in the stored record.
     recorded_returns: HashSet<MachineId, FixedState>,
-    /// Returned for certain, but perhaps not in the stored record yet.
+    /// Machines whose return the cloud confirmed, but which the stored record may not name yet.
     confirmed_returns: BTreeSet<MachineId>,
-    /// All machines returned of late, and when. The cloud's list lags and still names them, and the
-    /// stored record has no room for as many as a shrinking fleet returns.
+    /// All recently returned machines, with the time of their return. The cloud's list lags and still
+    /// names them, and the stored record has no room for all that a shrinking fleet returns.
     recent_returns: BTreeMap<MachineId, MonotonicTime>,
 }
 
 impl Inventory {
-    /// All machines, by name.
+    /// Iterates over all machines in the order of their names.
     pub(super) fn machines(&self) -> impl Iterator<Item = (&MachineId, &RentedMachine)> {
         self.machines.iter()
     }
 
-    /// The machine of this name, if it is known.
+    /// Returns the machine with this name, if it is known.
     pub(super) fn machine(&self, name: &MachineId) -> Option<&RentedMachine> {
         self.machines.get(name)
     }
@@ -116,25 +118,25 @@
         self.recorded_returns.contains(name)
     }
 
-    /// Machines that are to be drained and that the stored record does not name as draining.
+    /// Iterates over the machines chosen for return that the stored record does not name as draining.
     pub(super) fn unrecorded_drains(&self) -> impl Iterator<Item = &MachineId> {
         let draining = self.machines.iter().filter(|(_, machine)| machine.drain_since.is_some());
         draining.map(|(name, _)| name).filter(|name| !self.recorded_drains.contains(*name))
     }
 
-    /// Machines returned for certain that the stored record may not name yet.
+    /// Machines whose return the cloud confirmed, but which the stored record may not name yet.
     pub(super) fn confirmed_returns(&self) -> &BTreeSet<MachineId> {
         &self.confirmed_returns
     }
 
-    /// Forgets the first confirmed returns, by name, until so many are left.
+    /// Drops confirmed returns, lowest name first, until at most `max_count` are left.
     pub(super) fn trim_confirmed_returns(&mut self, max_count: usize) {
         while self.confirmed_returns.len() > max_count {
             self.confirmed_returns.pop_first();
         }
     }
 
-    /// Takes over which machines the stored record names as draining and as returned.
+    /// Applies the draining and returned machines of the stored record.
     pub(super) fn apply_record(&mut self, record: &FleetRecord) {
         for name in &record.gone {
             self.machines.remove(name);
@@ -143,20 +145,21 @@
         self.recorded_returns = record.gone.iter().cloned().collect();
     }
 
-    /// Adds a machine that this process rented, unless it is known.
+    /// Adds a machine that this process rented, unless it is known already.
     pub(super) fn add_rented(&mut self, name: MachineId, machine: RentedMachine) {
         self.machines.entry(name).or_insert(machine);
     }
 
-    /// Adds a machine that reports to its owner, unless it is known or was returned of late: what
-    /// owners know lags too.
+    /// Adds a machine that sends heartbeats to its owner, unless it is known already or was recently
+    /// returned: the knowledge of owners lags too.
     pub(super) fn add_reported(&mut self, name: &MachineId, machine: impl FnOnce() -> RentedMachine) {
         if !self.machines.contains_key(name) && !self.was_recently_returned(name) {
             self.machines.insert(name.clone(), machine());
         }
     }
 
-    /// Machines that are reported for the first time and whose boot was watched from its start.
+    /// Iterates over the machines that are reported as up for the first time and whose boot this process
+    /// observed from its start.
     pub(super) fn finished_boots<'a>(
         &'a self,
         reported: &'a ReportedMachines,
@@ -165,7 +168,7 @@
         booting.filter(|(name, _)| reported.up.contains(*name)).map(|(_, machine)| machine)
     }
 
-    /// Takes over what the owners report.
+    /// Applies the reports of the shard owners.
     pub(super) fn apply_reports(&mut self, reported: &ReportedMachines) {
         for (name, machine) in &mut self.machines {
             machine.up |= reported.up.contains(name);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Takes over an entry of the cloud's list, unless the machine was returned.
+    /// Applies an entry of the cloud's list, unless the machine was returned.
     pub(super) fn apply_listed(&mut self, listed: ListedMachine, now: MonotonicTime) {
         if self.was_recently_returned(&listed.machine) || self.is_returned(&listed.machine) {
             return;
@@ -188,13 +191,13 @@
         machine.last_listed = Some(now);
     }
 
-    /// Forgets machines that no list has named for so long, and returns as old as that.
+    /// Removes machines that no list has named for `retention`, and forgets returns of that age.
     pub(super) fn forget_unlisted(&mut self, now: MonotonicTime, retention: Millis) {
         self.machines.retain(|_, machine| now.since(machine.last_listed.unwrap_or(machine.created_at)) < retention);
         self.recent_returns.retain(|_, returned_at| now.since(*returned_at) < retention);
     }
 
-    /// Notes which machines are without any task.
+    /// Updates since when each machine has been up without tasks.
     pub(super) fn update_idle(&mut self, busy: &HashSet<MachineId, FixedState>, now: MonotonicTime) {
         for (name, machine) in &mut self.machines {
             if busy.contains(name) || !machine.up {
@@ -205,15 +208,15 @@
         }
     }
 
-    /// Chooses the machine for return from now on.
+    /// Marks the machine as draining from now on.
     pub(super) fn start_drain(&mut self, name: &MachineId, now: MonotonicTime) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine.drain_since = Some(now);
         }
     }
 
-    /// Since when a machine of the record is draining, as seen by this process: a new leader counts
-    /// from the first time it asks.
+    /// Returns since when a machine of the record has been draining, as seen by this process. A new
+    /// leader counts from its first call.
     pub(super) fn drain_since(&mut self, name: &MachineId, now: MonotonicTime) -> Option<MonotonicTime> {
         self.machines.get_mut(name).map(|machine| *machine.drain_since.get_or_insert(now))
     }
@@ -227,7 +230,8 @@
         }
     }
 
-    /// Excludes time in which this process did not run from idleness and absence of machines.
+    /// Excludes a gap in which this process was suspended from the time that machines have been idle or
+    /// unlisted.
     pub(super) fn clock_jumped(&mut self, gap: Millis) {
         for machine in self.machines.values_mut() {
             for time in [&mut machine.last_listed, &mut machine.idle_since].into_iter().flatten() {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// True if the machine was returned of late, whoever still names it.
+    /// True if the cloud recently confirmed the return of the machine.
     fn was_recently_returned(&self, name: &MachineId) -> bool {
         self.confirmed_returns.contains(name) || self.recent_returns.contains_key(name)
     }
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -2,8 +2,8 @@
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, Input};
 
-/// A fleet that shrank returned more machines than the record has room for;
-/// the list, which lags, named them still, and they counted as room again.
+/// A shrinking fleet returned more machines than the record has room for. The lagging list still named
+/// them, and they counted as capacity again.
 #[test]
 fn lagging_list_does_not_restore_returned_machines() {
     let mut core = crate::coordination::tests::core();
