--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -1,31 +1,33 @@
-//! Reading the cloud's list of machines, page by page, into the inventory.
+//! Reads the cloud's list of machines, page by page, into the inventory.
 //!
-//! The list lags by as much as `list_lag_s`, and a page may be older than the one read before it:
-//! a machine is forgotten only after lists have not named it for much longer than that.
+//! The list lags by up to `list_lag_s`, and a page may be older than the one read before it. A machine
+//! is therefore removed only after it has been missing from the list for much longer than that.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
 use crate::protocol::cloud::ListedMachine;
 use crate::units::{Millis, MonotonicTime};
 
-/// How long after the start of one list the next may be started.
+/// Minimum time between the starts of two readings of the list.
 const LIST_INTERVAL: Millis = Millis(2000);
 
-/// A machine is forgotten after so many times the list's lag without being named, and some seconds.
+/// An unlisted machine is kept for this many times the list's lag, plus the margin below.
 const UNLISTED_RETENTION_LAG_FACTOR: f64 = 2.5;
+
+/// Margin added to the time that an unlisted machine is kept.
 const UNLISTED_RETENTION_MARGIN_S: f64 = 5.0;
 
-/// The progress of reading the list.
+/// Progress of reading the list.
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     in_progress: bool,
-    /// A full list has been read since this process started.
+    /// True if this process has read a full list since it started.
     completed_once: bool,
     started_at: MonotonicTime,
 }
 
 impl MachineListing {
-    /// True if a full list has been read: without it nobody knows what is rented.
+    /// True if a full list has been read. Until then the rented machines are unknown.
     pub(super) fn is_complete(&self) -> bool {
         self.completed_once
     }
@@ -50,7 +52,7 @@
 }
 
 impl Core {
-    /// Asks for the first page of the list if it is time to and the cloud's rate allows it.
+    /// Requests the first page of the list if a reading is due and the cloud's rate limit allows it.
     pub(super) fn refresh_machine_list(&mut self) {
         if self.fleet.listing.is_due(self.now) && self.take_cloud_call() {
             self.fleet.listing.start(self.now);
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Takes a page, and asks for the next one or applies the whole list. If a page fails, the list
-    /// is dropped and read again from its start.
+    /// Handles a page: requests the next one, or applies the list if it was the last. If a page fails,
+    /// drops the list, which is later read again from the start.
     pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudAnswer) {
         let CloudAnswer::Page(page) = answer else {
             self.fleet.listing.abort();
--- a/src/coordination/fleet/machine_pool.rs
+++ b/src/coordination/fleet/machine_pool.rs
@@ -1,23 +1,23 @@
-//! Machine pools: what a rental names, and which pools had no capacity of late.
+//! Machine pools, from which machines are rented, and the backoff of pools without capacity.
 //!
-//! Knows nothing of prices or demand; scale-out asks it before it chooses.
+//! Independent of prices and demand; scale-out checks the backoff before it chooses a pool.
 
 use crate::units::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// The pause after the first refusal for lack of capacity; doubled with each further one.
+/// Backoff after the first refusal for lack of capacity; doubles with each further one in a row.
 const INITIAL_BACKOFF_S: f64 = 5.0;
 
-/// The longest pause after refusals.
+/// Upper bound of the backoff after refusals.
 const MAX_BACKOFF_S: f64 = 40.0;
 
-/// Refusals after which the pause grows no more.
+/// Number of refusals in a row after which the backoff stops growing.
 const MAX_COUNTED_REFUSALS: u32 = 4;
 
-/// The pause after a rental that got fewer machines than requested.
+/// Backoff after a rental that got fewer machines than requested.
 const PARTIAL_RENTAL_BACKOFF: Millis = Millis(10_000);
 
-/// The pause after a rental that got no answer.
+/// Backoff after a rental that failed without a definite answer.
 const NO_ANSWER_BACKOFF: Millis = Millis(3000);
 
 /// Machines of one type in one zone that are rented on the same terms.
@@ -31,22 +31,22 @@
     pub(super) spot: bool,
 }
 
-/// Why and until when nothing is rented from a pool.
+/// Backoff of one pool.
 #[derive(Debug)]
 struct PoolBackoff {
     until: MonotonicTime,
-    /// Refusals for lack of capacity, one after the other.
+    /// Number of refusals in a row for lack of capacity.
     refusals: u32,
 }
 
-/// The pools that nothing is rented from for a while.
+/// Backoff of all pools whose last rental was not fully granted.
 #[derive(Debug, Default)]
 pub(super) struct PoolBackoffs {
     backoffs: BTreeMap<MachinePool, PoolBackoff>,
 }
 
 impl PoolBackoffs {
-    /// True if nothing is to be rented from the pool now.
+    /// True if the pool is backing off now.
     pub(super) fn is_backing_off(&self, pool: &MachinePool, now: MonotonicTime) -> bool {
         self.backoffs.get(pool).is_some_and(|backoff| now < backoff.until)
     }
@@ -56,17 +56,17 @@
         self.backoffs.iter().any(|(pool, backoff)| pool.spot && now < backoff.until)
     }
 
-    /// The pool had all machines that were requested.
+    /// Records that the pool granted all requested machines; ends its backoff.
     pub(super) fn record_full_rental(&mut self, pool: &MachinePool) {
         self.backoffs.remove(pool);
     }
 
-    /// The pool had only some of the machines that were requested.
+    /// Records that the pool granted only some of the requested machines.
     pub(super) fn record_partial_rental(&mut self, pool: MachinePool, now: MonotonicTime) {
         self.backoffs.insert(pool, PoolBackoff { until: now + PARTIAL_RENTAL_BACKOFF, refusals: 0 });
     }
 
-    /// The pool had none; the pause grows with each refusal.
+    /// Records that the pool had no capacity; the backoff grows with each refusal in a row.
     pub(super) fn record_refusal(&mut self, pool: MachinePool, now: MonotonicTime) {
         let refusals = self.backoffs.get(&pool).map_or(0, |backoff| backoff.refusals) + 1;
         let doublings = refusals.min(MAX_COUNTED_REFUSALS) as i32 - 1;
@@ -74,7 +74,7 @@
         self.backoffs.insert(pool, PoolBackoff { until: now + Millis::secs(pause_s), refusals });
     }
 
-    /// The cloud did not answer, whatever was tried.
+    /// Records that a rental failed without a definite answer after its retries.
     pub(super) fn record_no_answer(&mut self, pool: MachinePool, now: MonotonicTime) {
         self.backoffs.insert(pool, PoolBackoff { until: now + NO_ANSWER_BACKOFF, refusals: 0 });
     }
--- a/src/coordination/fleet/machine_status.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -1,5 +1,5 @@
-//! What the owners of shards report of their machines, taken into the inventory by the leader: from
-//! this controller's own shards, and from the statuses that other controllers broadcast.
+//! Applies the machine states that shard owners report to the inventory of the leader. They come from
+//! this controller's own shards and from the statuses that its peers broadcast.
 
 use crate::coordination::fleet::inventory::RentedMachine;
 use crate::coordination::fleet::machine_pool::MachinePool;
@@ -9,16 +9,16 @@
 use crate::units::MachineId;
 use std::collections::BTreeSet;
 
-/// Names of the machines that owners report, by what they say of them.
+/// Names of the machines that owners report, by reported state.
 #[derive(Debug, Default)]
 pub(super) struct ReportedMachines {
-    /// Send heartbeats.
+    /// Machines that send heartbeats.
     pub(super) up: BTreeSet<MachineId>,
-    /// The cloud has announced that it takes them away.
+    /// Machines whose termination the cloud has announced.
     pub(super) terminating: BTreeSet<MachineId>,
-    /// Fail jobs that succeed elsewhere.
+    /// Machines on which jobs fail that succeed elsewhere.
     pub(super) faulty: BTreeSet<MachineId>,
-    /// Send heartbeats, but receive no answers.
+    /// Machines that send heartbeats but do not receive the answers.
     pub(super) downlink_lost: BTreeSet<MachineId>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Core {
-    /// Takes the statuses that all owners report into the inventory, and learns how long finished boots took.
+    /// Applies the reports of all owners to the inventory, and records the duration of finished boots.
     pub(super) fn apply_machine_statuses(&mut self) {
         let reported = self.reported_machines();
         self.add_own_machines();
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The fleet: which machines are rented, how many are needed, renting and returning them, and what
-//! this controller has learned of run times, lifetimes and faults.
+//! The fleet: the inventory of rented machines, the demand for them, renting and returning them, and
+//! this controller's estimates of run times, lifetimes and faults.
 //!
 //! Only the leader keeps the inventory, rents and returns. Every controller follows the stored record
-//! of the fleet, by which owners of shards know the machines that are draining or returned.
+//! of the fleet, from which shard owners learn which machines are draining or returned.
 
 pub(crate) mod autoscaler;
 pub(crate) mod catalog;
@@ -29,26 +29,26 @@
 use crate::storage::records::FleetRecord;
 use crate::units::{MachineId, Millis};
 
-/// The share of the cloud's rate limit that this controller uses; the rest is a margin.
+/// Share of the cloud's rate limit that this controller uses; the rest is a safety margin.
 const CLOUD_RATE_SHARE: f64 = 0.8;
 
-/// The state of renting and returning machines. Only the modules of this folder open its fields.
+/// State of renting and returning machines. Only the modules of this folder access its fields.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     inventory: Inventory,
     listing: MachineListing,
     pool_backoffs: PoolBackoffs,
     provisioning_times: ProvisioningTimes,
-    /// Calls per second that the cloud takes from this controller.
+    /// Limits the calls per second to the cloud.
     cloud_calls: RateLimiter,
-    /// A rental is being recorded or requested. There is one at a time.
+    /// True while a rental is being recorded or requested; there is one at a time.
     renting: bool,
-    /// A return has been requested and not answered yet. There is one at a time.
+    /// True while a return request is unanswered; there is one at a time.
     returning: bool,
 }
 
 impl Fleet {
-    /// An empty fleet in a cloud that takes so many calls per second.
+    /// Creates an empty fleet in a cloud whose rate limit is `cloud_calls_per_s`.
     pub(crate) fn new(cloud_calls_per_s: f64) -> Fleet {
         Fleet {
             inventory: Inventory::default(),
@@ -61,22 +61,23 @@
         }
     }
 
-    /// All rented machines that are known, by name.
+    /// Iterates over all known rented machines in the order of their names.
     pub(crate) fn machines(&self) -> impl Iterator<Item = (&MachineId, &RentedMachine)> {
         self.inventory.machines()
     }
 
-    /// The machine of this name, if it is known.
+    /// Returns the machine with this name, if it is known.
     pub(crate) fn machine(&self, name: &MachineId) -> Option<&RentedMachine> {
         self.inventory.machine(name)
     }
 
-    /// Takes over which machines the stored record names as draining and as returned.
+    /// Applies the draining and returned machines of the stored record.
     pub(crate) fn apply_record(&mut self, record: &FleetRecord) {
         self.inventory.apply_record(record);
     }
 
-    /// Excludes time in which this process did not run from idleness and absence of machines.
+    /// Excludes a gap in which this process was suspended from the time that machines have been idle or
+    /// unlisted.
     pub(crate) fn clock_jumped(&mut self, gap: Millis) {
         self.inventory.clock_jumped(gap);
     }
@@ -88,19 +89,20 @@
         self.fleet.inventory.is_draining(name)
     }
 
-    /// True if the return of the machine was confirmed by the cloud and recorded.
+    /// True if the stored record names the machine as returned, which the cloud has confirmed.
     pub(crate) fn is_returned(&self, name: &MachineId) -> bool {
         self.fleet.inventory.is_returned(name)
     }
 
-    /// Follows a change of the stored record of the fleet.
+    /// Applies a change of the stored fleet record.
     pub(crate) fn fleet_changed(&mut self) {
         if let Some(record) = &self.cache.fleet.record {
             self.fleet.apply_record(record);
         }
     }
 
-    /// Takes one call from the cloud's rate. False if none is left: the call waits for the next pass.
+    /// Takes one call from the cloud's rate limit. Returns false if none is left; the call then waits
+    /// for the next pass.
     fn take_cloud_call(&mut self) -> bool {
         self.fleet.cloud_calls.try_take(self.now, 1.0)
     }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,8 +1,8 @@
-//! Scaling in: choosing machines for return, and returning those that nothing is on.
+//! Scaling in: chooses machines to drain, and returns drained machines to the cloud.
 //!
-//! Run by the leader. A machine is first named in the fleet's record, so that its owner places
-//! nothing on it any more, and is returned when it is empty, or when it failed and its worker's
-//! lease has run out.
+//! Run by the leader. The fleet record first names a machine as draining, so that its owner places no
+//! more tasks on it. The machine is returned when it is empty, or when it failed and its worker's
+//! lease has expired.
 
 use crate::coordination::fleet::catalog::price_per_hour;
 use crate::coordination::fleet::demand::Demand;
@@ -16,33 +16,34 @@
 use foldhash::fast::FixedState;
 use std::collections::{HashMap, HashSet};
 
-/// How long a machine is named as draining before it is returned, so that its owner knows.
+/// Minimum time between marking a machine as draining and returning it, so that its owner learns of
+/// the drain.
 const MIN_DRAIN_TIME: Millis = Millis(2000);
 
-/// An ordinary machine is kept idle for a fraction of the time that a spot machine is: it costs
-/// several times as much.
+/// Divisor of the minimum idle time for on-demand machines, which cost several times as much as spot
+/// machines.
 const ON_DEMAND_IDLE_DIVISOR: u64 = 4;
 
-/// How long beyond its boot an ordinary machine is left alone.
+/// Time after the catalog's provisioning time in which a busy on-demand machine is not drained.
 const SETTLING_TIME_S: f64 = 45.0;
 
-/// An ordinary machine is left to run empty if less than this share of its cores is in use.
+/// A busy on-demand machine may be drained if less than this share of its cores is in use.
 const LOW_USE_SHARE: f64 = 0.6;
 
-/// Cores that must be spare beyond those of an ordinary machine before it is left to run empty, as a
-/// share of its own.
+/// Spare cores required beyond those of a busy on-demand machine before it is drained, as a share of
+/// its cores.
 const ON_DEMAND_MARGIN_SHARE: f64 = 0.25;
 
-/// A group that lacks no more than this many cores does not keep machines from being returned.
+/// A group that is short of at most this many cores does not keep machines from being drained.
 const NEGLIGIBLE_CPUS: f64 = 0.5;
 
-/// Cores that could be done without, and the groups that still lack some.
+/// Cores in excess of demand, and the groups that are still short of cores.
 struct Surplus<'a> {
     spare_cpus: f64,
     unmet_groups: Vec<&'a Demand>,
 }
 
-/// What is looked at when a machine is judged.
+/// A machine that is considered for draining, with its type and the cores in use.
 struct DrainCandidate<'a> {
     name: &'a MachineId,
     machine: &'a RentedMachine,
@@ -51,7 +52,7 @@
 }
 
 impl Core {
-    /// Chooses for return what demand does not need, what failed and what never came up.
+    /// Starts to drain machines that demand does not need, that failed or that never came up.
     pub(super) fn drain_unneeded(&mut self, demand: &[Demand]) {
         if self.store.is_key_busy(FLEET_KEY) {
             return;
@@ -66,15 +67,15 @@
         self.write_fleet_record();
     }
 
-    /// Returns machines that have been draining long enough for their owners to know and that
-    /// nothing is on, or that failed.
+    /// Returns machines that have been draining long enough for their owners to know, and that are empty
+    /// or failed.
     pub(super) fn return_drained(&mut self, busy: &HashSet<MachineId, FixedState>) {
         self.write_fleet_record();
         if self.fleet.returning {
             return;
         }
         let mut names = self.returnable_machines(busy);
-        // Owners learn from the record which machines were returned: no more than it holds.
+        // Owners learn of returns from the record, so return no more than it can name.
         names.truncate(RETURN_LIMIT.min(self.fleet_record_capacity().gone));
         if !names.is_empty() && self.take_cloud_call() {
             self.fleet.returning = true;
@@ -107,8 +108,8 @@
         Surplus { spare_cpus: shortfall.spare_cpus, unmet_groups }
     }
 
-    /// All machines in the order in which they are considered: by price per core, the highest first,
-    /// and of equal price the least used first.
+    /// Returns all machines by price per core, highest first, and by use among equal prices, least used
+    /// first.
     fn machines_by_descending_price(
         &self,
         used: &HashMap<&MachineId, Resources, FixedState>,
@@ -124,8 +125,9 @@
         order
     }
 
-    /// True if demand does without the machine. Machines that serve a group without room are kept;
-    /// others are not, for they may be what keeps the cloud from having any that would serve it.
+    /// True if demand does not need the machine. Keeps machines that serve a group which is short of
+    /// cores. Other machines are not kept for such a group: they may use up the capacity of the cloud
+    /// from which machines for it could be rented.
     fn is_unneeded(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let covered = surplus.spare_cpus >= candidate.kind.cpus && self.is_idle(candidate.machine);
         let serves_unmet_group =
@@ -140,8 +142,8 @@
         machine.idle_since.is_some_and(|since| self.now.since(since) >= min_idle)
     }
 
-    /// True for an ordinary machine that is little used while there is room for its tasks elsewhere:
-    /// it is left to run empty, rather than refilled for as long as there is any work.
+    /// True for an on-demand machine that is little used while other machines have room for its tasks.
+    /// Draining lets it run empty; otherwise new tasks would keep refilling it.
     fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
         let settled =
@@ -153,7 +155,7 @@
             && surplus.spare_cpus >= kind.cpus + margin_cpus
     }
 
-    /// True if a machine should have been up long ago.
+    /// True if the machine's boot should be given up.
     fn is_stuck(&self, machine: &RentedMachine) -> bool {
         let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !machine.up) else { return false };
         let overtaken = self.fleet.machines().any(|(_, other)| {
@@ -167,7 +169,7 @@
         times.should_give_up(&machine.kind, &machine.zone, kind.provisioning_s, age_s, overtaken)
     }
 
-    /// Chooses the machine for return, and learns from a boot that is given up.
+    /// Marks the machine as draining, and records its boot as given up if it is still booting.
     fn start_drain(&mut self, name: &MachineId) {
         if let Some(machine) = self.fleet.inventory.machine(name).filter(|machine| machine.is_watched_boot()) {
             let age_s = self.now.since(machine.created_at).as_secs();
@@ -183,8 +185,8 @@
         for name in record.drain.iter().filter(|name| !record.gone.contains(name)) {
             let Some(since) = self.fleet.inventory.drain_since(name, self.now) else { continue };
             let drained_for = self.now.since(since);
-            // The worker of a machine that failed receives nothing, and its lease ran out long ago.
-            // The return is the proof that nothing is left there.
+            // The worker of a failed machine receives no answers, so its lease has expired by now.
+            // Returning the machine ensures that no task is left on it.
             let failed = self.fleet.machine(name).is_some_and(|machine| machine.failed);
             let lost = failed && drained_for >= lost_after;
             if drained_for >= MIN_DRAIN_TIME && (lost || !busy.contains(name)) {
@@ -195,7 +197,7 @@
     }
 }
 
-/// Cores that tasks take of the machine.
+/// Number of the machine's cores that tasks use.
 fn used_cpus(used: &HashMap<&MachineId, Resources, FixedState>, name: &MachineId) -> f64 {
     used.get(name).map_or(0.0, |taken| taken.cpus)
 }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,7 +1,7 @@
-//! Scaling out: renting what demand lacks from the pool where it costs least.
+//! Scaling out: rents the machines that demand is short of from the pool where they cost least.
 //!
-//! Run by the leader, one rental at a time. The name of a rental is durable before it is used, so
-//! that a rental which got no answer is repeated under the same name and never carried out twice.
+//! Run by the leader, one rental at a time. The request id of a rental is stored before it is used. A
+//! rental without an answer is retried under the same id, so the cloud never performs it twice.
 
 use crate::coordination::fleet::catalog::price_per_hour;
 use crate::coordination::fleet::demand::Demand;
@@ -14,30 +14,32 @@
 use crate::storage::records::FLEET_KEY;
 use std::collections::BTreeMap;
 
-/// How long a machine is usually kept and paid for, in seconds.
+/// Assumed time for which a machine is kept and paid for.
 const TYPICAL_RENTAL_S: f64 = 300.0;
 
-/// The share of a machine's cores that counts as of use at the least, however little memory it has.
+/// Minimum share of a machine's cores that counts as useful, however little memory it has.
 const MIN_USEFUL_SHARE: f64 = 0.3;
 
-/// The share of the time for image fetches that counts: some images are shared by tasks.
+/// Share of the image fetch time that counts towards cost, since tasks share some images.
 const UNSHARED_FETCH_SHARE: f64 = 0.5;
 
-/// What is added to the cost in a zone that holds the whole fleet, as a share of it.
+/// Cost surcharge of a zone that holds the whole fleet, as a share of the cost.
 const ZONE_SPREAD_COST_SHARE: f64 = 0.05;
 
-/// How often a rental is repeated that got no answer.
+/// Maximum number of retries of a rental that got no definite answer.
 const MAX_RENTAL_RETRIES: u32 = 3;
 
-/// Divisors below this are taken as this: cores and memory of a task, and run time.
+/// Lower bound of divisors that are a task's cores or gigabytes of memory.
 const MIN_TASK_SIZE: f64 = 1e-3;
+
+/// Lower bound of divisors that are run times.
 const MIN_RUN_S: f64 = 1e-6;
 
 /// A rental that is being recorded or requested.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingRental {
     request: RentRequest,
-    /// How often it may still be repeated.
+    /// Number of retries left if the cloud gives no definite answer.
     retries_left: u32,
 }
 
@@ -50,27 +52,27 @@
 /// Cores that a group is short of.
 struct GroupShortage<'a> {
     group: &'a Demand,
-    /// Of any kind of machine.
+    /// Total, on spot or on-demand machines.
     any_cpus: f64,
-    /// Of these, what can't wait for spot machines.
+    /// Cores for urgent work, which can't wait for spot machines.
     urgent_cpus: f64,
 }
 
-/// Machines that could be rented for a group, and the cost by which offers compare.
+/// Machines that could be rented for a group, and the cost by which offers are compared.
 struct Offer {
     pool: MachinePool,
     count: u32,
     cost: f64,
 }
 
-/// Cores of the fleet by zone.
+/// Cores of the fleet per zone, and their total.
 struct ZoneCpus<'a> {
     by_zone: BTreeMap<&'a str, f64>,
     total: f64,
 }
 
 impl ZoneCpus<'_> {
-    /// The factor by which cost is raised in a zone for what of the fleet is there already.
+    /// Factor that raises the cost of a zone with the share of the fleet that it holds already.
     fn cost_factor(&self, zone: &str) -> f64 {
         let cpus = self.by_zone.get(zone).copied().unwrap_or(0.0);
         1.0 + ZONE_SPREAD_COST_SHARE * cpus / self.total.max(1.0)
@@ -78,7 +80,7 @@
 }
 
 impl Core {
-    /// Rents for the first group that lacks machines and for which there are any.
+    /// Rents for the first group that is short of cores and has an offer.
     pub(super) fn scale_out(&mut self, demand: &[Demand]) {
         let any = self.shortfall(demand, |group| group.cpus).missing_cpus;
         let urgent = self.shortfall(demand, |group| group.urgent_cpus).missing_cpus;
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Requests a rental whose name is durable now.
+    /// Handles the store's answer; requests the rental if its id is stored now.
     pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StoreResponse) {
         self.store.release_key(FLEET_KEY);
         match answer {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Takes the cloud's answer to a rental.
+    /// Handles the cloud's answer to a rental.
     pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
         self.fleet.renting = false;
         let pool = rental.pool();
@@ -134,7 +136,7 @@
                 }
             }
             CloudAnswer::NoCapacity => self.fleet.pool_backoffs.record_refusal(pool, self.now),
-            // It may have been carried out: a repetition under the same name gets the same machines.
+            // The cloud may have performed the rental: a retry under the same id gets the same machines.
             _ if rental.retries_left > 0 && self.is_leader() => {
                 self.fleet.renting = true;
                 self.request_rental(PendingRental { retries_left: rental.retries_left - 1, ..rental });
@@ -153,7 +155,7 @@
         ZoneCpus { by_zone, total }
     }
 
-    /// The offer of least cost for the group among all pools; of equal ones the first.
+    /// Returns the offer of least cost for the group among all pools; of equal offers the first.
     fn cheapest_offer(&self, shortage: &GroupShortage, zones: &ZoneCpus) -> Option<Offer> {
         let waits_for_spot = self.may_wait_for_spot(shortage);
         let mut cheapest: Option<Offer> = None;
@@ -173,8 +175,8 @@
         cheapest
     }
 
-    /// True if work that is not urgent is left to spot machines. If the group has no machine at
-    /// all and spot machines were refused of late, it would wait for nothing.
+    /// True if work that is not urgent is left to spot machines. False if the group has no machine at
+    /// all and a pool of spot machines is backing off: waiting may then get it none.
     fn may_wait_for_spot(&self, shortage: &GroupShortage) -> bool {
         let spot_sold = self.catalog.types().any(|kind| kind.spot_price.is_some());
         let is_blocked =
@@ -182,13 +184,14 @@
         shortage.group.spot_allowed && spot_sold && !is_blocked
     }
 
-    /// True if machines of the pool serve the group and are to be had, as far as is known.
+    /// True if the pool is sold, suits the group and is not backing off.
     fn may_rent(&self, group: &Demand, kind: &MachineType, pool: &MachinePool) -> bool {
         let sold = !pool.spot || kind.spot_price.is_some();
         sold && self.suits(group, pool) && !self.fleet.pool_backoffs.is_backing_off(pool, self.now)
     }
 
-    /// What renting from the pool costs per core of use, with the time that is paid for in vain.
+    /// Returns the offer of the pool. Its cost is the price per useful core, raised by the time that is
+    /// paid for but lost to image fetches and late boots.
     fn offer(
         &self,
         group: &Demand,
@@ -205,14 +208,14 @@
         let slowdown = 1.0 + UNSHARED_FETCH_SHARE * fetch_s / group.weighted_run_s.max(MIN_RUN_S) + late_boot;
         let price = price_per_hour(kind, pool.spot);
         let cost = count * price * slowdown / (count * useful_cpus).min(missing_cpus);
-        // At about equal cost the zone with less of the fleet: the loss of a zone should not take
-        // everything.
+        // At about equal cost, prefer the zone with less of the fleet, so that the loss of a zone does
+        // not take most machines.
         let cost = cost * zones.cost_factor(&pool.zone);
         Offer { pool, count: count as u32, cost }
     }
 
-    /// Makes the rental's name durable before it is used. The count behind the names only rises, so
-    /// that none is used twice.
+    /// Stores the rental's id before it is used. The counter behind the ids only rises, so that no id
+    /// is used twice.
     fn record_rental(&mut self, offer: Offer) {
         if self.store.is_key_busy(FLEET_KEY) {
             return;
@@ -237,7 +240,7 @@
     }
 }
 
-/// Cores of a machine that its memory lets tasks of the group use.
+/// Number of a machine's cores that tasks of the group can use, given its memory.
 fn useful_cpus(kind: &MachineType, group: &Demand) -> f64 {
     let task = &group.largest_task;
     let tasks = (kind.cpus / task.cpus.max(MIN_TASK_SIZE)).min(kind.mem_gb / task.mem_gb.max(MIN_TASK_SIZE));
--- a/src/coordination/fleet/shortfall.rs
+++ b/src/coordination/fleet/shortfall.rs
@@ -1,7 +1,7 @@
-//! Matching of the fleet with demand: which machines serve which group, how many cores each group
-//! is short of, and how many cores are spare.
+//! Matches the fleet with demand: which machines serve which group, how many cores each group is short
+//! of, and how many cores are spare.
 //!
-//! Asked by scale-out and scale-in. Changes nothing.
+//! Read-only; used by scale-out and scale-in.
 
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::fleet::inventory::RentedMachine;
@@ -12,29 +12,29 @@
 use foldhash::fast::FixedState;
 use std::collections::HashMap;
 
-/// What is sought beyond demand, since cores are spread over machines that tasks don't fill.
+/// Factor on demand that compensates for fragmentation: tasks don't fill machines completely.
 const FRAGMENTATION_FACTOR: f64 = 1.05;
 
-/// What demand lacks of the fleet, and what the fleet has beyond demand.
+/// Cores that the fleet is short of for each group, and cores in excess of demand.
 pub(super) struct Shortfall {
-    /// Cores that each group is short of, in the order of the groups.
+    /// Cores that each group is short of, in the order of the demand.
     pub(super) missing_cpus: Vec<f64>,
-    /// Cores that no group takes.
+    /// Cores that no group was allocated.
     pub(super) spare_cpus: f64,
 }
 
-/// Cores of a machine that no group has taken yet.
+/// A usable machine, with its cores that are not allocated to a group yet.
 struct AvailableMachine<'a> {
     name: &'a MachineId,
     machine: &'a RentedMachine,
     cpus: f64,
 }
 
-/// What tasks take of each machine.
+/// Resources of each machine that tasks use.
 type TakenResources<'a> = HashMap<&'a MachineId, Resources, FixedState>;
 
 impl Core {
-    /// Lets each group in turn take what serves it; `desired_cpus` says how much it asks for.
+    /// Allocates machines to the groups in order; `desired_cpus` returns the cores that a group needs.
     pub(super) fn shortfall(&self, demand: &[Demand], desired_cpus: fn(&Demand) -> f64) -> Shortfall {
         let mut available = self.available_machines();
         let has_shard_groups = demand.iter().any(|group| group.shard.is_some());
@@ -44,12 +44,12 @@
         Shortfall { missing_cpus, spare_cpus: available.iter().map(|machine| machine.cpus).sum() }
     }
 
-    /// True if a machine of the pool has room for a task of the group, and the group allows it.
+    /// True if the group allows machines of the pool, and its largest task fits into one.
     pub(super) fn suits(&self, group: &Demand, pool: &MachinePool) -> bool {
         self.allows(group, &pool.kind, &pool.zone, pool.spot)
     }
 
-    /// True if the machine may do work of the group.
+    /// True if the machine may run tasks of the group, regardless of the tasks it runs now.
     pub(super) fn serves(&self, group: &Demand, name: &MachineId, machine: &RentedMachine) -> bool {
         group.shard.is_none_or(|shard| self.shard_of(name) == shard)
             && self.allows(group, &machine.kind, &machine.zone, machine.spot)
@@ -64,7 +64,7 @@
             && (group.spot_allowed || !spot)
     }
 
-    /// Machines that work may be placed on, with the cores they may be counted on for.
+    /// Returns the machines that new tasks may be placed on, with the cores they are expected to provide.
     fn available_machines(&self) -> Vec<AvailableMachine<'_>> {
         self.fleet
             .machines()
@@ -73,7 +73,8 @@
             .collect()
     }
 
-    /// Cores that a machine may be counted on for: a late boot may never end.
+    /// Number of cores that a machine is expected to provide; reduced for a late boot, which may never
+    /// finish. Absent if its type is unknown.
     fn expected_cpus(&self, machine: &RentedMachine) -> Option<f64> {
         let kind = self.catalog.get(&machine.kind)?;
         if machine.up {
@@ -84,7 +85,7 @@
         Some(kind.cpus * times.expected_share(&machine.kind, &machine.zone, kind.provisioning_s, age_s))
     }
 
-    /// Takes cores that serve the group, and returns how many are still missing.
+    /// Allocates cores to the group, and returns how many are still missing.
     fn allocate(
         &self,
         group: &Demand,
@@ -92,7 +93,7 @@
         available: &mut [AvailableMachine],
         taken: &TakenResources,
     ) -> f64 {
-        // A group of one shard asks for room for whole tasks, and for no more than that.
+        // A group of one shard needs room for a whole task and no margin.
         let margin = if group.shard.is_some() { 1.0 } else { FRAGMENTATION_FACTOR };
         let mut missing = desired_cpus * margin;
         for AvailableMachine { name, machine, cpus } in available {
@@ -109,7 +110,8 @@
         missing.max(0.0)
     }
 
-    /// True if the group takes parts of machines, or if a whole task of it fits beside the tasks there.
+    /// True if the group is not bound to a shard, or if a whole task of it fits beside the machine's
+    /// current tasks.
     fn has_room_for(&self, group: &Demand, name: &MachineId, machine: &RentedMachine, taken: &TakenResources) -> bool {
         if group.shard.is_none() {
             return true;
