--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -24,14 +24,14 @@
 /// machines.
 const ON_DEMAND_IDLE_DIVISOR: u64 = 4;
 
-/// Time after the catalog's provisioning time in which a busy on-demand machine is not drained.
+/// Time after the catalog's provisioning time before an on-demand machine may be drained for low use.
 const SETTLING_TIME_S: f64 = 45.0;
 
-/// A busy on-demand machine may be drained if less than this share of its cores is in use.
+/// An on-demand machine may be drained for low use if less than this share of its cores is in use.
 const LOW_USE_SHARE: f64 = 0.6;
 
-/// Spare cores required beyond those of a busy on-demand machine before it is drained, as a share of
-/// its cores.
+/// Spare cores required beyond those of an on-demand machine before it is drained for low use, as a
+/// share of its cores.
 const ON_DEMAND_MARGIN_SHARE: f64 = 0.25;
 
 /// A group that is short of at most this many cores does not keep machines from being drained.
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -32,7 +32,7 @@
 /// Lower bound of divisors that are a task's cores or gigabytes of memory.
 const MIN_TASK_SIZE: f64 = 1e-3;
 
-/// Lower bound of divisors that are run times.
+/// Lower bound of a divisor that is a sum of run times weighted by cores.
 const MIN_RUN_S: f64 = 1e-6;
 
 /// A rental that is being recorded or requested.
@@ -176,15 +176,15 @@
     }
 
     /// True if work that is not urgent is left to spot machines. False if the group has no machine at
-    /// all and a pool of spot machines is backing off: waiting may then get it none.
+    /// all and a pool of spot machines is backing off: waiting could leave it without machines.
     fn may_wait_for_spot(&self, shortage: &GroupShortage) -> bool {
         let spot_sold = self.catalog.types().any(|kind| kind.spot_price.is_some());
-        let is_blocked =
+        let spot_unavailable =
             shortage.any_cpus >= shortage.group.cpus && self.fleet.pool_backoffs.any_spot_backing_off(self.now);
-        shortage.group.spot_allowed && spot_sold && !is_blocked
+        shortage.group.spot_allowed && spot_sold && !spot_unavailable
     }
 
-    /// True if the pool is sold, suits the group and is not backing off.
+    /// True if the cloud offers the pool, and the pool suits the group and is not backing off.
     fn may_rent(&self, group: &Demand, kind: &MachineType, pool: &MachinePool) -> bool {
         let sold = !pool.spot || kind.spot_price.is_some();
         sold && self.suits(group, pool) && !self.fleet.pool_backoffs.is_backing_off(pool, self.now)
