--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -39,7 +39,7 @@
 /// Assumed share of its run time that a running task has left.
 const REMAINING_RUN_SHARE: f64 = 0.6;
 
-/// A job is urgent if the time to its deadline is less than this many run times plus the planning
+/// An array is urgent if the time to its deadline is less than this many run times plus the planning
 /// window: it can't wait for a busy machine to become free.
 const URGENT_RUN_TIME_FACTOR: f64 = 2.2;
 
@@ -292,7 +292,7 @@
     }
 
     /// True if a job with `left_s` seconds to its deadline would miss it by waiting for a busy machine
-    /// to become free.
+    /// to become free. Always true for jobs other than arrays.
     fn cannot_wait_for_room(&self, job: &Job, left_s: f64, window_s: f64) -> bool {
         let run_s = self.estimates.expected_run_s(job);
         job.record.spec.kind != JobKind::Array || left_s < run_s * URGENT_RUN_TIME_FACTOR + window_s
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -56,7 +56,7 @@
     fn add(&mut self, machine: &MachineId, now: MonotonicTime) {
         self.last_failure_at = now;
         self.machines.insert(machine.clone());
-        // Tasks that ran concurrently and failed together count as one retry.
+        // Tasks that ran concurrently and failed together count as one attempt.
         if self.on_several_machines() && now >= self.retry_at {
             self.retry_at = now + Millis::secs(self.backoff_s);
             self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
@@ -119,7 +119,7 @@
     }
 
     /// Marks the machine as faulty if enough sound jobs failed on it, and cordons it for a while if
-    /// enough jobs failed on it that may be sound.
+    /// enough jobs failed on it that are or may be sound.
     pub(crate) fn update_faulty_machine(&mut self, shard: ShardId, name: &MachineId) {
         let machine = self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.machines.get(name));
         let Some(machine) = machine.filter(|machine| !machine.faulty) else { return };
