--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -107,7 +107,7 @@
             && machine.notice.is_none()
             && self.now >= machine.cordoned_until
             && self.now.since(machine.last_heartbeat) < self.heartbeat_overdue_after()
-            && !self.draining(name)
+            && !self.is_draining(name)
     }
 
     /// A snapshot of one machine.
@@ -150,7 +150,7 @@
             let found = match last {
                 Some((id, found)) if *id == key.0 => found,
                 _ => {
-                    let found = self.cache.jobs.get(&key.0).map(|job| (job, self.estimates.run_time(job)));
+                    let found = self.cache.jobs.get(&key.0).map(|job| (job, self.estimates.expected_run_s(job)));
                     last = Some((&key.0, found));
                     found
                 }
