--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -47,11 +47,11 @@
 
 impl MachineFamily {
     fn of(machine: &Machine) -> MachineFamily {
-        MachineFamily { kind: machine.kind.clone(), spot: machine.spot, zone: machine.zone.clone() }
+        MachineFamily { kind: machine.machine_type.clone(), spot: machine.spot, zone: machine.zone.clone() }
     }
 
     fn includes(&self, machine: &Machine) -> bool {
-        self.spot == machine.spot && self.kind == machine.kind && self.zone == machine.zone
+        self.spot == machine.spot && self.kind == machine.machine_type && self.zone == machine.zone
     }
 }
 
@@ -107,7 +107,7 @@
 impl Estimates {
     /// Notes that a machine is gone, and whether it was lost rather than returned.
     pub(crate) fn machine_gone(&mut self, machine: &Machine, now: MonotonicTime, lost: bool) {
-        let age_s = now.since(machine.born).as_secs();
+        let age_s = now.since(machine.started_at).as_secs();
         self.lifetimes.entry(MachineFamily::of(machine)).or_default().add(Lifetime { age_s, lost });
     }
 
@@ -188,7 +188,7 @@
         for (family, history) in &mut self.estimates.lifetimes {
             let machines = self.owned_shards.values().flat_map(|shard| shard.machines.values());
             let alike = machines.filter(|machine| family.includes(machine));
-            let ages: Vec<f64> = alike.map(|machine| self.now.since(machine.born).as_secs()).collect();
+            let ages: Vec<f64> = alike.map(|machine| self.now.since(machine.started_at).as_secs()).collect();
             history.rebuild(&ages);
         }
     }
--- a/src/coordination/fleet/machine_status.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -27,7 +27,7 @@
         self.downlink_lost.extend(shard.downlink_lost.keys().cloned());
         for (name, machine) in &shard.machines {
             self.up.insert(name.clone());
-            if machine.notice.is_some() {
+            if machine.termination_at.is_some() {
                 self.leaving.insert(name.clone());
             }
             if machine.faulty {
@@ -74,8 +74,9 @@
     fn add_own_machines(&mut self) {
         for (name, machine) in self.owned_shards.values().flat_map(|shard| &shard.machines) {
             self.fleet.inventory.add_reported(name, || {
-                let pool = MachinePool { kind: machine.kind.clone(), zone: machine.zone.clone(), spot: machine.spot };
-                RentedMachine::running(&pool, machine.born)
+                let pool =
+                    MachinePool { kind: machine.machine_type.clone(), zone: machine.zone.clone(), spot: machine.spot };
+                RentedMachine::running(&pool, machine.started_at)
             });
         }
     }
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -63,9 +63,9 @@
         machine.heartbeat_number = heartbeat.heartbeat_number;
         machine.token_acknowledged = heartbeat.token == owned_shard.token;
         // The first notice counts: later heartbeats repeat it.
-        let known_notice = machine.notice;
+        let known_notice = machine.termination_at;
         let notice_s = heartbeat.termination_notice_s;
-        machine.notice = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::secs(seconds)));
+        machine.termination_at = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::secs(seconds)));
         record_reported_tasks(owned_shard, heartbeat, now);
         true
     }
@@ -75,15 +75,15 @@
 fn machine_of(heartbeat: &Heartbeat, now: MonotonicTime, removed_before: bool) -> Machine {
     Machine {
         addr: heartbeat.addr.clone(),
-        kind: heartbeat.kind.clone(),
+        machine_type: heartbeat.kind.clone(),
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         agent_epoch: AgentEpoch(0),
         heartbeat_number: HeartbeatNumber(0),
         token_acknowledged: false,
         last_heartbeat: now,
-        born: now,
-        notice: None,
+        started_at: now,
+        termination_at: None,
         reported_tasks: BTreeMap::new(),
         starts_sent: BTreeMap::new(),
         images: vec![],
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -62,7 +62,7 @@
 
     /// True if the machine may be given work, as far as its own state goes.
     pub(super) fn is_usable(&self, name: &MachineId, machine: &Machine) -> bool {
-        machine.notice.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.draining(name)
+        machine.termination_at.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.draining(name)
     }
 
     /// All tasks that were on the machine are certainly gone: forgets the machine and lets its tasks be placed
@@ -155,7 +155,7 @@
         let Some(machine) = owned_shard.machines.get_mut(machine) else { return };
         machine.images.retain(|image| image.name != job.image);
         machine.images.push(CachedImage { name: job.image.clone(), size_gb: job.record.spec.image_gb });
-        let cache_gb = self.catalog.get(&machine.kind).map_or(0.0, |machine_type| machine_type.cache_gb);
+        let cache_gb = self.catalog.get(&machine.machine_type).map_or(0.0, |machine_type| machine_type.cache_gb);
         while machine.images.len() > 1 && machine.images.iter().map(|image| image.size_gb).sum::<f64>() > cache_gb {
             machine.images.remove(0);
         }
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -118,7 +118,8 @@
 ) -> ReplicaState {
     let reported =
         machine.and_then(|machine| machine.reported_tasks.get(key)).filter(|reported| reported.attempt == attempt);
-    let leaving = owned_shard.stopping.contains_key(key) || machine.is_some_and(|machine| machine.notice.is_some());
+    let leaving =
+        owned_shard.stopping.contains_key(key) || machine.is_some_and(|machine| machine.termination_at.is_some());
     match reported.map(|reported| reported.state) {
         Some(TaskState::Running) if leaving => ReplicaState::Leaving,
         Some(TaskState::Saving) => ReplicaState::Leaving,
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -88,7 +88,7 @@
                 .collect(),
             downlink_lost_machines: owned_shard.downlink_lost.keys().map(|name| name.to_string()).collect(),
             terminating_machines: machines
-                .filter(|(_, machine)| machine.notice.is_some())
+                .filter(|(_, machine)| machine.termination_at.is_some())
                 .map(|(name, _)| name.to_string())
                 .collect(),
         }
@@ -153,7 +153,7 @@
             let shard = self.shard_of(&name);
             let owned_shard = self.owned_shards.get_mut(&shard);
             if let Some(machine) = owned_shard.and_then(|owned_shard| owned_shard.machines.get_mut(&name)) {
-                machine.born = machine.born.min(self.now - Millis::secs(age.age_s));
+                machine.started_at = machine.started_at.min(self.now - Millis::secs(age.age_s));
             }
         }
     }
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -74,7 +74,7 @@
     /// True if the job's constraints on machine type, zone and spot machines allow one more
     /// of its tasks here. Capacity is another matter.
     pub fn satisfies(&self, spec: &JobSpec, occupancy: &ZoneOccupancy) -> bool {
-        spec.types.as_ref().is_none_or(|types| types.contains(&self.reported.kind))
+        spec.types.as_ref().is_none_or(|types| types.contains(&self.reported.machine_type))
             && (spec.spot_allowed || !self.reported.spot)
             && occupancy.allows(spec, &self.reported.zone)
     }
@@ -92,7 +92,7 @@
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let mut candidates = Vec::with_capacity(owned_shard.machines.len());
         for (name, machine) in &owned_shard.machines {
-            let Some(machine_type) = self.catalog.get(&machine.kind) else { continue };
+            let Some(machine_type) = self.catalog.get(&machine.machine_type) else { continue };
             if self.may_get_tasks(name, machine) {
                 candidates.push(self.candidate_machine(owned_shard, name, machine, machine_type));
             }
@@ -104,7 +104,7 @@
     fn may_get_tasks(&self, name: &MachineId, machine: &Machine) -> bool {
         !machine.faulty
             && !self.is_downlink_lost(machine)
-            && machine.notice.is_none()
+            && machine.termination_at.is_none()
             && self.now >= machine.cordoned_until
             && self.now.since(machine.last_heartbeat) < self.heartbeat_overdue_after()
             && !self.draining(name)
@@ -129,7 +129,7 @@
             reported: machine,
             machine_type,
             history: self.estimates.history(machine).filter(|_| self.tuning.use_lifetimes),
-            age_s: self.now.since(machine.born).as_secs(),
+            age_s: self.now.since(machine.started_at).as_secs(),
             price_per_cpu: spot_price.unwrap_or(machine_type.price) / machine_type.cpus.max(MIN_CPUS),
             capacity,
             waits: vec![],
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -116,7 +116,7 @@
     /// evenly.
     fn cluster_cpus(&self) -> f64 {
         let machines = self.owned_shards.values().flat_map(|owned_shard| owned_shard.machines.values());
-        let types = machines.filter_map(|machine| self.catalog.get(&machine.kind));
+        let types = machines.filter_map(|machine| self.catalog.get(&machine.machine_type));
         let owned_cpus: f64 = types.map(|machine_type| machine_type.cpus).sum();
         owned_cpus * f64::from(self.shard_count) / self.owned_shards.len().max(1) as f64
     }
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -75,7 +75,7 @@
 /// Seconds until a machine is taken away, or 0 if it is faulty and has no notice; none if it
 /// stays.
 fn time_left_s(machine: &Machine, now: MonotonicTime) -> Option<f64> {
-    machine.notice.map(|at| at.since(now).as_secs()).or(machine.faulty.then_some(0.0))
+    machine.termination_at.map(|at| at.since(now).as_secs()).or(machine.faulty.then_some(0.0))
 }
 
 /// Seconds before a machine's end at which a checkpoint has to begin.
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -45,7 +45,7 @@
     /// Where the worker accepts commands; its tasks are reached at the same host.
     pub addr: String,
     /// The machine type in the cloud's catalog.
-    pub kind: String,
+    pub machine_type: String,
     /// The availability zone.
     pub zone: String,
     /// True for a spot machine.
@@ -60,9 +60,9 @@
     /// When the newest heartbeat arrived; the response to it renews the worker's lease.
     pub last_heartbeat: MonotonicTime,
     /// When the machine was started, as far as known: at the latest with its first heartbeat.
-    pub born: MonotonicTime,
+    pub started_at: MonotonicTime,
     /// When the cloud reclaims the machine, if the worker passed on a notice.
-    pub notice: Option<MonotonicTime>,
+    pub termination_at: Option<MonotonicTime>,
     /// The tasks that the newest heartbeat listed.
     pub reported_tasks: BTreeMap<TaskKey, ReportedTask>,
     /// For each task whose start was sent, the heartbeat that it was last sent in response to.
