--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -176,7 +176,7 @@
         let Some(deferred) = self.deferred_responses.remove(machine) else { return };
         let shard = self.shard_of(machine);
         let Some((token, ready)) = self.owned_shards.get(&shard).map(|owned| (owned.token, owned.ready)) else {
-            let response = self.answer_foreign_heartbeat(shard, &deferred.heartbeat);
+            let response = self.answer_unowned_heartbeat(shard, &deferred.heartbeat);
             return self.response(deferred.request, response);
         };
         if !self.may_answer_workers() || deferred.heartbeat.token > token {
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -17,7 +17,7 @@
         let shard = self.shard_of(&heartbeat.machine);
         self.membership.heartbeat_arrived(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
-            let response = self.answer_foreign_heartbeat(shard, &heartbeat);
+            let response = self.answer_unowned_heartbeat(shard, &heartbeat);
             return self.response(request, response);
         };
         // A worker that has seen a newer token obeys a later owner of the shard.
--- a/src/coordination/jobs/health.rs
+++ b/src/coordination/jobs/health.rs
@@ -24,7 +24,7 @@
         let store_reached = self.is_recent(self.store.last_answer());
         self.store.is_loaded()
             && !self.catalog.is_empty()
-            && (store_reached || self.membership.peers().none_reaches_store(self.now))
+            && (store_reached || self.membership.peers().no_peer_reaches_store(self.now))
     }
 
     fn is_recent(&self, at: Option<MonotonicTime>) -> bool {
--- a/src/coordination/jobs/health/tests.rs
+++ b/src/coordination/jobs/health/tests.rs
@@ -15,7 +15,7 @@
     let mut up = |state: u64, peer: Option<(u64, bool)>| {
         core.store.set_last_answer(MonotonicTime(state));
         let peer = peer.map(|(heard, state_reachable)| Peer {
-            heard: Some(MonotonicTime(heard)),
+            last_heard: Some(MonotonicTime(heard)),
             state_reachable,
             status: None,
         });
--- a/src/coordination/membership/peers.rs
+++ b/src/coordination/membership/peers.rs
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 
 /// A peer heard within this time is taken to be up.
-const RECENTLY: Millis = Millis(3000);
+const RECENT_LIMIT: Millis = Millis(3000);
 
 /// Another controller.
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
     /// When its last status arrived.
-    pub(crate) heard: Option<MonotonicTime>,
+    pub(crate) last_heard: Option<MonotonicTime>,
     /// Whether it said that it reaches the store.
     pub(crate) state_reachable: bool,
     /// Its last status that named shards or machine ages; else its first.
@@ -21,7 +21,7 @@
 
 impl Peer {
     fn heard_recently(&self, now: MonotonicTime) -> bool {
-        self.heard.is_some_and(|at| now.since(at) < RECENTLY)
+        self.last_heard.is_some_and(|at| now.since(at) < RECENT_LIMIT)
     }
 }
 
@@ -49,7 +49,7 @@
 
     /// When a peer was heard last.
     pub(crate) fn last_heard(&self, node: &NodeName) -> Option<MonotonicTime> {
-        self.by_name.get(node)?.heard
+        self.by_name.get(node)?.last_heard
     }
 
     /// The kept status of each peer, however old.
@@ -64,15 +64,15 @@
 
     /// True if this controller alone can't be to blame for not reaching the store: there are no peers, or some were
     /// heard recently and none of these reaches it either.
-    pub(crate) fn none_reaches_store(&self, now: MonotonicTime) -> bool {
-        let mut heard = self.by_name.values().filter(|peer| peer.heard_recently(now)).peekable();
-        self.is_empty() || heard.peek().is_some() && heard.all(|peer| !peer.state_reachable)
+    pub(crate) fn no_peer_reaches_store(&self, now: MonotonicTime) -> bool {
+        let mut recent = self.by_name.values().filter(|peer| peer.heard_recently(now)).peekable();
+        self.is_empty() || recent.peek().is_some() && recent.all(|peer| !peer.state_reachable)
     }
 
     /// Records that a status of a peer arrived; false if no such peer is configured.
     pub(super) fn status_arrived(&mut self, node: &NodeName, state_reachable: bool, now: MonotonicTime) -> bool {
         let Some(peer) = self.by_name.get_mut(node) else { return false };
-        peer.heard = Some(now);
+        peer.last_heard = Some(now);
         peer.state_reachable = state_reachable;
         true
     }
@@ -88,7 +88,7 @@
     /// This process was suspended for `gap`: its peers were not silent for that time.
     pub(super) fn clock_jumped(&mut self, gap: Millis) {
         for peer in self.by_name.values_mut() {
-            peer.heard = peer.heard.map(|at| at + gap);
+            peer.last_heard = peer.last_heard.map(|at| at + gap);
         }
     }
 }
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -23,7 +23,7 @@
     /// anything of it begun; none if none has waited too long, or if the shard has used up
     /// its share for such jobs.
     pub(crate) fn starving_job(&self, shard: ShardId, jobs: &[(&JobId, &Job)]) -> Option<usize> {
-        if self.owned_shards.get(&shard).is_none_or(|owned_shard| self.now < owned_shard.next_starving_job) {
+        if self.owned_shards.get(&shard).is_none_or(|owned_shard| self.now < owned_shard.next_starving_job_at) {
             return None;
         }
         let starving = jobs.iter().enumerate().filter(|(_, (_, job))| self.is_starving(job));
@@ -47,7 +47,7 @@
         let share_cpus = (CPU_SHARE * shard_cpus).max(MIN_SHARE_CPUS);
         let pause = Millis::secs((cpus * hold_s / share_cpus).min(self.tuning.starvation_limit_s));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-            owned_shard.next_starving_job = self.now + pause;
+            owned_shard.next_starving_job_at = self.now + pause;
         }
     }
 }
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -75,7 +75,7 @@
     }
 
     /// The response to a heartbeat of a machine whose shard another controller owns: a redirect, or as its proxy.
-    pub(crate) fn answer_foreign_heartbeat(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
+    pub(crate) fn answer_unowned_heartbeat(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
         let held = self.cache.owners.get(&shard);
         let Some((holder, version)) = held.and_then(|held| Some((held.record.as_ref()?, held.version))) else {
             return Response::Redirect(None);
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -111,7 +111,7 @@
     /// The shard's transaction that has no answer yet; there is one at a time.
     pub inflight: Option<CallId>,
     /// Reads under way of keys that a transaction conflicted on.
-    pub rereads: usize,
+    pub pending_rereads: usize,
     /// No transaction is sent before.
     pub retry_at: MonotonicTime,
     /// When a lease proxy may last have been registered for the shard.
@@ -127,7 +127,7 @@
     /// What waiting tasks lack of the shard's quota, by team.
     pub quota_shortages: BTreeMap<String, QuotaShortage>,
     /// No starving job is put first before.
-    pub next_starving_job: MonotonicTime,
+    pub next_starving_job_at: MonotonicTime,
     /// During a quota transfer: the shard's quota if it is carried out.
     pub transferring: Option<QuotaRecord>,
 }
@@ -146,7 +146,7 @@
             placed_tasks: BTreeMap::new(),
             dirty: BTreeMap::new(),
             inflight: None,
-            rereads: 0,
+            pending_rereads: 0,
             retry_at: MonotonicTime(0),
             last_proxied: now,
             expiry_check: ExpiryCheck::None,
@@ -154,7 +154,7 @@
             running_since: HashMap::default(),
             usage: BTreeMap::new(),
             quota_shortages: BTreeMap::new(),
-            next_starving_job: MonotonicTime(0),
+            next_starving_job_at: MonotonicTime(0),
             transferring: None,
         }
     }
@@ -167,7 +167,7 @@
 
     /// True while nothing of the shard is on its way to or from the store.
     pub fn is_idle(&self) -> bool {
-        self.inflight.is_none() && self.rereads == 0
+        self.inflight.is_none() && self.pending_rereads == 0
     }
 
     /// What the team's placed tasks use.
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -93,7 +93,7 @@
 fn can_write(owned_shard: &OwnedShard, now: MonotonicTime) -> bool {
     owned_shard.ready
         && owned_shard.inflight.is_none()
-        && owned_shard.rereads == 0
+        && owned_shard.pending_rereads == 0
         && now >= owned_shard.retry_at
         && !owned_shard.dirty.is_empty()
 }
@@ -255,7 +255,7 @@
             }
             StoreResponse::Conflict(failed) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                    owned_shard.rereads += failed.len();
+                    owned_shard.pending_rereads += failed.len();
                 }
                 self.reread(failed, Some(shard));
             }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -135,7 +135,7 @@
             self.end_quota_transfers(&[shard]);
         }
         if let Some(owned_shard) = shard.and_then(|shard| self.owned_shards.get_mut(&shard)) {
-            owned_shard.rereads = owned_shard.rereads.saturating_sub(1);
+            owned_shard.pending_rereads = owned_shard.pending_rereads.saturating_sub(1);
         }
     }
 }
