--- a/src/coordination/leader/leader_cycle.rs
+++ b/src/coordination/leader/leader_cycle.rs
@@ -1,6 +1,7 @@
-//! When the leader acts: with each housekeeping, and soon after new jobs came.
+//! Runs the leader's work: all of it with each housekeeping, and the assignment of new slices soon after new jobs
+//! arrive.
 //!
-//! Called by the core. Decides nothing itself: see `slice_assignment` and `fleet`.
+//! Called by the core. The decisions are made in `slice_assignment` and `fleet`.
 
 use crate::coordination::leader::slice_assignment::AssignmentScope;
 use crate::coordination::Core;
@@ -16,7 +17,7 @@
         self.manage_fleet();
     }
 
-    /// Assigns slices of new jobs, between two leader cycles. Does nothing unless this controller is the leader.
+    /// Assigns slices of new jobs between two leader cycles. Does nothing unless this controller is the leader.
     pub(crate) fn assign_new_slices(&mut self) {
         if self.may_act_as_leader() {
             self.assign_slices(AssignmentScope::NewSlices);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,8 +1,8 @@
-//! What the leader does for all shards: it assigns slices of job arrays to shards and has the fleet scaled.
+//! The leader's work for all shards: assigning slices of job arrays to shards and scaling the fleet.
 //!
-//! The core calls `leader_cycle` on every controller; only the one that holds the leader's key acts. Plans are
-//! written in transactions that fail if another controller has become leader. `shard_capacity` is also read by
-//! scheduling and the fleet.
+//! The core calls `leader_cycle` on every controller; only the holder of the leader key acts. Plans are written in
+//! transactions that fail if another controller has become leader. Scheduling and the fleet also read
+//! `shard_capacity`.
 
 pub(crate) mod leader_cycle;
 pub(crate) mod shard_capacity;
--- a/src/coordination/leader/shard_capacity.rs
+++ b/src/coordination/leader/shard_capacity.rs
@@ -1,7 +1,7 @@
-//! The free resources of the machines that may take work, by shard, and how many tasks of a job they could start.
+//! Free resources of schedulable machines, by shard, and the number of tasks of a job that they could start.
 //!
-//! A snapshot that its caller makes and changes: the leader assigns slices by it and reserves what they would use,
-//! and `scheduling::unplaceable_services` asks it. It reserves nothing outside itself.
+//! [`ShardCapacity`] is a snapshot owned by its caller. The leader assigns slices by it and reserves what they would
+//! use; `scheduling::unplaceable_services` only reads it. Reservations affect the snapshot alone.
 
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
@@ -10,44 +10,45 @@
 use foldhash::fast::FixedState;
 use std::collections::{BTreeSet, HashMap};
 
-/// What is free on the machines of each shard.
+/// Free resources of the schedulable machines of each shard.
 pub(crate) struct ShardCapacity<'a> {
-    /// The machines of each shard, by the shard's number.
+    /// Machines of each shard, indexed by shard number.
     shards: Vec<Vec<MachineCapacity<'a>>>,
 }
 
-/// What is free on one machine.
+/// Free resources of one machine.
 struct MachineCapacity<'a> {
-    kind: &'a str,
+    machine_type: &'a str,
     zone: &'a str,
     spot: bool,
     free: Resources,
-    /// Cores of the whole machine, free or not.
+    /// All cores of the machine, free or in use.
     cpus: f64,
 }
 
-/// Tasks that could start in a zone.
+/// Number of tasks that could start in a zone.
 struct ZoneTasks<'a> {
     zone: &'a str,
     count: usize,
 }
 
 impl MachineCapacity<'_> {
-    /// True if the job may run on the machine, whether or not it has room.
+    /// True if the job's constraints allow the machine, regardless of its free resources.
     fn suits(&self, record: &JobRecord) -> bool {
         let spec = &record.spec;
-        spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == self.kind))
+        spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == self.machine_type))
             && spec.zone.as_ref().is_none_or(|zone| zone == self.zone)
             && (spec.spot_allowed || !self.spot)
     }
 
+    /// True if the machine is in the zone, or if no zone is given.
     fn is_in(&self, zone: Option<&str>) -> bool {
         zone.is_none_or(|zone| zone == self.zone)
     }
 }
 
 impl<'a> ShardCapacity<'a> {
-    /// Tasks of the job, up to `limit`, that the shard could start now under the job's rules on zones.
+    /// Returns how many tasks of the job, up to `limit`, the shard could start now under the job's zone rules.
     pub(crate) fn startable(&self, shard: ShardId, record: &JobRecord, limit: usize) -> usize {
         if !has_zone_rules(record) {
             return self.startable_in(None, shard, record, limit);
@@ -55,12 +56,12 @@
         self.startable_by_zone(shard, record, limit).iter().map(|tasks| tasks.count).sum()
     }
 
-    /// Tasks of the job, up to `limit`, that the shard could start now in this zone.
+    /// Returns how many tasks of the job, up to `limit`, the shard could start now in this zone.
     pub(crate) fn startable_in_zone(&self, zone: &str, shard: ShardId, record: &JobRecord, limit: usize) -> usize {
         self.startable_in(Some(zone), shard, record, limit)
     }
 
-    /// Takes away what the tasks that [`ShardCapacity::startable`] counts would use.
+    /// Reserves the resources of the tasks that [`ShardCapacity::startable`] counts.
     pub(crate) fn reserve(&mut self, shard: ShardId, record: &JobRecord, limit: usize) {
         if !has_zone_rules(record) {
             return self.reserve_in(None, shard, record, limit);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Cores of the shard's machines that the job may run on, free or not.
+    /// Returns the total cores, free or in use, of the shard's machines that the job may run on.
     pub(crate) fn suitable_cpus(&self, shard: ShardId, record: &JobRecord) -> f64 {
         self.machines(shard).filter(|machine| machine.suits(record)).map(|machine| machine.cpus).sum()
     }
@@ -79,12 +80,12 @@
         self.shards.get(shard.0 as usize).into_iter().flatten()
     }
 
-    /// In which zones the tasks of a job with rules on zones could start now: in the one that could start the most,
-    /// or spread over several.
+    /// Returns the zones in which tasks of a job with zone rules could start now: the single zone that could start the
+    /// most, or several zones if the job may span them.
     fn startable_by_zone(&self, shard: ShardId, record: &JobRecord, limit: usize) -> Vec<ZoneTasks<'a>> {
         let spec = &record.spec;
         let zones: BTreeSet<&'a str> = self.machines(shard).map(|machine| machine.zone).collect();
-        // Of tasks that must be spread, at most half may be in one zone.
+        // A job whose tasks must be spread may have at most half of them in one zone.
         let zone_limit = if spec.apart { limit.min(spec.task_count.div_ceil(2) as usize) } else { limit };
         let in_zone = |zone: &'a str, limit: usize| {
             let count = self.startable_in(Some(zone), shard, record, limit);
@@ -104,7 +105,8 @@
         spread
     }
 
-    /// Tasks of the job, up to `limit`, that the shard could start now in the zone, or anywhere if none is named.
+    /// Returns how many tasks of the job, up to `limit`, the shard could start now in the zone, or in any zone if none
+    /// is given.
     fn startable_in(&self, zone: Option<&str>, shard: ShardId, record: &JobRecord, limit: usize) -> usize {
         let need = Resources::of_task(&record.spec);
         let mut count = 0;
@@ -118,8 +120,8 @@
         count
     }
 
-    /// Takes away what as many tasks, up to `limit`, use on the first machines in the zone, or anywhere if none is
-    /// named, that have room for them.
+    /// Reserves the resources of up to `limit` tasks on the first machines with room in the zone, or in any zone if
+    /// none is given.
     fn reserve_in(&mut self, zone: Option<&str>, shard: ShardId, record: &JobRecord, limit: usize) {
         let need = Resources::of_task(&record.spec);
         let Some(machines) = self.shards.get_mut(shard.0 as usize) else { return };
@@ -133,12 +135,12 @@
     }
 }
 
-/// True if the job says in which zones its tasks may be in relation to one another.
+/// True if the job restricts its tasks to one zone or requires them to be spread over zones.
 fn has_zone_rules(record: &JobRecord) -> bool {
     record.spec.one_zone || record.spec.apart
 }
 
-/// Takes from what is free as many tasks as fit, up to `limit`, and returns how many those are.
+/// Subtracts from `free` the resources of as many tasks as fit, up to `limit`, and returns their number.
 fn take_tasks(free: &mut Resources, need: Resources, limit: usize) -> usize {
     let mut count = 0;
     while count < limit && need.fits_into(free) {
@@ -149,7 +151,7 @@
 }
 
 impl Core {
-    /// What is free on the machines that may take work. Of owned shards the desired state counts, which is newer
+    /// Returns the free resources of schedulable machines. Owned shards count by their desired state, which is newer
     /// than the durable one.
     pub(crate) fn available_capacity(&self) -> ShardCapacity<'_> {
         let used = self.resources_in_use();
@@ -162,7 +164,7 @@
             let mut free = Resources::of_machine(machine_type);
             free -= used.get(name).copied().unwrap_or_default();
             shards[self.shard_of(name).0 as usize].push(MachineCapacity {
-                kind: &machine.kind,
+                machine_type: &machine.kind,
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
@@ -172,7 +174,8 @@
         ShardCapacity { shards }
     }
 
-    /// What placed tasks use of each machine, by their desired or else their durable state.
+    /// Returns the resources that placed tasks use on each machine, by their desired state or, where there is none,
+    /// their durable state.
     pub(crate) fn resources_in_use(&self) -> HashMap<&MachineId, Resources, FixedState> {
         let mut used: HashMap<&MachineId, Resources, FixedState> = HashMap::default();
         let jobs = self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id));
--- a/src/coordination/leader/slice_assignment.rs
+++ b/src/coordination/leader/slice_assignment.rs
@@ -1,8 +1,8 @@
-//! Assigns the slices of job arrays to shards, by what each shard could start now, and moves waiting slices from
-//! shards without room to shards with.
+//! Assigns the slices of job arrays to shards by the number of tasks that each shard could start now, and moves waiting
+//! slices from shards without room to shards that have it.
 //!
-//! Called by the leader's cycle. Writes only the plans in job records, on condition that this controller is still
-//! the leader and that no task of a moved slice has started meanwhile. Tasks are placed by the shards' owners.
+//! Called by the leader cycle. Writes only the plans in job records, on condition that this controller is still the
+//! leader and that no task of a moved slice has started meanwhile. The owners of the shards place the tasks.
 
 use crate::coordination::leader::shard_capacity::ShardCapacity;
 use crate::coordination::Core;
@@ -12,38 +12,38 @@
 use crate::units::{JobId, Revision, ShardId};
 use std::collections::BTreeMap;
 
-/// The most slices that one pass looks at; the others follow in the next one.
-const MAX_SLICES: usize = 400;
+/// Maximum number of slices that one pass considers; the next pass continues with the rest.
+const MAX_SLICES_PER_PASS: usize = 400;
 
-/// The most plans that one pass writes.
-const MAX_PLANS: usize = 4;
+/// Maximum number of plans that one pass writes.
+const MAX_PLANS_PER_PASS: usize = 4;
 
-/// Conditions that a transaction may have for each operation that the store allows in one.
+/// Number of conditions that a transaction may have per operation that the store allows in a transaction.
 const CONDITIONS_PER_OPERATION: usize = 4;
 
-/// Conditions of a plan's transaction that are kept free for other keys than those of moved slices.
-const OTHER_CONDITIONS: usize = 4;
+/// Conditions of a plan's transaction that are reserved for keys other than those of moved slices.
+const RESERVED_CONDITIONS: usize = 4;
 
-/// A job whose tasks must stay together is moved only if it is older, in seconds: its owner has that long to
-/// place it.
-const MIN_AGE_OF_MOVED_JOB_S: f64 = 2.0;
+/// Minimum age of a job whose tasks must stay together before it is moved: its current owner has this long to place
+/// it.
+const MIN_MOVED_JOB_AGE_S: f64 = 2.0;
 
-/// A move must at least double the tasks that can start, or it is not worth its write.
-const WORTHWHILE_FACTOR: usize = 2;
+/// A move is worth its write only if it increases the number of startable tasks by more than this factor.
+const MIN_MOVE_GAIN_FACTOR: usize = 2;
 
-/// Which slices a pass assigns.
+/// The slices that a pass assigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AssignmentScope {
-    /// Those of jobs that have no plan yet.
+    /// Slices of jobs that have no plan yet.
     NewSlices,
-    /// Those, and slices of which no task has started.
+    /// Slices of jobs without a plan, and planned slices of which no task has started.
     NewAndWaitingSlices,
 }
 
-/// A job with slices to assign. The one with the least time left comes first.
+/// A job with slices to assign, ordered by the time left, least first.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct JobToAssign {
-    /// How much of the time that the job may take is left, in milliseconds.
+    /// Allowed time of the job minus its age, in milliseconds; negative once the job is late.
     time_left_ms: i64,
     id: JobId,
 }
@@ -51,32 +51,32 @@
 /// A new plan of a job.
 struct PlanChange {
     plan: SlicePlan,
-    /// Slices that had been assigned to another shard before.
+    /// Indexes of the slices that the plan moves to another shard.
     moved_slices: Vec<usize>,
 }
 
-/// How many tasks a shard could start. Of shards that could start as many, the last one is the greatest.
+/// Number of tasks that a shard could start. Ties are ordered by shard number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Startable {
     count: usize,
     shard: ShardId,
 }
 
-/// How well a new slice suits a shard: the greater, the better.
+/// Score of a shard as the target of a new slice; the greatest wins.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ShardScore {
-    /// Tasks of the slice that the shard could start now.
+    /// Number of tasks of the slice that the shard could start now.
     startable: usize,
-    /// The shard's queue in relation to its size, negated.
+    /// Queued cores per suitable core of the shard, in thousandths, negated.
     negative_queue: i64,
     shard: ShardId,
 }
 
-/// What a pass knows of the shards, with the slices that it has assigned so far.
+/// State of the shards during one pass, including the slices that it has assigned so far.
 struct AssignmentPass<'a> {
     shard_count: u32,
     capacity: ShardCapacity<'a>,
-    /// Cores of the assigned tasks that their shards can't start now.
+    /// Cores of tasks that are assigned to each shard but can't start there now.
     queued_cpus: BTreeMap<ShardId, f64>,
 }
 
@@ -85,8 +85,8 @@
         (0..self.shard_count).map(ShardId)
     }
 
-    /// The shard that could start most of a new slice now; failing that, the one whose queue is shortest for its
-    /// size. The slice counts as assigned to it.
+    /// Assigns a new slice to the shard that could start the most of it now and returns that shard. Ties go to the
+    /// shard with the shortest queue relative to its size.
     fn assign_new_slice(&mut self, record: &JobRecord, tasks: usize) -> ShardId {
         let score = |shard: ShardId| {
             let queued = self.queued_cpus.get(&shard).copied().unwrap_or(0.0);
@@ -100,8 +100,8 @@
         best.shard
     }
 
-    /// The shard that a waiting slice is to move to, if it is to move. The slice counts as assigned to that shard,
-    /// or else to its current one.
+    /// Returns the shard that a waiting slice should move to, or `None` if it should stay. The pass then counts the
+    /// slice as assigned to that shard, or else to its current one.
     fn reassign_slice(
         &mut self,
         record: &JobRecord,
@@ -109,14 +109,14 @@
         current: ShardId,
         may_move: bool,
     ) -> Option<ShardId> {
-        let here = self.capacity.startable(current, record, tasks);
-        if here * WORTHWHILE_FACTOR >= tasks || !may_move {
-            self.capacity.reserve(current, record, here);
+        let startable_here = self.capacity.startable(current, record, tasks);
+        if startable_here * MIN_MOVE_GAIN_FACTOR >= tasks || !may_move {
+            self.capacity.reserve(current, record, startable_here);
             return None;
         }
         let others = self.shard_ids().filter(|shard| *shard != current);
         let best = others.map(|shard| self.startable(shard, record, tasks)).max();
-        let Some(best) = best.filter(|best| best.count > here * WORTHWHILE_FACTOR) else {
+        let Some(best) = best.filter(|best| best.count > startable_here * MIN_MOVE_GAIN_FACTOR) else {
             self.queue(current, record, tasks);
             return None;
         };
@@ -124,12 +124,13 @@
         Some(best.shard)
     }
 
-    /// The shard that a job whose tasks must stay together is to move to, if another could start more of it.
+    /// Returns the shard that a job whose tasks must stay together should move to, if another shard could start more
+    /// of it.
     fn reassign_whole_job(&mut self, record: &JobRecord, current: ShardId) -> Option<ShardId> {
         let tasks = record.spec.task_count as usize;
-        let here = self.capacity.startable(current, record, tasks);
+        let startable_here = self.capacity.startable(current, record, tasks);
         let best = self.shard_ids().map(|shard| self.startable(shard, record, tasks)).max()?;
-        if best.shard == current || best.count <= here {
+        if best.shard == current || best.count <= startable_here {
             return None;
         }
         self.capacity.reserve(best.shard, record, best.count);
@@ -146,7 +147,7 @@
 }
 
 impl Core {
-    /// Assigns the slices in scope, as many as one pass may, and writes the changed plans.
+    /// Assigns the slices in scope, within the limits of one pass, and writes the changed plans.
     pub(super) fn assign_slices(&mut self, scope: AssignmentScope) {
         let jobs = self.jobs_to_assign(scope);
         if jobs.is_empty() {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The jobs with slices in scope, the one with the least time left first.
+    /// Returns the jobs with slices in scope, ordered by the time left, least first.
     fn jobs_to_assign(&self, scope: AssignmentScope) -> Vec<JobToAssign> {
         let mut jobs: Vec<JobToAssign> = vec![];
         for id in &self.cache.active {
@@ -173,7 +174,7 @@
         jobs
     }
 
-    /// The transactions that write the changed plans of these jobs.
+    /// Returns the transactions that write the changed plans of these jobs.
     fn plan_transactions(&self, jobs: &[JobToAssign]) -> Vec<Transaction> {
         let mut pass = AssignmentPass {
             shard_count: self.shard_count,
@@ -183,7 +184,7 @@
         let mut slices_seen = 0;
         let mut transactions: Vec<Transaction> = vec![];
         for JobToAssign { id, .. } in jobs {
-            if slices_seen >= MAX_SLICES || transactions.len() >= MAX_PLANS {
+            if slices_seen >= MAX_SLICES_PER_PASS || transactions.len() >= MAX_PLANS_PER_PASS {
                 break;
             }
             let Some(job) = self.cache.jobs.get(id) else { continue };
@@ -199,7 +200,7 @@
         transactions
     }
 
-    /// The transaction that writes a changed plan. None while another one writes the job's record.
+    /// Returns the transaction that writes a changed plan, or `None` while another one writes the job's record.
     fn plan_transaction(&self, id: &JobId, job: &Job, change: PlanChange) -> Option<Transaction> {
         let key = job_key(id);
         if self.store.is_key_busy(&key) {
@@ -218,7 +219,7 @@
         Some(Transaction { conditions, changes: vec![Change::put(key, value)] })
     }
 
-    /// Cuts a job into slices and assigns each.
+    /// Splits a job into slices and assigns each to a shard.
     fn new_plan(&self, job: &Job, pass: &mut AssignmentPass) -> PlanChange {
         let task_count = job.record.spec.task_count;
         let size = self.slice_size(task_count);
@@ -230,11 +231,12 @@
         PlanChange { plan, moved_slices: vec![] }
     }
 
-    /// Moves slices of which no task has started to shards that could start many more of them.
+    /// Moves slices of which no task has started to shards that could start more than [`MIN_MOVE_GAIN_FACTOR`] times
+    /// as many of their tasks.
     fn move_waiting_slices(&self, job: &Job, plan: &SlicePlan, pass: &mut AssignmentPass) -> Option<PlanChange> {
         let max_moved = self.max_moved_slices();
         let mut change = PlanChange { plan: plan.clone(), moved_slices: vec![] };
-        for (index, &current) in plan.shards.iter().enumerate().take(MAX_SLICES) {
+        for (index, &current) in plan.shards.iter().enumerate().take(MAX_SLICES_PER_PASS) {
             let slice = job.slices().get(index).filter(|slice| slice.is_reassignable());
             let Some(slice) = slice else { continue };
             let all = plan.len(index, job.record.spec.task_count);
@@ -253,7 +255,7 @@
     fn move_whole_job(&self, job: &Job, plan: &SlicePlan, pass: &mut AssignmentPass) -> Option<PlanChange> {
         let may_move = job.slices().iter().all(|slice| slice.is_reassignable())
             && plan.shards.len() <= self.max_moved_slices()
-            && self.age_s(job) > MIN_AGE_OF_MOVED_JOB_S;
+            && self.age_s(job) > MIN_MOVED_JOB_AGE_S;
         let current = *plan.shards.first().filter(|_| may_move)?;
         let shard = pass.reassign_whole_job(&job.record, current)?;
         let shards = vec![shard; plan.shards.len()];
@@ -261,8 +263,8 @@
         Some(PlanChange { plan: SlicePlan { size: plan.size, shards }, moved_slices })
     }
 
-    /// The most slices that one transaction can move: each takes a condition.
+    /// Returns the maximum number of slices that one transaction can move: each needs a condition.
     fn max_moved_slices(&self) -> usize {
-        self.settings.cluster.state.txn_ops * CONDITIONS_PER_OPERATION - OTHER_CONDITIONS
+        self.settings.cluster.state.txn_ops * CONDITIONS_PER_OPERATION - RESERVED_CONDITIONS
     }
 }
--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -1,9 +1,10 @@
-//! Feature levels: what each controller supports, announced in its node record, and what is turned on for all.
+//! Feature levels: each controller announces the level it supports in its node record, and the leader enables a level
+//! for the whole cluster.
 //!
-//! Controllers are replaced one by one while work goes on. The leader turns a level on, for good, once each configured
-//! controller has announced it, in a transaction conditional on the node records that it judged by. A controller that
-//! stays away for longer than any restart takes doesn't hold the others up. Called on node record changes and in
-//! housekeeping; asked by submissions and the leader.
+//! Controllers are upgraded one at a time while the cluster runs. The leader enables a level permanently once every
+//! configured controller has announced it, in a transaction conditional on the node records that it read. A controller
+//! that is absent for longer than any restart takes doesn't block the others. Called on node record changes and in
+//! housekeeping; queried by submissions and the leader.
 
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
@@ -14,51 +15,53 @@
 use crate::units::{Millis, MonotonicTime, NodeName, Revision};
 use std::collections::BTreeMap;
 
-/// The level that this version supports.
+/// Feature level that this build supports and announces.
 pub(crate) const SUPPORTED_LEVEL: FeatureLevel = FeatureLevel(1);
 
-/// The level from which on jobs may depend on others.
+/// Lowest level at which jobs may depend on other jobs.
 const JOB_DEPENDENCIES: FeatureLevel = FeatureLevel(1);
 
-/// The level that is on as long as no record says otherwise.
+/// Level that applies while the store has no feature level record.
 const BASE_LEVEL: FeatureLevel = FeatureLevel(0);
 
-/// A controller that never announced a level holds it up until it has been away for so long.
-const AWAY_LIMIT: Millis = Millis(60_000);
+/// A controller that has not announced a level blocks it until the controller has been absent for this time.
+const ABSENCE_LIMIT: Millis = Millis(60_000);
 
-/// What a controller announced last.
+/// Latest announcement of one controller.
 #[derive(Debug, Clone, Copy)]
 struct AnnouncedLevel {
     level: FeatureLevel,
-    /// Since when it has had no node record; none while it has one.
-    away_since: Option<MonotonicTime>,
+    /// When its node record disappeared; `None` while it has one.
+    absent_since: Option<MonotonicTime>,
 }
 
-/// What each controller announced last, since this process started.
+/// Latest announcement of each controller since this process started.
 #[derive(Debug, Default)]
 pub(super) struct AnnouncedLevels {
     by_node: BTreeMap<NodeName, AnnouncedLevel>,
 }
 
 impl AnnouncedLevels {
-    /// Takes in that a controller's node record changed or went away.
+    /// Updates the announcement of a controller whose node record changed or was removed.
     fn node_changed(&mut self, node: &NodeName, record: Option<&NodeRecord>, now: MonotonicTime) {
-        let known = self.by_node.entry(node.clone()).or_insert(AnnouncedLevel { level: BASE_LEVEL, away_since: None });
+        let known =
+            self.by_node.entry(node.clone()).or_insert(AnnouncedLevel { level: BASE_LEVEL, absent_since: None });
         match record {
-            Some(record) => *known = AnnouncedLevel { level: record.level, away_since: None },
-            None => known.away_since = Some(now),
+            Some(record) => *known = AnnouncedLevel { level: record.level, absent_since: None },
+            None => known.absent_since = Some(now),
         }
     }
 
-    /// True if the controller doesn't hold a level up. One never seen counts as away since this process `began`.
+    /// True if the controller doesn't block the level. A controller never seen counts as absent since this process
+    /// `began`.
     fn allows(&self, node: &NodeName, level: FeatureLevel, began: MonotonicTime, now: MonotonicTime) -> bool {
-        let never_seen = AnnouncedLevel { level: BASE_LEVEL, away_since: Some(began) };
+        let never_seen = AnnouncedLevel { level: BASE_LEVEL, absent_since: Some(began) };
         let known = self.by_node.get(node).copied().unwrap_or(never_seen);
-        known.level >= level || known.away_since.is_some_and(|since| now.since(since) >= AWAY_LIMIT)
+        known.level >= level || known.absent_since.is_some_and(|since| now.since(since) >= ABSENCE_LIMIT)
     }
 }
 
-/// True if a controller is live and supports jobs that depend on others.
+/// True if the controller is live and supports jobs that depend on other jobs.
 pub(crate) fn supports_dependencies(held: &Versioned<NodeRecord>) -> bool {
     held.record.as_ref().is_some_and(|record| record.level >= JOB_DEPENDENCIES)
 }
@@ -69,17 +72,18 @@
         self.feature_level() >= JOB_DEPENDENCIES
     }
 
+    /// Returns the level that is enabled for the cluster, as of the cache.
     fn feature_level(&self) -> FeatureLevel {
         self.cache.level.record.as_ref().map_or(BASE_LEVEL, |record| record.level)
     }
 
-    /// A controller's node record changed in the cache.
+    /// Handles a change of a controller's node record in the cache.
     pub(crate) fn node_changed(&mut self, node: &NodeName) {
         let record = self.cache.nodes.get(node).and_then(|held| held.record.as_ref());
         self.membership.announced_levels.node_changed(node, record, self.now);
     }
 
-    /// As the leader, turns on the level that all controllers support.
+    /// Enables [`SUPPORTED_LEVEL`] for the cluster if this controller is the leader and no controller blocks it.
     pub(crate) fn raise_feature_level(&mut self) {
         if self.feature_level() >= SUPPORTED_LEVEL || !self.can_raise_feature_level() {
             return;
@@ -91,7 +95,7 @@
         }
         let conditions = self.feature_level_conditions(&nodes);
         let value = encode(&FeatureLevelRecord { level: SUPPORTED_LEVEL });
-        tracing::info!(level = SUPPORTED_LEVEL.0, "raised feature level: all controllers support it");
+        tracing::info!(level = SUPPORTED_LEVEL.0, "raising the feature level");
         self.submit_transaction(Transaction {
             conditions,
             changes: vec![Change::put(FEATURE_LEVEL_KEY.into(), value)],
@@ -105,8 +109,8 @@
             && !self.store.is_key_busy(FEATURE_LEVEL_KEY)
     }
 
-    /// Conditions under which the level may be raised: leadership, the level, and all node records are as judged by.
-    /// A controller that comes, or comes back with another version, in this moment makes the transaction fail.
+    /// Returns the conditions for raising the level: the leader key, the level record and all node records are
+    /// unchanged. The transaction fails if a controller joins, or rejoins with another version, in the meantime.
     fn feature_level_conditions(&self, nodes: &[NodeName]) -> Vec<Condition> {
         let mut conditions = vec![
             Condition { key: LEADER_KEY.into(), version: self.cache.leader.version },
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -1,6 +1,7 @@
-//! Membership: this controller's lease, its peers, which controller owns which shard and which one leads, and what
-//! all controllers support. Driven by [`Core::tick_membership`] and by answers of the store; other folders ask
-//! [`Membership`] through its functions. Peers' statuses are hints: what is owned is decided by the store alone.
+//! Membership: this controller's lease, its peers, shard ownership, leader election and feature levels.
+//!
+//! Driven by [`Core::tick_membership`] and by responses of the store; other modules query [`Membership`] through its
+//! functions. Peer statuses are hints: only the store decides ownership.
 //!
 //! [`Core::tick_membership`]: crate::coordination::Core::tick_membership
 
@@ -23,7 +24,7 @@
 use crate::coordination::membership::startup::StartupProgress;
 use crate::units::{LeaseId, MachineId, Millis, MonotonicTime, NodeName};
 
-/// What this controller knows of itself and its peers. Each field belongs to the module that its type stands in.
+/// Membership state of this controller. Each field is changed only by the module that defines its type.
 #[derive(Debug)]
 pub(crate) struct Membership {
     node_lease: NodeLease,
@@ -36,7 +37,7 @@
 }
 
 impl Membership {
-    /// A process that has just started, with these configured peers.
+    /// Creates the state of a process that has just started, with these configured peers.
     pub(crate) fn new(peers: impl Iterator<Item = NodeName>) -> Membership {
         Membership {
             node_lease: NodeLease::default(),
@@ -49,27 +50,28 @@
         }
     }
 
-    /// This controller's lease in the store, if it has one.
+    /// Returns this controller's lease in the store, or `None` before the grant and after the lease expired.
     pub(crate) fn lease(&self) -> Option<LeaseId> {
         self.node_lease.id()
     }
 
-    /// The other controllers and what each said last.
+    /// Returns the other configured controllers and their latest statuses.
     pub(crate) fn peers(&self) -> &Peers {
         &self.peers
     }
 
-    /// A heartbeat of any worker arrived, of whichever shard.
+    /// Records that a heartbeat arrived from a worker of any shard.
     pub(crate) fn heartbeat_arrived(&mut self, now: MonotonicTime) {
         self.shard_release.heartbeat_arrived(now);
     }
 
-    /// A machine of an owned shard sent a new heartbeat, which showed or didn't show that it receives responses.
+    /// Records a new heartbeat of a machine of an owned shard, and whether it shows that the machine receives responses.
     pub(crate) fn heartbeat_accepted(&mut self, now: MonotonicTime, machine: &MachineId, receives_responses: bool) {
         self.shard_release.heartbeat_accepted(now, machine, receives_responses);
     }
 
-    /// This process was suspended for `gap`: what peers sent meanwhile is still to come.
+    /// Excludes a suspension of this process for `gap` from the silence of its peers: what they sent meanwhile is
+    /// still queued.
     pub(crate) fn clock_jumped(&mut self, gap: Millis) {
         self.peers.clock_jumped(gap);
     }
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -1,6 +1,6 @@
-//! This controller's lease in the store: asks for it, renews it and announces the controller under it. All keys that
-//! the controller holds (its node record, its shards, leadership, lease proxies) end with the lease. Driven by
-//! [`Core::tick_membership`] and by answers of the store.
+//! This controller's lease in the store: requests and renews it, and writes the node record under it. All keys that the
+//! controller holds (node record, shard ownership, leadership, lease proxies) expire with the lease. Driven by
+//! [`Core::tick_membership`] and by responses of the store.
 
 use crate::coordination::membership::feature_level::SUPPORTED_LEVEL;
 use crate::coordination::store_client::pending_requests::PendingRequest;
@@ -9,41 +9,41 @@
 use crate::storage::records::{encode, node_key, LeaseHolderRecord, NodeRecord};
 use crate::units::{LeaseId, Millis, MonotonicTime, NodeName, Revision};
 
-/// How soon a renewal is tried again that got no answer or was refused.
-const RENEW_RETRY: Millis = Millis(300);
+/// Delay before retrying a renewal that failed or got no response.
+const RENEW_RETRY_DELAY: Millis = Millis(300);
 
-/// The lease, and what is under way with it.
+/// The lease and its pending requests.
 #[derive(Debug, Default)]
 pub(super) struct NodeLease {
     lease: Option<LeaseId>,
-    /// A grant was asked for and isn't answered.
+    /// True while a grant request is pending.
     granting: bool,
-    /// A renewal was asked for and isn't answered.
+    /// True while a renewal request is pending.
     renewing: bool,
-    /// When the next renewal is due.
-    renew_at: MonotonicTime,
+    /// Earliest time of the next renewal.
+    next_renewal_at: MonotonicTime,
 }
 
-/// What is to be asked of the store for the lease.
+/// A lease request to send to the store.
 enum LeaseRequest {
     Grant,
     Renew(LeaseId),
 }
 
 impl NodeLease {
-    /// The lease, if there is one.
+    /// Returns the lease, or `None` if none is held.
     pub(super) fn id(&self) -> Option<LeaseId> {
         self.lease
     }
 
-    /// The request that is due, if any; it then counts as sent.
+    /// Returns the request that is due, if any, and marks it as pending.
     fn next_request(&mut self, now: MonotonicTime) -> Option<LeaseRequest> {
         match self.lease {
             None if !self.granting => {
                 self.granting = true;
                 Some(LeaseRequest::Grant)
             }
-            Some(lease) if !self.renewing && now >= self.renew_at => {
+            Some(lease) if !self.renewing && now >= self.next_renewal_at => {
                 self.renewing = true;
                 Some(LeaseRequest::Renew(lease))
             }
@@ -51,14 +51,14 @@
         }
     }
 
-    fn granted(&mut self, lease: LeaseId, renew_at: MonotonicTime) {
+    fn granted(&mut self, lease: LeaseId, next_renewal_at: MonotonicTime) {
         self.lease = Some(lease);
-        self.renew_at = renew_at;
+        self.next_renewal_at = next_renewal_at;
     }
 }
 
 impl Core {
-    /// Renews the lease, and claims what this controller should hold.
+    /// Renews the lease, announces this controller, and claims the shards and the leadership that it should hold.
     pub(crate) fn tick_membership(&mut self) {
         if !self.store.may_send(self.now) {
             return;
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The answer to a request for a lease.
+    /// Handles the response to a lease grant request.
     pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
         self.membership.node_lease.granting = false;
         match answer {
@@ -97,27 +97,28 @@
         }
     }
 
-    /// The answer to a renewal of `lease`, which may not be the current one any more.
+    /// Handles the response to a renewal of `lease`, which may no longer be the current lease.
     pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.membership.node_lease.renewing = false;
-        self.membership.node_lease.renew_at = self.now + self.timing.renew_every;
+        self.membership.node_lease.next_renewal_at = self.now + self.timing.renew_every;
         match answer {
             StoreResponse::LeaseRenewed => {}
             StoreResponse::LeaseGone if self.membership.lease() == Some(lease) => self.lease_lost(),
-            _ => self.membership.node_lease.renew_at = self.now + RENEW_RETRY,
+            _ => self.membership.node_lease.next_renewal_at = self.now + RENEW_RETRY_DELAY,
         }
     }
 
-    /// The lease expired, and with it the ownership of all shards.
+    /// Drops all shards after the lease expired: their ownership expired with it.
     fn lease_lost(&mut self) {
-        tracing::info!(shards = self.owned_shards.len(), "lost own lease and all shards");
+        tracing::info!(shards = self.owned_shards.len(), "own lease expired; lost all shards");
         self.membership.node_lease.lease = None;
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
             self.drop_shard(shard);
         }
     }
 
-    /// A transaction named an expired lease: this controller's, or that of one that a shard was to be handed over to.
+    /// Handles a transaction that failed on an expired lease: either this controller's or that of the controller that
+    /// should have received a shard.
     pub(crate) fn transaction_lease_gone(&mut self, transaction: &Transaction) {
         let own_lease = self.membership.lease();
         let under_own_lease =
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Writes this controller's node record, by which the others take it to be live.
+    /// Writes this controller's node record, which marks it as live for the other controllers.
     fn announce(&mut self, lease: LeaseId) {
         let key = node_key(&self.node_name);
         let held = self.cache.nodes.get(&self.node_name);
@@ -136,12 +137,12 @@
             return;
         }
         let value = encode(&NodeRecord { lease, level: SUPPORTED_LEVEL });
-        // The condition keeps a transaction that is carried out late from undoing a later one.
+        // The condition stops a delayed transaction from overwriting a later one.
         let conditions = vec![Condition { key: key.clone(), version: held.map_or(Revision(0), |held| held.version) }];
         self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
     }
 
-    /// Makes a controller the holder of a key, under that controller's lease, if the key still has this version.
+    /// Makes `node` the holder of the key under `lease`, its own lease, if the key still has this version.
     pub(super) fn write_lease_holder(&mut self, key: String, version: Revision, node: NodeName, lease: LeaseId) {
         let value = encode(&LeaseHolderRecord { node, lease });
         let conditions = vec![Condition { key: key.clone(), version }];
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -1,6 +1,6 @@
-//! Which shards this controller owns: claims those assigned to it, hands over those assigned to others, and takes up
-//! or drops a shard as its owner record changes. Called on each membership tick and when an owner record changes in
-//! the cache. Never takes a shard from a live owner: that one hands it over.
+//! Shard ownership: claims the shards assigned to this controller, hands over those assigned to others, and acquires or
+//! drops a shard when its owner record changes. Called on each membership tick and when an owner record changes in the
+//! cache. Never takes a shard from a live owner: the owner hands it over.
 
 use crate::coordination::membership::shard_assignment::assign_shards;
 use crate::coordination::shards::owned_shard::OwnedShard;
@@ -9,29 +9,30 @@
 use crate::units::{FencingToken, LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A shard is handed over to a controller only after it was assigned to it for so long: one that has just come up
-/// may be gone again.
-const SETTLING_TIME: Millis = Millis(1500);
+/// How long a shard must have been assigned to another controller before it is handed over: a controller that has just
+/// started may fail again.
+const MIN_ASSIGNED_TIME: Millis = Millis(1500);
 
-/// For so long a hand-over waits for the shard's changes to be written first.
-const WRITE_OUT_TIME: Millis = Millis(4000);
+/// Longest time, from the assignment, that a handover waits for the shard's unwritten changes to be written.
+const MAX_WRITE_WAIT: Millis = Millis(4000);
 
-/// Shards of ours that are assigned to other controllers, and are to be handed over.
+/// Owned shards that are assigned to other controllers and must be handed over.
 #[derive(Debug, Default)]
 pub(super) struct Handovers {
     by_shard: BTreeMap<ShardId, Handover>,
 }
 
-/// The controller that a shard is to be handed over to.
+/// A pending handover of one shard.
 #[derive(Debug)]
 struct Handover {
     to: NodeName,
-    /// When the shard was first seen to be assigned to it.
+    /// When this controller first saw the shard assigned to `to`.
     since: MonotonicTime,
 }
 
 impl Handovers {
-    /// Since when the shard is assigned to this controller; none if it is news, and then counted from now.
+    /// Returns since when the shard has been assigned to `to`. Returns `None` and records `now` if the assignment is
+    /// new.
     fn assigned_since(&mut self, shard: ShardId, to: &NodeName, now: MonotonicTime) -> Option<MonotonicTime> {
         match self.by_shard.get(&shard) {
             Some(handover) if handover.to == *to => Some(handover.since),
@@ -48,12 +49,12 @@
 }
 
 impl Core {
-    /// The shard that a machine belongs to.
+    /// Returns the shard that a machine belongs to.
     pub(crate) fn shard_of(&self, machine: &MachineId) -> ShardId {
         ShardId::of(machine.as_str(), self.shard_count)
     }
 
-    /// Claims the free shards that are assigned to this controller and hands over those that are assigned to others.
+    /// Claims the free shards that are assigned to this controller and hands over its shards that are assigned to others.
     pub(super) fn claim_shards(&mut self, lease: LeaseId) {
         let announced = self.cache.nodes.get(&self.node_name).is_some_and(|held| held.record.is_some());
         if !announced && !self.has_released_shards() {
@@ -78,14 +79,14 @@
     }
 
     fn claim_shard(&mut self, shard: ShardId, lease: LeaseId) {
-        // The controller that it was to be handed over to is gone again: it stays, and is served.
+        // Cancel a pending handover and keep serving the shard: its new owner is no longer live.
         self.membership.handovers.forget(shard);
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.releasing = false;
         }
         let held = self.cache.owners.get(&shard);
         let holder = held.and_then(|held| held.record.as_ref());
-        // An earlier process of this controller may hold it still.
+        // An earlier process of this controller may still hold it.
         let is_free = holder.is_none_or(|holder| holder.node == self.node_name && holder.lease != lease);
         if is_free {
             let version = held.map_or(Revision(0), |held| held.version);
@@ -93,19 +94,19 @@
         }
     }
 
-    /// Hands an owned shard over in one transaction, once nothing of it is on its way; the new owner's fencing token
-    /// is that transaction's revision.
+    /// Hands an owned shard over in one transaction, once no store request of the shard is pending. The revision of that
+    /// transaction is the new owner's fencing token.
     fn hand_over(&mut self, shard: ShardId, to: NodeName) {
         let Some(since) = self.membership.handovers.assigned_since(shard, &to, self.now) else { return };
         let assigned_for = self.now.since(since);
-        // Workers that we can't reach lose nothing if the new owner goes away again.
+        // After a release no worker can use this controller, so there is nothing to lose if the new owner fails.
         let released = self.has_released_shards();
-        if assigned_for < SETTLING_TIME && !released {
+        if assigned_for < MIN_ASSIGNED_TIME && !released {
             return;
         }
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         owned_shard.releasing = true;
-        let waits_for_writes = !owned_shard.dirty.is_empty() && !released && assigned_for < WRITE_OUT_TIME;
+        let waits_for_writes = !owned_shard.dirty.is_empty() && !released && assigned_for < MAX_WRITE_WAIT;
         if !owned_shard.is_idle() || waits_for_writes {
             return;
         }
@@ -116,20 +117,19 @@
         self.write_lease_holder(owner_key(shard), Revision(token.0), to, lease);
     }
 
-    /// Takes up or drops a shard according to its owner record in the cache.
+    /// Acquires or drops a shard according to its owner record in the cache.
     pub(crate) fn owner_changed(&mut self, shard: ShardId) {
         let held = self.cache.owners.get(&shard).cloned().unwrap_or_default();
         let own_lease = self.membership.lease();
-        let is_ours =
-            held.record.is_some_and(|holder| holder.node == self.node_name && Some(holder.lease) == own_lease);
+        let is_own = held.record.is_some_and(|holder| holder.node == self.node_name && Some(holder.lease) == own_lease);
         let token = FencingToken(held.version.0);
         match self.owned_shards.get(&shard) {
-            Some(owned_shard) if is_ours && owned_shard.token == token => {}
-            Some(_) if !is_ours => {
+            Some(owned_shard) if is_own && owned_shard.token == token => {}
+            Some(_) if !is_own => {
                 tracing::info!(shard = %shard, "lost shard");
                 self.drop_shard(shard);
             }
-            _ if is_ours => {
+            _ if is_own => {
                 tracing::info!(shard = %shard, token = %token, "acquired shard");
                 self.drop_shard(shard);
                 self.owned_shards.insert(shard, OwnedShard::new(token, self.now));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Forgets all that an owner knows of a shard, and what it wanted of the shard's slices.
+    /// Drops the in-memory state of an owned shard and the desired state of its slices.
     pub(super) fn drop_shard(&mut self, shard: ShardId) {
         if self.owned_shards.remove(&shard).is_none() {
             return;
