--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -65,7 +65,7 @@
         self.shard_release.heartbeat_arrived(now);
     }
 
-    /// Records a new heartbeat of a machine of an owned shard, and whether it shows that the machine receives responses.
+    /// Records a new heartbeat of a machine of an owned shard, and whether it shows that responses arrive there.
     pub(crate) fn heartbeat_accepted(&mut self, now: MonotonicTime, machine: &MachineId, receives_responses: bool) {
         self.shard_release.heartbeat_accepted(now, machine, receives_responses);
     }
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -54,7 +54,7 @@
         ShardId::of(machine.as_str(), self.shard_count)
     }
 
-    /// Claims the free shards that are assigned to this controller and hands over its shards that are assigned to others.
+    /// Claims free shards that are assigned to this controller and hands over owned shards that are assigned to others.
     pub(super) fn claim_shards(&mut self, lease: LeaseId) {
         let announced = self.cache.nodes.get(&self.node_name).is_some_and(|held| held.record.is_some());
         if !announced && !self.has_released_shards() {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Hands an owned shard over in one transaction, once no store request of the shard is pending. The revision of that
-    /// transaction is the new owner's fencing token.
+    /// Hands an owned shard over in one transaction, once no store request of the shard is pending. The revision of
+    /// that transaction is the new owner's fencing token.
     fn hand_over(&mut self, shard: ShardId, to: NodeName) {
         let Some(since) = self.membership.handovers.assigned_since(shard, &to, self.now) else { return };
         let assigned_for = self.now.since(since);
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -1,6 +1,7 @@
-//! What controllers say to one another: each broadcasts its status at fixed intervals, and a hint whenever there are new
+//! Peer statuses: each controller broadcasts its status at fixed intervals, and a revision hint whenever there are new
 //! records to read. Driven by the tick, by transactions and by incoming statuses. A status is a hint and may be lost,
-//! late or repeated; the one thing it decides is that an owner with a lower fencing token stops.
+//! delayed or duplicated. The only decision based on it alone is that an owner with a lower fencing token drops its
+//! shard.
 
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::{Core, Output, STATUS_INTERVAL};
@@ -8,22 +9,22 @@
 use crate::storage::records::{encode, owner_key, LeaseHolderRecord};
 use crate::units::{LeaseId, MachineId, Millis, MonotonicTime, NodeName, Revision, ShardId};
 
-/// Every so many statuses the leader sends the ages of all machines.
-const ALL_AGES_EVERY: u64 = 4;
+/// The leader includes the ages of all machines in one of this many statuses.
+const STATUSES_PER_FULL_AGE_LIST: u64 = 4;
 
-/// Machines younger than this have their ages in every status of the leader.
-const YOUNG: Millis = Millis(60_000);
+/// The leader includes the ages of machines younger than this in every status.
+const YOUNG_MACHINE_AGE: Millis = Millis(60_000);
 
-/// When statuses are broadcast.
+/// Schedule of this controller's status broadcasts.
 #[derive(Debug, Default)]
 pub(super) struct StatusSchedule {
     next_at: MonotonicTime,
-    /// Statuses sent so far.
+    /// Number of statuses sent so far.
     sent: u64,
 }
 
 impl StatusSchedule {
-    /// True if a status is due; the next one is due an interval later.
+    /// True if a status is due; if so, schedules the next one [`STATUS_INTERVAL`] later.
     fn is_due(&mut self, now: MonotonicTime) -> bool {
         let due = now >= self.next_at;
         if due {
@@ -34,7 +35,7 @@
 }
 
 impl Core {
-    /// Sends this controller's status to all others, if it is due.
+    /// Broadcasts this controller's status to its peers if one is due.
     pub(crate) fn broadcast_due_status(&mut self) {
         if self.membership.status_schedule.is_due(self.now) {
             self.broadcast_status();
@@ -59,7 +60,7 @@
         self.out.push(Output::BroadcastStatus(status));
     }
 
-    /// Tells all others at once that there are new records to read.
+    /// Broadcasts immediately that there are new records to read, up to `revision`.
     pub(crate) fn send_revision_hint(&mut self, revision: Revision) {
         self.out.push(Output::RevisionHint(revision));
     }
@@ -94,27 +95,28 @@
         }
     }
 
-    /// Ages of machines, from the leader only: of all now and then, for owners that are new; in between of young
-    /// ones, which others may not know yet.
+    /// Returns machine ages if this controller is the leader: in every [`STATUSES_PER_FULL_AGE_LIST`]th status of all
+    /// machines, for new owners; in the others only of young machines, which the owners may not know yet.
     fn machine_ages(&self) -> Vec<MachineAge> {
         if !self.is_leader() {
             return vec![];
         }
-        let all = self.membership.status_schedule.sent % ALL_AGES_EVERY == 0;
+        let all = self.membership.status_schedule.sent % STATUSES_PER_FULL_AGE_LIST == 0;
         let machines = self.fleet.machines();
         machines
             .map(|(name, machine)| (name, self.now.since(machine.created_at)))
-            .filter(|(_, age)| all || *age < YOUNG)
+            .filter(|(_, age)| all || *age < YOUNG_MACHINE_AGE)
             .map(|(name, age)| MachineAge { machine: name.to_string(), age_s: age.as_secs() })
             .collect()
     }
 
+    /// Names of the machines of owned shards that make tasks fail.
     fn faulty_machines(&self) -> Vec<String> {
         let machines = self.owned_shards.values().flat_map(|owned_shard| &owned_shard.machines);
         machines.filter(|(_, machine)| machine.faulty).map(|(name, _)| name.to_string()).collect()
     }
 
-    /// Takes in another controller's status.
+    /// Handles a status of a peer; ignores controllers that are not configured.
     pub(crate) fn receive_peer_status(&mut self, status: PeerStatus) {
         let from = NodeName::new(&status.from);
         if !self.membership.peers.status_arrived(&from, status.state_reachable, self.now) {
@@ -130,11 +132,11 @@
             self.yield_to_newer_owner(&from, shard);
         }
         self.apply_machine_ages(&status.machine_ages);
-        self.membership.peers.keep_status(&from, status);
+        self.membership.peers.store_status(&from, status);
     }
 
-    /// Drops an owned shard that a peer owns with a higher token: only a later owner can have one, so our ownership
-    /// has ended.
+    /// Drops an owned shard that a peer owns with a higher fencing token: only a later owner can have one, so the
+    /// ownership of this controller has ended.
     fn yield_to_newer_owner(&mut self, node: &NodeName, status: &ShardStatus) {
         let shard = ShardId(status.shard);
         if self.owned_shards.get(&shard).is_none_or(|owned_shard| owned_shard.token.0 >= status.token) {
@@ -146,7 +148,7 @@
         self.cache.apply(&owner_key(shard), Some(encode(&holder)), Revision(status.token));
     }
 
-    /// Takes over ages of machines that were started before this controller first heard of them.
+    /// Corrects the start times of machines that started before their first heartbeat to this controller.
     fn apply_machine_ages(&mut self, ages: &[MachineAge]) {
         for age in ages {
             let name = MachineId::new(&age.machine);
--- a/src/coordination/membership/peers.rs
+++ b/src/coordination/membership/peers.rs
@@ -1,27 +1,27 @@
-//! The other controllers: when each was heard last and what it said. Filled by `peer_status`; asked by quotas,
-//! lease proxies, submissions and the fleet. All of it is a hint and proves nothing.
+//! The other controllers: when each last sent a status, and what the status said. Updated by `peer_status`; queried by
+//! quotas, lease proxies, submissions and the fleet. All of it is advisory and may be out of date.
 
 use crate::protocol::peer::PeerStatus;
 use crate::units::{Millis, MonotonicTime, NodeName};
 use std::collections::BTreeMap;
 
-/// A peer heard within this time is taken to be up.
-const RECENT_LIMIT: Millis = Millis(3000);
+/// A peer counts as up if its last status arrived less than this time ago.
+const MAX_RECENT_STATUS_AGE: Millis = Millis(3000);
 
-/// Another controller.
+/// State of another controller, as known from its statuses.
 #[derive(Debug, Default)]
 pub(crate) struct Peer {
-    /// When its last status arrived.
+    /// When its latest status arrived; `None` if none has.
     pub(crate) last_heard: Option<MonotonicTime>,
-    /// Whether it said that it reaches the store.
+    /// Whether the peer can reach the store, according to its latest status.
     pub(crate) state_reachable: bool,
-    /// Its last status that named shards or machine ages; else its first.
+    /// Latest status with shards or machine ages; the first status if none had any.
     pub(crate) status: Option<PeerStatus>,
 }
 
 impl Peer {
     fn heard_recently(&self, now: MonotonicTime) -> bool {
-        self.last_heard.is_some_and(|at| now.since(at) < RECENT_LIMIT)
+        self.last_heard.is_some_and(|at| now.since(at) < MAX_RECENT_STATUS_AGE)
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl Peers {
-    /// Peers of which none was heard yet.
+    /// Creates the configured peers; none has sent a status yet.
     pub(super) fn new(names: impl Iterator<Item = NodeName>) -> Peers {
         Peers { by_name: names.map(|name| (name, Peer::default())).collect() }
     }
@@ -42,34 +42,34 @@
         self.by_name.is_empty()
     }
 
-    /// The names of all peers, in order.
+    /// Returns the names of all peers, sorted.
     pub(crate) fn names(&self) -> impl Iterator<Item = &NodeName> {
         self.by_name.keys()
     }
 
-    /// When a peer was heard last.
+    /// Returns when the latest status of a peer arrived.
     pub(crate) fn last_heard(&self, node: &NodeName) -> Option<MonotonicTime> {
         self.by_name.get(node)?.last_heard
     }
 
-    /// The kept status of each peer, however old.
+    /// Returns the stored status of each peer, regardless of age.
     pub(crate) fn statuses(&self) -> impl Iterator<Item = &PeerStatus> {
         self.by_name.values().filter_map(|peer| peer.status.as_ref())
     }
 
-    /// The kept status of each peer that was heard recently.
+    /// Returns the stored status of each peer that was heard recently.
     pub(crate) fn recent_statuses(&self, now: MonotonicTime) -> impl Iterator<Item = &PeerStatus> {
         self.by_name.values().filter(move |peer| peer.heard_recently(now)).filter_map(|peer| peer.status.as_ref())
     }
 
-    /// True if this controller alone can't be to blame for not reaching the store: there are no peers, or some were
-    /// heard recently and none of these reaches it either.
+    /// True if no peer reports that it reaches the store: either no peers are configured, or at least one was heard
+    /// recently and all such peers fail to reach it. A store outage is then not specific to this controller.
     pub(crate) fn no_peer_reaches_store(&self, now: MonotonicTime) -> bool {
         let mut recent = self.by_name.values().filter(|peer| peer.heard_recently(now)).peekable();
         self.is_empty() || recent.peek().is_some() && recent.all(|peer| !peer.state_reachable)
     }
 
-    /// Records that a status of a peer arrived; false if no such peer is configured.
+    /// Records that a status of a peer arrived. Returns false if the peer is not configured.
     pub(super) fn status_arrived(&mut self, node: &NodeName, state_reachable: bool, now: MonotonicTime) -> bool {
         let Some(peer) = self.by_name.get_mut(node) else { return false };
         peer.last_heard = Some(now);
@@ -77,15 +77,15 @@
         true
     }
 
-    /// Keeps a status for later questions. One without shards and machine ages doesn't replace one that has them.
-    pub(super) fn keep_status(&mut self, node: &NodeName, status: PeerStatus) {
+    /// Stores a peer's status. A status without shards and machine ages doesn't replace one that has them.
+    pub(super) fn store_status(&mut self, node: &NodeName, status: PeerStatus) {
         let Some(peer) = self.by_name.get_mut(node) else { return };
         if !status.machine_ages.is_empty() || !status.shards.is_empty() || peer.status.is_none() {
             peer.status = Some(status);
         }
     }
 
-    /// This process was suspended for `gap`: its peers were not silent for that time.
+    /// Shifts the arrival times by `gap`, for which this process was suspended: the peers were not silent meanwhile.
     pub(super) fn clock_jumped(&mut self, gap: Millis) {
         for peer in self.by_name.values_mut() {
             peer.last_heard = peer.last_heard.map(|at| at + gap);
--- a/src/coordination/membership/peers/tests.rs
+++ b/src/coordination/membership/peers/tests.rs
@@ -1,10 +1,10 @@
-//! Sets up peers for tests of other modules.
+//! Test helpers that set up peers for the tests of other modules.
 
 use super::*;
 use crate::coordination::membership::Membership;
 
 impl Membership {
-    /// Replaces what is known of a peer.
+    /// Adds a peer or replaces its state.
     pub(crate) fn set_peer(&mut self, node: NodeName, peer: Peer) {
         self.peers.by_name.insert(node, peer);
     }
--- a/src/coordination/membership/shard_assignment/tests.rs
+++ b/src/coordination/membership/shard_assignment/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn shards_go_to_their_home_and_spread_when_a_node_is_gone() {
+fn shards_are_assigned_to_live_homes_or_else_spread_over_live_nodes() {
     let all: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
     let full = assign_shards(3, &all, &["a", "b", "c"].into());
     assert_eq!(full.values().collect::<Vec<_>>(), ["a", "b", "c"]);
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -1,11 +1,12 @@
-//! Shard release: a controller that no worker can reach gives its shards up.
+//! Shard release: a controller that has lost the connection to its workers hands its shards over.
 //!
-//! A controller may lose its workers alone: it renews its lease, so the others send its workers back to it, and the
-//! workers' leases run out. An owner that hears none of its workers any more, while the store and its peers answer,
-//! withdraws its node record and hands its shards over before that. So does an owner whose workers reach it but don't
-//! receive its responses. It takes shards again after a pause, longer each time; in the first case also as soon as a
-//! worker reaches it (in the second nothing but a new try can tell). Called on each membership tick and with each
-//! heartbeat. Never decides that a machine is lost: see `shards::machine_expiry`.
+//! A network fault may separate a controller from its workers only. It keeps renewing its own lease, so its peers keep
+//! redirecting its workers to it, and the workers' leases expire. To prevent that, an owner that receives no heartbeats
+//! any more, while the store and a peer respond, deletes its node record and hands its shards over before the workers'
+//! leases expire. So does an owner whose workers reach it but don't receive its responses. The controller takes shards
+//! again after a backoff that doubles each time. In the first case it also does so as soon as a heartbeat arrives; in
+//! the second only a new attempt can show whether responses get through. Called on each membership tick and with each
+//! heartbeat. Whether a machine is lost is decided in `shards::machine_expiry`.
 
 use crate::coordination::Core;
 use crate::protocol::state::{Change, Condition, Transaction};
@@ -13,29 +14,29 @@
 use crate::units::{MachineId, Millis, MonotonicTime};
 use std::collections::BTreeSet;
 
-/// Fewer machines than this may fall silent together by chance.
-const LEAST_MACHINES: usize = 3;
+/// Minimum number of silent machines for a release: fewer may fall silent together by chance.
+const MIN_MACHINES: usize = 3;
 
-/// The first pause before the controller takes shards again; each further pause is twice as long.
-const FIRST_PAUSE: Millis = Millis(30_000);
+/// First backoff before the controller takes shards again; each further backoff is twice as long.
+const MIN_BACKOFF: Millis = Millis(30_000);
 
-/// The longest pause that doubling leads to.
-const LAST_PAUSE: Millis = Millis(240_000);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Millis = Millis(240_000);
 
-/// Silence that can't be chance, in milliseconds for each second of the heartbeat interval: two and a half intervals.
-const SILENCE_MS_PER_INTERVAL_S: f64 = 2500.0;
+/// Minimum silence that is not due to chance, in milliseconds per second of the heartbeat interval: 2.5 intervals.
+const MIN_SILENCE_MS_PER_INTERVAL_S: f64 = 2500.0;
 
-/// Why shards are released.
+/// Reason of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReleaseReason {
     /// No worker's heartbeats arrive.
     NoHeartbeats,
-    /// Heartbeats arrive, but no worker receives the responses.
+    /// Heartbeats arrive, but no worker receives this controller's responses.
     NoResponsesReceived,
 }
 
 impl ReleaseReason {
-    /// The reason in log lines.
+    /// Returns the reason as it appears in log lines.
     fn name(self) -> &'static str {
         match self {
             ReleaseReason::NoHeartbeats => "no worker reaches this node",
@@ -44,63 +45,65 @@
     }
 }
 
-/// A release under way.
+/// A release in progress.
 #[derive(Debug)]
 struct Release {
     since: MonotonicTime,
-    /// When the controller takes shards again at the latest.
+    /// When the release ends at the latest.
     until: MonotonicTime,
     reason: ReleaseReason,
 }
 
-/// What tells whether workers reach this controller, and the release under way.
+/// Evidence of whether workers and this controller reach each other, and the release in progress.
 #[derive(Debug, Default)]
 pub(super) struct ShardRelease {
-    /// When the last heartbeat of any worker arrived.
+    /// When the latest heartbeat of any worker arrived.
     last_heartbeat: Option<MonotonicTime>,
-    /// When a machine of ours last showed that it receives responses.
-    last_received: Option<MonotonicTime>,
-    /// Machines of ours that sent heartbeats since then; no more are kept than it takes.
-    unanswered: BTreeSet<MachineId>,
-    /// When the first of them did.
-    unanswered_since: Option<MonotonicTime>,
+    /// When a machine of an owned shard last showed that it receives responses.
+    last_confirmed: Option<MonotonicTime>,
+    /// Machines of owned shards that have sent heartbeats since then without showing that they receive responses; at
+    /// most [`MIN_MACHINES`] are kept.
+    unconfirmed: BTreeSet<MachineId>,
+    /// When the first of these heartbeats arrived.
+    unconfirmed_since: Option<MonotonicTime>,
     release: Option<Release>,
-    /// The last pause; zero once a worker reached this controller again.
-    pause: Millis,
+    /// The latest backoff; reset to zero once a heartbeat has ended a release.
+    backoff: Millis,
 }
 
 impl ShardRelease {
-    /// A heartbeat of any worker arrived.
+    /// Records that a heartbeat of any worker arrived.
     pub(super) fn heartbeat_arrived(&mut self, now: MonotonicTime) {
         self.last_heartbeat = Some(now);
     }
 
-    /// A machine of ours sent a new heartbeat, which showed or didn't show that it receives responses.
+    /// Records a new heartbeat of a machine of an owned shard, and whether it shows that responses arrive there.
     pub(super) fn heartbeat_accepted(&mut self, now: MonotonicTime, machine: &MachineId, receives_responses: bool) {
         if receives_responses {
-            self.last_received = Some(now);
-            self.forget_unanswered();
+            self.last_confirmed = Some(now);
+            self.clear_unconfirmed();
             return;
         }
-        self.unanswered_since.get_or_insert(now);
-        if self.unanswered.len() < LEAST_MACHINES {
-            self.unanswered.insert(machine.clone());
+        self.unconfirmed_since.get_or_insert(now);
+        if self.unconfirmed.len() < MIN_MACHINES {
+            self.unconfirmed.insert(machine.clone());
         }
     }
 
-    fn forget_unanswered(&mut self) {
-        self.unanswered.clear();
-        self.unanswered_since = None;
+    fn clear_unconfirmed(&mut self) {
+        self.unconfirmed.clear();
+        self.unconfirmed_since = None;
     }
 
-    /// Begins a release; returns the pause after which it ends at the latest.
+    /// Begins a release and returns the backoff after which it ends at the latest.
     fn begin(&mut self, reason: ReleaseReason, now: MonotonicTime) -> Millis {
-        self.pause = Millis((self.pause.0 * 2).clamp(FIRST_PAUSE.0, LAST_PAUSE.0));
-        self.release = Some(Release { since: now, until: now + self.pause, reason });
-        self.pause
+        self.backoff = Millis((self.backoff.0 * 2).clamp(MIN_BACKOFF.0, MAX_BACKOFF.0));
+        self.release = Some(Release { since: now, until: now + self.backoff, reason });
+        self.backoff
     }
 
-    /// Ends the release if it is over: a worker reached this controller, or the pause has passed. True if it ended.
+    /// Ends the release if a heartbeat has arrived (after [`ReleaseReason::NoHeartbeats`]) or the backoff has passed.
+    /// True if the release ended.
     fn end_if_over(&mut self, now: MonotonicTime) -> bool {
         let Some(release) = &self.release else { return false };
         let reached =
@@ -109,36 +112,36 @@
             return false;
         }
         self.release = None;
-        self.forget_unanswered();
+        self.clear_unconfirmed();
         if reached {
-            self.pause = Millis(0);
+            self.backoff = Millis(0);
         }
         true
     }
 }
 
 impl Core {
-    /// True while this controller has given its shards up.
+    /// True while a release is in progress.
     pub(crate) fn has_released_shards(&self) -> bool {
         self.membership.shard_release.release.is_some()
     }
 
-    /// Begins or ends a release; during one, withdraws the node record, so that the shards are assigned to others.
+    /// Begins or ends a release. During a release, deletes the node record so that the shards are assigned to others.
     pub(super) fn update_shard_release(&mut self) {
         if self.has_released_shards() {
             if self.membership.shard_release.end_if_over(self.now) {
-                tracing::info!("taking shards again");
+                tracing::info!("shard release ended; taking shards again");
                 return;
             }
         } else {
             let Some(reason) = self.release_reason() else { return };
-            let pause = self.membership.shard_release.begin(reason, self.now);
-            tracing::info!(reason = reason.name(), pause_s = pause.as_secs(), "releasing all shards");
+            let backoff = self.membership.shard_release.begin(reason, self.now);
+            tracing::info!(reason = reason.name(), pause_s = backoff.as_secs(), "releasing all shards");
         }
-        self.withdraw_node_record();
+        self.delete_node_record();
     }
 
-    fn withdraw_node_record(&mut self) {
+    fn delete_node_record(&mut self) {
         let key = records::node_key(&self.node_name);
         let Some(held) = self.cache.nodes.get(&self.node_name).filter(|held| held.record.is_some()) else { return };
         if !self.store.is_key_busy(&key) {
@@ -147,55 +150,60 @@
         }
     }
 
-    /// Why the shards should be released, if they should: no worker reaches us, or none receives our responses, while
-    /// the store and a peer answer.
+    /// Returns why the shards should be released, or `None` if they should not. A release requires that the store and a
+    /// peer are reachable, which shows that the fault is between this controller and its workers.
     fn release_reason(&self) -> Option<ReleaseReason> {
-        let quiet = self.silence_limit();
-        // A shard taken over counts from then on, with the machines that its records name.
+        let limit = self.silence_limit();
+        // After an acquisition, silence counts from that time: the shard's machines are known from its records.
         let newest_ownership = self.owned_shards.values().map(|owned_shard| owned_shard.owned_since).max();
-        let reason = if self.is_without_heartbeats(quiet, newest_ownership) {
+        let reason = if self.is_without_heartbeats(limit, newest_ownership) {
             ReleaseReason::NoHeartbeats
-        } else if self.is_without_receivers(quiet, newest_ownership) {
+        } else if self.is_without_confirmed_responses(limit, newest_ownership) {
             ReleaseReason::NoResponsesReceived
         } else {
             return None;
         };
-        (self.has_enough_machines() && self.has_live_peer(quiet) && self.records_fresh()).then_some(reason)
+        (self.has_enough_machines() && self.has_live_peer(limit) && self.records_fresh()).then_some(reason)
     }
 
-    /// How long no worker may be heard: short enough for a successor to answer within the workers' leases. A worker
-    /// waits 4 s for us, and a second before it asks the next controller.
+    /// Returns how long workers may be silent before the shards are released: short enough for a successor to respond
+    /// within the workers' leases. A worker waits 4 s for a response, and one more second before it tries the next
+    /// controller.
     fn silence_limit(&self) -> Millis {
-        let intervals = Millis((self.settings.cluster.workers.report_s * SILENCE_MS_PER_INTERVAL_S) as u64);
+        let intervals = Millis((self.settings.cluster.workers.report_s * MIN_SILENCE_MS_PER_INTERVAL_S) as u64);
         Millis((self.timing.worker_lease.0 / 4).max(intervals.0))
     }
 
-    fn is_without_heartbeats(&self, quiet: Millis, newest_ownership: Option<MonotonicTime>) -> bool {
+    /// True if no worker's heartbeat has arrived within the limit.
+    fn is_without_heartbeats(&self, limit: Millis, newest_ownership: Option<MonotonicTime>) -> bool {
         let last_heartbeat = self.membership.shard_release.last_heartbeat;
         let heard = last_heartbeat.max(newest_ownership).unwrap_or(self.now).max(self.resumed_at);
-        self.now.since(heard) > quiet
+        self.now.since(heard) > limit
     }
 
-    /// True if workers reach this controller, but none of them receives its responses.
-    fn is_without_receivers(&self, quiet: Millis, newest_ownership: Option<MonotonicTime>) -> bool {
+    /// True if heartbeats arrive, but no worker has shown within the limit that it receives responses.
+    fn is_without_confirmed_responses(&self, limit: Millis, newest_ownership: Option<MonotonicTime>) -> bool {
         let state = &self.membership.shard_release;
-        // Machines send many heartbeats within the limit, and each shows that the response before it was received.
-        if let Some(at) = state.last_received.filter(|at| Some(*at) >= newest_ownership) {
-            return self.now.since(at.max(self.resumed_at)) > quiet;
+        // Each machine sends several heartbeats within the limit, and each shows whether the previous response arrived.
+        if let Some(at) = state.last_confirmed.filter(|at| Some(*at) >= newest_ownership) {
+            return self.now.since(at.max(self.resumed_at)) > limit;
         }
-        // Not all machines have come yet; it takes two heartbeats of one to show that it receives responses.
+        // No response has been confirmed since the latest acquisition: not all machines may have reported yet, and a
+        // machine needs two heartbeats to show that it receives responses.
         let two_intervals = Millis::secs(2.0 * self.settings.cluster.workers.report_s);
-        let since = state.unanswered_since.map(|at| at.max(self.resumed_at));
-        let several = state.unanswered.len() >= LEAST_MACHINES;
-        several && since.is_some_and(|at| self.now.since(at) > quiet + two_intervals)
+        let since = state.unconfirmed_since.map(|at| at.max(self.resumed_at));
+        let several = state.unconfirmed.len() >= MIN_MACHINES;
+        several && since.is_some_and(|at| self.now.since(at) > limit + two_intervals)
     }
 
+    /// True if the owned shards have at least [`MIN_MACHINES`] machines.
     fn has_enough_machines(&self) -> bool {
         let names = self.owned_shards.values().flat_map(|owned_shard| owned_shard.machine_names());
-        names.collect::<BTreeSet<_>>().len() >= LEAST_MACHINES
+        names.collect::<BTreeSet<_>>().len() >= MIN_MACHINES
     }
 
-    fn has_live_peer(&self, quiet: Millis) -> bool {
-        self.cache.live().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, quiet))
+    /// True if a live peer was heard within the limit.
+    fn has_live_peer(&self, limit: Millis) -> bool {
+        self.cache.live().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, limit))
     }
 }
--- a/src/coordination/membership/startup.rs
+++ b/src/coordination/membership/startup.rs
@@ -1,34 +1,34 @@
-//! Startup milestones: when this process reached what users wait for after a restart. Each milestone is logged once,
-//! at `info`, with the time since the first input, so that a slow start can be explained from its log. Looked for at
-//! each tick, and reported by submissions and heartbeats. Nothing depends on milestones.
+//! Startup milestones: the steps after a restart that users wait for. Each milestone is logged once at `info` with the
+//! time since the first input, so that a slow start can be diagnosed from the log. Checked at each tick, and reported
+//! by the code for submissions, heartbeats and the loading of records. Milestones only affect the log.
 
 use crate::coordination::Core;
 use crate::units::{Millis, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// Share of the machines named in our shards' records that must have sent a heartbeat before the workers count as
-/// reporting: some machines are gone for good.
+/// Share of the machines named in the owned shards' records that must have sent a heartbeat before the workers count as
+/// reporting. Less than 1 because some machines never come back.
 const REPORTING_SHARE: f64 = 0.9;
 
-/// What a start reaches, in the usual order.
+/// Startup milestones in their usual order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Milestone {
     /// All durable records are in the cache.
     RecordsRead,
-    /// Users' submissions can be validated and written.
+    /// This controller can validate and write submissions.
     AcceptingSubmissions,
-    /// This controller owns a shard and is ready to work on it.
+    /// The first owned shard is ready for scheduling.
     ShardReady,
-    /// Most machines that the records of our shards name have sent a heartbeat.
+    /// Most machines named in the records of the owned shards have sent a heartbeat.
     WorkersReporting,
-    /// A submission was accepted.
+    /// The first submission was accepted.
     SubmissionAccepted,
-    /// The command to start a task was sent.
+    /// The first command to start a task was sent.
     StartSent,
 }
 
 impl Milestone {
-    /// The milestone's name in log lines.
+    /// Returns the milestone's name in log lines.
     fn name(self) -> &'static str {
         match self {
             Milestone::RecordsRead => "records read",
@@ -44,59 +44,60 @@
 /// The milestones that this process has reached, and when.
 #[derive(Debug, Default)]
 pub(crate) struct StartupProgress {
-    /// When the first input came.
-    began: Option<MonotonicTime>,
-    /// The milestones reached, with the time that each took from `began`.
+    /// When the first input arrived.
+    started_at: Option<MonotonicTime>,
+    /// Time from `started_at` to each milestone reached.
     reached: BTreeMap<Milestone, Millis>,
 }
 
 impl StartupProgress {
-    /// Starts the clock, unless it runs already.
+    /// Sets the start time if it is not set yet, and returns it.
     fn begin(&mut self, now: MonotonicTime) -> MonotonicTime {
-        *self.began.get_or_insert(now)
+        *self.started_at.get_or_insert(now)
     }
 
     fn has_reached(&self, milestone: Milestone) -> bool {
         self.reached.contains_key(&milestone)
     }
 
-    /// Records and logs a milestone, the first time only.
+    /// Records and logs a milestone unless it has been reached before.
     fn reach(&mut self, milestone: Milestone, now: MonotonicTime) {
-        let began = self.begin(now);
+        let started_at = self.begin(now);
         if self.has_reached(milestone) {
             return;
         }
-        let elapsed = now.since(began);
+        let elapsed = now.since(started_at);
         self.reached.insert(milestone, elapsed);
         tracing::info!(milestone = milestone.name(), elapsed_s = elapsed.as_secs(), "reached startup milestone");
     }
 }
 
 impl Core {
-    /// Records that a milestone is reached; only its first time counts.
+    /// Records that a milestone is reached; later calls for the same milestone have no effect.
     pub(crate) fn milestone_reached(&mut self, milestone: Milestone) {
         self.membership.startup.reach(milestone, self.now);
     }
 
-    /// Looks for the milestones that no event reports.
+    /// Checks the milestones that no event reports.
     pub(crate) fn check_milestones(&mut self) {
         self.membership.startup.begin(self.now);
-        if self.is_missing(Milestone::AcceptingSubmissions) && self.can_accept_jobs() {
+        if self.is_pending(Milestone::AcceptingSubmissions) && self.can_accept_jobs() {
             self.milestone_reached(Milestone::AcceptingSubmissions);
         }
-        if self.is_missing(Milestone::ShardReady) && self.owned_shards.values().any(|owned_shard| owned_shard.ready) {
+        if self.is_pending(Milestone::ShardReady) && self.owned_shards.values().any(|owned_shard| owned_shard.ready) {
             self.milestone_reached(Milestone::ShardReady);
         }
-        if self.is_missing(Milestone::WorkersReporting) && self.are_workers_reporting() {
+        if self.is_pending(Milestone::WorkersReporting) && self.are_workers_reporting() {
             self.milestone_reached(Milestone::WorkersReporting);
         }
     }
 
-    fn is_missing(&self, milestone: Milestone) -> bool {
+    fn is_pending(&self, milestone: Milestone) -> bool {
         !self.membership.startup.has_reached(milestone)
     }
 
-    /// True if most machines with placed tasks in our ready shards have sent a heartbeat.
+    /// True if at least [`REPORTING_SHARE`] of the machines with placed tasks in owned, ready shards, and at least one,
+    /// have sent a heartbeat.
     fn are_workers_reporting(&self) -> bool {
         let (mut named, mut reporting) = (0, 0);
         for owned_shard in self.owned_shards.values().filter(|owned_shard| owned_shard.ready) {
