--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -1,18 +1,18 @@
-//! What a changed job means for the owned shards: its slices are taken up or released. Called as records change in the
-//! cache. Jobs all of whose slices are done go to `jobs::completion`.
+//! Applies changed jobs to the owned shards: adopts their slices or releases them. Called when records change in the
+//! cache. Jobs whose slices are all done are passed on to `jobs::completion`.
 
 use crate::coordination::Core;
 use crate::storage::cache::{Job, JobChange};
 use crate::units::JobId;
 
 impl Core {
-    /// A job's record changed in the cache.
+    /// Handles a change of a job's record in the cache.
     pub(crate) fn job_changed(&mut self, id: &JobId, change: JobChange) {
         self.track_dependencies(id);
         if let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.end.is_none()) {
             self.assign_soon |= job.record.plan.is_none();
             log_job(id, job);
-            // Once a job: its record changes with each assignment of its slices.
+            // Count each job once: its record changes again with each assignment of its slices.
             if change == JobChange::First && self.needs_quick_start(&job.class) {
                 let spec = &job.record.spec;
                 let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
@@ -33,7 +33,7 @@
         tracing::info!(job = %id, class = %job.record.spec.class, age_s, allowed_s, "job ended");
     }
 
-    /// A slice's record of a job changed in the cache.
+    /// Handles a change of one of the job's slice records in the cache.
     pub(crate) fn slice_changed(&mut self, id: &JobId) {
         self.check_finished(id);
     }
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -1,16 +1,16 @@
-//! Lease proxies: a controller that renews the leases of workers whose owner they cannot reach.
+//! Lease proxies: a controller renews the leases of workers that cannot reach the owner of their shard.
 //!
-//! When two zones cannot reach each other, a worker's owner may be on the far side while another controller is in its
-//! own zone. That controller may respond in the owner's name, without commands that start anything, so that running
-//! tasks go on. The owner must not take the worker's silence for its end then. Three rules see to that:
+//! During a partition between two zones, a worker may be separated from its owner while another controller runs in the
+//! worker's zone. That controller may respond on the owner's behalf, without commands that start tasks, so that running
+//! tasks continue. The owner must then not treat the silent worker as lost. Three rules ensure this:
 //!
-//! - A proxy responds only while its record `t/w/SHARD/NODE`, which ends with its lease, is durable, its cache has
+//! - A proxy responds only while its record `t/w/SHARD/NODE`, which expires with its lease, is durable, its cache has
 //!   reached that record, and its cache is fresh.
-//! - An owner takes a silent machine to be lost only after a transaction, sent once the machine's lease must have
-//!   expired, has found no proxy of the shard, and its cache has reached that transaction (`machine_expiry`). A proxy
-//!   registered later finds nothing left on the machine to keep.
-//! - After a proxy's record has gone, the owner allows for the time that the proxy may go on without knowing, and for
-//!   a whole worker lease on top.
+//! - An owner declares a silent machine lost only after a transaction, sent once the machine's lease must have expired,
+//!   has found no proxy of the shard, and its cache has reached that transaction (`machine_expiry`). By the time that a
+//!   later proxy registers, the worker has already killed its tasks.
+//! - After a proxy's record is gone, the owner waits for as long as the proxy may act without knowing that, and for a
+//!   full worker lease in addition.
 //!
 //! Called in housekeeping and for heartbeats of machines whose shard another controller owns.
 
@@ -22,22 +22,23 @@
 use crate::storage::records::{encode, lease_proxy_key, owner_key, NodeRecord};
 use crate::units::{FencingToken, LeaseId, Millis, NodeName, Revision, ShardId};
 
-/// What delay may add to two status intervals.
-const STATUS_DELAY: Millis = Millis(200);
+/// Allowance for delivery delay on top of two status intervals.
+const STATUS_DELAY_ALLOWANCE: Millis = Millis(200);
 
 impl Core {
-    /// A peer not heard for so long is taken to be out of reach: two statuses may be lost by chance.
+    /// Returns how long a peer may be silent before it counts as unreachable: two statuses may be lost by chance.
     fn peer_silence_limit(&self) -> Millis {
-        Millis((self.timing.worker_lease.0 / 4).max(2 * STATUS_INTERVAL.0 + STATUS_DELAY.0))
+        Millis((self.timing.worker_lease.0 / 4).max(2 * STATUS_INTERVAL.0 + STATUS_DELAY_ALLOWANCE.0))
     }
 
-    /// True if a peer was heard within this time. One that was never heard counts as heard when this process began.
+    /// True if a peer was heard within this time. A peer that was never heard counts as heard when this process began.
     pub(crate) fn peer_heard_within(&self, node: &NodeName, limit: Millis) -> bool {
         let heard = self.membership.peers().last_heard(node).unwrap_or(self.began);
         self.now.since(heard) <= limit
     }
 
-    /// Registers this controller as a proxy for shards whose owners it doesn't hear, and withdraws it for others.
+    /// Registers this controller as a proxy for shards whose owners it doesn't hear, and deletes its other proxy
+    /// records.
     pub(crate) fn renew_lease_proxies(&mut self) {
         let Some(lease) = self.membership.lease() else { return };
         if !self.records_fresh() || !self.store.may_send(self.now) {
@@ -61,20 +62,21 @@
         let held = self.cache.lease_proxies.get(&(shard, self.node_name.clone()));
         let record = held.and_then(|held| held.record.as_ref());
         let is_registered = record.is_some_and(|record| record.lease == lease);
-        let is_silent = *owner != self.node_name && !self.peer_heard_within(owner, self.peer_silence_limit());
-        if is_silent && !is_registered {
+        let is_owner_silent = *owner != self.node_name && !self.peer_heard_within(owner, self.peer_silence_limit());
+        if is_owner_silent && !is_registered {
             let value = encode(&NodeRecord { lease, level: SUPPORTED_LEVEL });
-            tracing::info!(shard = %shard, node = %owner, "registering as lease proxy: the owner is not heard");
+            tracing::info!(shard = %shard, node = %owner, "registering as lease proxy: owner unreachable");
             let conditions = vec![Condition { key: owner_key(shard), version: owner_version }];
             self.submit_transaction(Transaction { conditions, changes: vec![Change::put_leased(key, value, lease)] });
-        } else if !is_silent && record.is_some() {
+        } else if !is_owner_silent && record.is_some() {
             let version = held.map_or(Revision(0), |held| held.version);
             let conditions = vec![Condition { key: key.clone(), version }];
             self.submit_transaction(Transaction { conditions, changes: vec![Change::delete(key)] });
         }
     }
 
-    /// The response to a heartbeat of a machine whose shard another controller owns: a redirect, or as its proxy.
+    /// Returns the response to a heartbeat of a machine whose shard another controller owns: a redirect to the owner,
+    /// the commands of a lease proxy, or a redirect without a target.
     pub(crate) fn answer_unowned_heartbeat(&self, shard: ShardId, heartbeat: &Heartbeat) -> Response {
         let held = self.cache.owners.get(&shard);
         let Some((holder, version)) = held.and_then(|held| Some((held.record.as_ref()?, held.version))) else {
@@ -87,9 +89,9 @@
             return Response::Redirect(Some(holder.node.clone()));
         }
         let token = FencingToken(version.0);
-        let is_silent = !self.peer_heard_within(&holder.node, self.peer_silence_limit());
-        if !self.is_lease_proxy(shard) || !is_silent || !self.records_fresh() || heartbeat.token > token {
-            // Not to the owner, which we don't hear either: to the worker's next controller.
+        let is_owner_silent = !self.peer_heard_within(&holder.node, self.peer_silence_limit());
+        if !self.is_lease_proxy(shard) || !is_owner_silent || !self.records_fresh() || heartbeat.token > token {
+            // This controller doesn't hear the owner either, so the worker has to try its next controller.
             return Response::Redirect(None);
         }
         Response::Commands { token, commands: self.stop_commands_of_ended_jobs(heartbeat) }
@@ -98,19 +100,19 @@
     /// True if this controller's proxy record for the shard is durable and its cache has reached the record.
     fn is_lease_proxy(&self, shard: ShardId) -> bool {
         self.cache.lease_proxies.get(&(shard, self.node_name.clone())).is_some_and(|held| {
-            let ours = held.record.as_ref().is_some_and(|record| Some(record.lease) == self.membership.lease());
-            ours && self.cache.revision >= held.version
+            let is_own = held.record.as_ref().is_some_and(|record| Some(record.lease) == self.membership.lease());
+            is_own && self.cache.revision >= held.version
         })
     }
 
-    /// Commands to stop tasks that run though their job has ended: they must end whoever responds to the worker, and
-    /// whatever else is known of the shard.
+    /// Returns commands to stop tasks that still run after their job has ended. These tasks must stop no matter which
+    /// controller responds to the worker and in which state the shard is.
     pub(crate) fn stop_commands_of_ended_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
-        let runs_after_end = |task: &&TaskStatus| {
+        let runs_after_job_end = |task: &&TaskStatus| {
             let job = self.cache.jobs.get(&task.task.job);
             task.state != TaskState::Exited && job.is_some_and(|job| job.record.end.is_some())
         };
-        let tasks = heartbeat.tasks.iter().filter(runs_after_end).take(MAX_COMMANDS);
+        let tasks = heartbeat.tasks.iter().filter(runs_after_job_end).take(MAX_COMMANDS);
         tasks.map(|task| Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 }).collect()
     }
 
@@ -119,7 +121,7 @@
         self.cache.lease_proxies.iter().any(|((of, _), held)| *of == shard && held.record.is_some())
     }
 
-    /// A proxy's record changed in the cache.
+    /// Handles a change of a proxy record of the shard in the cache.
     pub(crate) fn lease_proxy_changed(&mut self, shard: ShardId) {
         let has_proxy = self.has_lease_proxy(shard);
         if let (Some(owned_shard), false) = (self.owned_shards.get_mut(&shard), has_proxy) {
@@ -127,10 +129,10 @@
         }
     }
 
-    /// How long a machine may live on after a proxy's record has gone: the proxy may not know yet, and the worker
-    /// then has a whole lease.
+    /// Returns how long a worker's lease may outlive a proxy's record: the proxy may respond until its cache is no
+    /// longer fresh, and its last response renews the lease in full.
     pub(super) fn lease_after_proxy(&self) -> Millis {
-        // With room for drifting clocks.
+        // One part in 500 (0.2 %) allows for clock drift.
         let fresh = Millis(self.timing.fresh.0 + self.timing.fresh.0 / 500);
         fresh + self.timing.worker_lease
     }
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -1,6 +1,6 @@
-//! Decides that a machine is lost: its worker's lease must have expired, and with it the worker has killed its tasks,
-//! so that they may start elsewhere. Called in housekeeping and with the answer of the check that proves it. A machine
-//! is never lost on silence alone: see the rules of `lease_proxy`.
+//! Decides that a machine is lost: once its worker's lease must have expired, the worker has killed its tasks, so they
+//! may start elsewhere. Called in housekeeping and with the store's response to the expiry check. Silence alone is not
+//! sufficient evidence of a loss: see the rules of `lease_proxy`.
 
 use crate::coordination::shards::owned_shard::{ExpiryCheck, Machine, OwnedShard};
 use crate::coordination::store_client::pending_requests::PendingRequest;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Core {
-    /// Removes machines of owned shards whose leases have provably expired, and those that were returned.
+    /// Removes machines of owned shards whose leases have provably expired or that were returned to the cloud.
     pub(crate) fn expire_machines(&mut self) {
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
             let Some(owned_shard) = self.owned_shards.get_mut(&shard).filter(|shard| shard.ready) else { continue };
@@ -19,8 +19,8 @@
                 ExpiryCheck::Confirmed { revision, machines } if self.cache.revision >= revision => {
                     self.remove_expired_machines(shard, &machines);
                 }
-                under_way @ (ExpiryCheck::Confirmed { .. } | ExpiryCheck::Sent(_)) => {
-                    owned_shard.expiry_check = under_way;
+                pending @ (ExpiryCheck::Confirmed { .. } | ExpiryCheck::Sent(_)) => {
+                    owned_shard.expiry_check = pending;
                 }
                 ExpiryCheck::None => self.send_expiry_check(shard),
             }
@@ -29,7 +29,7 @@
     }
 
     fn remove_expired_machines(&mut self, shard: ShardId, checked: &[MachineId]) {
-        // A proxy that came and went since the check has put the time off.
+        // A proxy that was registered and removed since the check has extended the leases.
         let expired = self.expired_machines(shard);
         for name in checked.iter().filter(|name| expired.contains(*name)) {
             tracing::info!(shard = %shard, machine = %name, "machine lost: its worker's lease has expired");
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Machines whose leases must have expired, unless a proxy that we don't know of renews them.
+    /// Returns machines whose leases must have expired, unless a proxy renews them that is not in the cache yet.
     fn expired_machines(&self, shard: ShardId) -> BTreeSet<MachineId> {
         let Some(owned_shard) = self.owned_shards.get(&shard).filter(|_| !self.has_lease_proxy(shard)) else {
             return BTreeSet::new();
@@ -59,20 +59,21 @@
         owned_shard.machine_names().filter(has_expired).cloned().collect()
     }
 
-    /// Until when owners may have renewed a machine's lease; `machine` is none if it sent us no heartbeat.
+    /// Returns the latest time until which owners may have extended a machine's lease. `machine` is `None` if it has
+    /// not sent a heartbeat to this owner.
     fn leased_until(&self, owned_shard: &OwnedShard, machine: Option<&Machine>) -> MonotonicTime {
         let lease = self.timing.worker_lease;
-        // Until the worker has seen our token, an owner before us that is cut off from the store may have renewed its
-        // lease for as long as its store isolation limit lets it.
-        let earlier_owner = owned_shard.owned_since + (self.timing.store_isolation_limit + lease);
+        // Until the worker has seen this owner's fencing token, a previous owner that is cut off from the store may
+        // have renewed the lease for up to its store isolation limit.
+        let leased_by_previous_owner = owned_shard.owned_since + (self.timing.store_isolation_limit + lease);
         match machine {
             Some(machine) if machine.token_acknowledged => machine.last_heartbeat + lease,
-            Some(machine) => (machine.last_heartbeat + lease).max(earlier_owner),
-            None => earlier_owner,
+            Some(machine) => (machine.last_heartbeat + lease).max(leased_by_previous_owner),
+            None => leased_by_previous_owner,
         }
     }
 
-    /// Asks the store whether a proxy is registered for the shard, if machines seem to be lost.
+    /// Checks in the store that no proxy is registered for the shard, if leases of machines seem to have expired.
     fn send_expiry_check(&mut self, shard: ShardId) {
         let machines: Vec<MachineId> = self.expired_machines(shard).into_iter().collect();
         if machines.is_empty() || !self.store.may_send(self.now) {
@@ -88,7 +89,7 @@
         self.call_state(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
     }
 
-    /// The store's answer to the check.
+    /// Handles the store's response to the expiry check.
     pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StoreResponse) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let ExpiryCheck::Sent(machines) = std::mem::take(&mut owned_shard.expiry_check) else { return };
@@ -97,7 +98,7 @@
                 owned_shard.expiry_check = ExpiryCheck::Confirmed { revision, machines };
             }
             StoreResponse::Conflict(failed) => self.reread(failed, None),
-            // Without an answer that counts, the next housekeeping sends the check again.
+            // The check is inconclusive; the next housekeeping sends it again.
             _ => {}
         }
     }
--- a/src/coordination/shards/mod.rs
+++ b/src/coordination/shards/mod.rs
@@ -1,4 +1,5 @@
-//! The shards that this controller owns: their tasks, machines and quotas, and the proxies that renew leases for others.
+//! The shards that this controller owns, with their tasks, machines and quotas, and the lease proxies that act for
+//! owners that workers cannot reach.
 
 pub(crate) mod job_changes;
 pub(crate) mod lease_proxy;
--- a/src/coordination/shards/owned_shard.rs
+++ b/src/coordination/shards/owned_shard.rs
@@ -1,11 +1,11 @@
-//! What a controller knows of a shard that it owns, beyond the durable records: the shard's machines, the tasks
-//! placed on them, quota usage, and what is not durable yet. Created and dropped by `membership`, changed by
-//! heartbeats, scheduling and transactions. Never stored: a new owner rebuilds it from records and heartbeats.
+//! In-memory state of an owned shard, in addition to the durable records: its machines, the tasks placed on them, quota
+//! usage and changes that are not durable yet. Created and dropped by `membership`; changed by heartbeats, scheduling
+//! and transactions. Never stored: a new owner rebuilds it from records and heartbeats.
 //!
-//! The fields are open to `coordination`: each concern there changes its own.
+//! The fields are accessible to all of `coordination`; each module there changes only those of its concern.
 
 use crate::coordination::heartbeats::reachability::Reachability;
-use crate::coordination::shards::shard_quota::{TeamQuota, ROUNDING};
+use crate::coordination::shards::shard_quota::{TeamQuota, ROUNDING_TOLERANCE};
 use crate::protocol::workers::{HeartbeatId, TaskState};
 use crate::storage::names::InternedName;
 use crate::storage::records::{JobRecord, QuotaRecord};
@@ -16,15 +16,15 @@
 use foldhash::fast::FixedState;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A task within the cache: its job and its index there.
+/// Identifies a task by its job and its index within the job.
 pub type TaskKey = (JobId, u32);
 
 /// A task that a heartbeat listed.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedTask {
-    /// The attempt that the worker runs or ran.
+    /// Attempt that the worker runs or has run.
     pub attempt: Attempt,
-    /// Its state there.
+    /// State of the attempt on the worker.
     pub state: TaskState,
     /// When a heartbeat first listed this attempt in this state.
     pub since: MonotonicTime,
@@ -33,107 +33,108 @@
 /// A container image that a machine has or is fetching.
 #[derive(Debug, Clone)]
 pub struct CachedImage {
-    /// The image's name.
+    /// Interned name of the image.
     pub name: InternedName,
-    /// Its size in gigabytes.
+    /// Size in gigabytes.
     pub size_gb: f64,
 }
 
 /// A machine that has sent heartbeats to this owner.
 #[derive(Debug)]
 pub struct Machine {
-    /// Where the worker accepts commands; its tasks are reached at the same host.
+    /// Address at which the worker accepts commands; its tasks are reachable on the same host.
     pub addr: String,
-    /// The machine type in the cloud's catalog.
+    /// Name of the machine type in the cloud's catalog.
     pub machine_type: String,
-    /// The availability zone.
+    /// Availability zone.
     pub zone: String,
     /// True for a spot machine.
     pub spot: bool,
-    /// The agent epoch of the newest heartbeat.
+    /// Agent epoch of the newest heartbeat.
     pub agent_epoch: AgentEpoch,
-    /// The number of the newest heartbeat within that epoch.
+    /// Number of the newest heartbeat within that epoch.
     pub heartbeat_number: HeartbeatNumber,
-    /// The worker has seen this owner's fencing token: nothing that an earlier owner sent in response to a
-    /// heartbeat can take effect any more.
+    /// True once the worker has seen this owner's fencing token: responses of previous owners to its heartbeats can no
+    /// longer take effect.
     pub token_acknowledged: bool,
     /// When the newest heartbeat arrived; the response to it renews the worker's lease.
     pub last_heartbeat: MonotonicTime,
-    /// When the machine was started, as far as known: at the latest with its first heartbeat.
+    /// Earliest known start time of the machine: its first heartbeat, or earlier if the leader reports a greater age.
     pub started_at: MonotonicTime,
-    /// When the cloud reclaims the machine, if the worker passed on a notice.
+    /// When the cloud will reclaim the machine; `None` if the worker has reported no termination notice.
     pub termination_at: Option<MonotonicTime>,
-    /// The tasks that the newest heartbeat listed.
+    /// Tasks that the newest heartbeat listed.
     pub reported_tasks: BTreeMap<TaskKey, ReportedTask>,
-    /// For each task whose start was sent, the heartbeat that it was last sent in response to.
+    /// For each task whose start command was sent, the heartbeat that it was last sent in response to.
     pub starts_sent: BTreeMap<TaskKey, HeartbeatId>,
-    /// Images that the machine has or is fetching, newest last.
+    /// Images that the machine has or is fetching, ordered from oldest to newest.
     pub images: Vec<CachedImage>,
-    /// Jobs whose tasks failed here since a task last succeeded, and when each failed last.
+    /// Time of the latest failure of each job whose tasks failed on this machine since a task last succeeded there.
     pub failed_jobs: BTreeMap<JobId, MonotonicTime>,
-    /// The machine itself makes tasks fail: it gets no work and is returned.
+    /// True if the machine itself makes tasks fail: it gets no new work and is returned to the cloud.
     pub faulty: bool,
     /// Whether the worker receives this owner's responses.
     pub(crate) reachability: Reachability,
-    /// The machine gets no new work before: it failed several jobs, and whether they run elsewhere is not
-    /// known yet.
+    /// The machine gets no new work before this time: several jobs failed on it, and it is not known yet whether they
+    /// run elsewhere.
     pub cordoned_until: MonotonicTime,
 }
 
 impl Machine {
-    /// The sequence of the machine's newest heartbeat.
+    /// Returns the agent epoch and number of the newest heartbeat.
     pub fn heartbeat_id(&self) -> HeartbeatId {
         HeartbeatId { agent_epoch: self.agent_epoch, heartbeat_number: self.heartbeat_number }
     }
 }
 
-/// What a controller knows of a shard that it owns, beyond the cache.
+/// In-memory state of an owned shard, in addition to the cache.
 #[derive(Debug)]
 pub struct OwnedShard {
-    /// The revision of the transaction that made this controller the owner.
+    /// Fencing token: the revision of the transaction that made this controller the owner.
     pub token: FencingToken,
-    /// When the controller learned that it is the owner; then, once `ready`, when it became so.
+    /// When this controller learned of its ownership; once `ready`, when the shard became ready.
     pub owned_since: MonotonicTime,
-    /// The cache has caught up with the token: it holds all that earlier owners have written.
+    /// True once the cache has caught up with the token, and so holds everything that previous owners wrote.
     pub ready: bool,
-    /// About to be handed over: nothing new is started.
+    /// True while a handover is pending: no new work is started.
     pub releasing: bool,
     /// Machines that have sent heartbeats to this owner.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines whose heartbeats arrive but which receive no responses, and since when.
+    /// Machines whose heartbeats arrive but which don't receive responses, with the time since when.
     pub downlink_lost: BTreeMap<MachineId, MonotonicTime>,
-    /// The newest heartbeat of machines that were removed: no older one brings them back.
+    /// Newest heartbeat of each removed machine; older heartbeats must not add the machine again.
     pub removed_machines: BTreeMap<MachineId, HeartbeatId>,
     /// Tasks whose desired state places them on a machine, by machine.
     pub placed_tasks: BTreeMap<MachineId, BTreeSet<TaskKey>>,
-    /// Slices with unwritten changes, by job and slice index, and since when.
+    /// Slices with unwritten changes, by job and slice index, with the time of the oldest such change.
     pub dirty: BTreeMap<(JobId, usize), MonotonicTime>,
-    /// The shard's transaction that has no answer yet; there is one at a time.
+    /// Pending transaction of the shard; at most one at a time.
     pub inflight: Option<CallId>,
-    /// Reads under way of keys that a transaction conflicted on.
+    /// Number of pending reads of keys that a transaction conflicted on.
     pub pending_rereads: usize,
-    /// No transaction is sent before.
+    /// Earliest time of the next transaction.
     pub retry_at: MonotonicTime,
-    /// When a lease proxy may last have been registered for the shard.
+    /// Latest time at which a lease proxy may have been registered for the shard.
     pub last_proxied: MonotonicTime,
-    /// The check under way of machines whose leases seem to have expired.
+    /// State of the check of machines whose leases seem to have expired.
     pub expiry_check: ExpiryCheck,
-    /// Tasks to be stopped, with the seconds that each may take to save its progress.
+    /// Tasks to be stopped, with the grace period in seconds that each has to save its progress.
     pub stopping: BTreeMap<TaskKey, f64>,
-    /// When each task was first reported to run.
+    /// When each task was first reported as running.
     pub running_since: HashMap<TaskKey, MonotonicTime, FixedState>,
-    /// What placed tasks use, by team.
+    /// Resources that placed tasks use, by team.
     pub usage: BTreeMap<String, ComputeAmount>,
-    /// What waiting tasks lack of the shard's quota, by team.
+    /// Quota that waiting tasks lack, by team.
     pub quota_shortages: BTreeMap<String, QuotaShortage>,
-    /// No starving job is put first before.
+    /// Earliest time at which the next starving job may be prioritized.
     pub next_starving_job_at: MonotonicTime,
-    /// During a quota transfer: the shard's quota if it is carried out.
-    pub transferring: Option<QuotaRecord>,
+    /// The shard's quotas after the pending quota transfer; `None` if no transfer is pending.
+    pub quota_after_transfer: Option<QuotaRecord>,
 }
 
 impl OwnedShard {
-    /// A shard whose ownership, with this token, was learned of now. Not `ready` yet.
+    /// Creates the state of a shard whose ownership, with this token, this controller has just learned of. Not yet
+    /// `ready`.
     pub fn new(token: FencingToken, now: MonotonicTime) -> OwnedShard {
         OwnedShard {
             token,
@@ -155,47 +156,47 @@
             usage: BTreeMap::new(),
             quota_shortages: BTreeMap::new(),
             next_starving_job_at: MonotonicTime(0),
-            transferring: None,
+            quota_after_transfer: None,
         }
     }
 
-    /// Names of all machines that may run a task: those with placed tasks, then those that sent heartbeats. A
-    /// machine may come twice.
+    /// Returns all machines that may run a task: those with placed tasks, then those that sent heartbeats. A machine
+    /// may occur twice.
     pub fn machine_names(&self) -> impl Iterator<Item = &MachineId> {
         self.placed_tasks.keys().chain(self.machines.keys())
     }
 
-    /// True while nothing of the shard is on its way to or from the store.
+    /// True if no transaction or reread of the shard is pending.
     pub fn is_idle(&self) -> bool {
         self.inflight.is_none() && self.pending_rereads == 0
     }
 
-    /// What the team's placed tasks use.
+    /// Returns the resources that the team's placed tasks use.
     pub fn usage_of(&self, team: &str) -> ComputeAmount {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Counts one more placed task of the job.
+    /// Adds one task of the job to its team's usage.
     pub fn add_usage(&mut self, record: &JobRecord) {
         let usage = self.usage.entry(record.spec.team.clone()).or_default();
         usage.cpus += record.spec.cpus;
         usage.gpus += record.spec.gpus;
     }
 
-    /// Counts one placed task of the job less.
+    /// Subtracts one task of the job from its team's usage.
     pub fn subtract_usage(&mut self, record: &JobRecord) {
         let usage = self.usage.entry(record.spec.team.clone()).or_default();
         usage.cpus -= record.spec.cpus;
         usage.gpus -= record.spec.gpus;
     }
 
-    /// Enters a task of the job as placed on the machine.
+    /// Adds a task of the job to the machine's placed tasks and to the team's usage.
     pub fn place(&mut self, key: TaskKey, machine: &MachineId, record: &JobRecord) {
         self.placed_tasks.entry(machine.clone()).or_default().insert(key);
         self.add_usage(record);
     }
 
-    /// Removes a task of the job from the machine that it was placed on, with all that is known of its run.
+    /// Removes a task of the job from the machine's placed tasks and the team's usage, and drops the state of its run.
     pub fn unplace(&mut self, key: &TaskKey, machine: &MachineId, record: &JobRecord) {
         if let Some(tasks) = self.placed_tasks.get_mut(machine) {
             tasks.remove(key);
@@ -212,17 +213,17 @@
     }
 }
 
-/// What waiting tasks of a team lack of the shard's quota, though a machine has room for them.
+/// Quota that a team lacks for waiting tasks that would fit on a machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct QuotaShortage {
-    /// What all of them take together.
+    /// Sum of the tasks' requests.
     pub total: ComputeAmount,
-    /// The least cores and the least GPUs that any of them takes.
+    /// Minimum number of cores and minimum number of GPUs that any of the tasks requests.
     smallest: ComputeAmount,
 }
 
 impl QuotaShortage {
-    /// Adds tasks that take so much each.
+    /// Adds a number of tasks that request `each`.
     pub fn add_tasks(&mut self, each: ComputeAmount, tasks: f64) {
         let first = self.total == ComputeAmount::default();
         self.smallest = if first {
@@ -234,27 +235,28 @@
         self.total.gpus += each.gpus * tasks;
     }
 
-    /// True if `unused` is too little for any of the tasks.
+    /// True if `unused` is too small for every one of the tasks.
     pub fn exceeds(&self, unused: TeamQuota) -> bool {
-        let short = |unused: Option<f64>, least: f64| unused.is_some_and(|unused| unused + ROUNDING < least);
+        let short =
+            |unused: Option<f64>, smallest: f64| unused.is_some_and(|unused| unused + ROUNDING_TOLERANCE < smallest);
         short(unused.cpus, self.smallest.cpus) || short(unused.gpus, self.smallest.gpus)
     }
 }
 
-/// Proves that machines whose leases seem to have expired are lost: a transaction without changes that holds only if
-/// no lease proxy is registered for the shard.
+/// State of the check that machines whose leases seem to have expired are lost: a transaction without changes that
+/// commits only if no lease proxy is registered for the shard.
 #[derive(Debug, Default)]
 pub enum ExpiryCheck {
-    /// No check is under way.
+    /// No check is pending.
     #[default]
     None,
-    /// Sent for these machines, not answered yet.
+    /// The check of these machines was sent; its response is pending.
     Sent(Vec<MachineId>),
-    /// No proxy was registered as of the revision; it counts once the cache has reached that.
+    /// No proxy was registered as of `revision`. Valid once the cache has reached that revision.
     Confirmed {
-        /// The store's revision at the check.
+        /// Revision of the store at the check.
         revision: Revision,
-        /// The machines that it was made for.
+        /// Machines that were checked.
         machines: Vec<MachineId>,
     },
 }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -1,6 +1,6 @@
-//! Quotas of teams by shard: each shard holds a share of a team's limit, and owners transfer what they don't need to
-//! shards that lack it, in one transaction. The shares of all shards never sum to more than the limit. Asked by the
-//! scheduling cycle and by heartbeats before a task starts; never reads or changes placements.
+//! Team quotas by shard: each shard holds a share of a team's limit, and owners transfer unused quota to shards that
+//! lack it, in one transaction. The shares of all shards never sum to more than the limit. Queried by the scheduling
+//! cycle, and by heartbeats before a task starts. Never reads or changes placements.
 
 use crate::coordination::shards::owned_shard::OwnedShard;
 use crate::coordination::store_client::pending_requests::change_key;
@@ -12,13 +12,13 @@
 use crate::units::{ComputeAmount, JobId, Revision, ShardId};
 use std::collections::BTreeMap;
 
-/// What rounding of binary fractions may add when a few amounts are summed, in cores or GPUs.
-pub(crate) const ROUNDING: f64 = 1e-9;
+/// Tolerance for floating-point rounding when a few amounts are summed, in cores or GPUs.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What rounding may add when usage is summed over a shard's whole life, in cores or GPUs.
-const USAGE_ROUNDING: f64 = 1e-6;
+/// Tolerance for floating-point rounding when usage is summed over a shard's lifetime, in cores or GPUs.
+const USAGE_ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What a shard may use of a team's limit; none: the team has no limit.
+/// A shard's share of a team's limits; `None` where the team has no limit.
 #[derive(Debug, Clone, Copy)]
 pub struct TeamQuota {
     /// Processor cores.
@@ -28,41 +28,41 @@
 }
 
 impl TeamQuota {
-    /// True if the team may use `task` on top of `used`.
+    /// True if the quota allows `task` in addition to `used`.
     pub fn has_room_for(self, used: ComputeAmount, task: ComputeAmount) -> bool {
-        let over = |limit: Option<f64>, sum: f64| limit.is_some_and(|limit| sum > limit + ROUNDING);
+        let over = |limit: Option<f64>, sum: f64| limit.is_some_and(|limit| sum > limit + ROUNDING_TOLERANCE);
         !over(self.cpus, used.cpus + task.cpus) && !over(self.gpus, used.gpus + task.gpus)
     }
 
-    /// True if `used` is more than the team may use.
+    /// True if `used` exceeds the quota.
     fn is_exceeded_by(self, used: ComputeAmount) -> bool {
-        let over = |limit: Option<f64>, used: f64| limit.is_some_and(|limit| used > limit + USAGE_ROUNDING);
+        let over = |limit: Option<f64>, used: f64| limit.is_some_and(|limit| used > limit + USAGE_ROUNDING_TOLERANCE);
         over(self.cpus, used.cpus) || over(self.gpus, used.gpus)
     }
 
-    /// What is left of the quota beside `used`.
+    /// Returns the quota minus `used`, not below zero.
     fn unused(self, used: ComputeAmount) -> TeamQuota {
         let left = |limit: Option<f64>, used: f64| limit.map(|limit| (limit - used).max(0.0));
         TeamQuota { cpus: left(self.cpus, used.cpus), gpus: left(self.gpus, used.gpus) }
     }
 
-    /// The quota as it is stored: zero where there is no limit.
+    /// Returns the quota in its stored form, with zero where there is no limit.
     fn stored(self) -> ComputeAmount {
         ComputeAmount { cpus: self.cpus.unwrap_or(0.0), gpus: self.gpus.unwrap_or(0.0) }
     }
 }
 
-/// What a team may use before other teams' work that is not guaranteed.
+/// Resources that a team is guaranteed: it may use them ahead of other teams' work that is not guaranteed.
 #[derive(Debug, Clone)]
 pub(crate) struct TeamGuarantee {
-    /// The team's name.
+    /// Name of the team.
     pub team: InternedName,
-    /// The guaranteed amount.
+    /// Guaranteed cores and GPUs.
     pub amount: ComputeAmount,
 }
 
 impl TeamGuarantee {
-    /// The guarantees of all teams that have one, in the order of the settings.
+    /// Returns the guarantees of all teams that have one, in the order of the settings.
     pub fn all(teams: &[Team], names: &mut NameInterner) -> Vec<TeamGuarantee> {
         let guaranteed = teams.iter().filter(|team| team.cpus > 0.0 || team.gpus > 0.0);
         guaranteed
@@ -74,20 +74,22 @@
     }
 }
 
-/// True if a transaction moves quota between shards.
+/// True if the transaction transfers quota between shards, that is, if it changes a quota record.
 pub(crate) fn is_quota_transfer(transaction: &Transaction) -> bool {
     let changes_quota = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Quota(_)));
     transaction.changes.iter().any(changes_quota)
 }
 
-/// Rounds down to thousandths, in which quota is split and moved; what binary fractions lack of one counts as one.
-fn thousandths(amount: f64) -> f64 {
+/// Rounds down to thousandths, the unit in which quota is split and transferred. An amount that is just below a
+/// thousandth because of floating-point rounding counts as that thousandth. Negative amounts become zero.
+fn floor_to_thousandths(amount: f64) -> f64 {
     (amount.max(0.0) * 1000.0 + 1e-6).floor() / 1000.0
 }
 
-/// A shard's share of a limit before any transfer: equal shares, and the first shard has the remainder as well.
+/// Returns a shard's share of a limit before any transfer. All shares are equal, except that shard 0 also gets the
+/// remainder.
 fn initial_share(limit: f64, shard: ShardId, shards: u32) -> f64 {
-    let each = thousandths(limit / f64::from(shards));
+    let each = floor_to_thousandths(limit / f64::from(shards));
     if shard == ShardId(0) {
         limit - each * f64::from(shards.saturating_sub(1))
     } else {
@@ -95,10 +97,10 @@
     }
 }
 
-/// What of `unused` another shard that lacks `shortage` may have, after this one kept `reserved`.
+/// Returns how much of `unused` can be transferred to a shard that lacks `shortage` while this one keeps `reserved`.
 fn transferable(unused: TeamQuota, reserved: ComputeAmount, shortage: ComputeAmount) -> ComputeAmount {
     let spare = |unused: Option<f64>, reserved: f64, shortage: f64| {
-        thousandths((unused.unwrap_or(0.0) - reserved).min(shortage))
+        floor_to_thousandths((unused.unwrap_or(0.0) - reserved).min(shortage))
     };
     ComputeAmount {
         cpus: spare(unused.cpus, reserved.cpus, shortage.cpus),
@@ -107,7 +109,8 @@
 }
 
 impl Core {
-    /// A shard's share of a team's limit. While a transfer is under way the giving shard has the lesser of both.
+    /// Returns a shard's share of a team's limits. While a transfer is pending, the source shard has the smaller of its
+    /// shares before and after.
     pub(crate) fn quota(&self, shard: ShardId, team: &str) -> TeamQuota {
         let Some(limits) = self.settings.cluster.teams.iter().find(|limits| limits.name == team) else {
             return TeamQuota { cpus: None, gpus: None };
@@ -118,8 +121,9 @@
             cpus: initial_share(limits.cpus_max, shard, self.shard_count),
             gpus: initial_share(limits.gpus_max, shard, self.shard_count),
         });
-        let transferring = self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.transferring.as_ref());
-        if let Some(after) = transferring.and_then(|record| record.teams.get(team)) {
+        let quota_after_transfer =
+            self.owned_shards.get(&shard).and_then(|owned_shard| owned_shard.quota_after_transfer.as_ref());
+        if let Some(after) = quota_after_transfer.and_then(|record| record.teams.get(team)) {
             share.cpus = share.cpus.min(after.cpus);
             share.gpus = share.gpus.min(after.gpus);
         }
@@ -129,22 +133,22 @@
         }
     }
 
-    /// True if a shard's records place more of the job's team than its quota. An earlier owner may have unplaced a
-    /// task and transferred its quota, and ended before the record said so: a task that was not started before must
-    /// not start then.
+    /// True if the placed tasks of the job's team exceed its quota in the shard. A previous owner may have unplaced a
+    /// task and transferred its quota, and failed before it wrote the task's record. Tasks that have not started yet
+    /// must not start then.
     pub(crate) fn over_quota(&self, shard: ShardId, owned_shard: &OwnedShard, job: &JobId) -> bool {
         let Some(job) = self.cache.jobs.get(job) else { return false };
         let team = job.record.spec.team.as_str();
         self.quota(shard, team).is_exceeded_by(owned_shard.usage_of(team))
     }
 
-    /// The shard's quotas of all teams, as they are stored.
+    /// Returns the record of the shard's current quotas of all teams.
     fn quota_record(&self, shard: ShardId) -> QuotaRecord {
         let names = self.settings.cluster.teams.iter().map(|team| &team.name);
         QuotaRecord { teams: names.map(|name| (name.clone(), self.quota(shard, name).stored())).collect() }
     }
 
-    /// Transfers quota that an owned shard doesn't need to a shard that lacks it: one transfer a call.
+    /// Transfers unneeded quota of an owned shard to a shard that lacks it; at most one transfer per call.
     pub(crate) fn rebalance_quotas(&mut self) {
         let shortages = self.quota_shortages();
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
@@ -159,7 +163,8 @@
         }
     }
 
-    /// What each shard lacks by team: from this controller's shards, and from what peers said lately of theirs.
+    /// Returns the quota that each shard lacks, by team: from this controller's state for owned shards, and from recent
+    /// peer statuses for the others.
     fn quota_shortages(&self) -> BTreeMap<ShardId, BTreeMap<String, ComputeAmount>> {
         let mut shortages: BTreeMap<ShardId, BTreeMap<String, ComputeAmount>> = BTreeMap::new();
         for (shard, owned_shard) in &self.owned_shards {
@@ -178,7 +183,7 @@
     }
 
     /// Transfers quota of a team from an owned shard to another that lacks `shortage`, in one transaction conditional
-    /// on both quota records and on ownership. False if there is nothing to transfer or it can't be done now.
+    /// on both quota records and on ownership. Returns false if no transfer is possible now.
     pub(crate) fn transfer_quota(&mut self, from: ShardId, to: ShardId, team: &str, shortage: ComputeAmount) -> bool {
         let busy = [from, to].iter().any(|shard| self.store.is_key_busy(&quota_key(*shard)));
         if busy || !self.records_fresh() {
@@ -190,7 +195,8 @@
         true
     }
 
-    /// What an owned shard can transfer of a team's quota; none if it has nothing, or is busy with another transfer.
+    /// Returns how much of a team's quota an owned shard can transfer, or `None` if it has nothing to spare or can't
+    /// transfer now, for example because another transfer is pending.
     fn transferable_quota(
         &self,
         from: ShardId,
@@ -198,54 +204,55 @@
         team: &str,
         shortage: ComputeAmount,
     ) -> Option<ComputeAmount> {
-        let can_transfer = |shard: &&OwnedShard| shard.ready && !shard.releasing && shard.transferring.is_none();
+        let can_transfer =
+            |shard: &&OwnedShard| shard.ready && !shard.releasing && shard.quota_after_transfer.is_none();
         let owned_shard = self.owned_shards.get(&from).filter(can_transfer)?;
         let unused = self.quota(from, team).unused(owned_shard.usage_of(team));
         let own_shortage = owned_shard.quota_shortages.get(team).copied().unwrap_or_default();
-        // What is too little for any task here may be enough together with what another shard has. It goes to lower
-        // shards only, so that it isn't sent back and forth.
+        // Quota that is too small for any task here may be enough together with the quota of another shard. Transfer it
+        // to lower-numbered shards only, so that it isn't sent back and forth.
         let useless_here = to < from && own_shortage.exceeds(unused);
         let reserved = if useless_here { ComputeAmount::default() } else { own_shortage.total };
         let amount = transferable(unused, reserved, shortage);
         (amount.cpus > 0.0 || amount.gpus > 0.0).then_some(amount)
     }
 
-    /// The transaction that transfers quota; the shard counts with the lesser quota from here on. None if a record
-    /// would not fit into one value.
+    /// Returns the transaction that transfers quota, and marks the transfer as pending: from now on the source shard
+    /// has the smaller quota. Returns `None` if a record would exceed the store's maximum value size.
     fn quota_transfer(&mut self, from: ShardId, to: ShardId, team: &str, amount: ComputeAmount) -> Option<Transaction> {
-        let (mut giving, mut receiving) = (self.quota_record(from), self.quota_record(to));
-        if let Some(share) = giving.teams.get_mut(team) {
+        let (mut source, mut target) = (self.quota_record(from), self.quota_record(to));
+        if let Some(share) = source.teams.get_mut(team) {
             share.cpus -= amount.cpus;
             share.gpus -= amount.gpus;
         }
-        if let Some(share) = receiving.teams.get_mut(team) {
+        if let Some(share) = target.teams.get_mut(team) {
             share.cpus += amount.cpus;
             share.gpus += amount.gpus;
         }
-        let (giving_value, receiving_value) = (encode(&giving), encode(&receiving));
-        if !self.fits_value(&giving_value) || !self.fits_value(&receiving_value) {
+        let (source_value, target_value) = (encode(&source), encode(&target));
+        if !self.fits_value(&source_value) || !self.fits_value(&target_value) {
             return None;
         }
         let (from_key, to_key) = (quota_key(from), quota_key(to));
         let version = |shard| self.cache.quotas.get(&shard).map_or(Revision(0), |held| held.version);
         let (from_version, to_version) = (version(from), version(to));
         let owned_shard = self.owned_shards.get_mut(&from)?;
-        owned_shard.transferring = Some(giving);
+        owned_shard.quota_after_transfer = Some(source);
         Some(Transaction {
             conditions: vec![
                 Condition { key: owner_key(from), version: Revision(owned_shard.token.0) },
                 Condition { key: from_key.clone(), version: from_version },
                 Condition { key: to_key.clone(), version: to_version },
             ],
-            changes: vec![Change::put(from_key, giving_value), Change::put(to_key, receiving_value)],
+            changes: vec![Change::put(from_key, source_value), Change::put(to_key, target_value)],
         })
     }
 
-    /// The outcome of transfers from or to these shards is in the cache.
+    /// Ends the pending transfers from or to these shards: their outcome is in the cache.
     pub(crate) fn end_quota_transfers(&mut self, shards: &[ShardId]) {
         for shard in shards {
             if let Some(owned_shard) = self.owned_shards.get_mut(shard) {
-                owned_shard.transferring = None;
+                owned_shard.quota_after_transfer = None;
             }
         }
     }
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -2,10 +2,10 @@
 use crate::protocol::state::StoreResponse;
 use crate::units::{FencingToken, MonotonicTime};
 
-/// A quota transfer without an answer was sent again, and the refusal of the second was taken to mean that the first
-/// was not carried out; but it might still be carried out later.
+/// Guards against treating the conflict of a retried transfer as proof that the first attempt failed: a transfer
+/// without a response may still be committed later.
 #[test]
-fn an_unresolved_quota_transfer_counts_as_carried_out_until_its_outcome_is_known() {
+fn an_unresolved_quota_transfer_counts_as_committed_until_its_outcome_is_known() {
     let mut core = crate::coordination::tests::core();
     core.settings.cluster.teams =
         serde_json::from_value(serde_json::json!([{"name": "red", "cpus_max": 24.0}])).expect("teams");
@@ -20,6 +20,6 @@
         core.resolve_quota_transfers();
     }
     core.state_answer(core.store.last_call(), StoreResponse::Committed(Revision(12)));
-    assert!(core.owned_shards[&shard].transferring.is_none() && core.store.has_no_busy_keys());
+    assert!(core.owned_shards[&shard].quota_after_transfer.is_none() && core.store.has_no_busy_keys());
     assert_eq!((core.quota(shard, "red").cpus, core.quota(ShardId(1), "red").cpus), (Some(8.0), Some(16.0)));
 }
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -1,6 +1,6 @@
-//! The tasks of owned shards: takes up their slices from the durable records, releases those that moved to another
-//! shard, and changes the desired state of tasks together with the shard's indexes. Called when ownership, jobs or
-//! heartbeats change. Nothing here is durable until the shard's next transaction.
+//! Tasks of owned shards: adopts slices from the durable records, releases slices that moved to another shard, and
+//! changes the desired state of tasks together with the shard's indexes. Called on ownership changes, job changes and
+//! heartbeats. Changes become durable with the shard's next transaction.
 
 use crate::coordination::shards::owned_shard::{OwnedShard, TaskKey};
 use crate::coordination::Core;
@@ -8,28 +8,28 @@
 use crate::storage::records::{SliceRecord, TaskRecord};
 use crate::units::{JobId, MachineId, MonotonicTime, ShardId};
 
-/// Where a task stands in the records.
+/// Location of a task in the records.
 pub(crate) struct TaskLocation<'a> {
-    /// Its job.
+    /// Job that the task belongs to.
     pub job: &'a Job,
-    /// The shard that its slice is assigned to.
+    /// Shard that the task's slice is assigned to.
     pub shard: ShardId,
-    /// The index of the slice within the job.
+    /// Index of the slice within the job.
     pub slice: usize,
-    /// The index of the task within the slice.
+    /// Index of the task within the slice.
     pub offset: usize,
 }
 
-/// A task that a slice's desired state places on a machine of another shard than the slice's.
+/// A task whose desired state places it on a machine outside the shard that its slice is assigned to.
 struct MovedTask {
     key: TaskKey,
     machine: MachineId,
-    /// The shard of the machine.
+    /// Shard that the machine belongs to.
     from: ShardId,
 }
 
 impl Core {
-    /// Begins to work on owned shards whose ownership the cache has caught up with.
+    /// Marks owned shards as ready and adopts their slices, once the cache has caught up with their fencing tokens.
     pub(crate) fn activate_ready_shards(&mut self) {
         let revision = self.cache.revision;
         let caught_up = |shard: &OwnedShard| !shard.ready && revision.0 >= shard.token.0;
@@ -41,27 +41,27 @@
             }
             if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                 owned_shard.ready = true;
-                // Earlier owners and proxies may act on until they know: see `machine_expiry`.
+                // Previous owners and proxies may act until they learn of the change: see `machine_expiry`.
                 owned_shard.owned_since = self.now;
                 owned_shard.last_proxied = self.now;
             }
-            // The last slices of a job may have been done while nobody owned its first: no change would ever bring
-            // that up again.
+            // The last slices of a job may have finished while its first slice had no owner: no later change would
+            // trigger this check.
             for id in self.cache.active.clone() {
                 self.check_finished(&id);
             }
         }
     }
 
-    /// Begins to work on a job's slices that belong to owned shards, or to `only` this one that is about to be ready,
-    /// and drops the desired state of slices that belong to others.
+    /// Adopts a job's slices that belong to owned, ready shards, and drops the desired state of slices that belong to
+    /// shards of other owners. With `only`, adopts just the slices of that owned shard, which may not be ready yet.
     pub(crate) fn adopt_slices(&mut self, id: &JobId, only: Option<ShardId>) {
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
         for index in 0..job.slices().len() {
             let Some(shard) = job.shard_of(index) else { continue };
-            let is_meant = only.is_none_or(|only| only == shard);
+            let is_selected = only.is_none_or(|only| only == shard);
             match self.owned_shards.get_mut(&shard) {
-                Some(owned_shard) if is_meant && (owned_shard.ready || only.is_some()) => {
+                Some(owned_shard) if is_selected && (owned_shard.ready || only.is_some()) => {
                     adopt_slice(owned_shard, job, id, index, self.now);
                 }
                 None => job.set_desired(index, None),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes back placements in slices that were assigned to another shard before any of them was durable.
+    /// Reverts placements in slices that were reassigned to another shard before any of the placements was durable.
     pub(crate) fn release_moved_slices(&mut self, id: &JobId) {
         let shards = self.shard_count;
         let Some(job) = self.cache.jobs.get_mut(id) else { return };
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Where a task of an owned shard stands; none if there is no such task or its shard isn't worked on here.
+    /// Returns the location of a task of an owned shard, or `None` if there is no such task or its slice has no desired
+    /// state here.
     pub(crate) fn locate_task(&self, key: &TaskKey) -> Option<TaskLocation<'_>> {
         let job = self.cache.jobs.get(&key.0)?;
         if key.1 >= job.record.spec.task_count {
@@ -101,19 +102,20 @@
         Some(TaskLocation { job, shard, slice, offset })
     }
 
-    /// The desired state of a task of an owned shard.
+    /// Returns the desired state of a task of an owned shard.
     pub(crate) fn desired_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
         let location = self.locate_task(key)?;
         location.job.slices()[location.slice].desired()?.tasks.get(location.offset)
     }
 
-    /// What the stored record says of a task of an owned shard.
+    /// Returns the durable state of a task of an owned shard.
     pub(crate) fn durable_task(&self, key: &TaskKey) -> Option<&TaskRecord> {
         let location = self.locate_task(key)?;
         location.job.slices()[location.slice].record()?.tasks.get(location.offset)
     }
 
-    /// Changes the desired state of a task, with the shard's indexes; the shard's next transaction makes it durable.
+    /// Changes the desired state of a task and updates the shard's indexes. The shard's next transaction makes the
+    /// change durable.
     pub(crate) fn set_task(&mut self, key: &TaskKey, to: TaskRecord) {
         let Some(TaskLocation { shard, slice, offset, .. }) = self.locate_task(key) else { return };
         let Some(job) = self.cache.jobs.get_mut(&key.0) else { return };
@@ -129,7 +131,8 @@
     }
 }
 
-/// Begins to work on a slice of an owned shard: its desired state begins as the durable one, or as a new slice.
+/// Adopts a slice of an owned shard: initializes its desired state from the durable state or, if there is none, as a
+/// new slice.
 fn adopt_slice(owned_shard: &mut OwnedShard, job: &mut Job, id: &JobId, index: usize, now: MonotonicTime) {
     if job.slices()[index].desired().is_none() {
         let plan = job.record.plan.as_ref();
@@ -149,7 +152,7 @@
     owned_shard.dirty.entry((id.clone(), index)).or_insert(now);
 }
 
-/// The tasks that a slice's desired state places on machines of another shard than the one that it is assigned to.
+/// Returns the tasks that a slice's desired state places on machines outside the shard that the slice is assigned to.
 fn moved_tasks(job: &Job, id: &JobId, index: usize, shards: u32) -> Vec<MovedTask> {
     let Some(plan) = job.record.plan.as_ref() else { return vec![] };
     let Some(desired) = job.slices()[index].desired() else { return vec![] };
