--- a/src/coordination/jobs/health/tests.rs
+++ b/src/coordination/jobs/health/tests.rs
@@ -15,7 +15,7 @@
     let mut is_healthy = |last_answer: u64, peer: Option<(u64, bool)>| {
         core.store.set_last_answer(MonotonicTime(last_answer));
         let peer = peer.map(|(heard, state_reachable)| Peer {
-            heard: Some(MonotonicTime(heard)),
+            last_heard: Some(MonotonicTime(heard)),
             state_reachable,
             status: None,
         });
