--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -145,7 +145,7 @@
         }
         // The worker's next heartbeat may come an interval and a quarter after the response: the machine must not
         // count as silent by then.
-        let before_silence = self.heartbeat_overdue_after().0 as f64 - 1.25 * interval_ms - SILENCE_MARGIN.0 as f64;
+        let before_silence = self.max_heartbeat_age().0 as f64 - 1.25 * interval_ms - SILENCE_MARGIN.0 as f64;
         let limit = Millis((interval_ms * MAX_INTERVAL_SHARE).min(before_silence).max(0.0) as u64);
         if heartbeat.tasks.is_empty() {
             return Some(limit.min(MAX_IDLE_WAIT));
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -83,7 +83,7 @@
 impl Core {
     /// How old a machine's last heartbeat may be for it to get new tasks: a third of the
     /// workers' lease.
-    pub(crate) fn heartbeat_overdue_after(&self) -> Millis {
+    pub(crate) fn max_heartbeat_age(&self) -> Millis {
         Millis(self.timing.worker_lease.0 / 3)
     }
 
@@ -106,7 +106,7 @@
             && !self.is_downlink_lost(machine)
             && machine.notice.is_none()
             && self.now >= machine.cordoned_until
-            && self.now.since(machine.last_heartbeat) < self.heartbeat_overdue_after()
+            && self.now.since(machine.last_heartbeat) < self.max_heartbeat_age()
             && !self.draining(name)
     }
 
