--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -102,7 +102,7 @@
         let share = names.len().max(1) as f64;
         let state = &settings.cluster.state;
         let mut cache = StateCache::default();
-        let objectives = Objectives::read(&settings.cluster.objectives, &mut cache.names);
+        let objectives = Objectives::from_settings(&settings.cluster.objectives, &mut cache.names);
         let fleet = Fleet::new(settings.cluster.cloud.rps);
         let guarantees = TeamGuarantee::all(&settings.cluster.teams, &mut cache.names);
         Core {
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -45,7 +45,7 @@
 impl Objectives {
     /// Reads the objectives out of the settings. Those without a class or a time say nothing
     /// about single jobs and are left out.
-    pub fn read(objectives: &[Objective], names: &mut NameInterner) -> Objectives {
+    pub fn from_settings(objectives: &[Objective], names: &mut NameInterner) -> Objectives {
         let mut by_class: Vec<ClassObjectives> = vec![];
         for objective in objectives {
             let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) else { continue };
