--- a/src/coordination/scheduling/resources.rs
+++ b/src/coordination/scheduling/resources.rs
@@ -36,7 +36,7 @@
     }
 
     /// What of this counts towards a team's quota.
-    pub fn compute(&self) -> ComputeAmount {
+    pub fn compute_amount(&self) -> ComputeAmount {
         ComputeAmount { cpus: self.cpus, gpus: self.gpus }
     }
 
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -74,7 +74,7 @@
 
     /// True if one more task is within the team's quota.
     pub fn is_within_quota(&self) -> bool {
-        self.quota.has_room_for(self.used, self.request.need.compute())
+        self.quota.has_room_for(self.used, self.request.need.compute_amount())
     }
 
     /// Counts a task that starts now towards the quota.
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -123,7 +123,7 @@
         }
         let team = &job.record.spec.team;
         let (quota, used) = (self.core.quota(self.shard, team), self.used_by(team));
-        if !quota.has_room_for(used, need.compute()) {
+        if !quota.has_room_for(used, need.compute_amount()) {
             // Only a shard with capacity for a task has use for more of its team's quota.
             if can_start {
                 let most = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
@@ -176,7 +176,7 @@
     fn add_quota_shortage(&mut self, request: &PlacementRequest, tasks: usize) {
         let team = request.job.record.spec.team.clone();
         let shortage = self.outcome.quota_shortages.entry(team).or_default();
-        shortage.add_tasks(request.need.compute(), tasks as f64);
+        shortage.add_tasks(request.need.compute_amount(), tasks as f64);
     }
 
     /// What a gang changes, as it is before its first task is placed.
