--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::fleet::fault_attribution::FailureHistory;
 use crate::coordination::scheduling::lifetimes::{Lifetime, LifetimeHistory};
-use crate::coordination::scheduling::scoring::remaining;
+use crate::coordination::scheduling::scoring::remaining_run_s;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard, TaskKey};
 use crate::coordination::Core;
 use crate::storage::cache::Job;
@@ -201,7 +201,7 @@
     /// The same for a task whose run time is known already.
     pub(crate) fn remaining_s_of_run(&self, owned_shard: &OwnedShard, run_s: f64, key: &TaskKey) -> f64 {
         match owned_shard.running_since.get(key) {
-            Some(at) => remaining(run_s, self.now.since(*at).as_secs()),
+            Some(at) => remaining_run_s(run_s, self.now.since(*at).as_secs()),
             None => run_s + START_S,
         }
     }
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -73,7 +73,7 @@
 
 /// Seconds that a running task still needs: what is left of its estimate, or, past that, as
 /// long as it has run already.
-pub fn remaining(estimated_run_s: f64, elapsed_s: f64) -> f64 {
+pub fn remaining_run_s(estimated_run_s: f64, elapsed_s: f64) -> f64 {
     if elapsed_s < estimated_run_s {
         estimated_run_s - elapsed_s
     } else {
--- a/src/coordination/scheduling/scoring/tests.rs
+++ b/src/coordination/scheduling/scoring/tests.rs
@@ -32,6 +32,6 @@
 
 #[test]
 fn overdue_tasks_end_at_twice_their_elapsed_time() {
-    assert_eq!(remaining(50.0, 20.0), 30.0);
-    assert_eq!(remaining(50.0, 60.0), 60.0);
+    assert_eq!(remaining_run_s(50.0, 20.0), 30.0);
+    assert_eq!(remaining_run_s(50.0, 60.0), 60.0);
 }
