--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -5,24 +5,24 @@
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::placement_request::PlacementRequest;
-use crate::coordination::scheduling::scoring::{expected_completion, Prospect};
+use crate::coordination::scheduling::scoring::{expected_completion, PlacementTiming};
 use crate::coordination::scheduling::zone_occupancy::ZoneOccupancy;
 use crate::protocol::users::JobKind;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
 /// Expected completions that differ by less than this share of the run time count as equal,
-/// plus [`EQUAL_WITHIN_S`].
-const EQUAL_RUN_SHARE: f64 = 0.08;
+/// plus [`COMPLETION_TOLERANCE_S`].
+const COMPLETION_TOLERANCE_RUN_SHARE: f64 = 0.08;
 
 /// Seconds by which expected completions may differ and count as equal.
-const EQUAL_WITHIN_S: f64 = 0.5;
+const COMPLETION_TOLERANCE_S: f64 = 0.5;
 
 /// The same for jobs that must start at once, whatever their run time.
-const EQUAL_WITHIN_QUICK_START_S: f64 = 0.3;
+const QUICK_START_TOLERANCE_S: f64 = 0.3;
 
 /// Prices per core are compared in steps of one over this.
-const PRICE_STEPS: f64 = 1000.0;
+const PRICE_STEPS_PER_UNIT: f64 = 1000.0;
 
 /// Seconds that a service is planned to hold its capacity: longer than any plan.
 const SERVICE_HOLD_S: f64 = 1e9;
@@ -32,7 +32,7 @@
 struct CandidateRank {
     /// Expected completion in units of what counts as equal, rounded.
     completion: f64,
-    /// Price per core in steps of `1 / PRICE_STEPS`, rounded: among equals the cheapest machine is best.
+    /// Price per core in steps of `1 / PRICE_STEPS_PER_UNIT`, rounded: among equals the cheapest machine is best.
     price: f64,
     /// Free cores: then the fullest machine is, so that others can be given back.
     free_cpus: f64,
@@ -128,8 +128,8 @@
         return None;
     }
     let rank = CandidateRank {
-        completion: (completion_s / equal_within_s(request)).round(),
-        price: (machine.price_per_cpu * PRICE_STEPS).round(),
+        completion: (completion_s / completion_tolerance_s(request)).round(),
+        price: (machine.price_per_cpu * PRICE_STEPS_PER_UNIT).round(),
         free_cpus: machine.capacity.free.cpus,
     };
     Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: request.run_s + fetch_s })
@@ -137,23 +137,23 @@
 
 /// Expected seconds until a task is complete on the machine if it may start in `wait_s`.
 fn completion_s(machine: &CandidateMachine, request: &PlacementRequest, wait_s: f64) -> f64 {
-    let prospect = Prospect {
+    let timing = PlacementTiming {
         age_s: machine.age_s,
         wait_s,
         run_s: request.run_s,
         checkpoint_interval_s: request.job.record.spec.checkpoint_interval_s,
     };
     match machine.history {
-        Some(history) => expected_completion(history, prospect),
-        None => prospect.wait_s + prospect.run_s,
+        Some(history) => expected_completion(history, timing),
+        None => timing.wait_s + timing.run_s,
     }
 }
 
 /// Seconds by which expected completions of the request may differ and count as equal.
-fn equal_within_s(request: &PlacementRequest) -> f64 {
+fn completion_tolerance_s(request: &PlacementRequest) -> f64 {
     if request.quick_start {
-        EQUAL_WITHIN_QUICK_START_S
+        QUICK_START_TOLERANCE_S
     } else {
-        EQUAL_WITHIN_S + request.run_s * EQUAL_RUN_SHARE
+        COMPLETION_TOLERANCE_S + request.run_s * COMPLETION_TOLERANCE_RUN_SHARE
     }
 }
--- a/src/coordination/scheduling/capacity_timeline.rs
+++ b/src/coordination/scheduling/capacity_timeline.rs
@@ -12,7 +12,7 @@
     /// When, in seconds from now.
     at_s: f64,
     /// What is freed, or, if negative, taken by a reservation.
-    freed: Resources,
+    delta: Resources,
 }
 
 /// The free capacity of one machine over time.
@@ -24,13 +24,13 @@
     changes: Vec<CapacityChange>,
     /// Number of changes up to the last one that takes capacity: after them, what is free
     /// only grows.
-    changes_until_growth: usize,
+    changes_through_last_decrease: usize,
 }
 
 impl CapacityTimeline {
     /// The timeline of a machine that has so much and runs nothing.
     pub fn new(free: Resources) -> CapacityTimeline {
-        CapacityTimeline { free, changes: vec![], changes_until_growth: 0 }
+        CapacityTimeline { free, changes: vec![], changes_through_last_decrease: 0 }
     }
 
     /// Takes what a task on the machine holds, for `remaining_s` seconds or, if that is
@@ -38,7 +38,7 @@
     pub fn add_task(&mut self, need: &Resources, remaining_s: Option<f64>) {
         self.free -= *need;
         if let Some(at_s) = remaining_s {
-            self.changes.push(CapacityChange { at_s, freed: *need });
+            self.changes.push(CapacityChange { at_s, delta: *need });
         }
     }
 
@@ -55,10 +55,10 @@
         let mut free = self.free;
         let mut free_since_s = need.fits_into(&free).then_some(0.0);
         for (index, change) in self.changes.iter().enumerate() {
-            if free_since_s.is_some() && index >= self.changes_until_growth {
+            if free_since_s.is_some() && index >= self.changes_through_last_decrease {
                 break;
             }
-            free += change.freed;
+            free += change.delta;
             free_since_s = if need.fits_into(&free) { free_since_s.or(Some(change.at_s)) } else { None };
         }
         free_since_s
@@ -75,13 +75,13 @@
         self.insert_change(end_s, *need);
     }
 
-    fn insert_change(&mut self, at_s: f64, freed: Resources) {
+    fn insert_change(&mut self, at_s: f64, delta: Resources) {
         let index = self.changes.partition_point(|change| change.at_s <= at_s);
-        self.changes.insert(index, CapacityChange { at_s, freed });
-        if freed.any_negative() {
-            self.changes_until_growth = self.changes_until_growth.max(index) + 1;
-        } else if index < self.changes_until_growth {
-            self.changes_until_growth += 1;
+        self.changes.insert(index, CapacityChange { at_s, delta });
+        if delta.any_negative() {
+            self.changes_through_last_decrease = self.changes_through_last_decrease.max(index) + 1;
+        } else if index < self.changes_through_last_decrease {
+            self.changes_through_last_decrease += 1;
         }
     }
 }
--- a/src/coordination/scheduling/lifetimes.rs
+++ b/src/coordination/scheduling/lifetimes.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 /// The most ended lives that a history keeps; the oldest is forgotten first.
-pub const WINDOW: usize = 200;
+pub const MAX_ENDED_LIFETIMES: usize = 200;
 
 /// Rounding errors by which a share of one half may be exceeded.
 const SHARE_TOLERANCE: f64 = 1e-9;
@@ -30,7 +30,7 @@
     /// The curve: one step for each lost life, by rising age.
     steps: Vec<SurvivalStep>,
     /// The highest age of any life, in seconds.
-    longest_s: f64,
+    max_age_s: f64,
 }
 
 /// The survival curve from the age at which one life was lost.
@@ -46,37 +46,38 @@
     /// The share of machines that survive it: P(X > age).
     share: f64,
     /// The shares lost until then, each times the age of its loss, summed: E(X; X <= age).
-    lost_ages_s: f64,
+    weighted_loss_age_s: f64,
 }
 
 impl SurvivalPoint {
     /// Before the first loss.
-    const START: SurvivalPoint = SurvivalPoint { share: 1.0, lost_ages_s: 0.0 };
+    const START: SurvivalPoint = SurvivalPoint { share: 1.0, weighted_loss_age_s: 0.0 };
 }
 
 impl LifetimeHistory {
     /// Adds a life that has ended. The curve follows with the next `rebuild`.
-    pub fn add(&mut self, life: Lifetime) {
-        if self.ended.len() == WINDOW {
+    pub fn add(&mut self, lifetime: Lifetime) {
+        if self.ended.len() == MAX_ENDED_LIFETIMES {
             self.ended.pop_front();
         }
-        self.ended.push_back(life);
+        self.ended.push_back(lifetime);
     }
 
     /// Rebuilds the curve from the ended lives and the ages in seconds of machines still up.
     pub fn rebuild(&mut self, ages_still_up_s: &[f64]) {
-        let mut lives: Vec<Lifetime> = self.ended.iter().copied().collect();
-        lives.extend(ages_still_up_s.iter().map(|&age_s| Lifetime { age_s, lost: false }));
-        lives.sort_by(|a, b| a.age_s.total_cmp(&b.age_s));
-        self.longest_s = lives.last().map_or(0.0, |life| life.age_s);
+        let mut lifetimes: Vec<Lifetime> = self.ended.iter().copied().collect();
+        lifetimes.extend(ages_still_up_s.iter().map(|&age_s| Lifetime { age_s, lost: false }));
+        lifetimes.sort_by(|a, b| a.age_s.total_cmp(&b.age_s));
+        self.max_age_s = lifetimes.last().map_or(0.0, |lifetime| lifetime.age_s);
         self.steps.clear();
-        let SurvivalPoint { mut share, mut lost_ages_s } = SurvivalPoint::START;
-        for (index, life) in lives.iter().enumerate().filter(|(_, life)| life.lost) {
-            let at_risk = lives.len() - index;
+        let SurvivalPoint { mut share, mut weighted_loss_age_s } = SurvivalPoint::START;
+        for (index, lifetime) in lifetimes.iter().enumerate().filter(|(_, lifetime)| lifetime.lost) {
+            let at_risk = lifetimes.len() - index;
             let share_left = share * (1.0 - 1.0 / at_risk as f64);
-            lost_ages_s += (share - share_left) * life.age_s;
+            weighted_loss_age_s += (share - share_left) * lifetime.age_s;
             share = share_left;
-            self.steps.push(SurvivalStep { age_s: life.age_s, survival: SurvivalPoint { share, lost_ages_s } });
+            self.steps
+                .push(SurvivalStep { age_s: lifetime.age_s, survival: SurvivalPoint { share, weighted_loss_age_s } });
         }
     }
 
@@ -90,7 +91,7 @@
     /// P(X > e + d given X > e): the probability that a machine of the age `age_s` lives
     /// `run_s` longer. 1 with no history, or at an age past every lifetime seen.
     pub fn survival_probability(&self, age_s: f64, run_s: f64) -> f64 {
-        if self.steps.is_empty() || age_s >= self.longest_s {
+        if self.steps.is_empty() || age_s >= self.max_age_s {
             return 1.0;
         }
         let share_now = self.point_at(age_s).share;
@@ -109,7 +110,7 @@
         let lost_share = start.share - end.share;
         if lost_share > 0.0 {
             // Rounding must not lead beyond what the definition allows.
-            ((end.lost_ages_s - start.lost_ages_s) / lost_share - age_s).clamp(0.0, run_s)
+            ((end.weighted_loss_age_s - start.weighted_loss_age_s) / lost_share - age_s).clamp(0.0, run_s)
         } else {
             run_s / 2.0
         }
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -69,15 +69,15 @@
     /// True if an objective asks that tasks of the class start within less than `provisioning_s`
     /// seconds. An objective on longer waits is no claim on the reserve for quick starts:
     /// such a class would use it up.
-    pub fn start_before(&self, class: &InternedName, provisioning_s: f64) -> bool {
+    pub fn requires_start_before(&self, class: &InternedName, provisioning_s: f64) -> bool {
         self.of(class).is_some_and(|objectives| objectives.start_within_s < provisioning_s)
     }
 
-    /// The shortest of the times for completion, in seconds, that is not below `soonest_s`,
+    /// The shortest of the times for completion, in seconds, that is not below `earliest_completion_s`,
     /// or else the longest of them; none if the class has none.
-    pub fn finish_within_s(&self, class: &InternedName, soonest_s: f64) -> Option<f64> {
+    pub fn finish_within_s(&self, class: &InternedName, earliest_completion_s: f64) -> Option<f64> {
         let times_s = &self.of(class)?.finish_within_s;
-        times_s.iter().find(|within_s| **within_s >= soonest_s).or(times_s.last()).copied()
+        times_s.iter().find(|within_s| **within_s >= earliest_completion_s).or(times_s.last()).copied()
     }
 }
 
--- a/src/coordination/scheduling/objectives/tests.rs
+++ b/src/coordination/scheduling/objectives/tests.rs
@@ -9,9 +9,9 @@
     let mut names = NameInterner::default();
     let (lists, rolls) = (names.intern("lists"), names.intern("rolls"));
     let quick = Objectives::from_settings(&[objective("wait", 180.0), objective("wait", 3.0)], &mut names);
-    assert!(quick.start_before(&lists, 15.0) && !quick.start_before(&rolls, 15.0));
+    assert!(quick.requires_start_before(&lists, 15.0) && !quick.requires_start_before(&rolls, 15.0));
     assert!(!Objectives::from_settings(&[objective("wait", 180.0), objective("finished", 3.0)], &mut names)
-        .start_before(&lists, 15.0));
+        .requires_start_before(&lists, 15.0));
 }
 
 #[test]
@@ -20,7 +20,7 @@
     let lists = names.intern("lists");
     let objectives =
         Objectives::from_settings(&[objective("finished", 180.0), objective("finished", 100.0)], &mut names);
-    let allowed = |soonest| objectives.finish_within_s(&lists, soonest);
+    let allowed = |earliest_completion| objectives.finish_within_s(&lists, earliest_completion);
     assert_eq!((allowed(20.0), allowed(100.5), allowed(300.0)), (Some(100.0), Some(180.0), Some(180.0)));
     assert_eq!(objectives.finish_within_s(&names.intern("rolls"), 0.0), None);
 }
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -17,17 +17,17 @@
 const MAX_TIME_LEFT_S: f64 = 1e6;
 
 /// The share of its work that a task on a machine still has to do, on average.
-const RUNNING_WORK_SHARE: f64 = 0.5;
+const RUNNING_TASK_WORK_SHARE: f64 = 0.5;
 
 /// Seconds that a job without a deadline and without an objective is allowed, beside
-/// [`DEFAULT_ALLOWED_RUNS`].
+/// [`DEFAULT_ALLOWED_RUN_FACTOR`].
 const DEFAULT_ALLOWED_S: f64 = 600.0;
 
 /// How many times its estimated run time such a job is allowed.
-const DEFAULT_ALLOWED_RUNS: f64 = 3.0;
+const DEFAULT_ALLOWED_RUN_FACTOR: f64 = 3.0;
 
 /// Of a job's run time, the share after which its first tasks may be complete.
-const SOONEST_COMPLETION_SHARE: f64 = 0.5;
+const EARLIEST_COMPLETION_RUN_SHARE: f64 = 0.5;
 
 /// Rounding errors by which a guarantee may be exceeded.
 const GUARANTEE_TOLERANCE: f64 = 1e-6;
@@ -96,8 +96,9 @@
     ) -> QueuedJob<QueueRank, QueuedJobRef<'a>> {
         let spec = &job.record.spec;
         let run_s = self.estimates.run_time(job);
-        let (done, on) = job.counts();
-        let tasks_left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * RUNNING_WORK_SHARE;
+        let (done, on_machines) = job.counts();
+        let tasks_left = f64::from(spec.task_count.saturating_sub(done + on_machines))
+            + f64::from(on_machines) * RUNNING_TASK_WORK_SHARE;
         QueuedJob {
             rank: QueueRank {
                 below_high_priority: job.priority() < Priority::High,
@@ -137,9 +138,9 @@
         // A deadline counts from the submission, however long the job waited.
         let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
         let own_s = deadline_s.unwrap_or_else(|| {
-            let soonest_s = self.age_s(job) + SOONEST_COMPLETION_SHARE * self.estimates.run_time(job);
-            let objective_s = self.objectives.finish_within_s(&job.class, soonest_s);
-            objective_s.unwrap_or(DEFAULT_ALLOWED_S + spec.estimated_run_s * DEFAULT_ALLOWED_RUNS)
+            let earliest_completion_s = self.age_s(job) + EARLIEST_COMPLETION_RUN_SHARE * self.estimates.run_time(job);
+            let objective_s = self.objectives.finish_within_s(&job.class, earliest_completion_s);
+            objective_s.unwrap_or(DEFAULT_ALLOWED_S + spec.estimated_run_s * DEFAULT_ALLOWED_RUN_FACTOR)
         });
         let inherited_due_ms = job.effective_priority.and_then(|effective_priority| effective_priority.due_ms);
         inherited_due_ms.map_or(own_s, |due_ms| own_s.min(seconds_after(due_ms)))
@@ -164,7 +165,7 @@
         let mut covered = JobSet::default();
         for (id, job) in jobs {
             let guarantee = left.iter_mut().find(|guarantee| guarantee.team == job.team);
-            if guarantee.is_some_and(|guarantee| take_from_guarantee(&mut guarantee.amount, job)) {
+            if guarantee.is_some_and(|guarantee| deduct_from_guarantee(&mut guarantee.amount, job)) {
                 covered.insert(id.clone());
             }
         }
@@ -174,7 +175,7 @@
 
 /// Takes all tasks of a job from what is left of its team's guarantee, which may go below
 /// zero; true if the guarantee covers them.
-fn take_from_guarantee(left: &mut ComputeAmount, job: &Job) -> bool {
+fn deduct_from_guarantee(left: &mut ComputeAmount, job: &Job) -> bool {
     let spec = &job.record.spec;
     let tasks = f64::from(spec.task_count);
     left.cpus -= spec.cpus * tasks;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -18,17 +18,17 @@
 use crate::units::ShardId;
 
 /// The most tasks stopped after one cycle.
-const MAX_STOPS: usize = 24;
+const MAX_STOPS_PER_CYCLE: usize = 24;
 
 /// The most jobs that room is made for after one cycle.
-const MAX_JOBS: usize = 32;
+const MAX_JOBS_PER_CYCLE: usize = 32;
 
 /// A task that ends within this time, in seconds, is not worth stopping, and a wait as short
 /// is not worth stopping another for.
 const NEARLY_DONE_S: f64 = 5.0;
 
 /// Seconds that a team within its guarantee waits for capacity before tasks are stopped.
-const RECLAIM_WAIT_S: f64 = 20.0;
+const MIN_RECLAIM_WAIT_S: f64 = 20.0;
 
 /// A job that will be late by more than this, in seconds, stops nobody: it is late anyway.
 const LATE_TOLERANCE_S: f64 = 5.0;
@@ -47,13 +47,13 @@
 const MIN_SAVE_S: f64 = 1.0;
 
 /// Loss in core seconds of any stop, beside the work.
-const STOP_LOSS: f64 = 1.0;
+const STOP_LOSS_CPU_S: f64 = 1.0;
 
 /// A task that may be stopped for another.
 struct PreemptibleTask<'a> {
     key: &'a TaskKey,
     /// Work that stopping it loses, in core seconds.
-    loss: f64,
+    loss_cpu_s: f64,
     priority: Priority,
     team: &'a str,
     /// Its job is within its own team's guarantee.
@@ -90,7 +90,7 @@
 struct PreemptionMachine<'a> {
     candidate: CandidateMachine<'a>,
     /// What is free once the tasks being stopped are gone, without what is planned to start.
-    free_soon: Resources,
+    free_after_stops: Resources,
     /// The lowest priority first, then the least loss.
     tasks: Vec<PreemptibleTask<'a>>,
 }
@@ -99,18 +99,18 @@
     /// The tasks whose stop makes room for one of the preemptor's, as indexes, in the order in
     /// which they yield, and the loss in core seconds; none if all together do not.
     fn cheapest_stops(&self, preemptor: &Preemptor) -> Option<(f64, Vec<usize>)> {
-        let mut free = self.free_soon;
+        let mut free = self.free_after_stops;
         let mut chosen = vec![];
-        let mut loss = 0.0;
+        let mut loss_cpu_s = 0.0;
         for (index, task) in self.tasks.iter().enumerate().filter(|(_, task)| preemptor.may_stop(task)) {
             if preemptor.need.fits_into(&free) {
                 break;
             }
             free += task.need;
-            loss += task.loss;
+            loss_cpu_s += task.loss_cpu_s;
             chosen.push(index);
         }
-        preemptor.need.fits_into(&free).then_some((loss, chosen))
+        preemptor.need.fits_into(&free).then_some((loss_cpu_s, chosen))
     }
 }
 
@@ -122,38 +122,42 @@
 
 impl PreemptionPlan<'_> {
     /// Makes room for up to `tasks` tasks of a job, as far as other tasks may be stopped.
-    fn make_room_for(&mut self, preemptor: &Preemptor, tasks: usize) {
+    fn free_capacity_for_job(&mut self, preemptor: &Preemptor, tasks: usize) {
         for _ in 0..tasks {
-            if self.stops.len() >= MAX_STOPS || !self.make_room_for_task(preemptor) {
+            if self.stops.len() >= MAX_STOPS_PER_CYCLE || !self.free_capacity_for_task(preemptor) {
                 break;
             }
         }
     }
 
     /// Makes room for one task; false if there is no way to.
-    fn make_room_for_task(&mut self, preemptor: &Preemptor) -> bool {
+    fn free_capacity_for_task(&mut self, preemptor: &Preemptor) -> bool {
         let spec = &preemptor.job.record.spec;
-        let suits = |machine: &PreemptionMachine| machine.candidate.satisfies(spec, &preemptor.occupancy);
+        let is_suitable = |machine: &PreemptionMachine| machine.candidate.satisfies(spec, &preemptor.occupancy);
         // What is free or comes free already is used up first.
-        let free = |machine: &&mut PreemptionMachine| preemptor.need.fits_into(&machine.free_soon) && suits(machine);
+        let free = |machine: &&mut PreemptionMachine| {
+            preemptor.need.fits_into(&machine.free_after_stops) && is_suitable(machine)
+        };
         if let Some(machine) = self.machines.iter_mut().find(free) {
-            machine.free_soon -= preemptor.need;
+            machine.free_after_stops -= preemptor.need;
             return true;
         }
         let best = self
             .machines
             .iter_mut()
-            .filter(|machine| suits(machine))
-            .filter_map(|machine| machine.cheapest_stops(preemptor).map(|(loss, chosen)| (loss, machine, chosen)))
+            .filter(|machine| is_suitable(machine))
+            .filter_map(|machine| {
+                machine.cheapest_stops(preemptor).map(|(loss_cpu_s, chosen)| (loss_cpu_s, machine, chosen))
+            })
             .min_by(|a, b| a.0.total_cmp(&b.0));
         let Some((_, machine, chosen)) = best else { return false };
         for index in chosen {
             let task = &mut machine.tasks[index];
             task.chosen = true;
-            machine.free_soon += task.need;
+            machine.free_after_stops += task.need;
             self.stops.push(TaskStop { task: task.key.clone(), grace_s: task.grace_s });
         }
-        machine.free_soon -= preemptor.need;
+        machine.free_after_stops -= preemptor.need;
         true
     }
 }
@@ -161,7 +165,7 @@
 impl Core {
     /// Marks tasks to be stopped where that lets unplaced tasks start sooner, the jobs served
     /// in the order in which the cycle left them.
-    pub(crate) fn make_room(&mut self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) {
+    pub(crate) fn preempt_tasks(&mut self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) {
         let stops = self.plan_preemption(shard, unplaced, guaranteed);
         for TaskStop { task, grace_s } in &stops {
             tracing::debug!(%shard, job = %task.0, task = task.1, grace_s, "preempting task");
@@ -171,8 +175,8 @@
 
     fn plan_preemption(&self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) -> Vec<TaskStop> {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
-        let worth_it = |unplaced: &&UnplacedTasks| self.is_worth_preempting_for(unplaced, guaranteed);
-        let unplaced: Vec<&UnplacedTasks> = unplaced.iter().filter(worth_it).take(MAX_JOBS).collect();
+        let is_eligible = |unplaced: &&UnplacedTasks| self.is_worth_preempting_for(unplaced, guaranteed);
+        let unplaced: Vec<&UnplacedTasks> = unplaced.iter().filter(is_eligible).take(MAX_JOBS_PER_CYCLE).collect();
         if unplaced.is_empty() {
             return vec![];
         }
@@ -188,7 +192,7 @@
                 need: Resources::of_task(&job.record.spec),
                 occupancy: self.zone_occupancy(shard, id, job),
             };
-            plan.make_room_for(&preemptor, *tasks);
+            plan.free_capacity_for_job(&preemptor, *tasks);
         }
         plan.stops
     }
@@ -203,7 +207,7 @@
         // Taking back what others borrow costs their work: only where capacity does not come
         // free by itself.
         if guaranteed.contains(&unplaced.job) {
-            return unplaced.wait_s > RECLAIM_WAIT_S;
+            return unplaced.wait_s > MIN_RECLAIM_WAIT_S;
         }
         let spare_s = self.allowed_s(job) - self.age_s(job) - self.estimates.run_time(job);
         spare_s > -LATE_TOLERANCE_S && unplaced.wait_s + SPARE_MARGIN_S > spare_s && unplaced.wait_s > NEARLY_DONE_S
@@ -216,18 +220,18 @@
         candidate: CandidateMachine<'a>,
         guaranteed: &JobSet,
     ) -> PreemptionMachine<'a> {
-        let mut free_soon = candidate.capacity.free;
+        let mut free_after_stops = candidate.capacity.free;
         let mut tasks = vec![];
         for key in owned_shard.placed_tasks.get(candidate.name).into_iter().flatten() {
             let Some(job) = self.cache.jobs.get(&key.0) else { continue };
             if owned_shard.stopping.contains_key(key) {
-                free_soon += Resources::of_task(&job.record.spec);
+                free_after_stops += Resources::of_task(&job.record.spec);
             } else if self.remaining_s(owned_shard, job, key) >= NEARLY_DONE_S {
                 tasks.push(self.preemptible_task(owned_shard, key, job, guaranteed));
             }
         }
-        tasks.sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss.total_cmp(&b.loss)));
-        PreemptionMachine { candidate, free_soon, tasks }
+        tasks.sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss_cpu_s.total_cmp(&b.loss_cpu_s)));
+        PreemptionMachine { candidate, free_after_stops, tasks }
     }
 
     fn preemptible_task<'a>(
@@ -243,7 +247,7 @@
         let lost_s = if writes_checkpoint { spec.checkpoint_save_s } else { ran_s };
         PreemptibleTask {
             key,
-            loss: lost_s * spec.cpus + STOP_LOSS,
+            loss_cpu_s: lost_s * spec.cpus + STOP_LOSS_CPU_S,
             priority: job.priority(),
             team: &spec.team,
             guaranteed: guaranteed.contains(&key.0),
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -12,7 +12,7 @@
 
 /// The last of a job's tasks begin when nearly all work before is done: of its run time, the
 /// share that then still counts.
-const LAST_TASK_SHARE: f64 = 0.25;
+const LAST_TASK_RUN_SHARE: f64 = 0.25;
 
 /// A job with work left.
 pub(crate) struct QueuedJob<Rank, Id> {
@@ -43,20 +43,20 @@
 
 /// A job that can still be in time; the one with most work is the greatest.
 #[derive(PartialEq)]
-struct TimelyJob {
+struct OnTimeJob {
     work_cpu_s: f64,
     index: usize,
 }
 
-impl Eq for TimelyJob {}
+impl Eq for OnTimeJob {}
 
-impl Ord for TimelyJob {
+impl Ord for OnTimeJob {
     fn cmp(&self, other: &Self) -> Ordering {
         self.work_cpu_s.total_cmp(&other.work_cpu_s).then(self.index.cmp(&other.index))
     }
 }
 
-impl PartialOrd for TimelyJob {
+impl PartialOrd for OnTimeJob {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
@@ -88,11 +88,11 @@
 /// others would be late.
 fn late_jobs<Rank: Ord, Id>(queue: &[QueuedJob<Rank, Id>], cpus: f64) -> Vec<bool> {
     let mut late = vec![false; queue.len()];
-    let mut work_before = 0.0;
+    let mut work_before_cpu_s = 0.0;
     let mut start = 0;
     while start < queue.len() {
         let same_rank = queue[start..].iter().take_while(|job| job.rank == queue[start].rank).count();
-        work_before = mark_late_jobs(queue, start..start + same_rank, cpus, work_before, &mut late);
+        work_before_cpu_s = mark_late_jobs(queue, start..start + same_rank, cpus, work_before_cpu_s, &mut late);
         start += same_rank;
     }
     late
@@ -104,22 +104,22 @@
     queue: &[QueuedJob<Rank, Id>],
     range: Range<usize>,
     cpus: f64,
-    work_before: f64,
+    work_before_cpu_s: f64,
     late: &mut [bool],
 ) -> f64 {
-    let mut timely: BinaryHeap<TimelyJob> = BinaryHeap::new();
-    let mut work = work_before;
+    let mut on_time: BinaryHeap<OnTimeJob> = BinaryHeap::new();
+    let mut work = work_before_cpu_s;
     for index in range {
         let job = &queue[index];
         if job.spare_s() < -LATE_TOLERANCE_S {
             late[index] = true;
             continue;
         }
-        timely.push(TimelyJob { work_cpu_s: job.work_cpu_s, index });
+        on_time.push(OnTimeJob { work_cpu_s: job.work_cpu_s, index });
         work += job.work_cpu_s;
-        let completion_s = work / cpus + LAST_TASK_SHARE * job.run_s;
+        let completion_s = work / cpus + LAST_TASK_RUN_SHARE * job.run_s;
         if cpus > 0.0 && completion_s > job.time_left_s + LATE_TOLERANCE_S {
-            if let Some(largest) = timely.pop() {
+            if let Some(largest) = on_time.pop() {
                 work -= largest.work_cpu_s;
                 late[largest.index] = true;
             }
--- a/src/coordination/scheduling/resources.rs
+++ b/src/coordination/scheduling/resources.rs
@@ -11,7 +11,7 @@
 
 /// By how much a request may exceed what is free and still fit, for sums of amounts that
 /// were rounded.
-const TOLERANCE: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Amounts of all resources. A difference may be negative.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -42,9 +42,9 @@
 
     /// True if so much can be taken of what is free.
     pub fn fits_into(&self, free: &Resources) -> bool {
-        free.cpus + TOLERANCE >= self.cpus
-            && free.gpus + TOLERANCE >= self.gpus
-            && free.mem_gb + TOLERANCE >= self.mem_gb
+        free.cpus + ROUNDING_TOLERANCE >= self.cpus
+            && free.gpus + ROUNDING_TOLERANCE >= self.gpus
+            && free.mem_gb + ROUNDING_TOLERANCE >= self.mem_gb
     }
 
     /// The greater amount of each resource.
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -70,7 +70,7 @@
             return;
         }
         self.rebuild_histories();
-        self.stop_tasks_on_leaving_machines();
+        self.evacuate_machines();
         let guaranteed = self.guaranteed_jobs();
         let queue = self.pending_queue(&guaranteed);
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
@@ -107,14 +107,14 @@
     /// Carries out what a cycle decided; then makes room for what it could not place.
     fn apply(&mut self, shard: ShardId, outcome: CycleOutcome, guaranteed: &JobSet) {
         if let Some(start) = outcome.starving_start {
-            self.starving_job_started(shard, start.cpus, start.hold_s, start.shard_cpus);
+            self.record_starving_start(shard, start.cpus, start.hold_s, start.shard_cpus);
         }
         for Placement { task, attempt, machine } in outcome.placements {
             tracing::debug!(job = %task.0, task = task.1, %attempt, %machine, "placed task");
             self.set_task(&task, TaskRecord::Placed(attempt, machine));
         }
         self.set_quota_shortages(shard, outcome.quota_shortages);
-        self.make_room(shard, &outcome.unplaced, guaranteed);
+        self.preempt_tasks(shard, &outcome.unplaced, guaranteed);
     }
 
     fn set_quota_shortages(&mut self, shard: ShardId, shortages: BTreeMap<String, QuotaShortage>) {
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -27,7 +27,7 @@
     /// Marks tasks on machines that are faulty or have a notice of their end: when the last
     /// moment for a checkpoint has come, or at once if they write none and will not end by
     /// themselves before.
-    pub(super) fn stop_tasks_on_leaving_machines(&mut self) {
+    pub(super) fn evacuate_machines(&mut self) {
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
             let stops = self.plan_evacuation(shard);
             self.mark_tasks_to_stop(shard, stops);
@@ -65,7 +65,7 @@
             return None;
         }
         let has_checkpoints = spec.checkpoint_interval_s > 0.0;
-        if has_checkpoints && !machine.faulty && left_s >= last_checkpoint_s(spec) {
+        if has_checkpoints && !machine.faulty && left_s >= checkpoint_lead_s(spec) {
             return None;
         }
         Some(if has_checkpoints { spec.checkpoint_save_s.max(MIN_GRACE_S) } else { 0.0 })
@@ -79,6 +79,6 @@
 }
 
 /// Seconds before a machine's end at which a checkpoint has to begin.
-fn last_checkpoint_s(spec: &JobSpec) -> f64 {
+fn checkpoint_lead_s(spec: &JobSpec) -> f64 {
     spec.checkpoint_save_s * CHECKPOINT_TIME_FACTOR + COMMAND_MARGIN_S
 }
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -78,7 +78,7 @@
     }
 
     /// Counts a task that starts now towards the quota.
-    pub fn use_quota(&mut self) {
+    pub fn add_quota_usage(&mut self) {
         self.used.cpus += self.request.need.cpus;
         self.used.gpus += self.request.need.gpus;
     }
@@ -91,26 +91,26 @@
     }
 
     /// Lets the job go to machines on which it failed, but for the latest of them.
-    pub fn avoid_fewer_machines(&mut self) {
+    pub fn shorten_failure_avoidance(&mut self) {
         self.avoid_after_failure = MIN_AVOID_AFTER_FAILURE;
     }
 
     /// Counts a task that has to wait. A gang ends there; other jobs after so many.
-    pub fn task_waits(&mut self) {
+    pub fn record_waiting_task(&mut self) {
         self.waiting_tasks += 1;
         self.ended = self.request.is_gang() || self.waiting_tasks >= MAX_WAITING_TASKS;
     }
 
     /// Counts a task for which there is no machine, now or later.
-    pub fn task_has_no_machine(&mut self) {
+    pub fn record_unplaceable_task(&mut self) {
         self.unplaced.tasks += 1;
         self.ended = true;
     }
 
     /// Counts a task that is planned to start in `wait_s` seconds.
-    pub fn task_is_planned(&mut self, wait_s: f64) {
+    pub fn record_planned_task(&mut self, wait_s: f64) {
         self.unplaced.tasks += 1;
         self.unplaced.wait_s = self.unplaced.wait_s.min(wait_s);
-        self.task_waits();
+        self.record_waiting_task();
     }
 }
--- a/src/coordination/scheduling/scheduling_cycle/limits.rs
+++ b/src/coordination/scheduling/scheduling_cycle/limits.rs
@@ -7,18 +7,18 @@
 
 /// Machines that a cycle scores before it looks only at jobs with capacity now, if the
 /// settings do not say what share of a core the process has.
-const DEFAULT_SCORES: usize = 64_000;
+const DEFAULT_SCORES_PER_CYCLE: usize = 64_000;
 
 /// Machines that a cycle may score however small the share of a core.
-const MIN_SCORES: usize = 8000;
+const MIN_SCORES_PER_CYCLE: usize = 8000;
 
 /// Processor time that scoring a machine is taken to need, in seconds; it is not measured at
 /// run time.
-const SCORE_S: f64 = 2e-7;
+const SCORING_COST_S: f64 = 2e-7;
 
 /// The largest share of its processor time that the process spends on scores which start
 /// nothing.
-const SCORE_SHARE: f64 = 0.5;
+const MAX_SCORING_SHARE: f64 = 0.5;
 
 /// After so many times the scores at which jobs may no longer wait, the cycle ends.
 const HARD_LIMIT_FACTOR: usize = 3;
@@ -56,7 +56,7 @@
     }
 
     /// True if the cycle has to end.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_exhausted(&self) -> bool {
         self.scored >= HARD_LIMIT_FACTOR * self.soft_limit
     }
 }
@@ -106,9 +106,9 @@
     /// now: what the process's share of a core can do between two cycles.
     pub(super) fn scores_per_cycle(&self) -> usize {
         let scores = self.settings.cluster.process_limits.cpu_share.map(|share| {
-            let time_s = share * SCORE_SHARE * self.tuning.cycle_interval_ms as f64 / 1000.0;
-            (time_s / SCORE_S / self.owned_shards.len().max(1) as f64) as usize
+            let time_s = share * MAX_SCORING_SHARE * self.tuning.cycle_interval_ms as f64 / 1000.0;
+            (time_s / SCORING_COST_S / self.owned_shards.len().max(1) as f64) as usize
         });
-        scores.unwrap_or(DEFAULT_SCORES).max(MIN_SCORES)
+        scores.unwrap_or(DEFAULT_SCORES_PER_CYCLE).max(MIN_SCORES_PER_CYCLE)
     }
 }
--- a/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
+++ b/src/coordination/scheduling/scheduling_cycle/quick_start_reserve.rs
@@ -10,7 +10,7 @@
 use crate::storage::names::InternedName;
 
 /// Machines that fetch images at least this share as fast as the fastest hold the reserve.
-const MIN_FETCH_SHARE: f64 = 0.75;
+const MIN_FETCH_RATE_RATIO: f64 = 0.75;
 
 /// The largest share of a shard's cores that is kept free.
 const MAX_RESERVED_SHARE: f64 = 0.02;
@@ -48,7 +48,7 @@
 
     /// Counts a task that starts on the machine. Not undone if the task belongs to a gang
     /// that is rolled back: for the rest of the cycle, fewer cores count as free than are.
-    pub fn task_started(&mut self, machine: &CandidateMachine, need: &Resources) {
+    pub fn record_start(&mut self, machine: &CandidateMachine, need: &Resources) {
         if self.is_held_by(machine) {
             self.free_cpus -= need.cpus;
         }
@@ -59,7 +59,7 @@
     /// True if tasks of the class must start sooner than a machine rented for them would be
     /// up.
     pub(crate) fn needs_quick_start(&self, class: &InternedName) -> bool {
-        self.objectives.start_before(class, self.shortest_provisioning_s())
+        self.objectives.requires_start_before(class, self.shortest_provisioning_s())
     }
 
     /// The shortest provisioning time of any machine type, in seconds; infinite without a catalog.
@@ -77,7 +77,7 @@
 /// True for machines that fetch images about as fast as the fastest. A core kept free where
 /// the image takes seconds to come would start nothing at once.
 fn holds_reserve(fetch_gb_per_s: f64, fastest: f64) -> bool {
-    fetch_gb_per_s >= fastest * MIN_FETCH_SHARE
+    fetch_gb_per_s >= fastest * MIN_FETCH_RATE_RATIO
 }
 
 #[cfg(test)]
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -87,7 +87,7 @@
     pub fn run(mut self, mut jobs: Vec<(&'a JobId, &'a Job)>) -> CycleOutcome {
         self.move_starving_job_to_front(&mut jobs);
         for (id, job) in jobs {
-            if self.has_placed_enough() || self.scores.is_spent() {
+            if self.has_placed_enough() || self.scores.is_exhausted() {
                 break;
             }
             self.place_job(id, job);
@@ -111,7 +111,7 @@
     /// Places the job's pending tasks of the shard as far as capacity and quota allow.
     fn place_job(&mut self, id: &'a JobId, job: &'a Job) {
         let need = Resources::of_task(&job.record.spec);
-        let quick_start = self.core.objectives.start_before(&job.class, self.shortest_provisioning_s);
+        let quick_start = self.core.objectives.requires_start_before(&job.class, self.shortest_provisioning_s);
         let can_start = self.can_start_now(&need, quick_start);
         let may_wait = self.may_wait();
         if !can_start && !may_wait {
@@ -126,8 +126,8 @@
         if !quota.has_room_for(used, need.compute_amount()) {
             // Only a shard with capacity for a task has use for more of its team's quota.
             if can_start {
-                let most = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
-                self.add_quota_shortage(&request, pending_tasks_in(job, self.shard).min(most));
+                let max_tasks = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
+                self.add_quota_shortage(&request, pending_tasks_in(job, self.shard).min(max_tasks));
             }
             return;
         }
@@ -214,7 +214,7 @@
             && placement.candidates.is_empty()
             && self.machines.iter().any(|machine| placement.avoids(machine, now))
         {
-            placement.avoid_fewer_machines();
+            placement.shorten_failure_avoidance();
             self.rank_machines(&mut placement);
         }
         placement
@@ -267,7 +267,7 @@
     fn place_task(&mut self, placement: &mut JobPlacement) -> Option<MachineId> {
         self.drop_reserved_candidates(placement);
         let Some(best) = placement.candidates.peek().copied() else {
-            placement.task_has_no_machine();
+            placement.record_unplaceable_task();
             return None;
         };
         let starts_now = best.wait_s <= 0.0;
@@ -275,14 +275,14 @@
             if starts_now {
                 self.add_quota_shortage(&placement.request, 1);
             }
-            placement.task_waits();
+            placement.record_waiting_task();
             return None;
         }
         placement.candidates.pop();
         self.reserve_capacity(placement, &best);
         if !starts_now {
             self.promised.promise(placement.request.need.cpus);
-            placement.task_is_planned(best.wait_s);
+            placement.record_planned_task(best.wait_s);
             return None;
         }
         self.start_task(placement, &best);
@@ -313,8 +313,8 @@
     fn start_task(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
         let need = placement.request.need;
         let machine = &self.machines[best.machine_index];
-        placement.use_quota();
-        self.reserve.task_started(machine, &need);
+        placement.add_quota_usage();
+        self.reserve.record_start(machine, &need);
         if placement.request.job.record.spec.whole() {
             placement.occupancy.add(&machine.reported.zone, 1);
             self.rank_machines(placement);
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -5,13 +5,13 @@
 //!
 //! | symbol | what it is | here |
 //! |---|---|---|
-//! | a | wait until the task can run on the machine | `Prospect::wait_s` |
-//! | d | run time of the task | `Prospect::run_s` |
+//! | a | wait until the task can run on the machine | `PlacementTiming::wait_s` |
+//! | d | run time of the task | `PlacementTiming::run_s` |
 //! | e | age of the machine when the task starts: its age now + a | `start_age_s` |
 //! | P_s | probability that a machine that ends takes the task with it: 1 | `LOSS_PROBABILITY` |
 //! | P_c | probability that the task completes: 1 - P_s (1 - P(X > e + d given X > e)) | [`completion_probability`] |
 //! | w | run time lost with the machine: E(X - e given e < X < e + d) | [`LifetimeHistory::expected_loss_s`] |
-//! | R | expected completion on a machine that has just come up | [`fresh_start_s`] |
+//! | R | expected completion on a machine that has just come up | [`fresh_machine_completion_s`] |
 //! | E | expected completion: a + P_c d + (1 - P_c)(w + R) | [`expected_completion`] |
 //!
 //! The scheduling cycle ranks machines by E. No state is held here.
@@ -22,11 +22,11 @@
 const LOSS_PROBABILITY: f64 = 1.0;
 
 /// The least P_c that R is computed with: it goes to infinity as P_c goes to 0.
-const MIN_FRESH_PROBABILITY: f64 = 0.02;
+const MIN_COMPLETION_PROBABILITY: f64 = 0.02;
 
 /// What a task would meet on a machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Prospect {
+pub struct PlacementTiming {
     /// The machine's age now, in seconds.
     pub age_s: f64,
     /// Seconds until the task can run there: until there is capacity and the image is
@@ -49,8 +49,8 @@
 ///
 /// Each start is lost with probability 1 - P_c and then costs w, so R = d + w (1 - P_c) / P_c
 /// (the sum of a geometric series).
-pub fn fresh_start_s(history: &LifetimeHistory, run_s: f64) -> f64 {
-    let p = completion_probability(history, 0.0, run_s).max(MIN_FRESH_PROBABILITY);
+pub fn fresh_machine_completion_s(history: &LifetimeHistory, run_s: f64) -> f64 {
+    let p = completion_probability(history, 0.0, run_s).max(MIN_COMPLETION_PROBABILITY);
     run_s + (1.0 - p) / p * history.expected_loss_s(0.0, run_s)
 }
 
@@ -59,8 +59,8 @@
 ///
 /// After a loss, the task starts again on a fresh machine, where it needs to run only for
 /// what no checkpoint holds: progress beyond one checkpoint interval counts as saved.
-pub fn expected_completion(history: &LifetimeHistory, prospect: Prospect) -> f64 {
-    let Prospect { age_s, wait_s, run_s, checkpoint_interval_s } = prospect;
+pub fn expected_completion(history: &LifetimeHistory, timing: PlacementTiming) -> f64 {
+    let PlacementTiming { age_s, wait_s, run_s, checkpoint_interval_s } = timing;
     let start_age_s = age_s + wait_s;
     let p = completion_probability(history, start_age_s, run_s);
     if p >= 1.0 {
@@ -68,7 +68,7 @@
     }
     let lost_s = history.expected_loss_s(start_age_s, run_s);
     let saved_s = if checkpoint_interval_s > 0.0 { (lost_s - checkpoint_interval_s).max(0.0) } else { 0.0 };
-    wait_s + p * run_s + (1.0 - p) * (lost_s + fresh_start_s(history, run_s - saved_s))
+    wait_s + p * run_s + (1.0 - p) * (lost_s + fresh_machine_completion_s(history, run_s - saved_s))
 }
 
 /// Seconds that a running task still needs: what is left of its estimate, or, past that, as
--- a/src/coordination/scheduling/scoring/tests.rs
+++ b/src/coordination/scheduling/scoring/tests.rs
@@ -13,11 +13,13 @@
 #[test]
 fn expected_completion_is_that_worked_out_by_hand() {
     // Fresh machine, d = 15: p = 3/4, w = 10; R = 15 + (1/4)/(3/4)·10 = 18.333.
-    let r = fresh_start_s(&history(), 15.0);
+    let r = fresh_machine_completion_s(&history(), 15.0);
     assert!((r - (15.0 + 10.0 / 3.0)).abs() < 1e-9);
     // E = 0 + 0.75·15 + 0.25·(10 + 18.333).
-    let e =
-        expected_completion(&history(), Prospect { age_s: 0.0, wait_s: 0.0, run_s: 15.0, checkpoint_interval_s: 0.0 });
+    let e = expected_completion(
+        &history(),
+        PlacementTiming { age_s: 0.0, wait_s: 0.0, run_s: 15.0, checkpoint_interval_s: 0.0 },
+    );
     assert!((e - (11.25 + 0.25 * (10.0 + r))).abs() < 1e-9);
 }
 
@@ -25,7 +27,7 @@
 fn without_history_completion_is_wait_and_run_time() {
     let e = expected_completion(
         &LifetimeHistory::default(),
-        Prospect { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_interval_s: 0.0 },
+        PlacementTiming { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_interval_s: 0.0 },
     );
     assert_eq!(e, 10.0);
 }
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -13,7 +13,7 @@
 use crate::units::{JobId, Millis, ShardId};
 
 /// The share of a shard's cores that first tasks of starving jobs may take.
-const CPU_SHARE: f64 = 0.1;
+const STARVING_CPU_SHARE: f64 = 0.1;
 
 /// The least number of cores that the share is computed as, so as not to divide by 0.
 const MIN_SHARE_CPUS: f64 = 1e-3;
@@ -43,8 +43,8 @@
     /// The first task of a starving job, of `cpus` cores for `hold_s` seconds, got capacity in
     /// a shard of `shard_cpus` cores: the next such job waits until the share would have done
     /// that work.
-    pub(crate) fn starving_job_started(&mut self, shard: ShardId, cpus: f64, hold_s: f64, shard_cpus: f64) {
-        let share_cpus = (CPU_SHARE * shard_cpus).max(MIN_SHARE_CPUS);
+    pub(crate) fn record_starving_start(&mut self, shard: ShardId, cpus: f64, hold_s: f64, shard_cpus: f64) {
+        let share_cpus = (STARVING_CPU_SHARE * shard_cpus).max(MIN_SHARE_CPUS);
         let pause = Millis::secs((cpus * hold_s / share_cpus).min(self.tuning.starvation_limit_s));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.next_starving_job = self.now + pause;
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -57,7 +57,7 @@
     /// None if a machine of the service's shard has capacity for one more replica.
     fn unplaceable_service(&self, id: &JobId, job: &Job, capacity: &ShardCapacity) -> Option<UnplaceableService> {
         let shard = job.shard_of(0)?;
-        let zones = self.open_zones(job);
+        let zones = self.allowed_zones(job);
         if zones.iter().any(|zone| capacity.startable_in_zone(zone, shard, &job.record, 1) > 0) {
             return None;
         }
@@ -69,13 +69,14 @@
     }
 
     /// Zones in which one more replica may be beside those that run, the emptiest first.
-    fn open_zones(&self, job: &Job) -> Vec<String> {
+    fn allowed_zones(&self, job: &Job) -> Vec<String> {
         let replicas = self.replica_zones(job);
-        let sold: BTreeSet<&String> = self.catalog.types().flat_map(|machine_type| &machine_type.zones).collect();
-        let mut open: Vec<String> =
-            sold.into_iter().filter(|zone| replicas.allows(&job.record.spec, zone)).cloned().collect();
-        open.sort_by_key(|zone| replicas.tasks_in(zone));
-        open
+        let offered_zones: BTreeSet<&String> =
+            self.catalog.types().flat_map(|machine_type| &machine_type.zones).collect();
+        let mut allowed: Vec<String> =
+            offered_zones.into_iter().filter(|zone| replicas.allows(&job.record.spec, zone)).cloned().collect();
+        allowed.sort_by_key(|zone| replicas.tasks_in(zone));
+        allowed
     }
 
     /// Where a service's replicas are, as far as the leader knows the machines.
