--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -1,8 +1,8 @@
-//! The machines of a shard as one scheduling cycle sees them.
+//! Snapshot of a shard's machines for one scheduling cycle.
 //!
-//! A cycle and preemption each take a snapshot of the machines that may get new tasks, with
-//! the capacity that the tasks on them leave over time. Reservations are made on the
-//! snapshot only: the shard's own records do not change here.
+//! The scheduling cycle and preemption each take a snapshot of the machines that may get new tasks,
+//! with the capacity that the tasks on each machine leave over time. Reservations change only the
+//! snapshot, never the shard's own records.
 
 use crate::coordination::scheduling::capacity_timeline::CapacityTimeline;
 use crate::coordination::scheduling::lifetimes::LifetimeHistory;
@@ -18,30 +18,28 @@
 use crate::units::{JobId, MachineId, Millis, ShardId};
 use std::collections::BTreeSet;
 
-/// The least number of cores that a price is divided by.
+/// Minimum number of cores by which a price is divided, to avoid a division by 0.
 const MIN_CPUS: f64 = 1e-6;
 
-/// Seconds until a shape fits a machine; none if it never does.
+/// Seconds until a shape fits a machine; `None` if it never does.
 type CachedWait = Option<f64>;
 
-/// A machine that may get new tasks, with its capacity as planned so far.
+/// A machine that may get new tasks, with its planned capacity.
 #[derive(Clone)]
 pub(crate) struct CandidateMachine<'a> {
-    /// The name under which the shard knows it.
     pub name: &'a MachineId,
-    /// What its heartbeats said, and what the shard's owner remembers of it.
+    /// State from the machine's heartbeats and the shard owner's own records of it.
     pub reported: &'a Machine,
     pub machine_type: &'a MachineType,
-    /// Lifetimes of machines like this one, if any ended and they are to be regarded.
+    /// Lifetimes of similar machines; `None` if none has ended or if the tuning disables their use.
     pub history: Option<&'a LifetimeHistory>,
     /// Time since the machine was created, in seconds.
     pub age_s: f64,
     /// Price per core, in the cloud's unit of price.
     pub price_per_cpu: f64,
-    /// What is free now and later, the cycle's reservations included.
+    /// Free capacity now and later, after this cycle's reservations.
     pub capacity: CapacityTimeline,
-    /// Waits worked out so far, by number of the request's shape; dropped with each
-    /// reservation.
+    /// Cached waits, indexed by `ShapeId`; cleared by each reservation.
     waits: Vec<Option<CachedWait>>,
 }
 
@@ -52,7 +50,8 @@
         self.waits.clear();
     }
 
-    /// Seconds until there is capacity for one task of the request; none if never.
+    /// Returns the seconds until there is capacity for one task of the request; `None` if there
+    /// never is.
     pub fn wait_s(&mut self, request: &PlacementRequest) -> Option<f64> {
         let Some(shape) = request.shape else { return self.capacity.wait_s(&request.need) };
         if self.waits.len() <= shape.0 {
@@ -61,7 +60,8 @@
         *self.waits[shape.0].get_or_insert_with(|| self.capacity.wait_s(&request.need))
     }
 
-    /// Seconds that fetching the job's image takes here: none if the machine has it.
+    /// Returns the seconds that it takes to fetch the job's image; 0 if the machine already has it
+    /// or if its fetch rate is not positive.
     pub fn image_fetch_s(&self, job: &Job) -> f64 {
         let has_image = self.reported.images.iter().any(|image| image.name == job.image);
         if has_image || self.machine_type.fetch_gb_per_s <= 0.0 {
@@ -71,8 +71,8 @@
         }
     }
 
-    /// True if the job's constraints on machine type, zone and spot machines allow one more
-    /// of its tasks here. Capacity is another matter.
+    /// True if the job's constraints on machine type, zone and spot machines allow one more of its
+    /// tasks on this machine. Does not check capacity.
     pub fn satisfies(&self, spec: &JobSpec, occupancy: &ZoneOccupancy) -> bool {
         spec.types.as_ref().is_none_or(|types| types.contains(&self.reported.kind))
             && (spec.spot_allowed || !self.reported.spot)
@@ -81,13 +81,13 @@
 }
 
 impl Core {
-    /// How old a machine's last heartbeat may be for it to get new tasks: a third of the
-    /// workers' lease.
+    /// Maximum age of the last heartbeat of a machine that gets new tasks: a third of the workers'
+    /// lease.
     pub(crate) fn max_heartbeat_age(&self) -> Millis {
         Millis(self.timing.worker_lease.0 / 3)
     }
 
-    /// The machines of an owned shard that may get new tasks, in the order of their names.
+    /// Returns the machines of an owned shard that may get new tasks, ordered by name.
     pub(crate) fn candidate_machines(&self, shard: ShardId) -> Vec<CandidateMachine<'_>> {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return vec![] };
         let mut candidates = Vec::with_capacity(owned_shard.machines.len());
@@ -100,7 +100,8 @@
         candidates
     }
 
-    /// False for machines that are faulty, about to go, silent, unreachable, or to be drained.
+    /// False for a machine that is faulty, unreachable, cordoned or draining, that has a
+    /// termination notice, or whose last heartbeat is too old.
     fn may_get_tasks(&self, name: &MachineId, machine: &Machine) -> bool {
         !machine.faulty
             && !self.is_downlink_lost(machine)
@@ -110,7 +111,7 @@
             && !self.draining(name)
     }
 
-    /// A snapshot of one machine.
+    /// Builds the snapshot of one machine.
     fn candidate_machine<'a>(
         &'a self,
         owned_shard: &'a OwnedShard,
@@ -136,15 +137,15 @@
         }
     }
 
-    /// Takes the capacity of the tasks that are desired on the machine. A service's task
-    /// holds it for ever.
+    /// Subtracts the capacity of the tasks that are desired on the machine. A service's task holds
+    /// its capacity indefinitely.
     fn add_desired_tasks(
         &self,
         capacity: &mut CapacityTimeline,
         owned_shard: &OwnedShard,
         tasks: Option<&BTreeSet<TaskKey>>,
     ) {
-        // The tasks of a job stand side by side: each job is looked up once.
+        // Tasks are sorted by job, so each job is looked up once.
         let mut last: Option<(&JobId, Option<(&Job, f64)>)> = None;
         for key in tasks.into_iter().flatten() {
             let found = match last {
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Takes the capacity of tasks that the machine lists though they are not desired there
-    /// (any more): when they will end is not known.
+    /// Subtracts the capacity of tasks that the machine reports but that are not, or no longer,
+    /// desired there. Their remaining time is unknown.
     fn add_other_tasks(
         &self,
         capacity: &mut CapacityTimeline,
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,7 +1,7 @@
-//! Which machines a job's next task may go to, the one of least expected completion first.
+//! Ranks the machines for a job's next task by expected completion, soonest first.
 //!
-//! Called by the scheduling cycle for each job and after each reservation. Ranking changes
-//! nothing but the waits that machines remember.
+//! The scheduling cycle calls this module for each job and after each reservation. Ranking changes
+//! nothing but the waits that machines cache.
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::placement_request::PlacementRequest;
@@ -11,35 +11,38 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Expected completions that differ by less than this share of the run time count as equal,
-/// plus [`COMPLETION_TOLERANCE_S`].
+/// Expected completions count as equal if they differ by less than this share of the run time plus
+/// [`COMPLETION_TOLERANCE_S`].
 const COMPLETION_TOLERANCE_RUN_SHARE: f64 = 0.08;
 
-/// Seconds by which expected completions may differ and count as equal.
+/// Fixed part of the difference within which expected completions count as equal, in seconds.
 const COMPLETION_TOLERANCE_S: f64 = 0.5;
 
-/// The same for jobs that must start at once, whatever their run time.
+/// Difference within which expected completions count as equal for jobs of a quick-start class, in
+/// seconds; independent of the run time.
 const QUICK_START_TOLERANCE_S: f64 = 0.3;
 
-/// Prices per core are compared in steps of one over this.
+/// Number of steps per unit of price in which prices per core are compared.
 const PRICE_STEPS_PER_UNIT: f64 = 1000.0;
 
-/// Seconds that a service is planned to hold its capacity: longer than any plan.
+/// Time for which a service is planned to hold its capacity, in seconds: longer than any plan.
 const SERVICE_HOLD_S: f64 = 1e9;
 
-/// How well a machine suits a task; less is better, the fields compared in their order.
+/// How well a machine suits a task. Smaller is better; fields are compared in declaration order.
 #[derive(Debug, Clone, Copy)]
 struct CandidateRank {
-    /// Expected completion in units of what counts as equal, rounded.
+    /// Expected completion in units of the completion tolerance, rounded.
     completion: f64,
-    /// Price per core in steps of `1 / PRICE_STEPS_PER_UNIT`, rounded: among equals the cheapest machine is best.
+    /// Price per core in steps of `1 / PRICE_STEPS_PER_UNIT`, rounded. Among equal completions, the
+    /// cheapest machine ranks best.
     price: f64,
-    /// Free cores: then the fullest machine is, so that others can be given back.
+    /// Free cores. Among equal prices, the fullest machine ranks best, so that emptier ones can be
+    /// returned.
     free_cpus: f64,
 }
 
 impl CandidateRank {
-    /// Services take the first machine that has room.
+    /// Rank of every machine for a service: the first machine with capacity is taken.
     const FIRST_FIT: CandidateRank = CandidateRank { completion: 0.0, price: 0.0, free_cpus: 0.0 };
 
     fn compare(&self, other: &CandidateRank) -> Ordering {
@@ -50,16 +53,16 @@
     }
 }
 
-/// A machine that a job's task may go to. The greatest is the best, so that it is on
-/// top of a `BinaryHeap`.
+/// A machine on which a job's task may be placed. The best candidate compares greatest, so that it
+/// is on top of a `BinaryHeap`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RankedCandidate {
     rank: CandidateRank,
-    /// The machine's index among those of the cycle.
+    /// Index into the cycle's list of machines.
     pub machine_index: usize,
-    /// Seconds until there is capacity; 0 if there is now.
+    /// Seconds until there is capacity; 0 if there is capacity now.
     pub wait_s: f64,
-    /// Seconds for which the task will hold its capacity, the fetch of its image included.
+    /// Seconds for which the task will hold its capacity, including the time to fetch its image.
     pub hold_s: f64,
 }
 
@@ -83,9 +86,10 @@
 
 impl Eq for RankedCandidate {}
 
-/// All machines that the request's tasks may go to, the best on top. Each is scored once. A
-/// machine on which capacity was reserved is ranked again by [`rank_candidate`] and put
-/// back, so that many tasks of a job cost little more than one.
+/// Returns all machines on which the request's tasks may be placed, best on top.
+///
+/// Each machine is scored once. After a reservation, only the affected machine is ranked again with
+/// [`rank_candidate`] and pushed back, so that many tasks of a job cost little more than one.
 pub(crate) fn ranked_candidates(
     machines: &mut [CandidateMachine],
     request: &PlacementRequest,
@@ -104,8 +108,8 @@
         .collect()
 }
 
-/// Ranks a machine for the request's next task; none if it never has the capacity, or not
-/// now and the request may not wait. The job's constraints are not looked at.
+/// Ranks a machine for the request's next task. Returns `None` if the machine never has the
+/// capacity, or has none now and the request may not wait. Does not check the job's constraints.
 pub(crate) fn rank_candidate(
     index: usize,
     machine: &mut CandidateMachine,
@@ -135,7 +139,8 @@
     Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: request.run_s + fetch_s })
 }
 
-/// Expected seconds until a task is complete on the machine if it may start in `wait_s`.
+/// Returns the expected seconds until a task is complete on the machine if it may start in
+/// `wait_s`.
 fn completion_s(machine: &CandidateMachine, request: &PlacementRequest, wait_s: f64) -> f64 {
     let timing = PlacementTiming {
         age_s: machine.age_s,
@@ -149,7 +154,8 @@
     }
 }
 
-/// Seconds by which expected completions of the request may differ and count as equal.
+/// Returns the difference in seconds within which the request's expected completions count as
+/// equal.
 fn completion_tolerance_s(request: &PlacementRequest) -> f64 {
     if request.quick_start {
         QUICK_START_TOLERANCE_S
--- a/src/coordination/scheduling/capacity_timeline.rs
+++ b/src/coordination/scheduling/capacity_timeline.rs
@@ -1,40 +1,40 @@
-//! What a machine has free now, and what comes free when.
+//! Free capacity of a machine over time.
 //!
-//! Each candidate machine of a scheduling cycle owns one timeline, filled from the tasks on
-//! the machine. The cycle reserves capacity on it for the tasks it places or lets wait. It
-//! is a plan that is forgotten with the cycle: nothing is started or stopped here.
+//! Each candidate machine of a scheduling cycle owns one timeline, filled from the tasks on the
+//! machine. The cycle reserves capacity on it for the tasks that it places or plans to start later.
+//! The timeline is dropped with the cycle; it starts and stops no task.
 
 use crate::coordination::scheduling::resources::Resources;
 
-/// A change of the free capacity.
+/// A change of the free capacity at one point in time.
 #[derive(Debug, Clone)]
 struct CapacityChange {
-    /// When, in seconds from now.
+    /// Time of the change, in seconds from now.
     at_s: f64,
-    /// What is freed, or, if negative, taken by a reservation.
+    /// Capacity that is released; negative for capacity that a reservation takes.
     delta: Resources,
 }
 
-/// The free capacity of one machine over time.
+/// Free capacity of one machine over time.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CapacityTimeline {
-    /// What is free now.
+    /// Capacity that is free now.
     pub free: Resources,
-    /// Later changes, in the order of time once `sort_changes` has run.
+    /// Later changes, sorted by time once `sort_changes` has run.
     changes: Vec<CapacityChange>,
-    /// Number of changes up to the last one that takes capacity: after them, what is free
-    /// only grows.
+    /// Number of changes up to and including the last one that takes capacity. After them, the free
+    /// capacity only grows.
     changes_through_last_decrease: usize,
 }
 
 impl CapacityTimeline {
-    /// The timeline of a machine that has so much and runs nothing.
+    /// Creates the timeline of an empty machine with this capacity.
     pub fn new(free: Resources) -> CapacityTimeline {
         CapacityTimeline { free, changes: vec![], changes_through_last_decrease: 0 }
     }
 
-    /// Takes what a task on the machine holds, for `remaining_s` seconds or, if that is
-    /// none, for ever. After the last of these calls comes `sort_changes`.
+    /// Subtracts the capacity of a task on the machine, for `remaining_s` seconds, or indefinitely
+    /// if that is `None`. Call `sort_changes` after the last task.
     pub fn add_task(&mut self, need: &Resources, remaining_s: Option<f64>) {
         self.free -= *need;
         if let Some(at_s) = remaining_s {
@@ -42,15 +42,15 @@
         }
     }
 
-    /// Sorts the changes by time, once for all tasks that were added.
+    /// Sorts the changes by time, once after all tasks were added.
     pub fn sort_changes(&mut self) {
         self.changes.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     }
 
-    /// Seconds until `need` is free and stays free; none if it never is.
+    /// Returns the seconds until `need` is free and stays free; `None` if it never is.
     ///
-    /// Capacity that comes free but is reserved does not count. When it did, one core was
-    /// promised to all waiting tasks, which kept them from machines that stood idle.
+    /// Capacity that is released but reserved does not count. Counting it would promise the same
+    /// core to every waiting task and keep those tasks from idle machines.
     pub fn wait_s(&self, need: &Resources) -> Option<f64> {
         let mut free = self.free;
         let mut free_since_s = need.fits_into(&free).then_some(0.0);
@@ -64,8 +64,8 @@
         free_since_s
     }
 
-    /// Reserves `need` from `start_s` until `end_s`, both in seconds from now. A reservation
-    /// that starts later leaves what is free now as it is.
+    /// Reserves `need` from `start_s` until `end_s`, both in seconds from now. A reservation that
+    /// starts later does not change what is free now.
     pub fn reserve(&mut self, need: &Resources, start_s: f64, end_s: f64) {
         if start_s > 0.0 {
             self.insert_change(start_s, -*need);
--- a/src/coordination/scheduling/lifetimes.rs
+++ b/src/coordination/scheduling/lifetimes.rs
@@ -1,39 +1,39 @@
-//! How long machines of one kind live: a survival curve estimated from those seen.
+//! Survival curve of similar machines, estimated from their observed lifetimes.
 //!
-//! The fleet's estimates keep one history for each machine type, zone and spot or not, and
-//! one for provisioning times; scoring asks them. Knows no single machine and no clock: ages
-//! come from the callers. See docs/DESIGN.md for why this estimate is used.
+//! The fleet's estimates keep one history for each combination of machine type, zone and spot use,
+//! and one for provisioning times; scoring queries them. A history has no clock and does not
+//! identify machines: callers pass the ages. See docs/DESIGN.md for the choice of this estimator.
 
 use std::collections::VecDeque;
 
-/// The most ended lives that a history keeps; the oldest is forgotten first.
+/// Maximum number of ended lifetimes in a history; the oldest is dropped first.
 pub const MAX_ENDED_LIFETIMES: usize = 200;
 
-/// Rounding errors by which a share of one half may be exceeded.
+/// Tolerance for rounding errors when a share is compared with one half.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// The life of one machine, as far as it was seen.
+/// Observed lifetime of one machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Lifetime {
-    /// Age in seconds at which it was lost or last seen.
+    /// Age in seconds at which the machine was lost or last seen.
     pub age_s: f64,
-    /// The machine was lost. If not, it was given back or is still up: the life is censored,
-    /// and shows only that it lasted so long.
+    /// True if the machine was lost. Otherwise it was returned or is still up, and the lifetime is
+    /// censored: it shows only a lower bound.
     pub lost: bool,
 }
 
-/// The lives of similar machines and the Kaplan-Meier estimate of their survival, in which
-/// censored lives count for as long as they were seen and no longer.
+/// Lifetimes of similar machines and the Kaplan-Meier estimate of their survival. Censored
+/// lifetimes count only up to the age at which the machine was last seen.
 #[derive(Debug, Clone, Default)]
 pub struct LifetimeHistory {
     ended: VecDeque<Lifetime>,
-    /// The curve: one step for each lost life, by rising age.
+    /// Survival curve: one step per lost machine, by rising age.
     steps: Vec<SurvivalStep>,
-    /// The highest age of any life, in seconds.
+    /// Highest age of any lifetime, in seconds.
     max_age_s: f64,
 }
 
-/// The survival curve from the age at which one life was lost.
+/// A step of the survival curve, at the age at which a machine was lost.
 #[derive(Debug, Clone, Copy)]
 struct SurvivalStep {
     age_s: f64,
@@ -43,19 +43,20 @@
 /// A point of the survival curve.
 #[derive(Debug, Clone, Copy)]
 struct SurvivalPoint {
-    /// The share of machines that survive it: P(X > age).
+    /// Share of machines that survive this age: P(X > age).
     share: f64,
-    /// The shares lost until then, each times the age of its loss, summed: E(X; X <= age).
+    /// Sum over the losses up to this age of the share lost times the age of the loss: E(X; X <=
+    /// age).
     weighted_loss_age_s: f64,
 }
 
 impl SurvivalPoint {
-    /// Before the first loss.
+    /// Point of the curve before the first loss.
     const START: SurvivalPoint = SurvivalPoint { share: 1.0, weighted_loss_age_s: 0.0 };
 }
 
 impl LifetimeHistory {
-    /// Adds a life that has ended. The curve follows with the next `rebuild`.
+    /// Adds an ended lifetime. Call `rebuild` to update the curve.
     pub fn add(&mut self, lifetime: Lifetime) {
         if self.ended.len() == MAX_ENDED_LIFETIMES {
             self.ended.pop_front();
@@ -63,7 +64,8 @@
         self.ended.push_back(lifetime);
     }
 
-    /// Rebuilds the curve from the ended lives and the ages in seconds of machines still up.
+    /// Rebuilds the curve from the ended lifetimes and the ages in seconds of machines that are
+    /// still up.
     pub fn rebuild(&mut self, ages_still_up_s: &[f64]) {
         let mut lifetimes: Vec<Lifetime> = self.ended.iter().copied().collect();
         lifetimes.extend(ages_still_up_s.iter().map(|&age_s| Lifetime { age_s, lost: false }));
@@ -81,15 +83,15 @@
         }
     }
 
-    /// The age in seconds that half do not outlast, or, if more outlast all that were lost,
-    /// the highest age at which one was; none if none was.
+    /// Returns the median lifetime in seconds. If more than half of the machines outlast all lost
+    /// ones, returns the highest age at which a machine was lost; `None` if none was.
     pub fn median(&self) -> Option<f64> {
         let half = self.steps.iter().find(|step| step.survival.share <= 0.5 + SHARE_TOLERANCE);
         half.or(self.steps.last()).map(|step| step.age_s)
     }
 
-    /// P(X > e + d given X > e): the probability that a machine of the age `age_s` lives
-    /// `run_s` longer. 1 with no history, or at an age past every lifetime seen.
+    /// P(X > e + d given X > e): returns the probability that a machine of age `age_s` survives
+    /// `run_s` longer. 1 without history, or at an age past every observed lifetime.
     pub fn survival_probability(&self, age_s: f64, run_s: f64) -> f64 {
         if self.steps.is_empty() || age_s >= self.max_age_s {
             return 1.0;
@@ -101,27 +103,27 @@
         self.point_at(age_s + run_s).share / share_now
     }
 
-    /// E(X - e given e < X < e + d): the seconds that a task has run when its machine, of the
-    /// age `age_s` at its start, is lost within `run_s`. Half the run time if none was ever
-    /// lost at such an age.
+    /// E(X - e given e < X < e + d): returns the expected run time in seconds of a task when its
+    /// machine, of age `age_s` at the task's start, is lost within `run_s`. Half the run time if no
+    /// machine was lost in that range of ages.
     pub fn expected_loss_s(&self, age_s: f64, run_s: f64) -> f64 {
         let start = self.point_at(age_s);
         let end = self.point_before(age_s + run_s);
         let lost_share = start.share - end.share;
         if lost_share > 0.0 {
-            // Rounding must not lead beyond what the definition allows.
+            // Keeps rounding errors within the range that the definition allows.
             ((end.weighted_loss_age_s - start.weighted_loss_age_s) / lost_share - age_s).clamp(0.0, run_s)
         } else {
             run_s / 2.0
         }
     }
 
-    /// The curve at an age, losses at that age included.
+    /// Returns the point of the curve at an age, including losses at that age.
     fn point_at(&self, age_s: f64) -> SurvivalPoint {
         self.point_after(self.steps.partition_point(|step| step.age_s <= age_s))
     }
 
-    /// The curve at an age, without losses at that age.
+    /// Returns the point of the curve at an age, excluding losses at that age.
     fn point_before(&self, age_s: f64) -> SurvivalPoint {
         self.point_after(self.steps.partition_point(|step| step.age_s < age_s))
     }
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,9 +1,9 @@
-//! Scheduling: which task runs on which machine, and in which order jobs are served.
+//! Scheduling: decides which task runs on which machine, and the order in which jobs are served.
 //!
-//! Entry points are `run_scheduling_cycles` (the core's tick) and the questions that the
-//! leader and the fleet ask of queue and reserve. The method and its reasons are in
-//! docs/DESIGN.md. Nothing here talks to workers or to the store: decisions become desired
-//! states of tasks, or tasks marked to be stopped.
+//! The core's tick calls `run_scheduling_cycles`; the leader and the fleet query the pending queue
+//! and the quick-start reserve. The method and its reasons are in docs/DESIGN.md. This module sends
+//! nothing to workers or to the store: its decisions become desired states of tasks, or marks on
+//! tasks to be stopped.
 
 pub(crate) mod candidate_machine;
 pub(crate) mod candidates;
--- a/src/coordination/scheduling/objectives.rs
+++ b/src/coordination/scheduling/objectives.rs
@@ -1,25 +1,24 @@
-//! The operators' objectives for each class of jobs, read from the settings once at start.
+//! Operators' objectives for each job class, read from the settings at startup.
 //!
-//! The pending queue and the reserve for quick starts ask for them, for each pending job in
-//! each scheduling cycle. Whether an objective is met is not judged here.
+//! The pending queue and the quick-start reserve query them for each pending job in each scheduling
+//! cycle. This module does not measure whether an objective is met.
 
 use crate::settings::Objective;
 use crate::storage::names::{InternedName, NameInterner};
 
-/// The `kind` of an objective, in the platform's settings, on the time until tasks start.
+/// `kind` of an objective, in the platform's settings, on the time until tasks start.
 const START_KIND: &str = "wait";
 
-/// The `kind` of an objective on the time until jobs are complete.
+/// `kind` of an objective on the time until jobs are complete.
 const FINISH_KIND: &str = "finished";
 
-/// The objectives of one class.
+/// Objectives of one job class.
 #[derive(Debug)]
 struct ClassObjectives {
     class: InternedName,
-    /// The shortest time within which tasks are to start, in seconds; infinite if none is
-    /// asked for.
+    /// Shortest time in seconds within which tasks must start; infinite without such an objective.
     start_within_s: f64,
-    /// Times within which jobs are to be complete, in seconds, rising.
+    /// Times in seconds within which jobs must be complete, in ascending order.
     finish_within_s: Vec<f64>,
 }
 
@@ -32,19 +31,19 @@
         match kind {
             START_KIND => self.start_within_s = self.start_within_s.min(within_s),
             FINISH_KIND => self.finish_within_s.push(within_s),
-            // Other kinds ask nothing of the scheduler.
+            // Other kinds do not affect scheduling.
             _ => {}
         }
     }
 }
 
-/// The objectives of all classes that have any.
+/// Objectives of all classes that have any.
 #[derive(Debug, Default)]
 pub(crate) struct Objectives(Vec<ClassObjectives>);
 
 impl Objectives {
-    /// Reads the objectives out of the settings. Those without a class or a time say nothing
-    /// about single jobs and are left out.
+    /// Collects the objectives by class. Objectives without a class or a time do not apply to
+    /// single jobs and are skipped.
     pub fn from_settings(objectives: &[Objective], names: &mut NameInterner) -> Objectives {
         let mut by_class: Vec<ClassObjectives> = vec![];
         for objective in objectives {
@@ -66,15 +65,16 @@
         self.0.iter().find(|objectives| objectives.class == *class)
     }
 
-    /// True if an objective asks that tasks of the class start within less than `provisioning_s`
-    /// seconds. An objective on longer waits is no claim on the reserve for quick starts:
-    /// such a class would use it up.
+    /// True if an objective requires tasks of the class to start in less than `provisioning_s`
+    /// seconds. Classes with objectives on longer waits get no access to the quick-start reserve,
+    /// which they would use up.
     pub fn requires_start_before(&self, class: &InternedName, provisioning_s: f64) -> bool {
         self.of(class).is_some_and(|objectives| objectives.start_within_s < provisioning_s)
     }
 
-    /// The shortest of the times for completion, in seconds, that is not below `earliest_completion_s`,
-    /// or else the longest of them; none if the class has none.
+    /// Returns the shortest completion time of the class in seconds that is at least
+    /// `earliest_completion_s`, or the longest one if all are below it; `None` if the class has no
+    /// such objective.
     pub fn finish_within_s(&self, class: &InternedName, earliest_completion_s: f64) -> Option<f64> {
         let times_s = &self.of(class)?.finish_within_s;
         times_s.iter().find(|within_s| **within_s >= earliest_completion_s).or(times_s.last()).copied()
