--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -1,8 +1,8 @@
-//! Which jobs have pending tasks, in what order they are served, and which are within their
-//! team's guarantee.
+//! Pending queue: jobs with pending tasks in the order in which they are served, and the jobs that
+//! their team's guarantee covers.
 //!
-//! Worked out anew for each scheduling cycle from the state cache; the leader and the fleet
-//! ask for a job's age and allowed time. Nothing is stored here.
+//! Rebuilt for each scheduling cycle from the state cache; nothing is kept between cycles. The
+//! leader and the fleet query a job's age and allowed time.
 
 use crate::coordination::scheduling::queue_order::{serve_order, QueuedJob};
 use crate::coordination::Core;
@@ -13,61 +13,63 @@
 use std::cmp::Reverse;
 use std::collections::HashSet;
 
-/// Bounds of the time left that jobs are ordered by, in seconds either way.
+/// Bound on the absolute value of the time left by which jobs are ordered, in seconds.
 const MAX_TIME_LEFT_S: f64 = 1e6;
 
-/// The share of its work that a task on a machine still has to do, on average.
+/// Average share of its work that a task on a machine still has to do.
 const RUNNING_TASK_WORK_SHARE: f64 = 0.5;
 
-/// Seconds that a job without a deadline and without an objective is allowed, beside
-/// [`DEFAULT_ALLOWED_RUN_FACTOR`].
+/// Allowed time in seconds of a job without a deadline and without an objective, plus
+/// [`DEFAULT_ALLOWED_RUN_FACTOR`] times its run time.
 const DEFAULT_ALLOWED_S: f64 = 600.0;
 
-/// How many times its estimated run time such a job is allowed.
+/// Multiple of its estimated run time that is added to the allowed time of such a job.
 const DEFAULT_ALLOWED_RUN_FACTOR: f64 = 3.0;
 
-/// Of a job's run time, the share after which its first tasks may be complete.
+/// Share of a job's run time after which its first tasks may be complete.
 const EARLIEST_COMPLETION_RUN_SHARE: f64 = 0.5;
 
-/// Rounding errors by which a guarantee may be exceeded.
+/// Tolerance for rounding errors when usage is compared with a guarantee, in cores or GPUs.
 const GUARANTEE_TOLERANCE: f64 = 1e-6;
 
-/// A job's index in the cache: found without comparing names, and valid until a job is
+/// A job's index in the cache: gives access without a comparison of names. Valid until a job is
 /// dropped from the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CacheIndex(pub usize);
 
-/// A set of jobs that is asked often, in no order that means anything.
+/// A set of jobs with fast lookups; its iteration order has no meaning.
 pub(crate) type JobSet = HashSet<JobId, FixedState>;
 
-/// What goes before the time left in the queue's order. Less goes first, the fields compared
-/// in their order.
+/// Ordering keys that precede the time left in the queue's order. Smaller goes first; fields are
+/// compared in declaration order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueRank {
-    /// False for high priorities, which go before guarantees.
+    /// False for jobs of high or critical priority, which go before jobs within a guarantee.
     below_high_priority: bool,
     /// False for jobs that their team's guarantee covers.
     beyond_guarantee: bool,
-    /// The job's priority, or that of any job that depends on it; the highest first.
+    /// Priority of the job, or of any job that depends on it; highest first.
     priority: Reverse<Priority>,
 }
 
-/// What the queue knows a job by; jobs that are equal otherwise go by their names.
+/// Reference to a queued job. Its order, by name, breaks ties between jobs that are otherwise
+/// equal.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedJobRef<'a> {
     id: &'a JobId,
     index: CacheIndex,
-    /// Tasks of the job are pending in a shard of this node.
+    /// True if tasks of the job are pending in a shard of this node.
     pending_here: bool,
 }
 
 impl Core {
-    /// Jobs with tasks pending in shards of this node, in the order they are served: high
-    /// priorities, then work within a guarantee, then the priority, then the least time to
-    /// spare. What cannot be in time with all that goes before it yields.
+    /// Returns the jobs with tasks pending in shards of this node, in the order in which they are
+    /// served: high priorities first, then jobs within a guarantee, then by priority, then by the
+    /// least spare time. Jobs that cannot be on time after all the work before them go last within
+    /// their rank.
     ///
-    /// Jobs that are pending in other shards are ordered too: with their work, others may be
-    /// late and yield.
+    /// Jobs that are pending in other shards are ordered too, because their work may make other
+    /// jobs late.
     pub(crate) fn pending_queue(&self, guaranteed: &JobSet) -> Vec<CacheIndex> {
         let mut queue = vec![];
         let mut any_pending_here = false;
@@ -87,7 +89,7 @@
         order.into_iter().filter(|job| job.pending_here).map(|job| job.index).collect()
     }
 
-    /// A job as the queue's order sees it.
+    /// Collects the values by which a job is ordered in the queue.
     fn queued_job<'a>(
         &self,
         job_ref: QueuedJobRef<'a>,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Cores of all shards, estimated from those of this node's: machines hash to shards
+    /// Estimates the cores of all shards from those of this node's shards: machines hash to shards
     /// evenly.
     fn cluster_cpus(&self) -> f64 {
         let machines = self.owned_shards.values().flat_map(|owned_shard| owned_shard.machines.values());
@@ -122,20 +124,20 @@
         owned_cpus * f64::from(self.shard_count) / self.owned_shards.len().max(1) as f64
     }
 
-    /// Seconds since a job was accepted, or since it may start if it waited for dependencies.
-    /// An estimate: it compares times of day of different machines.
+    /// Returns the seconds since a job was accepted or, if it waited for dependencies, since it may
+    /// start. Approximate: it compares the wall clocks of different machines.
     pub(crate) fn age_s(&self, job: &Job) -> f64 {
         self.time_of_day_ms.saturating_sub(job.record.since()) as f64 / 1000.0
     }
 
-    /// Seconds from then within which a job is to be complete: by its deadline, or else by the
-    /// nearest objective that it can still meet, or by a default; sooner if a job that depends
-    /// on it needs that.
+    /// Returns the seconds, counted like [`Core::age_s`], within which a job should be complete: by
+    /// its deadline, else by the nearest objective that it can still meet, else by a default.
+    /// Shorter if a job that depends on it is due sooner.
     pub(crate) fn allowed_s(&self, job: &Job) -> f64 {
         let spec = &job.record.spec;
         let since_ms = job.record.since();
         let seconds_after = |due_ms: u64| (due_ms as f64 - since_ms as f64) / 1000.0;
-        // A deadline counts from the submission, however long the job waited.
+        // A deadline counts from the submission, even if the job waited for dependencies.
         let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
         let own_s = deadline_s.unwrap_or_else(|| {
             let earliest_completion_s = self.age_s(job) + EARLIEST_COMPLETION_RUN_SHARE * self.estimates.run_time(job);
@@ -146,9 +148,10 @@
         inherited_due_ms.map_or(own_s, |due_ms| own_s.min(seconds_after(due_ms)))
     }
 
-    /// Jobs that their team's guarantee covers along with the team's earlier ones.
+    /// Returns the jobs that their team's guarantee covers, filled in the order in which the team's
+    /// jobs were accepted.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
-        // There are few teams: a list is looked through faster than a map.
+        // There are few teams, so a linear search is faster than a map.
         let mut left = self.guarantees.clone();
         if left.is_empty() {
             return JobSet::default();
@@ -173,8 +176,8 @@
     }
 }
 
-/// Takes all tasks of a job from what is left of its team's guarantee, which may go below
-/// zero; true if the guarantee covers them.
+/// Deducts all tasks of a job from the rest of its team's guarantee, which may become negative.
+/// True if the guarantee covers them.
 fn deduct_from_guarantee(left: &mut ComputeAmount, job: &Job) -> bool {
     let spec = &job.record.spec;
     let tasks = f64::from(spec.task_count);
--- a/src/coordination/scheduling/placement_request.rs
+++ b/src/coordination/scheduling/placement_request.rs
@@ -1,28 +1,29 @@
-//! What the tasks of one job ask of a machine during one scheduling cycle.
+//! Placement request: what the tasks of one job need from a machine in one scheduling cycle.
 //!
-//! The cycle makes one request a job; candidate machines are ranked against it. Requests
-//! hold no state of the cycle but the number of their shape.
+//! The cycle builds one request per job and ranks candidate machines against it. The only state of
+//! the cycle in a request is the number of its shape.
 
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::Core;
 use crate::protocol::users::JobKind;
 use crate::storage::cache::Job;
 
-/// The most shapes that are numbered; requests of further ones are not cached by machines.
+/// Maximum number of numbered shapes. Machines cache no waits for requests with further shapes.
 const MAX_SHAPES: usize = 64;
 
-/// The number of a shape within one cycle.
+/// Number of a shape within one cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ShapeId(pub usize);
 
-/// The distinct shapes (amounts of resources) that jobs of one cycle request. Most classes
-/// request the same for all their jobs, so a machine's wait for one job's task is the wait
-/// for the next one's too.
+/// Distinct shapes (amounts of resources) that jobs of one cycle request. Most classes request the
+/// same shape for all their jobs, so a machine's wait for a task of one job also holds for the next
+/// job.
 #[derive(Default)]
 pub(crate) struct RequestShapes(Vec<Resources>);
 
 impl RequestShapes {
-    /// The number of the shape, which is added if it is new; none once there are too many.
+    /// Returns the number of the shape, adding it if it is new; `None` if it is new and
+    /// [`MAX_SHAPES`] are numbered already.
     fn number(&mut self, need: &Resources) -> Option<ShapeId> {
         let known = self.0.iter().position(|shape| shape == need);
         if known.is_none() && self.0.len() < MAX_SHAPES {
@@ -33,31 +34,32 @@
     }
 }
 
-/// What all tasks of a job have in common for one cycle.
+/// Requirements that all tasks of a job share for one cycle.
 pub(crate) struct PlacementRequest<'a> {
     pub job: &'a Job,
-    /// What one task takes.
+    /// Resources that one task needs.
     pub need: Resources,
-    /// The cycle's number of `need`, if it has one.
+    /// Number of the shape of `need`; `None` if the cycle has too many shapes.
     pub shape: Option<ShapeId>,
     /// Estimated run time of a task in seconds.
     pub run_s: f64,
-    /// The job's class must start sooner than a rented machine would be up.
+    /// True if an objective requires tasks of the job's class to start sooner than a newly rented
+    /// machine would be up.
     pub quick_start: bool,
-    /// A task may be planned on a busy machine and wait for capacity there.
+    /// True if a task may be planned on a busy machine and wait for capacity there.
     pub may_wait: bool,
 }
 
 impl PlacementRequest<'_> {
-    /// True if the tasks start together or not at all.
+    /// True if the tasks must start together or not at all.
     pub fn is_gang(&self) -> bool {
         self.job.record.spec.kind == JobKind::Gang
     }
 }
 
 impl Core {
-    /// The request of a job's tasks. `may_wait` says whether the cycle lets further tasks
-    /// wait for a busy machine; services never do.
+    /// Builds the request of a job's tasks. `may_wait` says whether the cycle still lets tasks wait
+    /// for a busy machine; tasks of services never wait for one.
     pub(crate) fn placement_request<'a>(
         &self,
         job: &'a Job,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,9 +1,9 @@
-//! Preemption: stopping tasks so that others may start, for a higher priority or so that a
-//! team gets its guarantee.
+//! Preemption: stops tasks so that tasks of a higher priority, or of a team within its guarantee,
+//! can start.
 //!
-//! Runs after a scheduling cycle, for the jobs that it could not place. A [`PreemptionPlan`]
-//! chooses the tasks whose stop loses the least work; they are then marked to be stopped. The
-//! capacity that this frees is not reserved: a later cycle places the jobs.
+//! Runs after a scheduling cycle, for the jobs that the cycle could not place. A [`PreemptionPlan`]
+//! selects the tasks whose stop loses the least work, which are then marked to be stopped. The
+//! freed capacity is not reserved: a later cycle places the jobs.
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::pending_queue::JobSet;
@@ -17,68 +17,67 @@
 use crate::storage::cache::Job;
 use crate::units::ShardId;
 
-/// The most tasks stopped after one cycle.
+/// Maximum number of tasks stopped after one cycle.
 const MAX_STOPS_PER_CYCLE: usize = 24;
 
-/// The most jobs that room is made for after one cycle.
+/// Maximum number of jobs for which tasks are stopped after one cycle.
 const MAX_JOBS_PER_CYCLE: usize = 32;
 
-/// A task that ends within this time, in seconds, is not worth stopping, and a wait as short
-/// is not worth stopping another for.
+/// Time in seconds: a task that ends sooner is not worth stopping, and a wait up to this long is
+/// not worth stopping another task for.
 const NEARLY_DONE_S: f64 = 5.0;
 
-/// Seconds that a team within its guarantee waits for capacity before tasks are stopped.
+/// Planned wait in seconds beyond which tasks are stopped for a job within its team's guarantee.
 const MIN_RECLAIM_WAIT_S: f64 = 20.0;
 
-/// A job that will be late by more than this, in seconds, stops nobody: it is late anyway.
+/// A job that will be late by more than this, in seconds, preempts no task: it is late in any case.
 const LATE_TOLERANCE_S: f64 = 5.0;
 
-/// A job is in danger if its planned wait leaves it less than this of its spare time, in
-/// seconds.
+/// A job preempts tasks if its planned wait leaves less than this of its spare time, in seconds.
 const SPARE_MARGIN_S: f64 = 15.0;
 
-/// A task that has run for less than this, in seconds, has no checkpoint to write yet.
+/// Run time in seconds up to which a task has no checkpoint to write yet.
 const MIN_CHECKPOINT_RUN_S: f64 = 1.0;
 
-/// Grace time of a task that writes a checkpoint: this many times what one takes.
+/// Grace time of a task that writes a checkpoint, as a multiple of the time to save one.
 const GRACE_FACTOR: f64 = 1.5;
 
-/// Seconds that a checkpoint is taken to need at least.
+/// Minimum time assumed to save a checkpoint, in seconds.
 const MIN_SAVE_S: f64 = 1.0;
 
-/// Loss in core seconds of any stop, beside the work.
+/// Loss in core seconds of any stop, added to the lost work.
 const STOP_LOSS_CPU_S: f64 = 1.0;
 
-/// A task that may be stopped for another.
+/// A task that may be stopped to make room for another.
 struct PreemptibleTask<'a> {
     key: &'a TaskKey,
-    /// Work that stopping it loses, in core seconds.
+    /// Work that is lost if the task is stopped, in core seconds.
     loss_cpu_s: f64,
     priority: Priority,
     team: &'a str,
-    /// Its job is within its own team's guarantee.
+    /// True if its job is within its own team's guarantee.
     guaranteed: bool,
-    /// Seconds that it gets to write a checkpoint.
+    /// Grace time to write a checkpoint, in seconds.
     grace_s: f64,
-    /// What it takes of its machine.
+    /// Resources that it uses on its machine.
     need: Resources,
-    /// Chosen to be stopped already.
+    /// True if the plan already stops it.
     chosen: bool,
 }
 
-/// A job that tasks may be stopped for.
+/// A job for which tasks may be stopped.
 struct Preemptor<'a> {
     job: &'a Job,
-    /// It is within its team's guarantee.
+    /// True if the job is within its team's guarantee.
     guaranteed: bool,
-    /// What one of its tasks takes.
+    /// Resources that one of its tasks needs.
     need: Resources,
     occupancy: ZoneOccupancy,
 }
 
 impl Preemptor<'_> {
-    /// True if the task may be stopped for this job: because its priority is lower, or because
-    /// it uses what its team borrowed beyond its own guarantee.
+    /// True if the task may be stopped for this job: because its priority is lower, or because it
+    /// uses capacity that its team borrowed beyond its own guarantee.
     fn may_stop(&self, task: &PreemptibleTask) -> bool {
         let lower_priority = task.priority < self.job.priority();
         let borrowed = self.guaranteed && task.team != self.job.record.spec.team && !task.guaranteed;
@@ -86,18 +85,19 @@
     }
 }
 
-/// One machine with the tasks on it that may be stopped.
+/// A machine and the tasks on it that may be stopped.
 struct PreemptionMachine<'a> {
     candidate: CandidateMachine<'a>,
-    /// What is free once the tasks being stopped are gone, without what is planned to start.
+    /// Free capacity after all tasks being stopped have ended, less the capacity that the plan has
+    /// given to preemptors.
     free_after_stops: Resources,
-    /// The lowest priority first, then the least loss.
+    /// Ordered by ascending priority, then by ascending loss.
     tasks: Vec<PreemptibleTask<'a>>,
 }
 
 impl PreemptionMachine<'_> {
-    /// The tasks whose stop makes room for one of the preemptor's, as indexes, in the order in
-    /// which they yield, and the loss in core seconds; none if all together do not.
+    /// Returns the loss in core seconds and the indexes of the tasks to stop, in order, so that one
+    /// of the preemptor's tasks fits; `None` if stopping all of them does not suffice.
     fn cheapest_stops(&self, preemptor: &Preemptor) -> Option<(f64, Vec<usize>)> {
         let mut free = self.free_after_stops;
         let mut chosen = vec![];
@@ -114,14 +114,14 @@
     }
 }
 
-/// The tasks to be stopped in one shard, and the machines they are on.
+/// Tasks to be stopped in one shard, and the machines that they are on.
 struct PreemptionPlan<'a> {
     machines: Vec<PreemptionMachine<'a>>,
     stops: Vec<TaskStop>,
 }
 
 impl PreemptionPlan<'_> {
-    /// Makes room for up to `tasks` tasks of a job, as far as other tasks may be stopped.
+    /// Frees capacity for up to `tasks` tasks of a job, as far as other tasks may be stopped.
     fn free_capacity_for_job(&mut self, preemptor: &Preemptor, tasks: usize) {
         for _ in 0..tasks {
             if self.stops.len() >= MAX_STOPS_PER_CYCLE || !self.free_capacity_for_task(preemptor) {
@@ -130,11 +130,11 @@
         }
     }
 
-    /// Makes room for one task; false if there is no way to.
+    /// Frees capacity for one task; false if that is impossible.
     fn free_capacity_for_task(&mut self, preemptor: &Preemptor) -> bool {
         let spec = &preemptor.job.record.spec;
         let is_suitable = |machine: &PreemptionMachine| machine.candidate.satisfies(spec, &preemptor.occupancy);
-        // What is free or comes free already is used up first.
+        // Uses capacity that is free, or that earlier stops release, before stopping more tasks.
         let free = |machine: &&mut PreemptionMachine| {
             preemptor.need.fits_into(&machine.free_after_stops) && is_suitable(machine)
         };
@@ -163,8 +163,8 @@
 }
 
 impl Core {
-    /// Marks tasks to be stopped where that lets unplaced tasks start sooner, the jobs served
-    /// in the order in which the cycle left them.
+    /// Marks tasks to be stopped so that unplaced tasks start sooner. Serves the jobs in the order
+    /// of `unplaced`.
     pub(crate) fn preempt_tasks(&mut self, shard: ShardId, unplaced: &[UnplacedTasks], guaranteed: &JobSet) {
         let stops = self.plan_preemption(shard, unplaced, guaranteed);
         for TaskStop { task, grace_s } in &stops {
@@ -180,7 +180,7 @@
         if unplaced.is_empty() {
             return vec![];
         }
-        // Looked up once for all jobs, not for each of them.
+        // The snapshot of the machines is shared by all jobs.
         let candidates = self.candidate_machines(shard).into_iter();
         let machines = candidates.map(|candidate| self.preemption_machine(owned_shard, candidate, guaranteed));
         let mut plan = PreemptionPlan { machines: machines.collect(), stops: vec![] };
@@ -197,15 +197,15 @@
         plan.stops
     }
 
-    /// True if tasks may be stopped for a job. For one that would only be late anyway, or that
-    /// can still wait, they may not.
+    /// True if tasks may be stopped for a job. False if it would be late in any case, or if it can
+    /// still wait.
     fn is_worth_preempting_for(&self, unplaced: &UnplacedTasks, guaranteed: &JobSet) -> bool {
         let Some(job) = self.cache.jobs.get(&unplaced.job) else { return false };
         if job.priority() >= Priority::High {
             return unplaced.wait_s > NEARLY_DONE_S;
         }
-        // Taking back what others borrow costs their work: only where capacity does not come
-        // free by itself.
+        // Reclaiming borrowed capacity loses work, so it is done only where capacity is not
+        // released in time without it.
         if guaranteed.contains(&unplaced.job) {
             return unplaced.wait_s > MIN_RECLAIM_WAIT_S;
         }
@@ -213,7 +213,7 @@
         spare_s > -LATE_TOLERANCE_S && unplaced.wait_s + SPARE_MARGIN_S > spare_s && unplaced.wait_s > NEARLY_DONE_S
     }
 
-    /// The machine with the tasks on it that may be stopped at all.
+    /// Collects the tasks on a machine that may be stopped at all.
     fn preemption_machine<'a>(
         &'a self,
         owned_shard: &'a OwnedShard,
--- a/src/coordination/scheduling/queue_order.rs
+++ b/src/coordination/scheduling/queue_order.rs
@@ -1,47 +1,47 @@
-//! The order in which queued jobs are served, as a pure function.
+//! Order in which queued jobs are served, as a pure function.
 //!
-//! Called by the pending queue once a scheduling cycle. Knows no machines, only how many
-//! cores there are in all.
+//! The pending queue calls it once per scheduling cycle. It uses only the total number of cores,
+//! not single machines.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
-/// Seconds by which a job may be late and count as in time: estimates are not that good.
+/// Lateness in seconds up to which a job counts as on time, because estimates are inexact.
 const LATE_TOLERANCE_S: f64 = 5.0;
 
-/// The last of a job's tasks begin when nearly all work before is done: of its run time, the
-/// share that then still counts.
+/// The last tasks of a job start when nearly all work before them is done. This share of the job's
+/// run time is added to that point to estimate its completion.
 const LAST_TASK_RUN_SHARE: f64 = 0.25;
 
-/// A job with work left.
+/// A queued job with work left.
 pub(crate) struct QueuedJob<Rank, Id> {
-    /// The job of the lesser rank goes first, whatever the time.
+    /// The job of lesser rank goes first, regardless of its time left.
     pub rank: Rank,
-    /// Seconds until it should be complete; negative once it is late.
+    /// Seconds until it should be complete; negative if it is late.
     pub time_left_s: f64,
     /// Estimated run time of a task in seconds.
     pub run_s: f64,
-    /// Work still to be done, in core seconds.
+    /// Remaining work in core seconds.
     pub work_cpu_s: f64,
-    /// Time of day at which it was accepted, in milliseconds.
+    /// Time at which it was accepted, in milliseconds of the wall clock.
     pub accepted_at_ms: u64,
     pub id: Id,
 }
 
 impl<Rank, Id> QueuedJob<Rank, Id> {
-    /// Seconds by which its start may be put off.
+    /// Returns the seconds by which its start may be delayed.
     fn spare_s(&self) -> f64 {
         self.time_left_s - self.run_s
     }
 
-    /// The time left in whole milliseconds, which jobs are compared by.
+    /// Returns the time left in whole milliseconds, for comparisons.
     fn time_left_ms(&self) -> i64 {
         (self.time_left_s * 1000.0) as i64
     }
 }
 
-/// A job that can still be in time; the one with most work is the greatest.
+/// A job that can still be on time; the one with the most work compares greatest.
 #[derive(PartialEq)]
 struct OnTimeJob {
     work_cpu_s: f64,
@@ -62,12 +62,12 @@
     }
 }
 
-/// Orders jobs by rank, then those that can be in time by the time they have to spare, then
-/// the others by when they were accepted.
+/// Orders jobs by rank. Within a rank, jobs that can be on time go first, by the least spare time;
+/// the other jobs follow in the order in which they were accepted.
 ///
-/// With more work than `cpus` cores can do in time, going by the time alone would make all
-/// jobs late by a little. So the largest jobs yield until the rest can be in time, as in the
-/// algorithm of Moore and Hodgson for one machine.
+/// If `cpus` cores cannot do all the work on time, ordering by time alone would make all jobs a
+/// little late. The largest jobs are therefore moved back until the rest can be on time, as in the
+/// Moore-Hodgson algorithm for a single machine.
 pub(crate) fn serve_order<Rank: Ord, Id: Ord>(mut queue: Vec<QueuedJob<Rank, Id>>, cpus: f64) -> Vec<Id> {
     queue.sort_by(|a, b| {
         let key = |job: &QueuedJob<Rank, Id>| (job.time_left_ms(), job.accepted_at_ms);
@@ -84,8 +84,8 @@
     order.into_iter().map(|(job, _)| job.id).collect()
 }
 
-/// For each job of the queue, sorted by rank and time left, whether it yields because it or
-/// others would be late.
+/// Returns for each job of the queue, which must be sorted by rank and time left, whether it is
+/// moved back because it or others would be late.
 fn late_jobs<Rank: Ord, Id>(queue: &[QueuedJob<Rank, Id>], cpus: f64) -> Vec<bool> {
     let mut late = vec![false; queue.len()];
     let mut work_before_cpu_s = 0.0;
@@ -98,8 +98,8 @@
     late
 }
 
-/// Marks the jobs of one rank that yield, given the work in core seconds that goes before all
-/// of them; that work with the jobs that do not yield added.
+/// Marks the jobs of one rank that are moved back, given the work in core seconds of all lesser
+/// ranks. Returns that work plus the work of the jobs that are on time.
 fn mark_late_jobs<Rank, Id>(
     queue: &[QueuedJob<Rank, Id>],
     range: Range<usize>,
--- a/src/coordination/scheduling/resources.rs
+++ b/src/coordination/scheduling/resources.rs
@@ -1,16 +1,16 @@
-//! Amounts of the resources that a machine has and a task takes.
+//! Amounts of resources that a machine offers or a task uses.
 //!
-//! Used wherever free room is compared with what a task takes: by the scheduling cycle, by
-//! preemption, by the leader's assignment of slices and by scale-out. It knows no machine
-//! and no task: who holds what is counted by its callers.
+//! The scheduling cycle, preemption, the leader's assignment of slices and scale-out use these
+//! amounts to compare free capacity with the needs of a task. Callers keep track of which task uses
+//! what.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 use crate::units::ComputeAmount;
 use std::ops::{AddAssign, Neg, SubAssign};
 
-/// By how much a request may exceed what is free and still fit, for sums of amounts that
-/// were rounded.
+/// Tolerance by which a request may exceed the free amount and still fit, for sums with rounding
+/// errors.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// Amounts of all resources. A difference may be negative.
@@ -25,29 +25,29 @@
 }
 
 impl Resources {
-    /// What one task of the job takes for as long as it is on a machine.
+    /// Returns the resources that one task of the job uses while it is on a machine.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources { cpus: spec.cpus, gpus: spec.gpus, mem_gb: spec.mem_gb }
     }
 
-    /// What an empty machine of the type has.
+    /// Returns the resources of an empty machine of the type.
     pub fn of_machine(machine_type: &MachineType) -> Resources {
         Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, mem_gb: machine_type.mem_gb }
     }
 
-    /// What of this counts towards a team's quota.
+    /// Returns the amounts that count towards a team's quota.
     pub fn compute_amount(&self) -> ComputeAmount {
         ComputeAmount { cpus: self.cpus, gpus: self.gpus }
     }
 
-    /// True if so much can be taken of what is free.
+    /// True if these amounts fit into what is free.
     pub fn fits_into(&self, free: &Resources) -> bool {
         free.cpus + ROUNDING_TOLERANCE >= self.cpus
             && free.gpus + ROUNDING_TOLERANCE >= self.gpus
             && free.mem_gb + ROUNDING_TOLERANCE >= self.mem_gb
     }
 
-    /// The greater amount of each resource.
+    /// Returns the greater amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
