--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -148,8 +148,8 @@
         inherited_due_ms.map_or(own_s, |due_ms| own_s.min(seconds_after(due_ms)))
     }
 
-    /// Returns the jobs that their team's guarantee covers, filled in the order in which the team's
-    /// jobs were accepted.
+    /// Returns the jobs that their team's guarantee covers. Each team's jobs are counted in the
+    /// order in which they were accepted or, with dependencies, became ready to start.
     pub(crate) fn guaranteed_jobs(&self) -> JobSet {
         // There are few teams, so a linear search is faster than a map.
         let mut left = self.guarantees.clone();
--- a/src/coordination/scheduling/scheduling_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle.rs
@@ -1,9 +1,9 @@
-//! The scheduling cycle: one pass over the pending queue for each owned shard.
+//! Scheduling cycle: one pass over the pending queue for each owned shard.
 //!
-//! Begin to read here, then in `shard_cycle`. The core's tick calls `run_scheduling_cycles`. For each shard, a [`ShardCycle`] decides on
-//! a snapshot of the shard's machines which pending tasks start now and which wait for a busy
-//! machine; its [`CycleOutcome`] is then applied here. Placements become durable with the
-//! shard's next transaction: nothing is sent to a worker from here.
+//! The core's tick calls `run_scheduling_cycles`. For each shard, a [`ShardCycle`] decides on a
+//! snapshot of the shard's machines which pending tasks start now and which wait for a busy
+//! machine; this module then applies its [`CycleOutcome`]. Placements become durable with the
+//! shard's next transaction. This module sends nothing to workers.
 
 mod evacuation;
 mod exhausted_shapes;
@@ -22,49 +22,48 @@
 use shard_cycle::ShardCycle;
 use std::collections::BTreeMap;
 
-/// A task that is to start on a machine.
+/// A task that starts on a machine.
 struct Placement {
     task: TaskKey,
-    /// The number of the attempt that begins.
+    /// Number of the attempt that begins.
     attempt: Attempt,
     machine: MachineId,
 }
 
-/// The tasks of one job that found no free capacity in a cycle.
+/// Tasks of one job that found no free capacity in a cycle.
 pub(crate) struct UnplacedTasks {
     pub job: JobId,
-    /// How many of its tasks the cycle looked at without starting them.
+    /// Number of its tasks that the cycle considered without starting them.
     pub tasks: usize,
-    /// Seconds until the first of them is planned to start; infinite if none is.
+    /// Seconds until the first of them is planned to start; infinite if none is planned.
     pub wait_s: f64,
 }
 
-/// The start of the first task of a job that had waited too long.
+/// Start of the first task of a starving job.
 struct StarvingStart {
-    /// Cores of the task.
+    /// Cores that the task uses.
     cpus: f64,
-    /// Seconds for which it will hold them.
+    /// Seconds for which the task will use them.
     hold_s: f64,
     /// Cores of all candidate machines of the shard.
     shard_cpus: f64,
 }
 
-/// What one cycle of one shard decided.
+/// Decisions of one cycle of one shard.
 #[derive(Default)]
 struct CycleOutcome {
-    /// Tasks that start now.
     placements: Vec<Placement>,
     /// Jobs with tasks that wait for capacity, in the order of the queue.
     unplaced: Vec<UnplacedTasks>,
-    /// What the shard lacks of each team's quota for tasks that have a machine to go to.
+    /// Quota that the shard lacks, by team, for tasks that have a machine to start on.
     quota_shortages: BTreeMap<String, QuotaShortage>,
-    /// Set if the job that went first because it had waited too long got its task.
+    /// Set if the starving job, which was served first, got its task.
     starving_start: Option<StarvingStart>,
 }
 
 impl Core {
-    /// Runs one cycle in each shard that is owned and ready, unless the records are too old
-    /// to start new work on them.
+    /// Runs one cycle in each shard that is owned and ready. Does nothing if the cached records are
+    /// too stale to start new work.
     pub(crate) fn run_scheduling_cycles(&mut self) {
         if !self.records_fresh() {
             return;
@@ -95,16 +94,17 @@
         self.apply(shard, outcome, guaranteed);
     }
 
-    /// Of the queue, the jobs with tasks that are pending in the shard, in its order.
+    /// Returns the jobs of the queue with pending tasks in the shard, in the queue's order.
     fn jobs_pending_in(&self, shard: ShardId, queue: &[CacheIndex]) -> Vec<(&JobId, &Job)> {
-        // If this is the only shard owned, whatever is pending here is pending in it.
+        // If this node owns a single shard, all tasks that are pending here are pending in that
+        // shard.
         let only_shard = self.owned_shards.len() == 1;
         let is_pending_in = |job: &Job| pending_slices_in(job, shard).next().is_some();
         let jobs = queue.iter().filter_map(|index| self.cache.jobs.get_index(index.0));
         jobs.filter(|(_, job)| job.pending_tasks() > 0 && (only_shard || is_pending_in(job))).collect()
     }
 
-    /// Carries out what a cycle decided; then makes room for what it could not place.
+    /// Applies the decisions of a cycle, then preempts tasks for jobs that it could not place.
     fn apply(&mut self, shard: ShardId, outcome: CycleOutcome, guaranteed: &JobSet) {
         if let Some(start) = outcome.starving_start {
             self.record_starving_start(shard, start.cpus, start.hold_s, start.shard_cpus);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Logs at `debug` how much of the shard is idle and what its jobs lack.
+    /// Logs the shard's idle cores and the cores that its jobs lack, at level `debug`.
     fn log_cycle(&self, shard: ShardId, machines: &[CandidateMachine], outcome: &CycleOutcome) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -149,13 +149,13 @@
     }
 }
 
-/// The job's slices that have pending tasks in the shard, with their indexes.
+/// Returns the job's slices that have pending tasks in the shard, with their indexes.
 fn pending_slices_in(job: &Job, shard: ShardId) -> impl Iterator<Item = (usize, &Slice)> {
     let slices = job.slices().iter().enumerate();
     slices.filter(move |(index, slice)| slice.pending_tasks() > 0 && job.shard_of(*index) == Some(shard))
 }
 
-/// The number of the job's tasks that are pending in the shard.
+/// Returns the number of the job's tasks that are pending in the shard.
 fn pending_tasks_in(job: &Job, shard: ShardId) -> usize {
     pending_slices_in(job, shard).map(|(_, slice)| slice.pending_tasks() as usize).sum()
 }
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -1,8 +1,7 @@
-//! Stops tasks on machines that are about to be taken away, in time for a checkpoint.
+//! Evacuation: stops tasks on machines that will be taken away, in time to write a checkpoint.
 //!
-//! Runs before the cycles of the shards, and marks tasks to be stopped for machines that are
-//! faulty or of which the cloud has given notice. Where the tasks go then is decided by a
-//! later cycle.
+//! Runs before the shards' scheduling cycles and marks tasks to be stopped on machines that are
+//! faulty or have a termination notice. A later cycle places the tasks again.
 
 use crate::coordination::scheduling::task_stop::TaskStop;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard, TaskKey};
@@ -10,23 +9,25 @@
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::units::{MonotonicTime, ShardId};
 
-/// A task that will end at least so many seconds before its machine does is left to run.
+/// A task is left to run if it will end at least this many seconds before its machine is taken
+/// away.
 const COMPLETION_MARGIN_S: f64 = 0.5;
 
-/// A checkpoint begins this many times what one takes before the machine's end, and
-/// [`COMMAND_MARGIN_S`] earlier.
+/// Time before the machine's end at which a checkpoint begins, as a multiple of the time to save
+/// one, plus [`COMMAND_MARGIN_S`].
 const CHECKPOINT_TIME_FACTOR: f64 = 1.5;
 
-/// Seconds for the command to reach the machine.
+/// Time allowed for the stop command to reach the machine, in seconds.
 const COMMAND_MARGIN_S: f64 = 3.0;
 
-/// The least grace time of a task that writes checkpoints, in seconds.
+/// Minimum grace time of a task that writes checkpoints, in seconds.
 const MIN_GRACE_S: f64 = 1.0;
 
 impl Core {
-    /// Marks tasks on machines that are faulty or have a notice of their end: when the last
-    /// moment for a checkpoint has come, or at once if they write none and will not end by
-    /// themselves before.
+    /// Marks tasks to be stopped on machines that are faulty or have a termination notice. On a
+    /// faulty machine, all tasks are stopped at once. With a notice, a task that cannot complete
+    /// before the machine's end is stopped at the last time at which a checkpoint can still be
+    /// saved, or at once if it writes none.
     pub(super) fn evacuate_machines(&mut self) {
         for shard in self.owned_shards.keys().copied().collect::<Vec<_>>() {
             let stops = self.plan_evacuation(shard);
@@ -48,8 +49,8 @@
         stops
     }
 
-    /// The grace time in seconds with which a task is to be stopped now; none if it may run
-    /// on.
+    /// Returns the grace time in seconds if the task must be stopped now; `None` if it may continue
+    /// to run.
     fn evacuation_grace_s(
         &self,
         owned_shard: &OwnedShard,
@@ -72,13 +73,13 @@
     }
 }
 
-/// Seconds until a machine is taken away, or 0 if it is faulty and has no notice; none if it
-/// stays.
+/// Returns the seconds until a machine is taken away, or 0 if it is faulty and has no notice;
+/// `None` if it stays.
 fn time_left_s(machine: &Machine, now: MonotonicTime) -> Option<f64> {
     machine.notice.map(|at| at.since(now).as_secs()).or(machine.faulty.then_some(0.0))
 }
 
-/// Seconds before a machine's end at which a checkpoint has to begin.
+/// Returns the seconds before a machine's end at which a checkpoint must begin.
 fn checkpoint_lead_s(spec: &JobSpec) -> f64 {
     spec.checkpoint_save_s * CHECKPOINT_TIME_FACTOR + COMMAND_MARGIN_S
 }
--- a/src/coordination/scheduling/scheduling_cycle/exhausted_shapes.rs
+++ b/src/coordination/scheduling/scheduling_cycle/exhausted_shapes.rs
@@ -1,30 +1,31 @@
-//! Shapes that fit no machine any more in one scheduling cycle.
+//! Cache of the shapes that fit no machine any more in one scheduling cycle.
 //!
-//! Free capacity only shrinks during a cycle (but for a gang that gives back what it took
-//! itself), so that what found none need not be looked for again. Owned by a shard's cycle.
+//! Free capacity only shrinks during a cycle (except when a gang is rolled back, which restores
+//! only what the gang itself took), so a shape that did not fit needs no second search. Each
+//! shard's cycle has its own cache.
 
 use crate::coordination::scheduling::resources::Resources;
 
-/// The most shapes remembered; capacity for others is looked for each time.
+/// Maximum number of cached shapes; further shapes are searched for each time.
 const MAX_SHAPES: usize = 64;
 
-/// What a task takes, and whether it may use the reserve for quick starts.
+/// Resources of a task, and whether it may use the quick-start reserve.
 struct Shape {
     need: Resources,
     quick_start: bool,
 }
 
-/// The shapes that found no capacity so far.
+/// Shapes that found no capacity so far.
 #[derive(Default)]
 pub(super) struct ExhaustedShapes(Vec<Shape>);
 
 impl ExhaustedShapes {
-    /// True if no task of this shape can start any more.
+    /// True if no task of this shape can start in this cycle.
     pub fn contains(&self, need: &Resources, quick_start: bool) -> bool {
         self.0.iter().any(|shape| shape.need == *need && shape.quick_start == quick_start)
     }
 
-    /// Remembers a shape that fits no machine.
+    /// Adds a shape that fits no machine.
     pub fn insert(&mut self, need: &Resources, quick_start: bool) {
         if self.0.len() < MAX_SHAPES {
             self.0.push(Shape { need: *need, quick_start });
--- a/src/coordination/scheduling/scheduling_cycle/job_placement.rs
+++ b/src/coordination/scheduling/scheduling_cycle/job_placement.rs
@@ -1,7 +1,7 @@
-//! The state of one job while a scheduling cycle places its tasks.
+//! State of one job while a scheduling cycle places its tasks.
 //!
-//! Made by the shard's cycle for each job that may start or wait, and dropped when the job
-//! has been gone through. It reserves nothing itself.
+//! The shard's cycle creates one for each job that may start or wait, and drops it after the job's
+//! last task. It reserves no capacity itself.
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::candidates::RankedCandidate;
@@ -12,43 +12,44 @@
 use crate::units::{ComputeAmount, JobId, Millis, MonotonicTime};
 use std::collections::BinaryHeap;
 
-/// The most tasks of one job that a cycle looks at to find that they wait.
+/// Maximum number of waiting tasks of one job that a cycle considers.
 pub(super) const MAX_WAITING_TASKS: usize = 32;
 
-/// For how long a job goes to other machines after it failed on one, if there are any.
+/// Time for which a job avoids a machine on which it failed, if there are other machines.
 const AVOID_AFTER_FAILURE: Millis = Millis(60_000);
 
-/// For how long it does not go there in any case. The machine counts as room meanwhile, for
-/// which none is rented: the job must not wait for ever.
+/// Time for which a job avoids such a machine even if there is no other. Meanwhile the machine
+/// counts as capacity, so that no other is rented: a limit keeps the job from waiting indefinitely.
 const MIN_AVOID_AFTER_FAILURE: Millis = Millis(10_000);
 
-/// One job while its tasks are placed.
+/// Placement state of one job.
 pub(super) struct JobPlacement<'a> {
     pub id: &'a JobId,
     pub request: PlacementRequest<'a>,
-    /// What the shard may use of the team's limit.
+    /// Share of the team's limit that the shard may use.
     quota: TeamQuota,
-    /// What the team uses in the shard, with the job's tasks that start now.
+    /// Usage of the team in the shard, including the job's tasks that start now.
     pub used: ComputeAmount,
-    /// Where its tasks are, those placed in this cycle included.
+    /// Zones of its tasks, including those placed in this cycle.
     pub occupancy: ZoneOccupancy,
-    /// Machines for the next task, the best on top.
+    /// Candidate machines for the next task, best on top.
     pub candidates: BinaryHeap<RankedCandidate>,
-    /// Its tasks that do not start now for want of capacity.
+    /// Tasks that do not start now because capacity is lacking.
     pub unplaced: UnplacedTasks,
-    /// The job failed wherever it ran: one task at a time shows whether it still does.
+    /// True if the job failed on every machine that ran it. Then only one task at a time starts, as
+    /// a probe.
     pub fails_everywhere: bool,
-    /// No further task of the job is looked at in this cycle. For a gang: not all of its
+    /// True if the cycle considers no further task of the job. For a gang, also: not all of its
     /// tasks can start now.
     pub ended: bool,
-    /// For how long the job avoids a machine on which it failed.
+    /// Time for which the job avoids a machine on which it failed.
     avoid_after_failure: Millis,
-    /// Tasks that were looked at and have to wait.
+    /// Number of considered tasks that have to wait.
     waiting_tasks: usize,
 }
 
 impl<'a> JobPlacement<'a> {
-    /// A job of which no task is looked at yet and no machine ranked.
+    /// Creates the state of a job with no task considered and no machine ranked.
     pub fn new(
         id: &'a JobId,
         request: PlacementRequest<'a>,
@@ -77,31 +78,32 @@
         self.quota.has_room_for(self.used, self.request.need.compute_amount())
     }
 
-    /// Counts a task that starts now towards the quota.
+    /// Adds a task that starts now to the team's usage.
     pub fn add_quota_usage(&mut self) {
         self.used.cpus += self.request.need.cpus;
         self.used.gpus += self.request.need.gpus;
     }
 
-    /// True if the job failed on the machine so lately that it goes elsewhere. A job that
-    /// fails everywhere avoids none.
+    /// True if the job failed on the machine too recently to be placed there. A job that fails
+    /// everywhere avoids no machine.
     pub fn avoids(&self, machine: &CandidateMachine, now: MonotonicTime) -> bool {
         let failed_at = machine.reported.failed_jobs.get(self.id);
         !self.fails_everywhere && failed_at.is_some_and(|at| now.since(*at) < self.avoid_after_failure)
     }
 
-    /// Lets the job go to machines on which it failed, but for the latest of them.
+    /// Reduces the time for which the job avoids machines on which it failed to the minimum.
     pub fn shorten_failure_avoidance(&mut self) {
         self.avoid_after_failure = MIN_AVOID_AFTER_FAILURE;
     }
 
-    /// Counts a task that has to wait. A gang ends there; other jobs after so many.
+    /// Counts a task that has to wait. Ends the placement of a gang, and of any other job after
+    /// [`MAX_WAITING_TASKS`].
     pub fn record_waiting_task(&mut self) {
         self.waiting_tasks += 1;
         self.ended = self.request.is_gang() || self.waiting_tasks >= MAX_WAITING_TASKS;
     }
 
-    /// Counts a task for which there is no machine, now or later.
+    /// Counts a task that no machine can run, now or later, and ends the job's placement.
     pub fn record_unplaceable_task(&mut self) {
         self.unplaced.tasks += 1;
         self.ended = true;
--- a/src/coordination/scheduling/scheduling_cycle/limits.rs
+++ b/src/coordination/scheduling/scheduling_cycle/limits.rs
@@ -1,46 +1,44 @@
-//! What bounds one scheduling cycle: machines scored, and tasks that are let wait.
+//! Limits of one scheduling cycle: the number of machines scored, and the capacity promised to
+//! waiting tasks.
 //!
-//! Owned by a shard's cycle. The length of a cycle must not grow with the number of machines
-//! times that of pending jobs.
+//! Each shard's cycle has its own limits. They keep the duration of a cycle from growing with the
+//! number of machines times the number of pending jobs.
 
 use crate::coordination::Core;
 
-/// Machines that a cycle scores before it looks only at jobs with capacity now, if the
-/// settings do not say what share of a core the process has.
+/// Number of machines that a cycle scores before it considers only jobs that can start now, if the
+/// settings give the process no share of a core.
 const DEFAULT_SCORES_PER_CYCLE: usize = 64_000;
 
-/// Machines that a cycle may score however small the share of a core.
+/// Minimum of that number, however small the share of a core.
 const MIN_SCORES_PER_CYCLE: usize = 8000;
 
-/// Processor time that scoring a machine is taken to need, in seconds; it is not measured at
-/// run time.
+/// Assumed processor time to score one machine, in seconds.
 const SCORING_COST_S: f64 = 2e-7;
 
-/// The largest share of its processor time that the process spends on scores which start
-/// nothing.
+/// Maximum share of its processor time that the process spends on scores that start nothing.
 const MAX_SCORING_SHARE: f64 = 0.5;
 
-/// After so many times the scores at which jobs may no longer wait, the cycle ends.
+/// The cycle ends at this multiple of the number of scores at which jobs may no longer wait.
 const HARD_LIMIT_FACTOR: usize = 3;
 
-/// Jobs that a cycle lets wait for busy machines at least, however much they are promised.
-/// Further jobs may only start at once: the capacity that comes free soon belongs to the jobs
-/// before them.
+/// Minimum number of jobs that a cycle lets wait for busy machines, regardless of the cores
+/// promised to them. Further jobs may only start at once, because the capacity that is released
+/// soon belongs to the jobs before them.
 const MIN_WAITING_JOBS: usize = 32;
 
-/// The share of a shard's cores that a cycle promises to waiting jobs, beyond those of the
-/// first [`MIN_WAITING_JOBS`].
+/// Share of a shard's cores up to which a cycle lets more than [`MIN_WAITING_JOBS`] jobs wait.
 const MAX_PROMISED_SHARE: f64 = 0.25;
 
-/// How many machines a cycle may still score.
+/// Counts the machines that a cycle scores, against its limits.
 pub(super) struct ScoreBudget {
     scored: usize,
-    /// From so many scores on, jobs may start at once or not at all.
+    /// Number of scores from which jobs must start at once or not at all.
     soft_limit: usize,
 }
 
 impl ScoreBudget {
-    /// A budget of which nothing is spent; `soft_limit` is in machines scored.
+    /// Creates an unspent budget; `soft_limit` is a number of machines scored.
     pub fn new(soft_limit: usize) -> ScoreBudget {
         ScoreBudget { scored: 0, soft_limit }
     }
@@ -50,18 +48,18 @@
         self.scored += scores;
     }
 
-    /// True if jobs may still be scored only to let them wait.
+    /// True if machines may still be scored for jobs that cannot start now.
     pub fn allows_waiting(&self) -> bool {
         self.scored < self.soft_limit
     }
 
-    /// True if the cycle has to end.
+    /// True if the cycle must end.
     pub fn is_exhausted(&self) -> bool {
         self.scored >= HARD_LIMIT_FACTOR * self.soft_limit
     }
 }
 
-/// Capacity that tasks were let wait for in a cycle.
+/// Capacity promised to waiting tasks in a cycle.
 pub(super) struct PromisedCapacity {
     /// Cores of all candidate machines of the shard.
     shard_cpus: f64,
@@ -70,40 +68,42 @@
 }
 
 impl PromisedCapacity {
-    /// Nothing promised yet of a shard with so many cores.
+    /// Creates the record for a shard of `shard_cpus` cores with nothing promised.
     pub fn new(shard_cpus: f64) -> PromisedCapacity {
         PromisedCapacity { shard_cpus, promised_cpus: 0.0, waiting_jobs: 0 }
     }
 
-    /// True if one more job may be let wait.
+    /// True if one more job may wait.
     pub fn allows_waiting(&self) -> bool {
         self.promised_cpus < self.shard_cpus * MAX_PROMISED_SHARE || self.waiting_jobs < MIN_WAITING_JOBS
     }
 
-    /// Counts a task that was let wait.
+    /// Adds the cores of a waiting task.
     pub fn promise(&mut self, cpus: f64) {
         self.promised_cpus += cpus;
     }
 
-    /// Counts a job of which tasks found no capacity.
+    /// Counts a job some of whose tasks found no capacity.
     pub fn add_waiting_job(&mut self) {
         self.waiting_jobs += 1;
     }
 
-    /// Cores promised so far.
+    /// Returns the cores promised so far.
     pub fn promised_cpus(&self) -> f64 {
         self.promised_cpus
     }
 
-    /// Takes back promises to a gang, which was counted as waiting all the same.
+    /// Restores the promised cores after a gang was rolled back. The gang still counts as a waiting
+    /// job.
     pub fn restore_promised_cpus(&mut self, promised_cpus: f64) {
         self.promised_cpus = promised_cpus;
     }
 }
 
 impl Core {
-    /// Machines that a cycle of one shard scores before it looks only at jobs with capacity
-    /// now: what the process's share of a core can do between two cycles.
+    /// Returns the number of machines that a cycle of one shard scores before it considers only
+    /// jobs that can start now. Derived from the process's share of a core and the time between two
+    /// cycles.
     pub(super) fn scores_per_cycle(&self) -> usize {
         let scores = self.settings.cluster.process_limits.cpu_share.map(|share| {
             let time_s = share * MAX_SCORING_SHARE * self.tuning.cycle_interval_ms as f64 / 1000.0;
