--- a/src/coordination/scheduling/lifetimes/tests.rs
+++ b/src/coordination/scheduling/lifetimes/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn four_losses_give_the_values_worked_out_by_hand() {
+fn survival_and_loss_match_hand_computed_values() {
     let history = history(&[10.0, 20.0, 30.0, 40.0], &[]);
     assert!((history.survival_probability(0.0, 25.0) - 0.5).abs() < 1e-9);
     // Of the three that reach 10, two outlast 25.
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn without_history_or_past_every_lifetime_survival_is_certain() {
+fn survival_is_certain_without_history_or_past_every_lifetime() {
     assert_eq!(LifetimeHistory::default().survival_probability(5.0, 100.0), 1.0);
     assert_eq!(history(&[10.0], &[]).survival_probability(11.0, 5.0), 1.0);
 }
@@ -35,7 +35,7 @@
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { rng_seed: proptest::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..Default::default() })]
     #[test]
-    fn survival_is_a_probability_that_falls_with_run_time(
+    fn survival_is_a_probability_and_does_not_rise_with_run_time(
         lost in proptest::collection::vec(0.1f64..500.0, 0..300),
         up in proptest::collection::vec(0.1f64..500.0, 0..40),
         e in 0.0f64..600.0, d in 0.0f64..300.0, more in 0.0f64..100.0,
--- a/src/coordination/scheduling/objectives/tests.rs
+++ b/src/coordination/scheduling/objectives/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_reserve_is_for_short_waits() {
+fn only_short_wait_objectives_require_a_quick_start() {
     let mut names = NameInterner::default();
     let (lists, rolls) = (names.intern("lists"), names.intern("rolls"));
     let quick = Objectives::from_settings(&[objective("wait", 180.0), objective("wait", 3.0)], &mut names);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_job_gets_the_nearest_objective_that_it_can_still_meet() {
+fn completion_objective_is_the_nearest_that_can_still_be_met() {
     let mut names = NameInterner::default();
     let lists = names.intern("lists");
     let objectives =
--- a/src/coordination/scheduling/scheduling_cycle/quick_start_reserve/tests.rs
+++ b/src/coordination/scheduling/scheduling_cycle/quick_start_reserve/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
 #[test]
-fn the_reserve_is_on_machines_that_fetch_fast() {
+fn machines_with_fast_image_fetch_hold_the_reserve() {
     assert!(holds_reserve(0.8, 0.8) && !holds_reserve(0.2, 0.8) && holds_reserve(0.0, 0.0));
 }
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -1,9 +1,9 @@
-//! One scheduling cycle of one shard: which pending tasks start now, and where.
+//! One scheduling cycle of one shard: decides which pending tasks start now, and on which machine.
 //!
-//! Jobs are gone through in the order of the queue, each by [`ShardCycle::place_job`]: may it
-//! start or wait at all, is it within its team's quota, which machines suit it, then task by
-//! task; a gang of which not all tasks can start now is rolled back. The cycle reads the core
-//! and changes only its own plan: its outcome is applied by the parent module.
+//! Visits the jobs in the order of the queue. For each job, [`ShardCycle::place_job`] checks
+//! whether it can start or may wait and whether it is within its team's quota, ranks the machines,
+//! then places task by task; a gang is rolled back if not all of its tasks can start now. The cycle
+//! only reads the core and changes its own plan; the parent module applies the outcome.
 
 use crate::coordination::scheduling::candidate_machine::CandidateMachine;
 use crate::coordination::scheduling::candidates::{rank_candidate, ranked_candidates, RankedCandidate};
@@ -23,44 +23,43 @@
 use crate::units::{Attempt, ComputeAmount, JobId, MachineId, ShardId};
 use std::collections::BTreeMap;
 
-/// The state of one cycle of one shard.
+/// State of one cycle of one shard.
 pub(super) struct ShardCycle<'a> {
-    /// Read only: the cycle changes nothing of it.
+    /// Read only.
     core: &'a Core,
     shard: ShardId,
-    /// The machines that may get tasks, with the capacity that the cycle has left on them.
+    /// Machines that may get tasks, with the capacity left after the cycle's reservations.
     machines: Vec<CandidateMachine<'a>>,
     /// Cores of all these machines.
     shard_cpus: f64,
     reserve: QuickStartReserve,
-    /// Cores and GPUs in use by team, the cycle's own placements included.
+    /// Cores and GPUs in use by team, including the cycle's own placements.
     usage: BTreeMap<String, ComputeAmount>,
-    /// Machines scored so far.
     scores: ScoreBudget,
-    /// Capacity that tasks wait for.
+    /// Capacity promised to waiting tasks.
     promised: PromisedCapacity,
     shapes: RequestShapes,
     exhausted: ExhaustedShapes,
-    /// The shortest provisioning time of any machine type, in seconds.
+    /// Shortest provisioning time of any machine type, in seconds.
     shortest_provisioning_s: f64,
-    /// Tasks of a slice that may be on machines or tried before, for its record to stay one
-    /// value of the store.
+    /// Maximum number of tasks of a slice that may be on machines or tried before, so that the
+    /// slice's record fits into one value of the store.
     max_tried_per_slice: usize,
-    /// The job that goes first because it has waited too long.
+    /// Starving job, which is served first; `None` if there is none.
     starving_job: Option<&'a JobId>,
     outcome: CycleOutcome,
 }
 
-/// The state that a cycle returns to if not all tasks of a gang can start now.
+/// State to which a cycle is rolled back if not all tasks of a gang can start now.
 struct GangSavepoint<'a> {
     machines: Vec<CandidateMachine<'a>>,
-    /// How many tasks were placed before.
+    /// Number of placements before the gang.
     placements: usize,
     promised_cpus: f64,
 }
 
 impl<'a> ShardCycle<'a> {
-    /// A cycle that has decided nothing yet, with a snapshot of the shard's machines.
+    /// Creates a cycle without decisions, from a snapshot of the shard's machines.
     pub fn new(core: &'a Core, shard: ShardId) -> ShardCycle<'a> {
         let machines = core.candidate_machines(shard);
         let shard_cpus: f64 = machines.iter().map(|machine| machine.machine_type.cpus).sum();
@@ -83,7 +82,8 @@
         }
     }
 
-    /// Goes through the jobs, which have pending tasks in the shard, in their order.
+    /// Runs the cycle over `jobs`, which have pending tasks in the shard, in their order, after the
+    /// starving job if there is one.
     pub fn run(mut self, mut jobs: Vec<(&'a JobId, &'a Job)>) -> CycleOutcome {
         self.move_starving_job_to_front(&mut jobs);
         for (id, job) in jobs {
@@ -96,7 +96,7 @@
         self.outcome
     }
 
-    /// A job that has waited too long goes before all others.
+    /// Moves the starving job, if there is one, before all others.
     fn move_starving_job_to_front(&mut self, jobs: &mut [(&'a JobId, &'a Job)]) {
         if let Some(index) = self.core.starving_job(self.shard, jobs) {
             jobs[..=index].rotate_right(1);
@@ -108,7 +108,7 @@
         self.outcome.placements.len() >= self.core.tuning.max_placements_per_cycle
     }
 
-    /// Places the job's pending tasks of the shard as far as capacity and quota allow.
+    /// Places the job's pending tasks in the shard, as far as capacity and quota allow.
     fn place_job(&mut self, id: &'a JobId, job: &'a Job) {
         let need = Resources::of_task(&job.record.spec);
         let quick_start = self.core.objectives.requires_start_before(&job.class, self.shortest_provisioning_s);
@@ -124,7 +124,7 @@
         let team = &job.record.spec.team;
         let (quota, used) = (self.core.quota(self.shard, team), self.used_by(team));
         if !quota.has_room_for(used, need.compute_amount()) {
-            // Only a shard with capacity for a task has use for more of its team's quota.
+            // A shard needs more of the team's quota only if it has capacity for a task.
             if can_start {
                 let max_tasks = if request.is_gang() { 1 } else { MAX_WAITING_TASKS };
                 self.add_quota_shortage(&request, pending_tasks_in(job, self.shard).min(max_tasks));
@@ -145,7 +145,7 @@
         }
     }
 
-    /// True if any machine has capacity for a task now that it may take.
+    /// True if a task can start now on any machine that it may use.
     fn can_start_now(&mut self, need: &Resources, quick_start: bool) -> bool {
         if self.exhausted.contains(need, quick_start) {
             return false;
@@ -161,25 +161,25 @@
         found
     }
 
-    /// True if a job may be planned on busy machines. Behind too many others it gains nothing
-    /// from that: the next cycle knows better.
+    /// True if a job may be planned on busy machines. Behind many other waiting jobs, such a plan
+    /// is of no use: the next cycle has newer data.
     fn may_wait(&self) -> bool {
         self.promised.allows_waiting() && self.scores.allows_waiting()
     }
 
-    /// What the team uses in the shard, this cycle's placements included.
+    /// Returns the team's usage in the shard, including this cycle's placements.
     fn used_by(&self, team: &str) -> ComputeAmount {
         self.usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Notes that tasks could start if the shard had more of the team's quota.
+    /// Records that tasks could start if the shard had more of the team's quota.
     fn add_quota_shortage(&mut self, request: &PlacementRequest, tasks: usize) {
         let team = request.job.record.spec.team.clone();
         let shortage = self.outcome.quota_shortages.entry(team).or_default();
         shortage.add_tasks(request.need.compute_amount(), tasks as f64);
     }
 
-    /// What a gang changes, as it is before its first task is placed.
+    /// Saves the state that placing a gang changes, before its first task is placed.
     fn savepoint(&self) -> GangSavepoint<'a> {
         GangSavepoint {
             machines: self.machines.clone(),
@@ -188,15 +188,15 @@
         }
     }
 
-    /// Gives back what a gang took of which not all tasks can start now.
+    /// Rolls back the reservations and placements of a gang if not all of its tasks can start now.
     fn roll_back(&mut self, savepoint: GangSavepoint<'a>) {
         self.machines = savepoint.machines;
         self.outcome.placements.truncate(savepoint.placements);
         self.promised.restore_promised_cpus(savepoint.promised_cpus);
     }
 
-    /// Ranks the machines for a job. If it may wait, but only machines on which it failed
-    /// lately would ever do, it may go there again.
+    /// Ranks the machines for a job. If the job may wait and the only machines that suit it are
+    /// ones on which it failed recently, ranks again with a shorter avoidance time.
     fn begin_placement(
         &mut self,
         id: &'a JobId,
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Reserves capacity for the job's next task; the machine, if the task starts now.
+    /// Reserves capacity for the job's next task. Returns the machine if the task starts now.
     fn place_task(&mut self, placement: &mut JobPlacement) -> Option<MachineId> {
         self.drop_reserved_candidates(placement);
         let Some(best) = placement.candidates.peek().copied() else {
@@ -289,8 +289,8 @@
         Some(self.machines[best.machine_index].name.clone())
     }
 
-    /// Drops the best candidates for as long as they hold a reserve that is closed to the
-    /// job. It stays closed: free cores only shrink during a cycle.
+    /// Drops the best candidates while they hold a quick-start reserve that is closed to the job.
+    /// The reserve stays closed, because its free cores only shrink during a cycle.
     fn drop_reserved_candidates(&self, placement: &mut JobPlacement) {
         if !self.reserve.is_closed_to(&placement.request.need, placement.request.quick_start) {
             return;
@@ -309,7 +309,7 @@
         self.scores.spend(1);
     }
 
-    /// Counts a task that starts now on a machine where its capacity is reserved.
+    /// Records a task that starts now on a machine where its capacity is reserved.
     fn start_task(&mut self, placement: &mut JobPlacement, best: &RankedCandidate) {
         let need = placement.request.need;
         let machine = &self.machines[best.machine_index];
@@ -321,15 +321,16 @@
         }
         placement.ended |= placement.fails_everywhere && !placement.request.is_gang();
         if self.starving_job == Some(placement.id) {
-            // One task goes before others; the rest of the job waits in its place again.
+            // Only one task is served first; the rest of the job waits in its normal place in the
+            // queue.
             let start = StarvingStart { cpus: need.cpus, hold_s: best.hold_s, shard_cpus: self.shard_cpus };
             self.outcome.starving_start = Some(start);
             placement.ended = true;
         }
     }
 
-    /// Notes tasks of a job that wait for capacity. Nothing is stopped for a job that
-    /// fails everywhere.
+    /// Records the tasks of a job that wait for capacity. No task is preempted for a job that fails
+    /// everywhere.
     fn record_unplaced(&mut self, placement: JobPlacement) {
         if placement.unplaced.tasks == 0 {
             return;
@@ -341,8 +342,8 @@
     }
 }
 
-/// True for a gang of which tasks are still on machines: what is left of an earlier attempt
-/// must be gone before it starts again.
+/// True for a gang with tasks still on machines: the tasks of an earlier attempt must end before it
+/// starts again.
 fn is_still_on_machines(request: &PlacementRequest) -> bool {
     request.is_gang() && request.job.has_placed_tasks()
 }
--- a/src/coordination/scheduling/scoring/tests.rs
+++ b/src/coordination/scheduling/scoring/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn expected_completion_is_that_worked_out_by_hand() {
+fn expected_completion_matches_hand_computed_value() {
     // Fresh machine, d = 15: p = 3/4, w = 10; R = 15 + (1/4)/(3/4)·10 = 18.333.
     let r = fresh_machine_completion_s(&history(), 15.0);
     assert!((r - (15.0 + 10.0 / 3.0)).abs() < 1e-9);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn without_history_completion_is_wait_and_run_time() {
+fn completion_without_history_is_wait_plus_run_time() {
     let e = expected_completion(
         &LifetimeHistory::default(),
         PlacementTiming { age_s: 5.0, wait_s: 3.0, run_s: 7.0, checkpoint_interval_s: 0.0 },
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn overdue_tasks_end_at_twice_their_elapsed_time() {
+fn overdue_task_needs_as_long_as_it_has_run() {
     assert_eq!(remaining_run_s(50.0, 20.0), 30.0);
     assert_eq!(remaining_run_s(50.0, 60.0), 60.0);
 }
--- a/src/coordination/scheduling/task_stop.rs
+++ b/src/coordination/scheduling/task_stop.rs
@@ -1,21 +1,21 @@
-//! Tasks of a shard that are to be stopped.
+//! Marks on a shard's tasks that are to be stopped.
 //!
-//! Evacuation and preemption decide on them. Marked tasks are told to stop by the answers to
-//! their machines' heartbeats; nothing is sent from here.
+//! Evacuation and preemption select the tasks. The responses to the machines' heartbeats carry the
+//! stop commands; this module sends nothing.
 
 use crate::coordination::shards::owned_shard::TaskKey;
 use crate::coordination::Core;
 use crate::units::ShardId;
 
-/// A task that is to be stopped.
+/// A task to be stopped.
 pub(crate) struct TaskStop {
     pub task: TaskKey,
-    /// Seconds that it gets to write a checkpoint; 0 if it writes none.
+    /// Grace time to write a checkpoint, in seconds; 0 if it writes none.
     pub grace_s: f64,
 }
 
 impl Core {
-    /// Marks tasks to be stopped. One that is marked already keeps its grace time.
+    /// Marks tasks to be stopped. A task that is already marked keeps its grace time.
     pub(crate) fn mark_tasks_to_stop(&mut self, shard: ShardId, stops: Vec<TaskStop>) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         for TaskStop { task, grace_s } in stops {
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -1,11 +1,11 @@
-//! Services some of whose replicas run while their shard has no capacity for the rest.
+//! Unplaceable services: some of their replicas run while their shard has no capacity for the rest.
 //!
-//! All replicas of a service are placed by one owner, that of its shard, and the service
-//! cannot move to another shard while one of them runs. If machines of a zone are lost, the
-//! shard may have none left where the others may go, though other shards have: those replicas
-//! would wait for ever. So the leader rents for them until a machine of that shard has come.
-//! The names of machines, and so their shards, are the cloud's choice; a machine of another
-//! shard is used there or given back. The leader alone calls this module.
+//! The owner of one shard places all replicas of a service, and the service cannot move to another
+//! shard while a replica runs. If machines of a zone are lost, the shard may have no machine left
+//! for the other replicas even though other shards have; those replicas would wait indefinitely.
+//! The leader therefore rents machines for them until one belongs to that shard. The cloud chooses
+//! the names of machines, and so their shards; a machine of another shard is used there or
+//! returned. Only the leader calls this module.
 
 use crate::coordination::fleet::demand::Demand;
 use crate::coordination::leader::shard_capacity::ShardCapacity;
@@ -17,28 +17,29 @@
 use crate::units::{JobId, Millis, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Capacity that comes free by itself within this time needs no machine.
+/// Time for which a service must lack capacity before a machine is rented for it: capacity may be
+/// released sooner.
 const MIN_WAIT: Millis = Millis(10_000);
 
-/// The most services that are rented for at the same time.
+/// Maximum number of services for which machines are rented at the same time.
 const MAX_SERVICES: usize = 8;
 
-/// A service that lacks capacity.
+/// A service that lacks capacity for a replica.
 #[derive(Debug)]
 struct UnplaceableService {
-    /// When this leader first saw that it lacks capacity.
+    /// Time at which this leader first saw that it lacks capacity.
     since: MonotonicTime,
-    /// The zone to rent in, if the service may be in any.
+    /// Zone to rent in; `None` if no zone is allowed.
     zone: Option<String>,
 }
 
-/// The services that lack capacity, as this leader has seen them.
+/// Services that lack capacity, as observed by this leader.
 #[derive(Debug, Default)]
 pub(crate) struct UnplaceableServices(BTreeMap<JobId, UnplaceableService>);
 
 impl Core {
-    /// Looks at the services of which some replicas run and others are pending, and remembers
-    /// since when their shards have no capacity for one more.
+    /// Checks the services with both running and pending replicas, and records since when their
+    /// shards have no capacity for one more.
     pub(crate) fn record_unplaceable_services(&mut self) {
         let active = self.cache.active.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?)));
         let incomplete: Vec<(&JobId, &Job)> = active.filter(|(_, job)| is_incomplete_service(job)).collect();
@@ -54,7 +55,8 @@
         self.unplaceable_services.0 = unplaceable;
     }
 
-    /// None if a machine of the service's shard has capacity for one more replica.
+    /// Returns the record of a service that lacks capacity; `None` if a machine of its shard has
+    /// capacity for one more replica.
     fn unplaceable_service(&self, id: &JobId, job: &Job, capacity: &ShardCapacity) -> Option<UnplaceableService> {
         let shard = job.shard_of(0)?;
         let zones = self.allowed_zones(job);
@@ -68,7 +70,8 @@
         })
     }
 
-    /// Zones in which one more replica may be beside those that run, the emptiest first.
+    /// Returns the zones in which one more replica is allowed beside the running ones, those with
+    /// the fewest replicas first.
     fn allowed_zones(&self, job: &Job) -> Vec<String> {
         let replicas = self.replica_zones(job);
         let offered_zones: BTreeSet<&String> =
@@ -79,7 +82,7 @@
         allowed
     }
 
-    /// Where a service's replicas are, as far as the leader knows the machines.
+    /// Counts a service's replicas by zone, as far as the leader knows their machines.
     fn replica_zones(&self, job: &Job) -> ZoneOccupancy {
         let mut replicas = ZoneOccupancy::default();
         for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
@@ -91,8 +94,8 @@
         replicas
     }
 
-    /// What the services demand that have lacked capacity for long: capacity for one replica
-    /// each, in their shard.
+    /// Returns the demand of the services that have lacked capacity for longer than [`MIN_WAIT`]:
+    /// one replica each, in the service's shard.
     pub(crate) fn unplaceable_demand(&self) -> Vec<Demand> {
         let services = self.unplaceable_services.0.iter();
         services
--- a/src/coordination/scheduling/zone_occupancy.rs
+++ b/src/coordination/scheduling/zone_occupancy.rs
@@ -1,7 +1,7 @@
-//! In which zones a job's tasks are, and in which further ones may go.
+//! Zones of a job's tasks, and the zones in which further tasks are allowed.
 //!
-//! Asked by the scheduling cycle and by preemption before a task goes to a machine, and by the
-//! leader before it rents for a service. Whoever places a task counts it here.
+//! The scheduling cycle and preemption check a zone before they place a task, and the leader before
+//! it rents a machine for a service. The caller adds each task that it places.
 
 use crate::coordination::Core;
 use crate::protocol::users::JobSpec;
@@ -9,29 +9,29 @@
 use crate::units::{JobId, ShardId};
 use std::collections::BTreeMap;
 
-/// The tasks of one job on machines, by zone.
+/// Number of a job's tasks on machines, by zone.
 #[derive(Default)]
 pub(crate) struct ZoneOccupancy {
     tasks_by_zone: BTreeMap<String, usize>,
-    /// Some tasks are on machines whose zone is not known yet: nothing more of the job may
-    /// be placed until it is.
+    /// True if some tasks are on machines whose zone is not known yet. Until it is known, no
+    /// further task of the job may be placed.
     pub incomplete: bool,
 }
 
 impl ZoneOccupancy {
-    /// Counts tasks that are placed in a zone.
+    /// Adds tasks that are placed in a zone.
     pub fn add(&mut self, zone: &str, tasks: usize) {
         *self.tasks_by_zone.entry(zone.to_string()).or_default() += tasks;
     }
 
-    /// The number of tasks in the zone.
+    /// Returns the number of tasks in the zone.
     pub fn tasks_in(&self, zone: &str) -> usize {
         self.tasks_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// True if one more task of the job may go to the zone: it is the one that the job names,
-    /// if it names one; the one that its other tasks are in, if all must be in one; and holds
-    /// less than half of the tasks, if they must be apart.
+    /// True if one more task of the job may be placed in the zone. If the job names a zone, it must
+    /// be that one; if all tasks must share a zone, it must be the one that the other tasks are in;
+    /// if the tasks must be apart, it must hold less than half of them (rounded up).
     pub fn allows(&self, spec: &JobSpec, zone: &str) -> bool {
         let half = spec.task_count.div_ceil(2) as usize;
         spec.zone.as_ref().is_none_or(|required| required == zone)
@@ -41,8 +41,8 @@
 }
 
 impl Core {
-    /// Where the tasks of a job are in the shard, as its owner desires them. Empty for jobs
-    /// whose tasks need be neither in one zone nor apart: where they are means nothing.
+    /// Returns the zones of a job's tasks in the shard, as its owner desires them. Empty for jobs
+    /// with no constraint on the zones of their tasks relative to each other.
     pub(crate) fn zone_occupancy(&self, shard: ShardId, id: &JobId, job: &Job) -> ZoneOccupancy {
         let mut occupancy = ZoneOccupancy::default();
         if !job.record.spec.one_zone && !job.record.spec.apart {
