--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -93,7 +93,7 @@
         let mut candidates = Vec::with_capacity(owned_shard.machines.len());
         for (name, machine) in &owned_shard.machines {
             let Some(machine_type) = self.catalog.get(&machine.kind) else { continue };
-            if self.may_get_tasks(name, machine) {
+            if self.is_schedulable(name, machine) {
                 candidates.push(self.candidate_machine(owned_shard, name, machine, machine_type));
             }
         }
@@ -102,7 +102,7 @@
 
     /// False for a machine that is faulty, unreachable, cordoned or draining, that has a
     /// termination notice, or whose last heartbeat is too old.
-    fn may_get_tasks(&self, name: &MachineId, machine: &Machine) -> bool {
+    fn is_schedulable(&self, name: &MachineId, machine: &Machine) -> bool {
         !machine.faulty
             && !self.is_downlink_lost(machine)
             && machine.notice.is_none()
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -17,7 +17,7 @@
 const MAX_TIME_LEFT_S: f64 = 1e6;
 
 /// Average share of its work that a task on a machine still has to do.
-const RUNNING_TASK_WORK_SHARE: f64 = 0.5;
+const RUNNING_TASK_REMAINING_SHARE: f64 = 0.5;
 
 /// Allowed time in seconds of a job without a deadline and without an objective, plus
 /// [`DEFAULT_ALLOWED_RUN_FACTOR`] times its run time.
@@ -100,7 +100,7 @@
         let run_s = self.estimates.run_time(job);
         let (done, on_machines) = job.counts();
         let tasks_left = f64::from(spec.task_count.saturating_sub(done + on_machines))
-            + f64::from(on_machines) * RUNNING_TASK_WORK_SHARE;
+            + f64::from(on_machines) * RUNNING_TASK_REMAINING_SHARE;
         QueuedJob {
             rank: QueueRank {
                 below_high_priority: job.priority() < Priority::High,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -43,7 +43,7 @@
 const GRACE_FACTOR: f64 = 1.5;
 
 /// Minimum time assumed to save a checkpoint, in seconds.
-const MIN_SAVE_S: f64 = 1.0;
+const MIN_CHECKPOINT_SAVE_S: f64 = 1.0;
 
 /// Loss in core seconds of any stop, added to the lost work.
 const STOP_LOSS_CPU_S: f64 = 1.0;
@@ -244,14 +244,18 @@
         let spec = &job.record.spec;
         let ran_s = owned_shard.running_since.get(key).map_or(0.0, |at| self.now.since(*at).as_secs());
         let writes_checkpoint = spec.checkpoint_interval_s > 0.0 && ran_s > MIN_CHECKPOINT_RUN_S;
-        let lost_s = if writes_checkpoint { spec.checkpoint_save_s } else { ran_s };
+        let lost_run_s = if writes_checkpoint { spec.checkpoint_save_s } else { ran_s };
         PreemptibleTask {
             key,
-            loss_cpu_s: lost_s * spec.cpus + STOP_LOSS_CPU_S,
+            loss_cpu_s: lost_run_s * spec.cpus + STOP_LOSS_CPU_S,
             priority: job.priority(),
             team: &spec.team,
             guaranteed: guaranteed.contains(&key.0),
-            grace_s: if writes_checkpoint { spec.checkpoint_save_s.max(MIN_SAVE_S) * GRACE_FACTOR } else { 0.0 },
+            grace_s: if writes_checkpoint {
+                spec.checkpoint_save_s.max(MIN_CHECKPOINT_SAVE_S) * GRACE_FACTOR
+            } else {
+                0.0
+            },
             need: Resources::of_task(spec),
             chosen: false,
         }
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -3,12 +3,12 @@
 //! The method is described in docs/DESIGN.md ("Kept" and "Changed, and why"). All times are in
 //! seconds; X is the lifetime of machines like the one being scored:
 //!
-//! | symbol | what it is | here |
+//! | symbol | meaning | in the code |
 //! |---|---|---|
 //! | a | wait until the task can run on the machine | `PlacementTiming::wait_s` |
 //! | d | run time of the task | `PlacementTiming::run_s` |
 //! | e | age of the machine when the task starts: its age now + a | `start_age_s` |
-//! | P_s | probability that a machine that ends takes the task with it: 1 | `LOSS_PROBABILITY` |
+//! | P_s | probability that a task is lost when its machine ends: 1 | `LOSS_PROBABILITY` |
 //! | P_c | probability that the task completes: 1 - P_s (1 - P(X > e + d given X > e)) | [`completion_probability`] |
 //! | w | run time lost with the machine: E(X - e given e < X < e + d) | [`LifetimeHistory::expected_loss_s`] |
 //! | R | expected completion on a machine that has just come up | [`fresh_machine_completion_s`] |
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -17,7 +17,7 @@
 const STARVING_CPU_SHARE: f64 = 0.1;
 
 /// Minimum of that share in cores, to avoid a division by 0.
-const MIN_SHARE_CPUS: f64 = 1e-3;
+const MIN_STARVING_CPUS: f64 = 1e-3;
 
 impl Core {
     /// Returns the index of the starving job, among a shard's pending jobs, that has waited
@@ -44,7 +44,7 @@
     /// capacity in a shard of `shard_cpus` cores. The next starving job is delayed for the time in
     /// which the share would do that work, up to the starvation limit.
     pub(crate) fn record_starving_start(&mut self, shard: ShardId, cpus: f64, hold_s: f64, shard_cpus: f64) {
-        let share_cpus = (STARVING_CPU_SHARE * shard_cpus).max(MIN_SHARE_CPUS);
+        let share_cpus = (STARVING_CPU_SHARE * shard_cpus).max(MIN_STARVING_CPUS);
         let pause = Millis::secs((cpus * hold_s / share_cpus).min(self.tuning.starvation_limit_s));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.next_starving_job = self.now + pause;
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -113,7 +113,7 @@
 
 /// True for a service that runs with fewer replicas than it should.
 fn is_incomplete_service(job: &Job) -> bool {
-    let (done, on) = job.counts();
+    let (done, on_machines) = job.counts();
     let is_service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
-    is_service && on > 0 && done + on < job.record.spec.task_count
+    is_service && on_machines > 0 && done + on_machines < job.record.spec.task_count
 }
