--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -23,8 +23,8 @@
 /// Maximum number of jobs for which tasks are stopped after one cycle.
 const MAX_JOBS_PER_CYCLE: usize = 32;
 
-/// Time in seconds: a task that ends sooner is not worth stopping, and a wait up to this long is
-/// not worth stopping another task for.
+/// Seconds: a task that ends sooner is not worth stopping, and a wait that is not longer is not
+/// worth stopping another task for.
 const NEARLY_DONE_S: f64 = 5.0;
 
 /// Planned wait in seconds beyond which tasks are stopped for a job within its team's guarantee.
@@ -33,7 +33,7 @@
 /// A job that will be late by more than this, in seconds, preempts no task: it is late in any case.
 const LATE_TOLERANCE_S: f64 = 5.0;
 
-/// A job preempts tasks if its planned wait leaves less than this of its spare time, in seconds.
+/// A job preempts tasks only if its planned wait leaves it less spare time than this, in seconds.
 const SPARE_MARGIN_S: f64 = 15.0;
 
 /// Run time in seconds up to which a task has no checkpoint to write yet.
--- a/src/coordination/scheduling/scheduling_cycle/limits.rs
+++ b/src/coordination/scheduling/scheduling_cycle/limits.rs
@@ -27,7 +27,8 @@
 /// soon belongs to the jobs before them.
 const MIN_WAITING_JOBS: usize = 32;
 
-/// Share of a shard's cores up to which a cycle lets more than [`MIN_WAITING_JOBS`] jobs wait.
+/// Share of a shard's cores that may be promised to waiting jobs before [`MIN_WAITING_JOBS`]
+/// becomes the limit.
 const MAX_PROMISED_SHARE: f64 = 0.25;
 
 /// Counts the machines that a cycle scores, against its limits.
