--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -43,5 +43,5 @@
         matches!(o, Output::Response(_, Response::Commands { commands, .. })
         if matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]))
     };
-    assert!(core.out.iter().any(stops_the_task), "{:?}", core.out);
+    assert!(core.outputs.iter().any(stops_the_task), "{:?}", core.outputs);
 }
--- a/src/coordination/jobs/dependency_lookup/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -15,7 +15,7 @@
     core.changed(changed);
     let answered_state = |core: &mut Core| {
         core.answer_known_job(RequestId(1), &second);
-        match core.out.pop() {
+        match core.outputs.pop() {
             Some(Output::Response(_, Response::Job { state, .. })) => Some(state),
             _ => None,
         }
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -56,12 +56,12 @@
             failing_jobs: self.failing_jobs(),
         };
         self.membership.status_schedule.sent += 1;
-        self.out.push(Output::BroadcastStatus(status));
+        self.outputs.push(Output::BroadcastStatus(status));
     }
 
     /// Tells all others at once that there are new records to read.
     pub(crate) fn send_revision_hint(&mut self, revision: Revision) {
-        self.out.push(Output::RevisionHint(revision));
+        self.outputs.push(Output::RevisionHint(revision));
     }
 
     fn shard_status(&self, shard: ShardId, owned_shard: &OwnedShard) -> ShardStatus {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -69,7 +69,7 @@
     /// When the clock last jumped.
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     cache: StateCache,
     store: StoreClient,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
@@ -120,7 +120,7 @@
             began: MonotonicTime(0),
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
-            out: vec![],
+            outputs: vec![],
             cache,
             objectives,
             guarantees,
@@ -162,7 +162,7 @@
         self.process_status_queries();
         self.send_due_responses();
         self.write_pending_changes();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// No input came for much longer than the pause between ticks: this process was suspended while its clocks ran
@@ -222,7 +222,7 @@
 
     /// Answers a request of a user or worker.
     fn response(&mut self, request: RequestId, response: Response) {
-        self.out.push(Output::Response(request, response));
+        self.outputs.push(Output::Response(request, response));
     }
 
     /// Tells a user why a request is not carried out.
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -108,14 +108,14 @@
     /// Sends a request to the store; `what` says what its answer is for.
     pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
         let id = self.store.register(what, self.now);
-        self.out.push(Output::State(id, call));
+        self.outputs.push(Output::State(id, call));
         id
     }
 
     /// Sends a request to the cloud; `what` says what its answer is for.
     pub(crate) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
         let id = self.store.register(what, self.now);
-        self.out.push(Output::Cloud(id, call));
+        self.outputs.push(Output::Cloud(id, call));
     }
 
     /// Takes the store's answer to a request.
