--- a/src/coordination/membership/feature_level.rs
+++ b/src/coordination/membership/feature_level.rs
@@ -86,7 +86,7 @@
         }
         let nodes: Vec<NodeName> = self.settings.node_names().iter().map(|name| NodeName::new(name)).collect();
         let levels = &self.membership.announced_levels;
-        if !nodes.iter().all(|node| levels.allows(node, SUPPORTED_LEVEL, self.began, self.now)) {
+        if !nodes.iter().all(|node| levels.allows(node, SUPPORTED_LEVEL, self.started_at, self.now)) {
             return;
         }
         let conditions = self.feature_level_conditions(&nodes);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -65,7 +65,7 @@
     shard_count: u32,
     now: MonotonicTime,
     /// When this process started.
-    began: MonotonicTime,
+    started_at: MonotonicTime,
     /// When the clock last jumped.
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
@@ -117,7 +117,7 @@
             settings,
             tuning,
             now: MonotonicTime(0),
-            began: MonotonicTime(0),
+            started_at: MonotonicTime(0),
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
             outputs: vec![],
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -33,7 +33,7 @@
 
     /// True if a peer was heard within this time. One that was never heard counts as heard when this process began.
     pub(crate) fn peer_heard_within(&self, node: &NodeName, limit: Millis) -> bool {
-        let heard = self.membership.peers().last_heard(node).unwrap_or(self.began);
+        let heard = self.membership.peers().last_heard(node).unwrap_or(self.started_at);
         self.now.since(heard) <= limit
     }
 
