--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -75,7 +75,7 @@
     /// A worker's heartbeat.
     Heartbeat(RequestId, Heartbeat),
     /// The answer of the store to a call.
-    State(CallId, StoreResponse),
+    Store(CallId, StoreResponse),
     /// The answer of the cloud to a call.
     Cloud(CallId, CloudAnswer),
     /// The status of another controller.
@@ -145,7 +145,7 @@
     /// Answer a request.
     Response(RequestId, Response),
     /// Call the store.
-    State(CallId, StoreRequest),
+    Store(CallId, StoreRequest),
     /// Call the cloud.
     Cloud(CallId, CloudCall),
     /// Send this node's status to all other controllers.
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -108,7 +108,7 @@
     /// Sends a request to the store; `what` says what its answer is for.
     pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
         let id = self.store.register(what, self.now);
-        self.outputs.push(Output::State(id, call));
+        self.outputs.push(Output::Store(id, call));
         id
     }
 
--- a/src/coordination/store_client/watch/tests.rs
+++ b/src/coordination/store_client/watch/tests.rs
@@ -10,7 +10,7 @@
     let read = |core: &mut Core, at: u64| {
         let outputs = core.handle(MonotonicTime(at), 0, Input::Tick);
         outputs.into_iter().find_map(|o| match o {
-            Output::State(id, StoreRequest::List { .. }) => Some(id),
+            Output::Store(id, StoreRequest::List { .. }) => Some(id),
             _ => None,
         })
     };
@@ -18,8 +18,8 @@
     for (at, more) in [(2400, true), (3800, false)] {
         let item = Item { key: format!("t/x/{at}"), value: serde_json::Value::Null, version: Revision(3) };
         let page = Page { items: vec![item], truncated: more, revision: Revision(at) };
-        let outputs = core.handle(MonotonicTime(at), 0, Input::State(id, StoreResponse::Page(page)));
-        let next = |o: Output| if let Output::State(id, StoreRequest::List { .. }) = o { Some(id) } else { None };
+        let outputs = core.handle(MonotonicTime(at), 0, Input::Store(id, StoreResponse::Page(page)));
+        let next = |o: Output| if let Output::Store(id, StoreRequest::List { .. }) = o { Some(id) } else { None };
         id = outputs.into_iter().find_map(next).unwrap_or(id);
     }
     assert_eq!((core.store.is_loaded(), core.store.last_read()), (true, Some(MonotonicTime(1000))));
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -141,7 +141,7 @@
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Response(id, response) => self.pending_responses.resolve(id, response),
-            Output::State(id, call) => self.queued_inputs.extend(self.external_clients.call_store(id, call)),
+            Output::Store(id, call) => self.queued_inputs.extend(self.external_clients.call_store(id, call)),
             Output::Cloud(id, call) => self.queued_inputs.extend(self.external_clients.call_cloud(id, call)),
             Output::BroadcastStatus(status) => self.status_broadcaster.broadcast_status(status),
             Output::RevisionHint(revision) => self.status_broadcaster.hint_revision(revision),
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -122,7 +122,7 @@
             StoreRequest::GrantLease { .. } | StoreRequest::RenewLease { .. } => &self.leases,
             _ => &self.store_calls,
         };
-        (!pool.call(id, call)).then_some(Input::State(id, StoreResponse::Unavailable))
+        (!pool.call(id, call)).then_some(Input::Store(id, StoreResponse::Unavailable))
     }
 
     /// Queues a call on the cloud. Returns an input if the call was refused.
@@ -136,7 +136,7 @@
         tracing::debug!(%error, "no answer from the store");
         StoreResponse::Unknown
     });
-    Input::State(id, answer)
+    Input::Store(id, answer)
 }
 
 /// Makes one call on the store.
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -107,11 +107,11 @@
             for output in self.core.handle(MonotonicTime(self.now), 1_000_000, input) {
                 match output {
                     Output::Response(id, response) => responses.push((id, response)),
-                    Output::State(_, StoreRequest::Watch { .. }) if !self.watch_open => {}
-                    Output::State(id, _) if !self.store_reachable => {
-                        next.push(Input::State(id, StoreResponse::Unavailable))
+                    Output::Store(_, StoreRequest::Watch { .. }) if !self.watch_open => {}
+                    Output::Store(id, _) if !self.store_reachable => {
+                        next.push(Input::Store(id, StoreResponse::Unavailable))
                     }
-                    Output::State(id, call) => next.push(Input::State(id, self.store.execute(self.now, call))),
+                    Output::Store(id, call) => next.push(Input::Store(id, self.store.execute(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
                         let catalog = Catalog { types: config.machine_types.clone() };
                         next.push(Input::Cloud(id, CloudAnswer::Catalog(catalog)));
--- a/tests/simulator/controllers.rs
+++ b/tests/simulator/controllers.rs
@@ -135,7 +135,7 @@
         let node = process.node;
         match output {
             Output::Response(id, response) => self.route_response(node, id, response),
-            Output::State(id, mut call) => {
+            Output::Store(id, mut call) => {
                 if self.controllers[node].previous_version {
                     strip_to_previous_version(&mut call);
                 }
--- a/tests/simulator/crash_points.rs
+++ b/tests/simulator/crash_points.rs
@@ -51,9 +51,9 @@
     /// The point that a node reaches by sending this, if it is any of these.
     fn of(node: &str, output: &Output) -> Option<CrashPoint> {
         match output {
-            Output::State(_, StoreRequest::List { .. }) => Some(CrashPoint::ReadRecords),
-            Output::State(_, StoreRequest::GrantLease { .. }) => Some(CrashPoint::GrantLease),
-            Output::State(_, StoreRequest::Transaction(transaction)) => CrashPoint::of_transaction(node, transaction),
+            Output::Store(_, StoreRequest::List { .. }) => Some(CrashPoint::ReadRecords),
+            Output::Store(_, StoreRequest::GrantLease { .. }) => Some(CrashPoint::GrantLease),
+            Output::Store(_, StoreRequest::Transaction(transaction)) => CrashPoint::of_transaction(node, transaction),
             Output::Cloud(_, CloudCall::Rent(_)) => Some(CrashPoint::RentMachines),
             _ => None,
         }
@@ -110,7 +110,7 @@
     fn carry_out_later(&mut self, node: usize, output: &Output, late: u64) {
         let caller = ProcessId::gone(node);
         let event = match output {
-            Output::State(id, call) => {
+            Output::Store(id, call) => {
                 ScheduledEvent::StoreCall(StoreCall { caller, id: *id, call: call.clone(), watch_until: 0 })
             }
             Output::Cloud(id, call) => ScheduledEvent::CloudCall { caller, id: *id, call: call.clone() },
--- a/tests/simulator/statistics.rs
+++ b/tests/simulator/statistics.rs
@@ -60,9 +60,9 @@
         Input::Tick => "tick",
         Input::ClientRequest(..) => "request",
         Input::Heartbeat(..) => "heartbeat",
-        Input::State(_, StoreResponse::WatchEvents(_)) => "watch",
-        Input::State(_, StoreResponse::Page(_)) => "page",
-        Input::State(..) => "store",
+        Input::Store(_, StoreResponse::WatchEvents(_)) => "watch",
+        Input::Store(_, StoreResponse::Page(_)) => "page",
+        Input::Store(..) => "store",
         Input::Cloud(..) => "cloud",
         Input::PeerStatus(_) => "peer",
     }
--- a/tests/simulator/store_calls.rs
+++ b/tests/simulator/store_calls.rs
@@ -102,7 +102,7 @@
 
     /// Sends the store's answer, `after` as many milliseconds.
     fn answer_store_call(&mut self, to: ProcessId, id: CallId, answer: StoreResponse, after: u64) {
-        let input = Input::State(id, answer);
+        let input = Input::Store(id, answer);
         self.schedule(self.now + after, ScheduledEvent::DeliverInput { to, input });
     }
 
--- a/tests/simulator/trace.rs
+++ b/tests/simulator/trace.rs
@@ -63,7 +63,7 @@
 /// An output as the transport writes it, after a word for its kind.
 fn wire_form(output: &Output) -> Vec<u8> {
     match output {
-        Output::State(call, request) => {
+        Output::Store(call, request) => {
             let (method, path, body) = request.to_http();
             [format!("state {call} {method} {path} ").as_bytes(), &body].concat()
         }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -119,7 +119,7 @@
         let steady = MonotonicTime(self.now - self.started_at + 1);
         for output in self.core.handle(steady, self.now, input) {
             match output {
-                Output::State(id, call) => self.in_flight.push_back((id, call)),
+                Output::Store(id, call) => self.in_flight.push_back((id, call)),
                 Output::Response(request, response) => self.responses.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
@@ -187,7 +187,7 @@
             while let Some((id, call)) = self.in_flight.pop_front() {
                 let watch = matches!(call, StoreRequest::Watch { .. });
                 let answer = self.store.execute(self.now, call);
-                self.handle_input(Input::State(id, answer));
+                self.handle_input(Input::Store(id, answer));
                 if watch {
                     break;
                 }
@@ -262,7 +262,7 @@
         let at = pick % self.in_flight.len();
         let Some((id, call)) = self.in_flight.remove(at) else { return };
         let answer = how(&mut self.store, self.now, call);
-        self.handle_input(Input::State(id, answer));
+        self.handle_input(Input::Store(id, answer));
     }
 }
 
@@ -375,7 +375,7 @@
             bed.wait(20);
             while let Some((id, call)) = bed.in_flight.pop_front() {
                 let answer = bed.store.execute(bed.now, call);
-                bed.handle_input(Input::State(id, answer));
+                bed.handle_input(Input::Store(id, answer));
                 if bed.in_flight.len() > 20 {
                     break;
                 }
