--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -225,7 +225,7 @@
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
         let rental = PendingRental { request, retries_left: RENTAL_RETRIES };
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::RentName { rental, transaction },
         );
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -22,7 +22,7 @@
         }
         if self.try_charge_request(request) {
             let call = StoreRequest::Get { key: job_key(&job) };
-            self.call_state(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
+            self.call_store(call, PendingRequest::CancelRead { request, job, tries: CANCEL_TRIES });
         }
     }
 
@@ -54,7 +54,7 @@
         let condition = Condition { key: job_key(&id), version };
         let transaction = Transaction { conditions: vec![condition], changes: vec![change] };
         self.store.charge_transaction(self.now, 1);
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
         );
@@ -77,7 +77,7 @@
             }
             StoreResponse::Conflict(_) | StoreResponse::Unknown => {
                 self.store.charge_read(self.now);
-                self.call_state(
+                self.call_store(
                     StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
                 );
--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -86,7 +86,7 @@
         let Some(id) = check.unchecked.last() else { return self.check_dependencies(check) };
         let key = if check.in_archive { archived_job_key(id) } else { job_key(id) };
         if self.try_charge_request(check.request) {
-            self.call_state(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
+            self.call_store(StoreRequest::Get { key }, PendingRequest::DependencyCheck(check));
         }
     }
 
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -50,7 +50,7 @@
         let Some(id) = next.cloned() else { return };
         self.dependency_lookups.started(&id);
         self.store.charge_read(self.now);
-        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.call_store(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
     /// Takes the outcome of a job that was looked up into the dependency graph.
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -89,7 +89,7 @@
             ],
             changes: vec![change],
         };
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::SubmitWrite { request, transaction, spec },
         );
@@ -132,7 +132,7 @@
     fn read_submitted(&mut self, request: RequestId, job: JobId, status: JobResponseStatus) {
         self.store.charge_read(self.now);
         let call = StoreRequest::Get { key: job_key(&job) };
-        self.call_state(call, PendingRequest::SubmitRead { request, job, status });
+        self.call_store(call, PendingRequest::SubmitRead { request, job, status });
     }
 
     /// Answers a submission from the record that was read, with this status.
--- a/src/coordination/jobs/validation.rs
+++ b/src/coordination/jobs/validation.rs
@@ -39,7 +39,7 @@
     fn look_up_refused_job(&mut self, held: HeldRefusal) {
         if self.try_charge_request(held.request) {
             let key = if held.in_archive { archived_job_key(&held.job) } else { job_key(&held.job) };
-            self.call_state(StoreRequest::Get { key }, PendingRequest::RefusalLookUp(held));
+            self.call_store(StoreRequest::Get { key }, PendingRequest::RefusalLookUp(held));
         }
     }
 
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -78,10 +78,10 @@
         self.store.charge_read(self.now);
         match request {
             LeaseRequest::Grant => {
-                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_store(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
             }
             LeaseRequest::Renew(lease) => {
-                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
+                self.call_store(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
             }
         }
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -155,7 +155,7 @@
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
             Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
-            Input::Store(call, answer) => self.state_answer(call, answer),
+            Input::Store(call, answer) => self.handle_store_response(call, answer),
             Input::Cloud(call, answer) => self.cloud_answer(call, answer),
             Input::PeerStatus(status) => self.receive_peer_status(status),
         }
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -85,7 +85,7 @@
         conditions.extend(self.membership.peers().names().map(absent));
         self.store.charge_read(self.now);
         let check = Transaction { conditions, changes: vec![] };
-        self.call_state(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
+        self.call_store(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
     }
 
     /// The store's answer to the check.
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -14,12 +14,12 @@
     core.store.set_last_read(MonotonicTime(0));
     assert!(core.transfer_quota(shard, ShardId(1), "red", ComputeAmount { cpus: 4.0, gpus: 0.0 }));
     for answer in [StoreResponse::Unknown, StoreResponse::Unavailable, StoreResponse::Unknown] {
-        core.state_answer(core.store.last_call(), answer);
+        core.handle_store_response(core.store.last_call(), answer);
         assert_eq!(core.quota(shard, "red").cpus, Some(8.0));
         core.store.end_pause();
         core.resolve_quota_transfers();
     }
-    core.state_answer(core.store.last_call(), StoreResponse::Committed(Revision(12)));
+    core.handle_store_response(core.store.last_call(), StoreResponse::Committed(Revision(12)));
     assert!(core.owned_shards[&shard].transferring.is_none() && core.store.has_no_busy_keys());
     assert_eq!((core.quota(shard, "red").cpus, core.quota(ShardId(1), "red").cpus), (Some(8.0), Some(16.0)));
 }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -1,7 +1,7 @@
 //! Requests in flight to the store and the cloud: what each answer is for, and
 //! which concern takes it.
 //!
-//! Every part of the core sends through [`Core::call_state`] and
+//! Every part of the core sends through [`Core::call_store`] and
 //! [`Core::call_cloud`]. Answers to requests that are not in flight are ignored.
 
 use crate::coordination::fleet::scale_out::PendingRental;
@@ -106,7 +106,7 @@
 
 impl Core {
     /// Sends a request to the store; `what` says what its answer is for.
-    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
+    pub(crate) fn call_store(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
         let id = self.store.register(what, self.now);
         self.outputs.push(Output::Store(id, call));
         id
@@ -119,7 +119,7 @@
     }
 
     /// Takes the store's answer to a request.
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
+    pub(crate) fn handle_store_response(&mut self, id: CallId, answer: StoreResponse) {
         let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
         if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.store.last_answer = Some(self.now);
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -185,7 +185,7 @@
         }
         self.store.charge_transaction(self.now, transaction.changes.len());
         let request = StoreRequest::Transaction(transaction.clone());
-        let call = self.call_state(request, PendingRequest::ShardTransaction { shard, transaction });
+        let call = self.call_store(request, PendingRequest::ShardTransaction { shard, transaction });
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = Some(call);
         }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -35,7 +35,7 @@
         for change in &transaction.changes {
             self.store.reserve_key(change_key(change));
         }
-        self.call_state(StoreRequest::Transaction(transaction.clone()), PendingRequest::Transaction(transaction));
+        self.call_store(StoreRequest::Transaction(transaction.clone()), PendingRequest::Transaction(transaction));
     }
 
     /// Takes the answer to a transaction that was sent for the first time.
@@ -86,7 +86,7 @@
         for transaction in std::mem::take(&mut self.store.unresolved.transfers) {
             self.store.charge_transaction(self.now, transaction.changes.len());
             let request = StoreRequest::Transaction(transaction.clone());
-            self.call_state(request, PendingRequest::QuotaTransferRetry(transaction));
+            self.call_store(request, PendingRequest::QuotaTransferRetry(transaction));
         }
         for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
             self.read_again(key, shard);
@@ -112,7 +112,7 @@
 
     fn read_again(&mut self, key: String, shard: Option<ShardId>) {
         self.store.charge_read(self.now);
-        self.call_state(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
+        self.call_store(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
     }
 
     /// Takes a record that was read because of a conflict.
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -41,7 +41,7 @@
     /// Asks for the page of records after the key `after`.
     fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
         self.store.charge_read(self.now);
-        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
+        self.call_store(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
@@ -49,7 +49,7 @@
         // A watch without events must end well before the last read is stale.
         let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
-        self.call_state(call, PendingRequest::Watch);
+        self.call_store(call, PendingRequest::Watch);
     }
 
     /// Takes a page of records; the last one completes the load.
