--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{CloudAnswer, Input};
+use crate::coordination::{CloudResponse, Input};
 
 /// A fleet that shrank returned more machines than the record has room for;
 /// the list, which lags, named them still, and they counted as room again.
@@ -11,7 +11,7 @@
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
     for some in names.chunks(50) {
         let call = core.store.register(PendingRequest::Return(some.to_vec()), core.now);
-        core.cloud_answer(call, CloudAnswer::Returned);
+        core.cloud_answer(call, CloudResponse::Returned);
         core.write_fleet();
         while core.fleet.inventory.confirmed_returns.len() > 10 {
             core.fleet.inventory.confirmed_returns.pop_first();
@@ -26,7 +26,7 @@
         age_s: 90.0,
     };
     let machines = names.iter().map(listed).collect();
-    let page = CloudAnswer::Page(crate::protocol::cloud::MachinePage { machines, truncated: false });
+    let page = CloudResponse::Page(crate::protocol::cloud::MachinePage { machines, truncated: false });
     core.list_answer(vec![], page);
     assert_eq!(core.fleet.inventory.machines.len(), 0);
 }
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -4,7 +4,7 @@
 //! a machine is forgotten only after lists have not named it for much longer than that.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{CloudAnswer, CloudCall, Core};
+use crate::coordination::{CloudCall, CloudResponse, Core};
 use crate::protocol::cloud::ListedMachine;
 use crate::units::{Millis, MonotonicTime};
 
@@ -60,8 +60,8 @@
 
     /// Takes a page, and asks for the next one or applies the whole list. If a page fails, the list
     /// is dropped and read again from its start.
-    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudAnswer) {
-        let CloudAnswer::Page(page) = answer else {
+    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudResponse) {
+        let CloudResponse::Page(page) = answer else {
             self.fleet.listing.abort();
             return;
         };
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::coordination::fleet::inventory::RentedMachine;
 use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{CloudAnswer, CloudCall, Core};
+use crate::coordination::{CloudCall, CloudResponse, Core};
 use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
 use crate::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::FLEET_KEY;
@@ -110,11 +110,11 @@
     }
 
     /// Takes the cloud's answer to a rental.
-    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
+    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudResponse) {
         self.fleet.renting = false;
         let pool = rental.pool();
         match answer {
-            CloudAnswer::Rented(names) => {
+            CloudResponse::Rented(names) => {
                 let (rented, requested) = (names.machines.len(), rental.request.count);
                 tracing::info!(
                     rented,
@@ -133,7 +133,7 @@
                     self.fleet.pool_backoffs.rented_all(&pool);
                 }
             }
-            CloudAnswer::NoCapacity => self.fleet.pool_backoffs.refused(pool, self.now),
+            CloudResponse::NoCapacity => self.fleet.pool_backoffs.refused(pool, self.now),
             // It may have been carried out: a repetition under the same name gets the same machines.
             _ if rental.retries_left > 0 && self.is_leader() => {
                 self.fleet.renting = true;
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -50,7 +50,7 @@
 
 /// The answer to a [`CloudCall`].
 #[derive(Debug, Clone)]
-pub enum CloudAnswer {
+pub enum CloudResponse {
     /// The machine types on offer.
     Catalog(Catalog),
     /// One page of the rented machines.
@@ -77,7 +77,7 @@
     /// The answer of the store to a call.
     Store(CallId, StoreResponse),
     /// The answer of the cloud to a call.
-    Cloud(CallId, CloudAnswer),
+    Cloud(CallId, CloudResponse),
     /// The status of another controller.
     PeerStatus(PeerStatus),
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -35,7 +35,7 @@
 use crate::units::{Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
-pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
+pub use messages::{ClientRequest, CloudCall, CloudResponse, Input, JobProgress, JobResponseStatus, Output, Response};
 use std::collections::BTreeMap;
 use timing::Timing;
 
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -4,7 +4,7 @@
 
 use super::events::{Event, EventSender};
 use super::http::{Client, HttpError};
-use crate::coordination::{CloudAnswer, CloudCall, Input};
+use crate::coordination::{CloudCall, CloudResponse, Input};
 use crate::protocol::cloud::{MachineIds, LIST_LIMIT};
 use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::CallId;
@@ -127,7 +127,7 @@
 
     /// Queues a call on the cloud. Returns an input if the call was refused.
     pub fn call_cloud(&self, id: CallId, call: CloudCall) -> Option<Input> {
-        (!self.cloud_calls.call(id, call)).then_some(Input::Cloud(id, CloudAnswer::Failed))
+        (!self.cloud_calls.call(id, call)).then_some(Input::Cloud(id, CloudResponse::Failed))
     }
 }
 
@@ -160,7 +160,7 @@
         Ok((status, body)) => cloud_answer(call, status, &body),
         Err(error) => {
             tracing::debug!(%error, "no answer from the cloud");
-            CloudAnswer::Failed
+            CloudResponse::Failed
         }
     };
     Input::Cloud(id, answer)
@@ -196,25 +196,25 @@
     }
 }
 
-fn cloud_answer(call: &CloudCall, status: u16, body: &[u8]) -> CloudAnswer {
+fn cloud_answer(call: &CloudCall, status: u16, body: &[u8]) -> CloudResponse {
     match status {
         200 => parse_cloud_answer(call, body).unwrap_or_else(|error| {
             tracing::warn!(%error, "cannot read the cloud's answer");
-            CloudAnswer::Failed
+            CloudResponse::Failed
         }),
-        503 if String::from_utf8_lossy(body).contains("no capacity") => CloudAnswer::NoCapacity,
+        503 if String::from_utf8_lossy(body).contains("no capacity") => CloudResponse::NoCapacity,
         _ => {
             tracing::debug!(status, "the cloud refused a call");
-            CloudAnswer::Failed
+            CloudResponse::Failed
         }
     }
 }
 
-fn parse_cloud_answer(call: &CloudCall, body: &[u8]) -> Result<CloudAnswer, serde_json::Error> {
+fn parse_cloud_answer(call: &CloudCall, body: &[u8]) -> Result<CloudResponse, serde_json::Error> {
     match call {
-        CloudCall::Catalog => serde_json::from_slice(body).map(CloudAnswer::Catalog),
-        CloudCall::List { .. } => serde_json::from_slice(body).map(CloudAnswer::Page),
-        CloudCall::Rent(_) => serde_json::from_slice(body).map(CloudAnswer::Rented),
-        CloudCall::Return(_) => Ok(CloudAnswer::Returned),
+        CloudCall::Catalog => serde_json::from_slice(body).map(CloudResponse::Catalog),
+        CloudCall::List { .. } => serde_json::from_slice(body).map(CloudResponse::Page),
+        CloudCall::Rent(_) => serde_json::from_slice(body).map(CloudResponse::Rented),
+        CloudCall::Return(_) => Ok(CloudResponse::Returned),
     }
 }
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 use simulator::{settings, ClusterConfig, SimulatedCluster, SimulatedStore};
-use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
+use tillercleat::coordination::{ClientRequest, CloudCall, CloudResponse, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::{JobSpec, Malformed};
@@ -114,7 +114,7 @@
                     Output::Store(id, call) => next.push(Input::Store(id, self.store.execute(self.now, call))),
                     Output::Cloud(id, CloudCall::Catalog) => {
                         let catalog = Catalog { types: config.machine_types.clone() };
-                        next.push(Input::Cloud(id, CloudAnswer::Catalog(catalog)));
+                        next.push(Input::Cloud(id, CloudResponse::Catalog(catalog)));
                     }
                     _ => {}
                 }
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::SimulatedCluster;
 use std::collections::BTreeMap;
-use tillercleat::coordination::{CloudAnswer, CloudCall};
+use tillercleat::coordination::{CloudCall, CloudResponse};
 use tillercleat::protocol::cloud::{Catalog, ListedMachine, ListedMachineState, MachineIds, MachinePage, RentRequest};
 use tillercleat::units::MachineId;
 
@@ -55,15 +55,15 @@
 }
 
 impl SimulatedCluster {
-    pub(super) fn call_cloud(&mut self, call: CloudCall) -> CloudAnswer {
+    pub(super) fn call_cloud(&mut self, call: CloudCall) -> CloudResponse {
         match call {
-            CloudCall::Catalog => CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() }),
-            CloudCall::List { .. } => CloudAnswer::Page(self.list_machines()),
+            CloudCall::Catalog => CloudResponse::Catalog(Catalog { types: self.config.machine_types.clone() }),
+            CloudCall::List { .. } => CloudResponse::Page(self.list_machines()),
             CloudCall::Rent(request) => self.rent_machines(request),
             CloudCall::Return(names) => {
                 let returned = self.workers.iter_mut().filter(|worker| names.contains(&worker.name));
                 returned.for_each(|worker| worker.die());
-                CloudAnswer::Returned
+                CloudResponse::Returned
             }
         }
     }
@@ -81,14 +81,14 @@
         MachinePage { machines: machines.collect(), truncated: false }
     }
 
-    fn rent_machines(&mut self, request: RentRequest) -> CloudAnswer {
+    fn rent_machines(&mut self, request: RentRequest) -> CloudResponse {
         if let Some(machines) = self.cloud.rentals.get(&request.request_id) {
-            return CloudAnswer::Rented(MachineIds { machines: machines.clone() });
+            return CloudResponse::Rented(MachineIds { machines: machines.clone() });
         }
         let room = self.config.machines.saturating_sub(self.running_machines());
         let count = (request.count as usize).min(room);
         if count == 0 {
-            return CloudAnswer::NoCapacity;
+            return CloudResponse::NoCapacity;
         }
         let zone = self.config.zones.iter().position(|zone| *zone == request.zone).expect("a zone of the catalog");
         let mut machines = vec![];
@@ -98,6 +98,6 @@
             machines.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
         }
         self.cloud.rentals.insert(request.request_id, machines.clone());
-        CloudAnswer::Rented(MachineIds { machines })
+        CloudResponse::Rented(MachineIds { machines })
     }
 }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use simulator::{ClusterConfig, SimulatedStore};
 use std::collections::VecDeque;
-use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
+use tillercleat::coordination::{ClientRequest, CloudCall, CloudResponse, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::JobSpec;
@@ -124,11 +124,13 @@
                 Output::Cloud(id, call) => {
                     let answer = match call {
                         CloudCall::Catalog => {
-                            CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() })
+                            CloudResponse::Catalog(Catalog { types: self.config.machine_types.clone() })
                         }
-                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], truncated: false }),
-                        CloudCall::Rent(_) => CloudAnswer::NoCapacity,
-                        CloudCall::Return(_) => CloudAnswer::Failed,
+                        CloudCall::List { .. } => {
+                            CloudResponse::Page(MachinePage { machines: vec![], truncated: false })
+                        }
+                        CloudCall::Rent(_) => CloudResponse::NoCapacity,
+                        CloudCall::Return(_) => CloudResponse::Failed,
                     };
                     self.handle_input(Input::Cloud(id, answer));
                 }
