--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -6,7 +6,7 @@
 
 impl Core {
     /// Takes the answer to a call. A call that is not pending any more is ignored.
-    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudResponse) {
+    pub(crate) fn handle_cloud_response(&mut self, id: CallId, answer: CloudResponse) {
         let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
         match (what, answer) {
             (PendingRequest::Catalog, CloudResponse::Catalog(catalog)) => self.apply_catalog(catalog),
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -11,7 +11,7 @@
     let names: Vec<MachineId> = (0..400).map(|n| MachineId::new(&format!("i-{n:06}"))).collect();
     for some in names.chunks(50) {
         let call = core.store.register(PendingRequest::Return(some.to_vec()), core.now);
-        core.cloud_answer(call, CloudResponse::Returned);
+        core.handle_cloud_response(call, CloudResponse::Returned);
         core.write_fleet();
         while core.fleet.inventory.confirmed_returns.len() > 10 {
             core.fleet.inventory.confirmed_returns.pop_first();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -156,7 +156,7 @@
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
             Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
             Input::Store(call, answer) => self.handle_store_response(call, answer),
-            Input::Cloud(call, answer) => self.cloud_answer(call, answer),
+            Input::Cloud(call, answer) => self.handle_cloud_response(call, answer),
             Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
