--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -30,7 +30,7 @@
     /// Moves old ended jobs out of the watched records, with writes that nothing else needs. Does
     /// nothing unless this node leads.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.store.writes_above(self.now, IDLE_S);
+        let idle = self.store.write_budget_above(self.now, IDLE_S);
         if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -76,7 +76,7 @@
                 self.answer_known_job(request, &job);
             }
             StoreResponse::Conflict(_) | StoreResponse::Unknown => {
-                self.store.charge_read(self.now);
+                self.store.charge_request(self.now);
                 self.call_store(
                     StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -49,7 +49,7 @@
         let next = self.dependency_graph.next_unknown(self.dependency_lookups.last.as_ref());
         let Some(id) = next.cloned() else { return };
         self.dependency_lookups.started(&id);
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         self.call_store(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -131,7 +131,7 @@
     pub(crate) fn release_ready_jobs(&mut self) {
         self.dependency_release.requested = false;
         // Like submissions, releases go before other writes.
-        let affordable = self.store.writes_above(self.now, -CREDIT_S);
+        let affordable = self.store.write_budget_above(self.now, -CREDIT_S);
         if !affordable || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
@@ -149,7 +149,7 @@
     /// Writes the ends of jobs that were cancelled through a dependency, with writes that nothing
     /// else needs: users are answered without them.
     pub(crate) fn write_dependency_outcomes(&mut self) {
-        let idle = self.store.writes_above(self.now, IDLE_S);
+        let idle = self.store.write_budget_above(self.now, IDLE_S);
         if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
--- a/src/coordination/jobs/health.rs
+++ b/src/coordination/jobs/health.rs
@@ -21,7 +21,7 @@
     /// True if submissions can be validated and the store answers, or if no peer reaches the store
     /// either: users are then no better off at another controller.
     pub(crate) fn can_accept_jobs(&self) -> bool {
-        let store_reached = self.is_recent(self.store.last_answer());
+        let store_reached = self.is_recent(self.store.last_response());
         self.store.is_loaded()
             && !self.catalog.is_empty()
             && (store_reached || self.membership.peers().none_reaches_store(self.now))
--- a/src/coordination/jobs/health/tests.rs
+++ b/src/coordination/jobs/health/tests.rs
@@ -13,7 +13,7 @@
     core.store.set_loaded();
     core.now = MonotonicTime(60_000);
     let mut up = |state: u64, peer: Option<(u64, bool)>| {
-        core.store.set_last_answer(MonotonicTime(state));
+        core.store.set_last_response(MonotonicTime(state));
         let peer = peer.map(|(heard, state_reachable)| Peer {
             heard: Some(MonotonicTime(heard)),
             state_reachable,
--- a/src/coordination/jobs/responses.rs
+++ b/src/coordination/jobs/responses.rs
@@ -58,7 +58,7 @@
     /// Charges what a user's request needs to this node's share of requests to the store. False, with
     /// the request refused, if the share does not allow it now.
     pub(crate) fn try_charge_request(&mut self, request: RequestId) -> bool {
-        if self.store.may_send(self.now) && self.store.try_charge_reads(self.now, 1.0) {
+        if self.store.may_send(self.now) && self.store.try_charge_requests(self.now, 1.0) {
             return true;
         }
         self.refuse(request, Refusal::Busy);
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -133,7 +133,7 @@
     /// True if the store has not answered for long, not counting the time that this process was
     /// suspended.
     fn is_store_silent(&self) -> bool {
-        let last_answer = self.store.last_answer().map(|at| at.max(self.resumed_at));
+        let last_answer = self.store.last_response().map(|at| at.max(self.resumed_at));
         last_answer.is_none_or(|at| self.now.since(at) > STORE_SILENCE)
     }
 
@@ -145,7 +145,7 @@
         if !self.status_queries.is_probe_due(self.now) || !self.store.may_send(self.now) {
             return;
         }
-        if self.store.try_charge_reads(self.now, 1.0) {
+        if self.store.try_charge_requests(self.now, 1.0) {
             let queries = self.status_queries.start_probe(self.now);
             self.call_store(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
         }
@@ -158,7 +158,7 @@
         self.status_queries.hold_until(revision, queries);
         if self.cache.revision < revision {
             // Queries wait for what the next watch brings.
-            self.store.watch_at_once(self.now);
+            self.store.request_watch_now(self.now);
             self.tick_membership();
         }
         self.answer_ready_queries();
--- a/src/coordination/jobs/status_query/tests.rs
+++ b/src/coordination/jobs/status_query/tests.rs
@@ -6,7 +6,7 @@
 fn queries_are_refused_at_once_while_the_store_is_silent() {
     let mut core = crate::coordination::tests::core();
     core.store.set_loaded();
-    core.store.set_last_answer(MonotonicTime(1000));
+    core.store.set_last_response(MonotonicTime(1000));
     let mut is_refused = |at: u64| {
         let outputs = core.handle(
             MonotonicTime(at),
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -44,7 +44,7 @@
             return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Acceptance goes before other requests to the store.
-        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -CREDIT_S) {
+        if !self.store.may_send(self.now) || self.store.request_budget_below(self.now, -CREDIT_S) {
             return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
@@ -130,7 +130,7 @@
     }
 
     fn read_submitted(&mut self, request: RequestId, job: JobId, status: JobResponseStatus) {
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         let call = StoreRequest::Get { key: job_key(&job) };
         self.call_store(call, PendingRequest::SubmitRead { request, job, status });
     }
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -75,7 +75,7 @@
 
     fn request_lease(&mut self) {
         let Some(request) = self.membership.node_lease.next_request(self.now) else { return };
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         match request {
             LeaseRequest::Grant => {
                 self.call_store(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
@@ -93,7 +93,7 @@
             StoreResponse::LeaseGranted(lease) => {
                 self.membership.node_lease.granted(lease, self.now + self.timing.renew_every);
             }
-            _ => self.store.pause(self.now),
+            _ => self.store.back_off(self.now),
         }
     }
 
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -121,7 +121,7 @@
             return;
         }
         if status.revision > self.cache.revision.0 {
-            self.store.watch_at_once(self.now);
+            self.store.request_watch_now(self.now);
             if self.store.may_send(self.now) {
                 self.tick_membership();
             }
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -83,7 +83,7 @@
         let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
         let absent = |node| Condition { key: lease_proxy_key(shard, node), version: Revision(0) };
         conditions.extend(self.membership.peers().names().map(absent));
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         let check = Transaction { conditions, changes: vec![] };
         self.call_store(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
     }
--- a/src/coordination/shards/shard_quota/tests.rs
+++ b/src/coordination/shards/shard_quota/tests.rs
@@ -16,7 +16,7 @@
     for answer in [StoreResponse::Unknown, StoreResponse::Unavailable, StoreResponse::Unknown] {
         core.handle_store_response(core.store.last_call(), answer);
         assert_eq!(core.quota(shard, "red").cpus, Some(8.0));
-        core.store.end_pause();
+        core.store.end_backoff();
         core.resolve_quota_transfers();
     }
     core.handle_store_response(core.store.last_call(), StoreResponse::Committed(Revision(12)));
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -20,13 +20,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long no request is sent after the store refused one or did not answer.
-const RETRY_PAUSE: Millis = Millis(250);
+const RETRY_DELAY: Millis = Millis(250);
 
 /// Where the cache stands between a first read of all records and the watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CacheSync {
     /// The records have to be read in full, for the first time or again.
-    Unread,
+    NotLoaded,
     /// Pages of records are being read.
     Loading,
     /// All records were read; no watch is in flight.
@@ -43,16 +43,16 @@
     pending_requests: BTreeMap<CallId, SentRequest>,
     sync: CacheSync,
     /// Not before this time is the next watch sent.
-    next_watch: MonotonicTime,
+    next_watch_at: MonotonicTime,
     /// Not before this time is the store tried again after a refusal.
-    retry_at: MonotonicTime,
+    backoff_until: MonotonicTime,
     /// When the newest successful read of all records was sent.
     last_read: Option<MonotonicTime>,
-    last_answer: Option<MonotonicTime>,
+    last_response: Option<MonotonicTime>,
     /// This controller's share of the limit on requests.
-    reads: RateLimiter,
+    request_limiter: RateLimiter,
     /// This controller's share of the limit on changes to keys.
-    writes: RateLimiter,
+    write_limiter: RateLimiter,
     /// Keys that a transaction in flight changes.
     busy_keys: BTreeSet<String>,
     /// Keys whose values did not fit, each logged once.
@@ -63,17 +63,17 @@
 impl StoreClient {
     /// A client that has sent nothing yet, with its share of the store's limits
     /// in requests and in changed keys a second.
-    pub(crate) fn new(reads_per_s: f64, writes_per_s: f64) -> StoreClient {
+    pub(crate) fn new(requests_per_s: f64, writes_per_s: f64) -> StoreClient {
         StoreClient {
             last_call: 0,
             pending_requests: BTreeMap::new(),
-            sync: CacheSync::Unread,
-            next_watch: MonotonicTime(0),
-            retry_at: MonotonicTime(0),
+            sync: CacheSync::NotLoaded,
+            next_watch_at: MonotonicTime(0),
+            backoff_until: MonotonicTime(0),
             last_read: None,
-            last_answer: None,
-            reads: RateLimiter::new(reads_per_s),
-            writes: RateLimiter::new(writes_per_s),
+            last_response: None,
+            request_limiter: RateLimiter::new(requests_per_s),
+            write_limiter: RateLimiter::new(writes_per_s),
             busy_keys: BTreeSet::new(),
             too_large: BTreeSet::new(),
             unresolved: UnresolvedTransactions::default(),
@@ -87,12 +87,12 @@
 
     /// False for a moment after the store refused a request.
     pub(crate) fn may_send(&self, now: MonotonicTime) -> bool {
-        now >= self.retry_at
+        now >= self.backoff_until
     }
 
     /// Holds requests back for a moment after a refusal.
-    pub(crate) fn pause(&mut self, now: MonotonicTime) {
-        self.retry_at = now + RETRY_PAUSE;
+    pub(crate) fn back_off(&mut self, now: MonotonicTime) {
+        self.backoff_until = now + RETRY_DELAY;
     }
 
     /// When the newest successful read of all records was sent: the cache shows
@@ -102,13 +102,13 @@
     }
 
     /// When the store last answered anything but a refusal.
-    pub(crate) fn last_answer(&self) -> Option<MonotonicTime> {
-        self.last_answer
+    pub(crate) fn last_response(&self) -> Option<MonotonicTime> {
+        self.last_response
     }
 
     /// Lets the next watch be sent at once: there is something new to read.
-    pub(crate) fn watch_at_once(&mut self, now: MonotonicTime) {
-        self.next_watch = now;
+    pub(crate) fn request_watch_now(&mut self, now: MonotonicTime) {
+        self.next_watch_at = now;
     }
 
     /// Numbers a request that is about to be sent, and keeps what its answer is for.
@@ -140,40 +140,40 @@
     }
 
     /// Charges one request, on credit if need be.
-    pub(crate) fn charge_read(&mut self, now: MonotonicTime) {
-        self.reads.take_on_credit(now, 1.0);
+    pub(crate) fn charge_request(&mut self, now: MonotonicTime) {
+        self.request_limiter.take_on_credit(now, 1.0);
     }
 
     /// Charges a transaction with this many changes, on credit if need be.
     pub(crate) fn charge_transaction(&mut self, now: MonotonicTime, changes: usize) {
-        self.reads.take_on_credit(now, 1.0);
-        self.writes.take_on_credit(now, changes as f64);
+        self.request_limiter.take_on_credit(now, 1.0);
+        self.write_limiter.take_on_credit(now, changes as f64);
     }
 
     /// Charges this many requests if the share of the limit allows them now.
-    pub(crate) fn try_charge_reads(&mut self, now: MonotonicTime, requests: f64) -> bool {
-        self.reads.try_take(now, requests)
+    pub(crate) fn try_charge_requests(&mut self, now: MonotonicTime, requests: f64) -> bool {
+        self.request_limiter.try_take(now, requests)
     }
 
     /// True if the requests that may be sent now are fewer than this many
     /// seconds' worth; negative when sending on credit.
-    pub(crate) fn reads_below(&mut self, now: MonotonicTime, seconds: f64) -> bool {
-        self.reads.level(now) < seconds * self.reads.per_s()
+    pub(crate) fn request_budget_below(&mut self, now: MonotonicTime, seconds: f64) -> bool {
+        self.request_limiter.available(now) < seconds * self.request_limiter.rate_per_s()
     }
 
     /// True if the changes that may be sent now are more than this many seconds' worth.
-    pub(crate) fn writes_above(&mut self, now: MonotonicTime, seconds: f64) -> bool {
-        self.writes.level(now) > seconds * self.writes.per_s()
+    pub(crate) fn write_budget_above(&mut self, now: MonotonicTime, seconds: f64) -> bool {
+        self.write_limiter.available(now) > seconds * self.write_limiter.rate_per_s()
     }
 
     /// How many changes may be sent now; negative when sending on credit.
     pub(crate) fn write_budget(&mut self, now: MonotonicTime) -> f64 {
-        self.writes.level(now)
+        self.write_limiter.available(now)
     }
 
     /// This controller's share of the limit, in changes a second.
     pub(crate) fn writes_per_s(&self) -> f64 {
-        self.writes.per_s()
+        self.write_limiter.rate_per_s()
     }
 }
 
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -122,7 +122,7 @@
     pub(crate) fn handle_store_response(&mut self, id: CallId, answer: StoreResponse) {
         let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
         if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
-            self.store.last_answer = Some(self.now);
+            self.store.last_response = Some(self.now);
         }
         if let StoreResponse::Invalid(reason) = &answer {
             tracing::error!(request = ?what, reason, "store rejected request as invalid");
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -20,13 +20,13 @@
 const COMPACT_TASK_BYTES: usize = 12;
 
 /// How long changes that can wait are left alone while writes are scarce.
-const SCARCE_PAUSE: Millis = Millis(20);
+const SCARCE_WRITES_DELAY: Millis = Millis(20);
 
 /// How long a shard does not write after a transaction that was not committed.
-const RETRY_PAUSE: Millis = Millis(150);
+const RETRY_DELAY: Millis = Millis(150);
 
 /// The same after one that the store rejected as invalid.
-const INVALID_PAUSE: Millis = Millis(2000);
+const INVALID_RETRY_DELAY: Millis = Millis(2000);
 
 /// How soon a slice's changes should be durable; the more urgent are less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -180,7 +180,7 @@
         }
         if transaction.changes.is_empty() {
             // All of it can wait for writes: it need not be weighed at every input.
-            owned_shard.retry_at = self.now + SCARCE_PAUSE;
+            owned_shard.retry_at = self.now + SCARCE_WRITES_DELAY;
             return;
         }
         self.store.charge_transaction(self.now, transaction.changes.len());
@@ -261,7 +261,7 @@
             }
             StoreResponse::Invalid(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
-                    owned_shard.retry_at = self.now + INVALID_PAUSE;
+                    owned_shard.retry_at = self.now + INVALID_RETRY_DELAY;
                 }
             }
             _ => {}
@@ -279,7 +279,7 @@
                 owned_shard.dirty.entry((id, index)).or_insert(now);
             }
         }
-        owned_shard.retry_at = now + RETRY_PAUSE;
+        owned_shard.retry_at = now + RETRY_DELAY;
     }
 }
 
--- a/src/coordination/store_client/tests.rs
+++ b/src/coordination/store_client/tests.rs
@@ -12,13 +12,13 @@
         self.last_read = Some(at);
     }
 
-    pub(crate) fn set_last_answer(&mut self, at: MonotonicTime) {
-        self.last_answer = Some(at);
+    pub(crate) fn set_last_response(&mut self, at: MonotonicTime) {
+        self.last_response = Some(at);
     }
 
     /// Ends the pause after a refusal.
-    pub(crate) fn end_pause(&mut self) {
-        self.retry_at = MonotonicTime(0);
+    pub(crate) fn end_backoff(&mut self) {
+        self.backoff_until = MonotonicTime(0);
     }
 
     pub(crate) fn last_call(&self) -> CallId {
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -111,7 +111,7 @@
     }
 
     fn read_again(&mut self, key: String, shard: Option<ShardId>) {
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         self.call_store(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
     }
 
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -26,11 +26,11 @@
     /// Begins to read all records, or sends the next watch, if neither is under way.
     pub(crate) fn keep_cache_current(&mut self) {
         match self.store.sync {
-            CacheSync::Unread => {
+            CacheSync::NotLoaded => {
                 self.store.sync = CacheSync::Loading;
                 self.load_page(None, LoadProgress { seen: BTreeSet::new(), revision: None, since: self.now });
             }
-            CacheSync::Loaded if self.now >= self.store.next_watch => {
+            CacheSync::Loaded if self.now >= self.store.next_watch_at => {
                 self.store.sync = CacheSync::Watching;
                 self.send_watch();
             }
@@ -40,12 +40,12 @@
 
     /// Asks for the page of records after the key `after`.
     fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         self.call_store(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         // A watch without events must end well before the last read is stale.
         let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
@@ -55,8 +55,8 @@
     /// Takes a page of records; the last one completes the load.
     pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StoreResponse) {
         let StoreResponse::Page(page) = answer else {
-            self.store.sync = CacheSync::Unread;
-            return self.store.pause(self.now);
+            self.store.sync = CacheSync::NotLoaded;
+            return self.store.back_off(self.now);
         };
         // Changes made while the pages were read come again by the watch,
         // which begins at the first page's revision.
@@ -92,14 +92,14 @@
         self.store.sync = CacheSync::Loaded;
         match answer {
             StoreResponse::WatchEvents(events) => self.take_watch_events(sent, events),
-            StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
-            _ => self.store.pause(self.now),
+            StoreResponse::TooOld => self.store.sync = CacheSync::NotLoaded,
+            _ => self.store.back_off(self.now),
         }
     }
 
     fn take_watch_events(&mut self, sent: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
         let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
-        self.store.next_watch = self.now + pause;
+        self.store.next_watch_at = self.now + pause;
         self.cache.revision = self.cache.revision.max(revision);
         for event in events {
             match event {
