--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -98,12 +98,12 @@
         self.store.release_key(FLEET_KEY);
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.request_rental(rental);
             }
             StoreResponse::Conflict(failed) => {
                 self.fleet.renting = false;
-                self.reread(failed, None);
+                self.reread_keys(failed, None);
             }
             _ => self.fleet.renting = false,
         }
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -11,7 +11,7 @@
     let record =
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
-    core.changed(changed);
+    core.handle_cache_change(changed);
     core.store.set_last_read(MonotonicTime(0));
     for shard in 0..2 {
         core.owned_shards.insert(
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -71,7 +71,7 @@
     ) {
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.answer_known_job(request, &job);
             }
--- a/src/coordination/jobs/dependency_lookup/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -12,7 +12,7 @@
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 1, "parts": []}, "awaits": "000001"}));
     let (first, second) = (JobId::new("wk-000001"), JobId::new("wk-000002"));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
-    core.changed(changed);
+    core.handle_cache_change(changed);
     let answered_state = |core: &mut Core| {
         core.answer_known_job(RequestId(1), &second);
         match core.outputs.pop() {
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -115,7 +115,7 @@
     ) {
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.milestone_reached(Milestone::SubmissionAccepted);
                 self.answer_job(request, JobResponseStatus::Accepted, &spec.id, None);
@@ -163,7 +163,7 @@
             }
         };
         let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-        self.changed(changed);
+        self.handle_cache_change(changed);
         Some((record.spec.id.clone(), record))
     }
 }
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -63,7 +63,7 @@
         if !self.store.may_send(self.now) {
             return;
         }
-        self.keep_cache_current();
+        self.sync_cache();
         self.request_lease();
         if let (true, Some(lease)) = (self.store.is_loaded(), self.membership.lease()) {
             self.update_shard_release();
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -96,7 +96,7 @@
             StoreResponse::Committed(revision) => {
                 owned_shard.expiry_check = ExpiryCheck::Confirmed { revision, machines };
             }
-            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Conflict(failed) => self.reread_keys(failed, None),
             // Without an answer that counts, the next housekeeping sends the check again.
             _ => {}
         }
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -214,7 +214,7 @@
     /// Lets machines that a committed transaction placed tasks on be answered
     /// now: those that do not report these tasks yet. A slice names all machines
     /// that its tasks are on, and each needless answer costs as much as a heartbeat.
-    fn wake_placed_machines(&mut self, shard: ShardId, transaction: &Transaction) {
+    fn mark_placed_machines_ready(&mut self, shard: ShardId, transaction: &Transaction) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         for change in &transaction.changes {
             let Some(RecordKey::Slice(id, index)) = RecordKey::read(change_key(change)) else {
@@ -241,12 +241,12 @@
             owned_shard.inflight = None;
         }
         if !matches!(answer, StoreResponse::Committed(_)) {
-            self.queue_again(shard, &transaction);
+            self.requeue_slices(shard, &transaction);
         }
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
-                self.wake_placed_machines(shard, &transaction);
+                self.apply_committed(&transaction, revision);
+                self.mark_placed_machines_ready(shard, &transaction);
                 // Other controllers need to know at once of ends of jobs only.
                 let is_job = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Job(_)));
                 if transaction.changes.iter().any(is_job) {
@@ -257,7 +257,7 @@
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
                     owned_shard.rereads += failed.len();
                 }
-                self.reread(failed, Some(shard));
+                self.reread_keys(failed, Some(shard));
             }
             StoreResponse::Invalid(_) => {
                 if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
@@ -271,7 +271,7 @@
     /// Queues the slices of a transaction that failed, or whose outcome is not
     /// known, under the same versions: if it did go through after all, the next
     /// one conflicts and the records are read.
-    fn queue_again(&mut self, shard: ShardId, transaction: &Transaction) {
+    fn requeue_slices(&mut self, shard: ShardId, transaction: &Transaction) {
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         for condition in &transaction.conditions {
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -43,7 +43,7 @@
         if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) {
             return self.store.unresolved.transfers.push(transaction);
         }
-        self.end_transaction(transaction, answer);
+        self.finish_transaction(transaction, answer);
     }
 
     /// Takes the answer to a quota transfer that was repeated.
@@ -51,20 +51,20 @@
         if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
             return self.store.unresolved.transfers.push(transaction);
         }
-        self.end_transaction(transaction, answer);
+        self.finish_transaction(transaction, answer);
     }
 
-    fn end_transaction(&mut self, transaction: Transaction, answer: StoreResponse) {
+    fn finish_transaction(&mut self, transaction: Transaction, answer: StoreResponse) {
         for change in &transaction.changes {
             self.store.release_key(change_key(change));
         }
         match answer {
-            StoreResponse::Committed(revision) => self.committed(&transaction, revision),
+            StoreResponse::Committed(revision) => self.apply_committed(&transaction, revision),
             // The quota counts as transferred until all records that are named have been read.
             StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
-                return self.reread(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
+                return self.reread_keys(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
-            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Conflict(failed) => self.reread_keys(failed, None),
             StoreResponse::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
@@ -89,12 +89,12 @@
             self.call_store(request, PendingRequest::QuotaTransferRetry(transaction));
         }
         for (key, shard) in std::mem::take(&mut self.store.unresolved.reads) {
-            self.read_again(key, shard);
+            self.reread_key(key, shard);
         }
     }
 
     /// Takes a committed transaction's changes into the cache.
-    pub(crate) fn committed(&mut self, transaction: &Transaction, revision: Revision) {
+    pub(crate) fn apply_committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             match change {
                 Change::Put { key, value, .. } => self.apply_record(key, Some(value.clone()), revision),
@@ -104,13 +104,13 @@
     }
 
     /// Reads keys that a conflict named; `shard` is set if its transaction waits for that.
-    pub(crate) fn reread(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
+    pub(crate) fn reread_keys(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
-            self.read_again(key, shard);
+            self.reread_key(key, shard);
         }
     }
 
-    fn read_again(&mut self, key: String, shard: Option<ShardId>) {
+    fn reread_key(&mut self, key: String, shard: Option<ShardId>) {
         self.store.charge_request(self.now);
         self.call_store(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
     }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Begins to read all records, or sends the next watch, if neither is under way.
-    pub(crate) fn keep_cache_current(&mut self) {
+    pub(crate) fn sync_cache(&mut self) {
         match self.store.sync {
             CacheSync::NotLoaded => {
                 self.store.sync = CacheSync::Loading;
@@ -117,11 +117,11 @@
     /// lets whoever goes by it act on the change.
     pub(super) fn apply_record(&mut self, key: &str, value: Option<Value>, at: Revision) {
         let change = self.cache.apply(key, value, at);
-        self.changed(change);
+        self.handle_cache_change(change);
     }
 
     /// Lets the concern that goes by a record act on its change.
-    pub(crate) fn changed(&mut self, change: CacheChange) {
+    pub(crate) fn handle_cache_change(&mut self, change: CacheChange) {
         match change {
             CacheChange::Owner(shard) => self.owner_changed(shard),
             CacheChange::Job(job, change) => self.job_changed(&job, change),
