--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -95,7 +95,7 @@
         let (token, ready) = (owned_shard.token, owned_shard.ready);
         // A worker that sends another heartbeat does not wait for the older response any more.
         if let Some(older) = self.deferred_responses.remove(&heartbeat.machine) {
-            self.response(older.request, Response::Commands { token, commands: vec![] });
+            self.respond(older.request, Response::Commands { token, commands: vec![] });
         }
         let commands = self.commands_for(shard, &heartbeat, is_newest, ready);
         if commands.is_empty() && is_newest && ready {
@@ -105,7 +105,7 @@
                 return self.deferred_responses.insert(DeferredResponse { request, heartbeat, due_at });
             }
         }
-        self.response(request, Response::Commands { token, commands });
+        self.respond(request, Response::Commands { token, commands });
     }
 
     /// Sends the deferred responses that are due, and those that have commands by now.
@@ -177,10 +177,10 @@
         let shard = self.shard_of(machine);
         let Some((token, ready)) = self.owned_shards.get(&shard).map(|owned| (owned.token, owned.ready)) else {
             let response = self.answer_foreign_heartbeat(shard, &deferred.heartbeat);
-            return self.response(deferred.request, response);
+            return self.respond(deferred.request, response);
         };
         if !self.may_answer_workers() || deferred.heartbeat.token > token {
-            return self.response(deferred.request, Response::Redirect(None));
+            return self.respond(deferred.request, Response::Redirect(None));
         }
         // The shard may have been lost and won again meanwhile: this owner then knows nothing of the machine.
         let known = self.owned_shards.get(&shard).and_then(|owned| owned.machines.get(machine));
@@ -189,7 +189,7 @@
         if commands.is_empty() && !is_due {
             return self.deferred_responses.insert(deferred);
         }
-        self.response(deferred.request, Response::Commands { token, commands });
+        self.respond(deferred.request, Response::Commands { token, commands });
     }
 }
 
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -18,11 +18,11 @@
         self.membership.heartbeat_arrived(self.now);
         let Some(owned_shard) = self.owned_shards.get(&shard) else {
             let response = self.answer_foreign_heartbeat(shard, &heartbeat);
-            return self.response(request, response);
+            return self.respond(request, response);
         };
         // A worker that has seen a newer token obeys a later owner of the shard.
         if !self.may_answer_workers() || heartbeat.token > owned_shard.token {
-            return self.response(request, Response::Redirect(None));
+            return self.respond(request, Response::Redirect(None));
         }
         let is_newest = self.record_heartbeat(shard, &heartbeat);
         self.answer_heartbeat(shard, request, heartbeat, is_newest);
--- a/src/coordination/jobs/health.rs
+++ b/src/coordination/jobs/health.rs
@@ -12,7 +12,7 @@
     /// Answers a health check.
     pub(crate) fn check_health(&mut self, request: RequestId) {
         if self.can_accept_jobs() {
-            self.response(request, Response::Healthy);
+            self.respond(request, Response::Healthy);
         } else {
             self.refuse(request, Refusal::Starting);
         }
--- a/src/coordination/jobs/responses.rs
+++ b/src/coordination/jobs/responses.rs
@@ -37,7 +37,7 @@
             None if running > 0 => (JobState::Running, Some(JobProgress { done, running })),
             None => (JobState::Queued, Some(JobProgress { done, running })),
         };
-        self.response(request, Response::Job { status, id: id.clone(), state, progress });
+        self.respond(request, Response::Job { status, id: id.clone(), state, progress });
     }
 
     /// Answers from a cache that is as new as the request. A job without a record may be archived.
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -78,7 +78,7 @@
         self.store.charge_request(self.now);
         match request {
             LeaseRequest::Grant => {
-                self.call_store(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_store(StoreRequest::GrantLease { ttl_ms: self.timing.node_lease.0 }, PendingRequest::Grant);
             }
             LeaseRequest::Renew(lease) => {
                 self.call_store(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
@@ -91,7 +91,7 @@
         self.membership.node_lease.granting = false;
         match answer {
             StoreResponse::LeaseGranted(lease) => {
-                self.membership.node_lease.granted(lease, self.now + self.timing.renew_every);
+                self.membership.node_lease.granted(lease, self.now + self.timing.renewal_interval);
             }
             _ => self.store.back_off(self.now),
         }
@@ -100,7 +100,7 @@
     /// The answer to a renewal of `lease`, which may not be the current one any more.
     pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.membership.node_lease.renewing = false;
-        self.membership.node_lease.renew_at = self.now + self.timing.renew_every;
+        self.membership.node_lease.renew_at = self.now + self.timing.renewal_interval;
         match answer {
             StoreResponse::LeaseRenewed => {}
             StoreResponse::LeaseGone if self.membership.lease() == Some(lease) => self.lease_lost(),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -43,7 +43,7 @@
 const STATUS_INTERVAL: Millis = Millis(1000);
 
 /// A pause between two inputs that counts as a jump of the clock: ticks come far more often.
-const CLOCK_JUMP: Millis = Millis(1000);
+const MIN_CLOCK_JUMP: Millis = Millis(1000);
 
 /// Pause between two runs of the housekeeping steps.
 const HOUSEKEEPING_INTERVAL: Millis = Millis(500);
@@ -78,7 +78,7 @@
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
     /// A job arrived whose slices are to be assigned before the next housekeeping.
-    assign_soon: bool,
+    assignment_requested: bool,
     next_assignment: MonotonicTime,
     catalog: MachineCatalog,
     fleet: Fleet,
@@ -99,8 +99,8 @@
     pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
         settings.cluster.state = settings.cluster.state.least();
         let names = settings.node_names();
-        let share = names.len().max(1) as f64;
-        let state = &settings.cluster.state;
+        let controllers = names.len().max(1) as f64;
+        let limits = &settings.cluster.state;
         let mut cache = StateCache::default();
         let objectives = Objectives::read(&settings.cluster.objectives, &mut cache.names);
         let fleet = Fleet::new(settings.cluster.cloud.rps);
@@ -108,10 +108,10 @@
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
-            timing: Timing::of(&settings),
+            timing: Timing::from_settings(&settings),
             store: StoreClient::new(
-                state.rps * RATE_LIMIT_SHARE / share,
-                (state.write_rps * RATE_LIMIT_SHARE / share).max(1.0),
+                limits.rps * RATE_LIMIT_SHARE / controllers,
+                (limits.write_rps * RATE_LIMIT_SHARE / controllers).max(1.0),
             ),
             membership: Membership::new(settings.peers.iter().map(|peer| NodeName::new(&peer.node))),
             settings,
@@ -128,7 +128,7 @@
             completed_jobs: CompletedJobs::default(),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
-            assign_soon: false,
+            assignment_requested: false,
             next_assignment: MonotonicTime(0),
             catalog: MachineCatalog::default(),
             fleet,
@@ -148,8 +148,8 @@
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.time_of_day_ms = time_of_day_ms;
-        if gap >= CLOCK_JUMP {
-            self.clock_jumped(gap);
+        if gap >= MIN_CLOCK_JUMP {
+            self.handle_clock_jump(gap);
         }
         match input {
             Input::Tick => self.tick(),
@@ -168,7 +168,7 @@
     /// No input came for much longer than the pause between ticks: this process was suspended while its clocks ran
     /// on. That nothing was received meanwhile proves no peer or machine silent, and does not make runs longer.
     /// Leases do run out during a jump.
-    fn clock_jumped(&mut self, gap: Millis) {
+    fn handle_clock_jump(&mut self, gap: Millis) {
         tracing::info!(gap_s = gap.as_secs(), "clock jumped: this process was suspended");
         self.resumed_at = self.now;
         self.membership.clock_jumped(gap);
@@ -176,7 +176,7 @@
     }
 
     /// How long the caller may wait before the next tick.
-    pub fn next_tick(&self) -> Millis {
+    pub fn tick_interval(&self) -> Millis {
         TICK_INTERVAL
     }
 
@@ -185,14 +185,14 @@
         self.check_milestones();
         if self.now >= self.next_housekeeping {
             self.next_housekeeping = self.now + HOUSEKEEPING_INTERVAL;
-            self.housekeeping();
+            self.run_housekeeping();
         }
         self.look_up_unknown_dependencies();
         if self.dependency_release.is_requested() {
             self.release_ready_jobs();
         }
-        if self.assign_soon && self.now >= self.next_assignment {
-            self.assign_soon = false;
+        if self.assignment_requested && self.now >= self.next_assignment {
+            self.assignment_requested = false;
             self.next_assignment = self.now + Millis(self.tuning.cycle_interval_ms);
             self.assign_new_slices();
         }
@@ -203,7 +203,7 @@
         self.broadcast_due_status();
     }
 
-    fn housekeeping(&mut self) {
+    fn run_housekeeping(&mut self) {
         self.refresh_catalog();
         self.update_faulty_machines();
         self.update_reachability();
@@ -221,18 +221,18 @@
     }
 
     /// Answers a request of a user or worker.
-    fn response(&mut self, request: RequestId, response: Response) {
+    fn respond(&mut self, request: RequestId, response: Response) {
         self.outputs.push(Output::Response(request, response));
     }
 
     /// Tells a user why a request is not carried out.
     fn refuse(&mut self, request: RequestId, refusal: Refusal) {
-        self.response(request, Response::Error(refusal));
+        self.respond(request, Response::Error(refusal));
     }
 
     /// True if the records were read lately enough to start new work on them.
     fn records_fresh(&self) -> bool {
-        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.fresh)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.max_record_age)
     }
 }
 
--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -10,7 +10,7 @@
     pub(crate) fn job_changed(&mut self, id: &JobId, change: JobChange) {
         self.track_dependencies(id);
         if let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.end.is_none()) {
-            self.assign_soon |= job.record.plan.is_none();
+            self.assignment_requested |= job.record.plan.is_none();
             log_job(id, job);
             // Once a job: its record changes with each assignment of its slices.
             if change == JobChange::First && self.needs_quick_start(&job.class) {
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -131,7 +131,7 @@
     /// then has a whole lease.
     pub(super) fn lease_after_proxy(&self) -> Millis {
         // With room for drifting clocks.
-        let fresh = Millis(self.timing.fresh.0 + self.timing.fresh.0 / 500);
+        let fresh = Millis(self.timing.max_record_age.0 + self.timing.max_record_age.0 / 500);
         fresh + self.timing.worker_lease
     }
 }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -47,7 +47,7 @@
     fn send_watch(&mut self) {
         self.store.charge_request(self.now);
         // A watch without events must end well before the last read is stale.
-        let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
+        let wait_ms = (self.timing.max_record_age.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
         self.call_store(call, PendingRequest::Watch);
     }
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -105,7 +105,7 @@
         if !self.schedule.is_tick_due(now) {
             return Step::Continue;
         }
-        self.schedule.schedule_next_tick(now, self.core.next_tick());
+        self.schedule.schedule_next_tick(now, self.core.tick_interval());
         Step::Handle(Input::Tick)
     }
 
