--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -7,8 +7,8 @@
 impl Core {
     /// Takes the answer to a call. A call that is not pending any more is ignored.
     pub(crate) fn handle_cloud_response(&mut self, id: CallId, answer: CloudResponse) {
-        let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
-        match (what, answer) {
+        let Some(SentRequest { pending, .. }) = self.store.take_request(id) else { return };
+        match (pending, answer) {
             (PendingRequest::Catalog, CloudResponse::Catalog(catalog)) => self.apply_catalog(catalog),
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
             (PendingRequest::Rent(rental), answer) => self.rental_answer(rental, answer),
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -227,7 +227,7 @@
         let rental = PendingRental { request, retries_left: RENTAL_RETRIES };
         self.call_store(
             StoreRequest::Transaction(transaction.clone()),
-            PendingRequest::RentName { rental, transaction },
+            PendingRequest::RentalRecord { rental, transaction },
         );
     }
 
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -78,7 +78,7 @@
         }
         if self.try_charge_request(request) {
             let call = StoreRequest::Get { key: archived_job_key(&job) };
-            self.call_store(call, PendingRequest::Archived { request, job, known: accepted });
+            self.call_store(call, PendingRequest::ArchiveLookUp { request, job, known: accepted });
         }
     }
 
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -147,7 +147,7 @@
         }
         if self.store.try_charge_requests(self.now, 1.0) {
             let queries = self.status_queries.start_probe(self.now);
-            self.call_store(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
+            self.call_store(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::RevisionProbe(queries));
         }
     }
 
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -78,10 +78,13 @@
         self.store.charge_request(self.now);
         match request {
             LeaseRequest::Grant => {
-                self.call_store(StoreRequest::GrantLease { ttl_ms: self.timing.node_lease.0 }, PendingRequest::Grant);
+                self.call_store(
+                    StoreRequest::GrantLease { ttl_ms: self.timing.node_lease.0 },
+                    PendingRequest::GrantLease,
+                );
             }
             LeaseRequest::Renew(lease) => {
-                self.call_store(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
+                self.call_store(StoreRequest::RenewLease { lease }, PendingRequest::RenewLease(lease));
             }
         }
     }
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -112,10 +112,10 @@
     }
 
     /// Numbers a request that is about to be sent, and keeps what its answer is for.
-    pub(crate) fn register(&mut self, what: PendingRequest, now: MonotonicTime) -> CallId {
+    pub(crate) fn register(&mut self, pending: PendingRequest, now: MonotonicTime) -> CallId {
         self.last_call += 1;
         let id = CallId(self.last_call);
-        self.pending_requests.insert(id, SentRequest { what, sent: now });
+        self.pending_requests.insert(id, SentRequest { pending, sent_at: now });
         id
     }
 
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -25,9 +25,9 @@
     /// Whether another controller renews worker leases of the shard.
     ExpiryCheck(ShardId),
     /// A lease for this node.
-    Grant,
+    GrantLease,
     /// The renewal of this node's lease.
-    Renew(LeaseId),
+    RenewLease(LeaseId),
     /// A transaction on single records; the watch or a read after a conflict
     /// shows its outcome.
     Transaction(Transaction),
@@ -48,9 +48,9 @@
     /// answered with if it is there.
     SubmitRead { request: RequestId, job: JobId, status: JobResponseStatus },
     /// The newest revision; these status queries wait for the cache to reach it.
-    Probe(Vec<StatusQuery>),
+    RevisionProbe(Vec<StatusQuery>),
     /// Whether a job that has no record ended long ago; `known` if it was accepted once.
-    Archived { request: RequestId, job: JobId, known: bool },
+    ArchiveLookUp { request: RequestId, job: JobId, known: bool },
     /// The record of a job whose submission is invalid: it may be known all the same.
     RefusalLookUp(HeldRefusal),
     /// A job that a submission depends on; one is read after the other.
@@ -62,7 +62,7 @@
     /// The end of a job that is cancelled, with the attempts that are left.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
     /// The record that names a rental request before it is made.
-    RentName { rental: PendingRental, transaction: Transaction },
+    RentalRecord { rental: PendingRental, transaction: Transaction },
     /// A rental request to the cloud.
     Rent(PendingRental),
     /// Machines that are returned to the cloud.
@@ -80,20 +80,20 @@
 #[derive(Debug)]
 pub(crate) struct LoadProgress {
     /// Keys in the pages so far.
-    pub(super) seen: BTreeSet<String>,
+    pub(super) keys: BTreeSet<String>,
     /// The first page's revision, once it has come.
     pub(super) revision: Option<Revision>,
     /// When the first page was asked for.
-    pub(super) since: MonotonicTime,
+    pub(super) started_at: MonotonicTime,
 }
 
 /// A request in flight.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
     /// What its answer is for.
-    pub(crate) what: PendingRequest,
+    pub(crate) pending: PendingRequest,
     /// When it was sent.
-    pub(crate) sent: MonotonicTime,
+    pub(crate) sent_at: MonotonicTime,
 }
 
 /// The key that a change puts or deletes.
@@ -106,58 +106,62 @@
 
 impl Core {
     /// Sends a request to the store; `what` says what its answer is for.
-    pub(crate) fn call_store(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
-        let id = self.store.register(what, self.now);
+    pub(crate) fn call_store(&mut self, call: StoreRequest, pending: PendingRequest) -> CallId {
+        let id = self.store.register(pending, self.now);
         self.outputs.push(Output::Store(id, call));
         id
     }
 
     /// Sends a request to the cloud; `what` says what its answer is for.
-    pub(crate) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
-        let id = self.store.register(what, self.now);
+    pub(crate) fn call_cloud(&mut self, call: CloudCall, pending: PendingRequest) {
+        let id = self.store.register(pending, self.now);
         self.outputs.push(Output::Cloud(id, call));
     }
 
     /// Takes the store's answer to a request.
-    pub(crate) fn handle_store_response(&mut self, id: CallId, answer: StoreResponse) {
-        let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
-        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
+    pub(crate) fn handle_store_response(&mut self, id: CallId, response: StoreResponse) {
+        let Some(SentRequest { pending, sent_at }) = self.store.take_request(id) else { return };
+        if !matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.store.last_response = Some(self.now);
         }
-        if let StoreResponse::Invalid(reason) = &answer {
-            tracing::error!(request = ?what, reason, "store rejected request as invalid");
+        if let StoreResponse::Invalid(reason) = &response {
+            tracing::error!(request = ?pending, reason, "store rejected request as invalid");
         }
-        self.route_answer(what, sent, answer);
+        self.route_response(pending, sent_at, response);
     }
 
     /// Hands an answer to the concern that sent the request at `sent`.
-    fn route_answer(&mut self, what: PendingRequest, sent: MonotonicTime, answer: StoreResponse) {
-        match what {
-            PendingRequest::Load(progress) => self.load_answer(progress, answer),
-            PendingRequest::Watch => self.watch_answer(sent, answer),
-            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, answer),
-            PendingRequest::Grant => self.grant_answer(answer),
-            PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
-            PendingRequest::Transaction(transaction) => self.transaction_answer(transaction, answer),
-            PendingRequest::QuotaTransferRetry(transaction) => self.quota_transfer_retry_answer(transaction, answer),
+    fn route_response(&mut self, pending: PendingRequest, sent_at: MonotonicTime, response: StoreResponse) {
+        match pending {
+            PendingRequest::Load(progress) => self.handle_load_response(progress, response),
+            PendingRequest::Watch => self.handle_watch_response(sent_at, response),
+            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, response),
+            PendingRequest::GrantLease => self.grant_answer(response),
+            PendingRequest::RenewLease(lease) => self.renew_answer(lease, response),
+            PendingRequest::Transaction(transaction) => self.handle_transaction_response(transaction, response),
+            PendingRequest::QuotaTransferRetry(transaction) => {
+                self.handle_quota_transfer_retry_response(transaction, response)
+            }
             PendingRequest::ShardTransaction { shard, transaction } => {
-                self.shard_transaction_answer(shard, transaction, answer)
+                self.handle_shard_transaction_response(shard, transaction, response)
             }
-            PendingRequest::Reread { key, shard } => self.reread_answer(key, shard, answer),
+            PendingRequest::Reread { key, shard } => self.handle_reread_response(key, shard, response),
             PendingRequest::SubmitWrite { request, transaction, spec } => {
-                self.submit_written(request, transaction, spec, answer)
+                self.submit_written(request, transaction, spec, response)
+            }
+            PendingRequest::SubmitRead { request, job, status } => self.submit_read(request, job, status, response),
+            PendingRequest::ArchiveLookUp { request, job, known } => {
+                self.archived_answer(request, job, known, response)
             }
-            PendingRequest::SubmitRead { request, job, status } => self.submit_read(request, job, status, answer),
-            PendingRequest::Archived { request, job, known } => self.archived_answer(request, job, known, answer),
-            PendingRequest::RefusalLookUp(held) => self.refused_job_read(held, answer),
-            PendingRequest::DependencyCheck(check) => self.dependency_read(check, answer),
-            PendingRequest::DependencyLookUp(job) => self.dependency_looked_up(job, answer),
-            PendingRequest::Probe(queries) => self.probe_answered(queries, answer),
-            PendingRequest::CancelRead { request, job, tries } => self.cancel_read(request, job, tries, answer),
+            PendingRequest::RefusalLookUp(held) => self.refused_job_read(held, response),
+            PendingRequest::DependencyCheck(check) => self.dependency_read(check, response),
+            PendingRequest::DependencyLookUp(job) => self.dependency_looked_up(job, response),
+            PendingRequest::RevisionProbe(queries) => self.probe_answered(queries, response),
+            PendingRequest::CancelRead { request, job, tries } => self.cancel_read(request, job, tries, response),
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
-                self.cancel_written(request, job, transaction, tries, answer)
+                self.cancel_written(request, job, transaction, tries, response)
             }
-            PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
+            PendingRequest::RentalRecord { rental, transaction } => self.rental_recorded(rental, transaction, response),
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -236,14 +236,19 @@
     }
 
     /// Takes the answer to a transaction of a shard's slices.
-    pub(super) fn shard_transaction_answer(&mut self, shard: ShardId, transaction: Transaction, answer: StoreResponse) {
+    pub(super) fn handle_shard_transaction_response(
+        &mut self,
+        shard: ShardId,
+        transaction: Transaction,
+        response: StoreResponse,
+    ) {
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.inflight = None;
         }
-        if !matches!(answer, StoreResponse::Committed(_)) {
+        if !matches!(response, StoreResponse::Committed(_)) {
             self.requeue_slices(shard, &transaction);
         }
-        match answer {
+        match response {
             StoreResponse::Committed(revision) => {
                 self.apply_committed(&transaction, revision);
                 self.mark_placed_machines_ready(shard, &transaction);
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -39,26 +39,26 @@
     }
 
     /// Takes the answer to a transaction that was sent for the first time.
-    pub(super) fn transaction_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
-        if matches!(answer, StoreResponse::Unknown) && is_quota_transfer(&transaction) {
+    pub(super) fn handle_transaction_response(&mut self, transaction: Transaction, response: StoreResponse) {
+        if matches!(response, StoreResponse::Unknown) && is_quota_transfer(&transaction) {
             return self.store.unresolved.transfers.push(transaction);
         }
-        self.finish_transaction(transaction, answer);
+        self.finish_transaction(transaction, response);
     }
 
     /// Takes the answer to a quota transfer that was repeated.
-    pub(super) fn quota_transfer_retry_answer(&mut self, transaction: Transaction, answer: StoreResponse) {
-        if matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
+    pub(super) fn handle_quota_transfer_retry_response(&mut self, transaction: Transaction, response: StoreResponse) {
+        if matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable) {
             return self.store.unresolved.transfers.push(transaction);
         }
-        self.finish_transaction(transaction, answer);
+        self.finish_transaction(transaction, response);
     }
 
-    fn finish_transaction(&mut self, transaction: Transaction, answer: StoreResponse) {
+    fn finish_transaction(&mut self, transaction: Transaction, response: StoreResponse) {
         for change in &transaction.changes {
             self.store.release_key(change_key(change));
         }
-        match answer {
+        match response {
             StoreResponse::Committed(revision) => self.apply_committed(&transaction, revision),
             // The quota counts as transferred until all records that are named have been read.
             StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
@@ -116,17 +116,17 @@
     }
 
     /// Takes a record that was read because of a conflict.
-    pub(super) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
+    pub(super) fn handle_reread_response(&mut self, key: String, shard: Option<ShardId>, response: StoreResponse) {
         let quota_of = match RecordKey::read(&key) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         };
-        let is_unanswered = matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable);
-        if quota_of.is_some() && is_unanswered {
+        let is_outcome_unknown = matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable);
+        if quota_of.is_some() && is_outcome_unknown {
             // The outcome of a transfer must be known before quota is used again.
             return self.store.unresolved.reads.push((key, shard));
         }
-        match answer {
+        match response {
             StoreResponse::Found(item) => self.apply_record(&key, Some(item.value), item.version),
             StoreResponse::Missing(at) => self.apply_record(&key, None, at),
             _ => {}
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -28,7 +28,7 @@
         match self.store.sync {
             CacheSync::NotLoaded => {
                 self.store.sync = CacheSync::Loading;
-                self.load_page(None, LoadProgress { seen: BTreeSet::new(), revision: None, since: self.now });
+                self.load_page(None, LoadProgress { keys: BTreeSet::new(), revision: None, started_at: self.now });
             }
             CacheSync::Loaded if self.now >= self.store.next_watch_at => {
                 self.store.sync = CacheSync::Watching;
@@ -53,8 +53,8 @@
     }
 
     /// Takes a page of records; the last one completes the load.
-    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StoreResponse) {
-        let StoreResponse::Page(page) = answer else {
+    pub(super) fn handle_load_response(&mut self, mut progress: LoadProgress, response: StoreResponse) {
+        let StoreResponse::Page(page) = response else {
             self.store.sync = CacheSync::NotLoaded;
             return self.store.back_off(self.now);
         };
@@ -64,7 +64,7 @@
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
             self.apply_record(&item.key, Some(item.value), item.version);
-            progress.seen.insert(item.key);
+            progress.keys.insert(item.key);
         }
         match last_key {
             Some(after) if page.truncated => self.load_page(Some(after), progress),
@@ -74,30 +74,30 @@
 
     /// All records have been read, as of the first page's revision.
     fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
-        self.cache.forget_missing(&progress.seen, revision);
+        self.cache.forget_missing(&progress.keys, revision);
         self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
         // The first page is as old as when it was asked for, however long the others took.
-        self.store.last_read = Some(progress.since);
+        self.store.last_read = Some(progress.started_at);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
         }
         self.activate_ready_shards();
-        tracing::info!(records = progress.seen.len(), %revision, "loaded all records");
+        tracing::info!(records = progress.keys.len(), %revision, "loaded all records");
         self.milestone_reached(Milestone::RecordsRead);
     }
 
     /// Takes what a watch that was sent at `sent` brought.
-    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
+    pub(super) fn handle_watch_response(&mut self, sent_at: MonotonicTime, response: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
-        match answer {
-            StoreResponse::WatchEvents(events) => self.take_watch_events(sent, events),
+        match response {
+            StoreResponse::WatchEvents(events) => self.apply_watch_events(sent_at, events),
             StoreResponse::TooOld => self.store.sync = CacheSync::NotLoaded,
             _ => self.store.back_off(self.now),
         }
     }
 
-    fn take_watch_events(&mut self, sent: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
+    fn apply_watch_events(&mut self, sent_at: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
         let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
         self.store.next_watch_at = self.now + pause;
         self.cache.revision = self.cache.revision.max(revision);
@@ -108,7 +108,7 @@
             }
         }
         // The answer shows the records as of when it was asked for, or later.
-        self.store.last_read = Some(self.store.last_read.map_or(sent, |at| at.max(sent)));
+        self.store.last_read = Some(self.store.last_read.map_or(sent_at, |at| at.max(sent_at)));
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
