--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -1,8 +1,8 @@
-//! Requests in flight to the store and the cloud: what each answer is for, and
-//! which concern takes it.
+//! Requests in flight to the store and the cloud, and the dispatch of the
+//! store's responses to the modules that sent the requests.
 //!
-//! Every part of the core sends through [`Core::call_store`] and
-//! [`Core::call_cloud`]. Answers to requests that are not in flight are ignored.
+//! All modules of the core send through [`Core::call_store`] and
+//! [`Core::call_cloud`]. Responses to requests that are not in flight are ignored.
 
 use crate::coordination::fleet::scale_out::PendingRental;
 use crate::coordination::jobs::dependency_check::DependencyCheck;
@@ -15,88 +15,88 @@
 use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
 use std::collections::BTreeSet;
 
-/// What a request was sent for, with what its answer needs.
+/// Purpose of a request in flight, with the context that is needed to handle its response.
 #[derive(Debug)]
 pub(crate) enum PendingRequest {
-    /// A page of all records.
+    /// Reads one page of all records.
     Load(LoadProgress),
-    /// Changes since the cache's revision.
+    /// Watches for changes after the cache's revision.
     Watch,
-    /// Whether another controller renews worker leases of the shard.
+    /// Checks whether another controller renews worker leases of the shard.
     ExpiryCheck(ShardId),
-    /// A lease for this node.
+    /// Requests a lease for this node.
     GrantLease,
-    /// The renewal of this node's lease.
+    /// Renews this node's lease.
     RenewLease(LeaseId),
-    /// A transaction on single records; the watch or a read after a conflict
-    /// shows its outcome.
+    /// Changes single records. If the response is lost, the watch or a read after a
+    /// conflict shows the outcome.
     Transaction(Transaction),
-    /// A quota transfer sent once more: the first one got no answer.
+    /// Retries a quota transfer whose outcome is unknown.
     QuotaTransferRetry(Transaction),
-    /// Changes of a shard's slices.
+    /// Writes changes of a shard's slices.
     ShardTransaction { shard: ShardId, transaction: Transaction },
-    /// A record that a conflict named.
+    /// Reads a record again after a conflict.
     Reread {
-        /// The record's key.
+        /// Key of the record to read.
         key: String,
-        /// The shard whose transaction waits for it.
+        /// Shard whose transaction failed on this key; `None` for other transactions.
         shard: Option<ShardId>,
     },
-    /// The record of a new job, which a user waits for.
+    /// Writes the record of a submitted job before the user gets a response.
     SubmitWrite { request: RequestId, transaction: Transaction, spec: Box<JobSpec> },
-    /// The record of a job that was submitted before, perhaps; `status` is what its submission is
-    /// answered with if it is there.
+    /// Reads the record of a job that may have been submitted before. `status` goes into the
+    /// response to the submission if the record exists.
     SubmitRead { request: RequestId, job: JobId, status: JobResponseStatus },
-    /// The newest revision; these status queries wait for the cache to reach it.
+    /// Asks for the store's newest revision. These status queries wait until the cache reaches it.
     RevisionProbe(Vec<StatusQuery>),
-    /// Whether a job that has no record ended long ago; `known` if it was accepted once.
+    /// Looks up a job without a record in the archive; `known` if the job has been accepted before.
     ArchiveLookUp { request: RequestId, job: JobId, known: bool },
-    /// The record of a job whose submission is invalid: it may be known all the same.
+    /// Looks up the job of an invalid submission, which an earlier valid one may have created.
     RefusalLookUp(HeldRefusal),
-    /// A job that a submission depends on; one is read after the other.
+    /// Reads a job that a submission depends on. Dependencies are read one after another.
     DependencyCheck(DependencyCheck),
-    /// The archived record of a job that waiting ones depend on.
+    /// Reads the archived record of a job that waiting jobs depend on.
     DependencyLookUp(JobId),
-    /// The record of a job that is to be cancelled, with the attempts that are left.
+    /// Reads the record of a job to cancel; `tries` is the number of attempts left.
     CancelRead { request: RequestId, job: JobId, tries: u32 },
-    /// The end of a job that is cancelled, with the attempts that are left.
+    /// Writes the cancellation of a job; `tries` is the number of attempts left.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
-    /// The record that names a rental request before it is made.
+    /// Records the id of a rental request before the request is sent to the cloud.
     RentalRecord { rental: PendingRental, transaction: Transaction },
-    /// A rental request to the cloud.
+    /// Rents machines from the cloud.
     Rent(PendingRental),
-    /// Machines that are returned to the cloud.
+    /// Returns machines to the cloud.
     Return(Vec<MachineId>),
-    /// A page of the machines that the cloud lists.
+    /// Lists one page of the rented machines.
     List {
-        /// Machines on the pages so far.
+        /// Machines listed on the pages read so far.
         seen: Vec<ListedMachine>,
     },
-    /// The cloud's machine types.
+    /// Reads the cloud's machine types.
     Catalog,
 }
 
-/// How far a read of all records, page by page, has come.
+/// Progress of a paged read of all records.
 #[derive(Debug)]
 pub(crate) struct LoadProgress {
-    /// Keys in the pages so far.
+    /// Keys on the pages read so far.
     pub(super) keys: BTreeSet<String>,
-    /// The first page's revision, once it has come.
+    /// Revision of the first page; `None` before it arrives.
     pub(super) revision: Option<Revision>,
-    /// When the first page was asked for.
+    /// When the first page was requested.
     pub(super) started_at: MonotonicTime,
 }
 
 /// A request in flight.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
-    /// What its answer is for.
+    /// Purpose and context of the request.
     pub(crate) pending: PendingRequest,
-    /// When it was sent.
+    /// When the request was sent.
     pub(crate) sent_at: MonotonicTime,
 }
 
-/// The key that a change puts or deletes.
+/// Returns the key that a change puts or deletes.
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
         Change::Put { key, .. } => key,
@@ -105,32 +105,32 @@
 }
 
 impl Core {
-    /// Sends a request to the store; `what` says what its answer is for.
+    /// Sends a request to the store and keeps `pending` until the response arrives.
     pub(crate) fn call_store(&mut self, call: StoreRequest, pending: PendingRequest) -> CallId {
         let id = self.store.register(pending, self.now);
         self.outputs.push(Output::Store(id, call));
         id
     }
 
-    /// Sends a request to the cloud; `what` says what its answer is for.
+    /// Sends a request to the cloud and keeps `pending` until the response arrives.
     pub(crate) fn call_cloud(&mut self, call: CloudCall, pending: PendingRequest) {
         let id = self.store.register(pending, self.now);
         self.outputs.push(Output::Cloud(id, call));
     }
 
-    /// Takes the store's answer to a request.
+    /// Handles the store's response to a request.
     pub(crate) fn handle_store_response(&mut self, id: CallId, response: StoreResponse) {
         let Some(SentRequest { pending, sent_at }) = self.store.take_request(id) else { return };
         if !matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable) {
             self.store.last_response = Some(self.now);
         }
         if let StoreResponse::Invalid(reason) = &response {
-            tracing::error!(request = ?pending, reason, "store rejected request as invalid");
+            tracing::error!(request = ?pending, reason, "store rejected a request as invalid");
         }
         self.route_response(pending, sent_at, response);
     }
 
-    /// Hands an answer to the concern that sent the request at `sent`.
+    /// Dispatches a response to the module that sent the request.
     fn route_response(&mut self, pending: PendingRequest, sent_at: MonotonicTime, response: StoreResponse) {
         match pending {
             PendingRequest::Load(progress) => self.handle_load_response(progress, response),
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -1,9 +1,10 @@
-//! Making the changes of owned shards durable: one transaction at a time a
-//! shard, the most urgent slices first, and nothing that somebody else has
-//! changed meanwhile.
+//! Writes the changes of owned shards to the store: one transaction at a time per
+//! shard, the most urgent slices first. A transaction fails if another controller
+//! has changed one of its records in the meantime.
 //!
-//! Called at the end of every step of the core. Effects follow the record: a
-//! task is started only after the transaction that places it was committed.
+//! Called at the end of every step of the core. Records are written before their
+//! effects: a task is started only after the transaction that places it has been
+//! committed.
 
 use crate::coordination::jobs::slice_sizing::TASK_BYTES;
 use crate::coordination::shards::owned_shard::{Machine, OwnedShard};
@@ -16,28 +17,28 @@
 use crate::storage::records::{job_key, RecordKey, SliceRecord, TaskRecord};
 use crate::units::{JobId, Millis, MonotonicTime, ShardId};
 
-/// Most that a task takes in the compact form of a slice, in bytes.
+/// Upper bound on the size of a task in the compact form of a slice.
 const COMPACT_TASK_BYTES: usize = 12;
 
-/// How long changes that can wait are left alone while writes are scarce.
+/// Delay before a shard whose changes can all wait is checked again while writes are scarce.
 const SCARCE_WRITES_DELAY: Millis = Millis(20);
 
-/// How long a shard does not write after a transaction that was not committed.
+/// Delay before a shard writes again after a transaction that was not committed.
 const RETRY_DELAY: Millis = Millis(150);
 
-/// The same after one that the store rejected as invalid.
+/// Delay before a shard writes again after a transaction that the store rejected as invalid.
 const INVALID_RETRY_DELAY: Millis = Millis(2000);
 
-/// How soon a slice's changes should be durable; the more urgent are less.
+/// How soon a slice's changes should be durable. More urgent values order first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum WriteUrgency {
-    /// A machine stands ready for a task that may start once this is written.
+    /// A task start: a machine is idle until the placement is written.
     Start,
-    /// The end of a slice, perhaps of its job, or what has waited long.
+    /// The end of a slice, which may also end its job, or a change that has waited for long.
     Soon,
-    /// Exits of tasks: the machine is free already, and more exits will come.
+    /// Task exits: the machine is free already, and later exits can share the write.
     Exit,
-    /// Deleting records that nobody needs any more.
+    /// Deletion of records that are no longer needed.
     Cleanup,
 }
 
@@ -54,14 +55,15 @@
         }
     }
 
-    /// The urgency after a wait: what has waited for long must not starve.
-    fn after(self, waited: Millis) -> WriteUrgency {
-        let longest_wait = match self {
+    /// Returns the urgency after a wait. Changes that have waited for long become `Soon`, so that
+    /// they do not starve.
+    fn after_wait(self, waited: Millis) -> WriteUrgency {
+        let max_wait = match self {
             WriteUrgency::Start | WriteUrgency::Soon => return self,
             WriteUrgency::Exit => Millis(2000),
             WriteUrgency::Cleanup => Millis(20_000),
         };
-        if waited >= longest_wait {
+        if waited >= max_wait {
             WriteUrgency::Soon
         } else {
             self
@@ -69,18 +71,18 @@
     }
 }
 
-/// A slice with changes to write. The order is that in which they are written.
+/// A slice with changes to write. Slices are written in ascending order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedSlice {
     urgency: WriteUrgency,
-    /// When it stops giving way to jobs of higher priority.
-    due: MonotonicTime,
+    /// When the slice stops yielding to jobs of higher priority.
+    delayed_until: MonotonicTime,
     job: JobId,
     index: usize,
 }
 
-/// How long writes for a job give way to those of the highest priority: many
-/// small jobs must not hold up what is urgent, nor wait for ever.
+/// How long writes for a job yield to writes for jobs of higher priority. Many
+/// small jobs must not delay urgent writes, but their own delay has to be bounded.
 fn priority_delay_ms(priority: Priority) -> u64 {
     match priority {
         Priority::Low => 2000,
@@ -89,7 +91,8 @@
     }
 }
 
-/// True if the shard has changes and no transaction of it is unfinished.
+/// True if the shard has changes to write, and neither a transaction, a reread nor a retry delay
+/// is pending.
 fn can_write(owned_shard: &OwnedShard, now: MonotonicTime) -> bool {
     owned_shard.ready
         && owned_shard.inflight.is_none()
@@ -99,7 +102,7 @@
 }
 
 impl Core {
-    /// Writes what is to be written of all owned shards.
+    /// Writes pending changes of all owned shards.
     pub(crate) fn write_pending_changes(&mut self) {
         if !self.store.may_send(self.now) {
             return;
@@ -109,9 +112,10 @@
         }
     }
 
-    /// Sends one transaction with the shard's most urgent changes, each slice's
-    /// coalesced. All of it holds only if this node still owns the shard, and
-    /// nobody else has changed a slice, or cancelled or reassigned a job.
+    /// Sends one transaction with the shard's most urgent changes, coalesced per
+    /// slice. It commits only if this node still owns the shard and no other
+    /// controller has changed one of the slices, or cancelled or reassigned one of
+    /// their jobs.
     fn write_shard_changes(&mut self, shard: ShardId) {
         let budget = self.store.write_budget(self.now).floor();
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
@@ -130,7 +134,7 @@
         self.send_batch(shard, batch);
     }
 
-    /// The slices of a shard with changes to write, in the order of writing.
+    /// Returns the shard's slices with changes to write, sorted in write order.
     fn write_queue(&self, owned_shard: &OwnedShard) -> Vec<QueuedSlice> {
         let queued = owned_shard.dirty.iter().map(|((id, index), since)| {
             let job = self.cache.jobs.get(id);
@@ -139,8 +143,8 @@
                 slice.map_or(WriteUrgency::Cleanup, |(job, slice)| WriteUrgency::of(slice, job.record.end.is_some()));
             let priority = job.map_or(Priority::Low, |job| job.priority());
             QueuedSlice {
-                urgency: urgency.after(self.now.since(*since)),
-                due: MonotonicTime(since.0 + priority_delay_ms(priority)),
+                urgency: urgency.after_wait(self.now.since(*since)),
+                delayed_until: MonotonicTime(since.0 + priority_delay_ms(priority)),
                 job: id.clone(),
                 index: *index,
             }
@@ -150,7 +154,7 @@
         queue
     }
 
-    /// Adds slices in the order of the queue until the transaction is full.
+    /// Adds slices in queue order until the transaction is full.
     fn fill_batch(&self, mut batch: Batch, queue: Vec<QueuedSlice>, limits: BatchLimits) -> Batch {
         for QueuedSlice { urgency, job: id, index, .. } in queue {
             if limits.writes_scarce && urgency > WriteUrgency::Soon {
@@ -161,7 +165,7 @@
                 batch.skip_slice(id, index);
                 continue;
             };
-            // What does not fit waits: as its tasks end, its record shrinks.
+            // A slice that does not fit stays queued. Its record shrinks as its tasks end.
             let Some(change) = self.fit_into_value(change, &job.slices()[index]) else { continue };
             if batch.is_full() {
                 break;
@@ -174,12 +178,12 @@
 
     fn send_batch(&mut self, shard: ShardId, batch: Batch) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
-        let (transaction, taken) = batch.finish();
-        for slice in &taken {
+        let (transaction, dequeued) = batch.finish();
+        for slice in &dequeued {
             owned_shard.dirty.remove(slice);
         }
         if transaction.changes.is_empty() {
-            // All of it can wait for writes: it need not be weighed at every input.
+            // All remaining changes can wait: avoids sorting the queue again at every input.
             owned_shard.retry_at = self.now + SCARCE_WRITES_DELAY;
             return;
         }
@@ -191,8 +195,9 @@
         }
     }
 
-    /// The change in a form that fits into one value, if any does: slices may
-    /// have been cut when values were larger.
+    /// Returns the change in a form that fits into one value: as it is, or compact.
+    /// `None` if neither fits, which is possible for slices that were cut when the
+    /// store's value size limit was larger.
     fn fit_into_value(&self, change: Change, slice: &Slice) -> Option<Change> {
         let Change::Put { key, value, lease } = change else { return Some(change) };
         let always_fits = slice.desired().is_some_and(|record| self.fits(record.tasks.len() * TASK_BYTES as usize));
@@ -203,17 +208,18 @@
         compact.filter(|value| self.fits_value(value)).map(|value| Change::Put { key, value, lease })
     }
 
-    /// Started tasks that a slice may have so that its record certainly fits into
-    /// one value. Slices are cut so that this is all of their tasks, but for those
-    /// cut when values were larger and those of huge jobs.
+    /// Maximum number of started tasks with which a slice's record still fits into one
+    /// value. Slices are cut so that all of their tasks may be started. Exceptions are
+    /// slices cut when the value size limit was larger, and slices of huge jobs.
     pub(crate) fn max_started_tasks(&self) -> usize {
         let bytes = (self.settings.cluster.state.value_kb * 1024.0 * 0.9) as usize;
         bytes / if self.dependencies_enabled() { COMPACT_TASK_BYTES } else { TASK_BYTES as usize }
     }
 
-    /// Lets machines that a committed transaction placed tasks on be answered
-    /// now: those that do not report these tasks yet. A slice names all machines
-    /// that its tasks are on, and each needless answer costs as much as a heartbeat.
+    /// Marks deferred responses as ready for machines on which a committed
+    /// transaction placed tasks. Skips machines that report these tasks already: a
+    /// slice names all machines of its tasks, and a needless response costs as much
+    /// as a heartbeat.
     fn mark_placed_machines_ready(&mut self, shard: ShardId, transaction: &Transaction) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         for change in &transaction.changes {
@@ -235,7 +241,7 @@
         }
     }
 
-    /// Takes the answer to a transaction of a shard's slices.
+    /// Handles the response to a transaction of a shard's slices.
     pub(super) fn handle_shard_transaction_response(
         &mut self,
         shard: ShardId,
@@ -252,7 +258,7 @@
             StoreResponse::Committed(revision) => {
                 self.apply_committed(&transaction, revision);
                 self.mark_placed_machines_ready(shard, &transaction);
-                // Other controllers need to know at once of ends of jobs only.
+                // Of these changes, other controllers need only ends of jobs immediately.
                 let is_job = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Job(_)));
                 if transaction.changes.iter().any(is_job) {
                     self.send_revision_hint(revision);
@@ -273,9 +279,9 @@
         }
     }
 
-    /// Queues the slices of a transaction that failed, or whose outcome is not
-    /// known, under the same versions: if it did go through after all, the next
-    /// one conflicts and the records are read.
+    /// Requeues the slices of a transaction that failed or has an unknown outcome,
+    /// without changing the expected versions. If it was committed after all, the
+    /// next transaction conflicts and the records are read again.
     fn requeue_slices(&mut self, shard: ShardId, transaction: &Transaction) {
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
--- a/src/coordination/store_client/shard_writes/tests.rs
+++ b/src/coordination/store_client/shard_writes/tests.rs
@@ -8,7 +8,7 @@
     slice
 }
 
-/// Starts used to wait seconds behind exits for the shard's share of writes.
+/// Guards against task starts that wait for seconds behind exits for the shard's share of writes.
 #[test]
 fn starts_are_written_before_exits_but_nothing_starves() {
     let on = |n: u64| TaskRecord::Placed(Attempt(n), MachineId::new("i-000001"));
@@ -16,7 +16,7 @@
     let exit = WriteUrgency::of(&slice(&[on(1), on(1)], &[TaskRecord::Done, on(1)]), false);
     let last = WriteUrgency::of(&slice(&[TaskRecord::Done, on(1)], &[TaskRecord::Done, TaskRecord::Done]), false);
     assert!(start < last && last < exit, "{start:?} {last:?} {exit:?}");
-    assert_eq!(exit.after(Millis(500)), WriteUrgency::Exit);
-    assert_eq!(exit.after(Millis(2500)), WriteUrgency::Soon);
-    assert_eq!(WriteUrgency::of(&slice(&[on(1)], &[on(1)]), true).after(Millis(22_000)), WriteUrgency::Soon);
+    assert_eq!(exit.after_wait(Millis(500)), WriteUrgency::Exit);
+    assert_eq!(exit.after_wait(Millis(2500)), WriteUrgency::Soon);
+    assert_eq!(WriteUrgency::of(&slice(&[on(1)], &[on(1)]), true).after_wait(Millis(22_000)), WriteUrgency::Soon);
 }
--- a/src/coordination/store_client/tests.rs
+++ b/src/coordination/store_client/tests.rs
@@ -1,9 +1,9 @@
-//! What tests of other parts set and read of the client's state.
+//! Accessors of the client's state for tests of other modules.
 
 use super::*;
 
 impl StoreClient {
-    /// All records were read, and no watch is in flight.
+    /// Marks all records as read, with no watch in flight.
     pub(crate) fn set_loaded(&mut self) {
         self.sync = CacheSync::Loaded;
     }
@@ -16,7 +16,7 @@
         self.last_response = Some(at);
     }
 
-    /// Ends the pause after a refusal.
+    /// Ends the backoff after a refusal.
     pub(crate) fn end_backoff(&mut self) {
         self.backoff_until = MonotonicTime(0);
     }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -1,9 +1,9 @@
-//! Transactions on single records, and what becomes of them: commits are taken
-//! into the cache, conflicts are read again, and quota transfers that got no
-//! answer are repeated until their outcome is known.
+//! Transactions on single records and their outcomes: applies committed changes
+//! to the cache, rereads the keys of conflicts, and retries quota transfers
+//! until their outcome is known.
 //!
-//! Any part of the core submits these; the slices of a shard are written by
-//! [`super::shard_writes`].
+//! Any module of the core submits these transactions. The slices of a shard are
+//! written by [`super::shard_writes`].
 
 use crate::coordination::shards::shard_quota::is_quota_transfer;
 use crate::coordination::store_client::pending_requests::{change_key, PendingRequest};
@@ -12,22 +12,23 @@
 use crate::storage::records::RecordKey;
 use crate::units::{Revision, ShardId};
 
-/// Quota transfers that got no answer, and reads that are to show their outcome.
+/// Quota transfers with an unknown outcome, and the reads that will show it.
 #[derive(Debug, Default)]
 pub(super) struct UnresolvedTransactions {
     transfers: Vec<Transaction>,
-    /// Keys to read, with the shard whose transaction met a conflict there.
+    /// Keys to read, each with the shard whose transaction had a conflict on it.
     reads: Vec<(String, Option<ShardId>)>,
 }
 
 impl Core {
-    /// Sends a transaction on keys that nobody else in this node is changing.
-    /// One that the store would never take is not sent.
+    /// Sends a transaction and reserves its keys. The caller must ensure
+    /// that no other transaction of this node changes them. A transaction with a value that
+    /// exceeds the store's size limit is dropped.
     pub(crate) fn submit_transaction(&mut self, transaction: Transaction) {
         let is_too_large = |c: &&Change| matches!(c, Change::Put { value, .. } if !self.fits_value(value));
         if let Some(key) = transaction.changes.iter().find(is_too_large).map(change_key) {
             if self.store.too_large.insert(key.to_string()) {
-                tracing::error!(key, "record does not fit into one value, not written");
+                tracing::error!(key, "record exceeds the store's value size limit; not written");
             }
             return;
         }
@@ -38,7 +39,7 @@
         self.call_store(StoreRequest::Transaction(transaction.clone()), PendingRequest::Transaction(transaction));
     }
 
-    /// Takes the answer to a transaction that was sent for the first time.
+    /// Handles the response to the first attempt of a transaction.
     pub(super) fn handle_transaction_response(&mut self, transaction: Transaction, response: StoreResponse) {
         if matches!(response, StoreResponse::Unknown) && is_quota_transfer(&transaction) {
             return self.store.unresolved.transfers.push(transaction);
@@ -46,7 +47,7 @@
         self.finish_transaction(transaction, response);
     }
 
-    /// Takes the answer to a quota transfer that was repeated.
+    /// Handles the response to a retried quota transfer.
     pub(super) fn handle_quota_transfer_retry_response(&mut self, transaction: Transaction, response: StoreResponse) {
         if matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable) {
             return self.store.unresolved.transfers.push(transaction);
@@ -60,7 +61,7 @@
         }
         match response {
             StoreResponse::Committed(revision) => self.apply_committed(&transaction, revision),
-            // The quota counts as transferred until all records that are named have been read.
+            // The quota counts as transferred until all records of the conditions have been read.
             StoreResponse::Conflict(_) if is_quota_transfer(&transaction) => {
                 return self.reread_keys(transaction.conditions.into_iter().map(|c| c.key).collect(), None);
             }
@@ -75,10 +76,10 @@
         self.end_quota_transfers(&shards.collect::<Vec<_>>());
     }
 
-    /// Sends once more the quota transfers whose outcome is not known, and the
-    /// reads that are to show it. A transfer that got no answer may still be
-    /// carried out: it counts as made until its repetition is answered, and a
-    /// repetition that was refused says nothing about the first one.
+    /// Retries the quota transfers with an unknown outcome, and the reads that will
+    /// show it. The store may still execute a transfer after its response was lost,
+    /// so the transfer counts as made until a retry gets a response. A refused retry
+    /// does not show the outcome of the first attempt.
     pub(crate) fn resolve_quota_transfers(&mut self) {
         if !self.store.may_send(self.now) {
             return;
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes a committed transaction's changes into the cache.
+    /// Applies a committed transaction's changes to the cache.
     pub(crate) fn apply_committed(&mut self, transaction: &Transaction, revision: Revision) {
         for change in &transaction.changes {
             match change {
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Reads keys that a conflict named; `shard` is set if its transaction waits for that.
+    /// Reads the keys of a conflict again. `shard` is set if a transaction of that shard failed
+    /// and the shard waits for the reads.
     pub(crate) fn reread_keys(&mut self, keys: Vec<String>, shard: Option<ShardId>) {
         for key in keys {
             self.reread_key(key, shard);
@@ -115,7 +117,7 @@
         self.call_store(StoreRequest::Get { key: key.clone() }, PendingRequest::Reread { key, shard });
     }
 
-    /// Takes a record that was read because of a conflict.
+    /// Applies a record that was read again after a conflict.
     pub(super) fn handle_reread_response(&mut self, key: String, shard: Option<ShardId>, response: StoreResponse) {
         let quota_of = match RecordKey::read(&key) {
             Some(RecordKey::Quota(shard)) => Some(shard),
@@ -123,7 +125,7 @@
         };
         let is_outcome_unknown = matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable);
         if quota_of.is_some() && is_outcome_unknown {
-            // The outcome of a transfer must be known before quota is used again.
+            // The outcome of a transfer must be known before its quota is used again.
             return self.store.unresolved.reads.push((key, shard));
         }
         match response {
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -1,8 +1,8 @@
-//! Keeps the cache current: reads every record once, page by page, then
-//! watches for changes from the revision of the first page on.
+//! Synchronizes the cache with the store: reads all records page by page, then
+//! watches for changes after the revision of the first page.
 //!
-//! Called on every membership tick, and by the dispatch of store answers. It
-//! never writes to the store.
+//! Called on every membership tick and by the dispatch of store responses. Does
+//! not write to the store.
 
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::{LoadProgress, PendingRequest};
@@ -15,15 +15,17 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Longest that one watch request may wait for a change, in milliseconds.
+/// Upper bound on how long the store holds a watch request without changes.
 const MAX_WATCH_WAIT_MS: u64 = 1000;
 
-/// Pause after a watch that brought changes. It bounds the rate of watches
-/// under load: the next one brings what came in the pause all at once.
-const PAUSE_AFTER_EVENTS: Millis = Millis(80);
+/// Delay between a watch response with changes and the next watch. It bounds the
+/// rate of watches under load: the next response contains all changes made during
+/// the delay.
+const DELAY_AFTER_EVENTS: Millis = Millis(80);
 
 impl Core {
-    /// Begins to read all records, or sends the next watch, if neither is under way.
+    /// Starts reading all records, or sends the next watch if it is due. Does nothing while one of
+    /// them is in flight.
     pub(crate) fn sync_cache(&mut self) {
         match self.store.sync {
             CacheSync::NotLoaded => {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Asks for the page of records after the key `after`.
+    /// Requests the page of records after the key `after`; `None` for the first page.
     fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
         self.store.charge_request(self.now);
         self.call_store(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
@@ -46,20 +48,20 @@
 
     fn send_watch(&mut self) {
         self.store.charge_request(self.now);
-        // A watch without events must end well before the last read is stale.
+        // A watch without events must return well before the last read counts as stale.
         let wait_ms = (self.timing.max_record_age.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
         self.call_store(call, PendingRequest::Watch);
     }
 
-    /// Takes a page of records; the last one completes the load.
+    /// Applies a page of records, and finishes the load after the last page.
     pub(super) fn handle_load_response(&mut self, mut progress: LoadProgress, response: StoreResponse) {
         let StoreResponse::Page(page) = response else {
             self.store.sync = CacheSync::NotLoaded;
             return self.store.back_off(self.now);
         };
-        // Changes made while the pages were read come again by the watch,
-        // which begins at the first page's revision.
+        // The watch starts at the first page's revision, so it repeats all changes
+        // that were made while the pages were read.
         let revision = *progress.revision.get_or_insert(page.revision);
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
@@ -72,12 +74,12 @@
         }
     }
 
-    /// All records have been read, as of the first page's revision.
+    /// Completes a read of all records, as of the first page's revision.
     fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
         self.cache.forget_missing(&progress.keys, revision);
         self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
-        // The first page is as old as when it was asked for, however long the others took.
+        // Counts from the request for the first page: later pages may have taken long.
         self.store.last_read = Some(progress.started_at);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
@@ -87,7 +89,7 @@
         self.milestone_reached(Milestone::RecordsRead);
     }
 
-    /// Takes what a watch that was sent at `sent` brought.
+    /// Handles the response to a watch that was sent at `sent_at`.
     pub(super) fn handle_watch_response(&mut self, sent_at: MonotonicTime, response: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
         match response {
@@ -98,8 +100,8 @@
     }
 
     fn apply_watch_events(&mut self, sent_at: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
-        let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
-        self.store.next_watch_at = self.now + pause;
+        let delay = if events.is_empty() { Millis(0) } else { DELAY_AFTER_EVENTS };
+        self.store.next_watch_at = self.now + delay;
         self.cache.revision = self.cache.revision.max(revision);
         for event in events {
             match event {
@@ -107,20 +109,20 @@
                 WatchEvent::Delete { key, version } => self.apply_record(&key, None, version),
             }
         }
-        // The answer shows the records as of when it was asked for, or later.
+        // The response contains every change made before the watch was sent.
         self.store.last_read = Some(self.store.last_read.map_or(sent_at, |at| at.max(sent_at)));
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
 
-    /// Takes a key's value as of a revision, or its absence, into the cache, and
-    /// lets whoever goes by it act on the change.
+    /// Applies a key's value at a revision to the cache (`None` if the key is absent)
+    /// and handles the resulting change.
     pub(super) fn apply_record(&mut self, key: &str, value: Option<Value>, at: Revision) {
         let change = self.cache.apply(key, value, at);
         self.handle_cache_change(change);
     }
 
-    /// Lets the concern that goes by a record act on its change.
+    /// Dispatches a change of the cache to the module that depends on the record.
     pub(crate) fn handle_cache_change(&mut self, change: CacheChange) {
         match change {
             CacheChange::Owner(shard) => self.owner_changed(shard),
--- a/src/coordination/store_client/watch/tests.rs
+++ b/src/coordination/store_client/watch/tests.rs
@@ -2,10 +2,10 @@
 use crate::coordination::{Input, Output};
 use crate::protocol::state::{Item, Page};
 
-/// Records were taken to be as new as the request for their last page, so that
-/// cancellations made while the pages were read were noticed too late.
+/// The age of records read in pages counts from the request for the first page. Counting from the
+/// last page made the controller notice cancellations too late that were made during the read.
 #[test]
-fn records_read_in_pages_are_as_old_as_the_first() {
+fn records_read_in_pages_are_as_old_as_the_first_page() {
     let mut core = crate::coordination::tests::core();
     let read = |core: &mut Core, at: u64| {
         let outputs = core.handle(MonotonicTime(at), 0, Input::Tick);
@@ -14,7 +14,7 @@
             _ => None,
         })
     };
-    let mut id = read(&mut core, 1000).expect("the first page is asked for");
+    let mut id = read(&mut core, 1000).expect("the first page is requested");
     for (at, more) in [(2400, true), (3800, false)] {
         let item = Item { key: format!("t/x/{at}"), value: serde_json::Value::Null, version: Revision(3) };
         let page = Page { items: vec![item], truncated: more, revision: Revision(at) };
--- a/src/coordination/store_client/write_batch.rs
+++ b/src/coordination/store_client/write_batch.rs
@@ -1,7 +1,8 @@
-//! One transaction with changes of a shard's slices, in the making: what it may
-//! hold, on which versions it depends, and when a slice ends its job.
+//! Builder of one transaction with changes of a shard's slices: its size limits,
+//! its conditions on versions, and the end of a job with its last slice.
 //!
-//! [`super::shard_writes`] fills and sends it, most urgent slices first.
+//! [`super::shard_writes`] adds slices, the most urgent first, and sends the
+//! transaction.
 
 use crate::protocol::state::{Change, Condition, Transaction};
 use crate::storage::cache::{Job, Slice};
@@ -9,57 +10,57 @@
 use crate::units::{FencingToken, JobId, Revision, ShardId};
 use std::collections::BTreeSet;
 
-/// Size of a transaction from which on no more slices are added, in bytes.
+/// No more slices are added to a transaction above this size.
 const MAX_TRANSACTION_BYTES: usize = 40_000;
 
-/// What the conditions of a slice add to a transaction, in bytes.
+/// Estimated size of a slice's conditions in a transaction.
 const CONDITION_BYTES: usize = 200;
 
-/// What the record of a job that ends adds to a transaction, in bytes.
+/// Estimated size of the record of an ended job in a transaction.
 const JOB_RECORD_BYTES: usize = 800;
 
-/// How much may go into one transaction.
+/// Limits on the contents of one transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BatchLimits {
-    /// Changes to keys.
+    /// Maximum number of changed keys.
     pub(super) max_changes: usize,
-    /// Less than half a second's share of writes is left: what can wait for more
-    /// changes to the same slice leaves the rest to starts.
+    /// Less than half a second's share of writes is left. Changes that can wait, and
+    /// may be coalesced with later changes to the same slice, then yield to starts.
     pub(super) writes_scarce: bool,
 }
 
-/// A transaction in the making.
+/// A transaction that is being built.
 pub(super) struct Batch {
     transaction: Transaction,
     limits: BatchLimits,
-    /// Slices that are in it, or that turned out to need no write.
-    taken: Vec<(JobId, usize)>,
-    /// Jobs whose record's version is a condition already.
-    jobs: BTreeSet<JobId>,
-    /// Estimated size of the transaction.
+    /// Slices that are in the transaction or need no write; the caller removes them from the queue.
+    dequeued: Vec<(JobId, usize)>,
+    /// Jobs whose record version is already a condition.
+    jobs_with_condition: BTreeSet<JobId>,
+    /// Estimated size of the transaction, in bytes.
     bytes: usize,
 }
 
 impl Batch {
-    /// A transaction that holds only while the shard is owned with this token.
+    /// Creates an empty transaction that commits only while the shard is owned with this token.
     pub(super) fn fenced_by(shard: ShardId, token: FencingToken, limits: BatchLimits) -> Batch {
         let conditions = vec![Condition { key: owner_key(shard), version: Revision(token.0) }];
         let transaction = Transaction { conditions, changes: vec![] };
-        Batch { transaction, limits, taken: vec![], jobs: BTreeSet::new(), bytes: 0 }
+        Batch { transaction, limits, dequeued: vec![], jobs_with_condition: BTreeSet::new(), bytes: 0 }
     }
 
-    /// True if there is no room for another slice and the record of its job,
-    /// should it be the job's last.
+    /// True if there is no room for another slice together with its job's record,
+    /// which is written if the slice is the job's last.
     pub(super) fn is_full(&self) -> bool {
         self.transaction.changes.len() + 2 > self.limits.max_changes || self.bytes > MAX_TRANSACTION_BYTES
     }
 
-    /// Takes a slice off the queue that needs no write.
+    /// Removes a slice that needs no write from the queue.
     pub(super) fn skip_slice(&mut self, id: JobId, index: usize) {
-        self.taken.push((id, index));
+        self.dequeued.push((id, index));
     }
 
-    /// Adds a slice's change, or the end of its job in the change's place.
+    /// Adds a slice's change, or the end of its job instead of the change.
     pub(super) fn add_slice(&mut self, id: JobId, job: &Job, index: usize, change: Change, ends_job: bool) {
         self.bytes += serde_json::to_vec(&change).map_or(0, |bytes| bytes.len()) + CONDITION_BYTES;
         self.add_conditions(&id, job, index);
@@ -68,44 +69,44 @@
         } else {
             self.transaction.changes.push(change);
         }
-        self.taken.push((id, index));
+        self.dequeued.push((id, index));
     }
 
-    /// The transaction, and the slices that it takes off the queue.
+    /// Returns the transaction and the slices to remove from the queue.
     pub(super) fn finish(self) -> (Transaction, Vec<(JobId, usize)>) {
-        (self.transaction, self.taken)
+        (self.transaction, self.dequeued)
     }
 
-    /// Makes the transaction hold only if neither the slice nor its job was
-    /// changed by anybody else.
+    /// Makes the transaction fail if another controller has changed the slice or its
+    /// job.
     fn add_conditions(&mut self, id: &JobId, job: &Job, index: usize) {
         let conditions = &mut self.transaction.conditions;
         conditions.push(Condition { key: slice_key(id, index), version: job.slices()[index].held().version });
-        if self.jobs.insert(id.clone()) {
+        if self.jobs_with_condition.insert(id.clone()) {
             conditions.push(Condition { key: job_key(id), version: job.version });
         }
     }
 
-    /// Ends the job with its last slice, which need not be kept.
+    /// Ends the job along with its last slice, whose record is no longer needed.
     fn add_job_end(&mut self, id: &JobId, job: &Job, index: usize) {
         let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
         let Ok(value) = serde_json::to_value(record) else { return };
         self.bytes += JOB_RECORD_BYTES;
         self.transaction.changes.push(Change::put(job_key(id), value));
-        // While writes are scarce, the slice's record is deleted later.
+        // If writes are scarce, the slice's record is deleted later.
         if job.slices()[index].record().is_some() && !self.limits.writes_scarce {
             self.transaction.changes.push(Change::delete(slice_key(id, index)));
         }
     }
 }
 
-/// The change that makes a slice of a job durable as it is desired, if one is needed.
+/// Returns the change that writes a slice's desired state; `None` if no change is needed.
 pub(super) fn slice_change(job: &Job, id: &JobId, index: usize) -> Option<Change> {
     let slice = job.slices().get(index)?;
     let desired = slice.desired()?;
     let key = slice_key(id, index);
     if job.record.end.is_some() && !desired.has_placed_task() {
-        // Nothing of an ended job is left here: the record is not needed any more.
+        // The job has ended and no task of the slice is placed: its record is no longer needed.
         return slice.record().map(|_| Change::delete(key));
     }
     if slice.has_unwritten_changes() {
@@ -114,7 +115,7 @@
     None
 }
 
-/// True if the job is done once this slice is durable as it is desired.
+/// True if the job is done once this slice's desired state is durable.
 pub(super) fn completes_job(job: &Job, index: usize) -> bool {
     let is_done = |(at, slice): (usize, &Slice)| {
         if at == index {
