--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,8 +1,7 @@
-//! The messages that enter and leave the core.
+//! Inputs and outputs of the core.
 //!
-//! The transport layer turns what arrives on sockets into [`Input`] and carries out each [`Output`].
-//! Nothing here decides anything, and none of these types is the form of a message on a wire: those
-//! are in `protocol`.
+//! The transport layer converts received messages into an [`Input`] and executes each [`Output`].
+//! These types contain no decisions and are not wire formats, which are in `protocol`.
 
 use crate::coordination::jobs::refusal::Refusal;
 use crate::protocol::cloud::{Catalog, MachineIds, MachinePage, RentRequest};
@@ -12,46 +11,46 @@
 use crate::protocol::workers::{Command, Heartbeat};
 use crate::units::{CallId, FencingToken, JobId, MachineId, NodeName, RequestId, Revision};
 
-/// What a user, or the platform's health check, asks for.
+/// A request of a user or of the platform's health check.
 #[derive(Debug, Clone)]
 pub enum ClientRequest {
-    /// Accept a job, once: a repeated submission gets the state of the job that is known by its id.
+    /// Accept a job. Idempotent: a repeated submission returns the state of the job with the same id.
     Submit(Box<JobSpec>),
-    /// A submission that is not valid. Its job may be known all the same, from an earlier, valid one.
+    /// An invalid submission. An earlier valid submission may have created a job with the same id.
     Malformed {
-        /// The job that the submission names.
+        /// Job id in the submission.
         id: JobId,
-        /// What is wrong with the submission, for its user.
+        /// Description of the error for the user.
         reason: String,
     },
-    /// Tell the state of a job.
+    /// Return the state of a job.
     Query(JobId),
     /// Cancel a job.
     Cancel(JobId),
-    /// Tell whether this controller can take submissions.
+    /// Return whether this controller can accept submissions.
     Health,
 }
 
-/// A call to the cloud that rents machines to us.
+/// A call to the cloud's machine rental API.
 #[derive(Debug, Clone)]
 pub enum CloudCall {
-    /// The machine types on offer.
+    /// List the available machine types.
     Catalog,
-    /// One page of the rented machines.
+    /// List one page of the rented machines.
     List {
-        /// The last machine of the page before; none for the first page.
+        /// Last machine of the previous page; `None` for the first page.
         after: Option<MachineId>,
     },
     /// Rent machines.
     Rent(RentRequest),
-    /// Give machines back.
+    /// Return machines to the cloud.
     Return(Vec<MachineId>),
 }
 
-/// The answer to a [`CloudCall`].
+/// The response to a [`CloudCall`].
 #[derive(Debug, Clone)]
 pub enum CloudResponse {
-    /// The machine types on offer.
+    /// The available machine types.
     Catalog(Catalog),
     /// One page of the rented machines.
     Page(MachinePage),
@@ -59,40 +58,40 @@
     Rented(MachineIds),
     /// The zone has no more machines of the type.
     NoCapacity,
-    /// The machines were given back.
+    /// The machines have been returned.
     Returned,
-    /// Refused, or no answer: the call may still be carried out later.
+    /// The cloud refused the call or did not respond. It may still execute the call later.
     Failed,
 }
 
-/// What the core handles, one at a time.
+/// An event that the core handles.
 #[derive(Debug)]
 pub enum Input {
-    /// Time passed.
+    /// Periodic tick; see [`crate::coordination::Core::tick_interval`].
     Tick,
     /// A user's request.
     ClientRequest(RequestId, ClientRequest),
     /// A worker's heartbeat.
     Heartbeat(RequestId, Heartbeat),
-    /// The answer of the store to a call.
+    /// The store's response to a call.
     Store(CallId, StoreResponse),
-    /// The answer of the cloud to a call.
+    /// The cloud's response to a call.
     Cloud(CallId, CloudResponse),
-    /// The status of another controller.
+    /// The status broadcast by another controller.
     PeerStatus(PeerStatus),
 }
 
-/// Whether the request that is answered made the job known.
+/// Whether the job was accepted by this request or before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobResponseStatus {
     /// This request's submission was accepted.
     Accepted,
-    /// The job was accepted before.
+    /// An earlier request's submission was accepted.
     Known,
 }
 
 impl JobResponseStatus {
-    /// The HTTP status of the response.
+    /// HTTP status code of the response.
     pub fn http_status(self) -> u16 {
         match self {
             JobResponseStatus::Accepted => 201,
@@ -101,48 +100,48 @@
     }
 }
 
-/// How many tasks of a job are how far.
+/// Task counts of a job by progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobProgress {
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks that are on machines.
+    /// Number of tasks that are placed on machines.
     pub running: u32,
 }
 
-/// The answer to a request of a user or to a heartbeat of a worker.
+/// The response to a user's request or a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Response {
     /// The state of a job.
     Job {
-        /// Whether this request made the job known.
+        /// Whether the job was accepted by this request.
         status: JobResponseStatus,
-        /// The job.
+        /// Job id.
         id: JobId,
-        /// How far the job has come.
+        /// State of the job.
         state: JobState,
-        /// Counts of its tasks, if known.
+        /// Task counts, if known.
         progress: Option<JobProgress>,
     },
-    /// The request was not carried out.
+    /// The request was refused.
     Error(Refusal),
-    /// This controller can take submissions.
+    /// This controller can accept submissions.
     Healthy,
     /// Commands for a worker.
     Commands {
-        /// The fencing token of the owner that gives the commands.
+        /// Fencing token of the shard owner that sends the commands.
         token: FencingToken,
-        /// What the worker is to do, in this order.
+        /// Commands in the order of execution.
         commands: Vec<Command>,
     },
-    /// The worker should send its heartbeats to this controller, or try others if none is named.
+    /// The worker should send its heartbeats to this controller; `None` if it should try others.
     Redirect(Option<NodeName>),
 }
 
-/// What the core wants done, in this order.
+/// An effect that the transport layer executes, in the order returned.
 #[derive(Debug)]
 pub enum Output {
-    /// Answer a request.
+    /// Respond to a request.
     Response(RequestId, Response),
     /// Call the store.
     Store(CallId, StoreRequest),
@@ -150,6 +149,6 @@
     Cloud(CallId, CloudCall),
     /// Send this node's status to all other controllers.
     BroadcastStatus(PeerStatus),
-    /// Tell all other controllers that the records have reached this revision.
+    /// Notify all other controllers that the store has reached this revision.
     RevisionHint(Revision),
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
-//! The core: a pure state machine that decides everything a controller does.
+//! The core: a deterministic state machine that makes all decisions of a controller.
 //!
-//! This module owns [`Core`] and the order of its steps; the modules below own one concern each. The transport
-//! layer calls [`Core::handle`] with each input and the time, and carries out the outputs. Nothing here does I/O
-//! or reads a clock, so tests run the same code in virtual time.
+//! This module owns [`Core`] and the order of its steps; each submodule owns one concern. The transport layer calls
+//! [`Core::handle`] with each input and the current time, and executes the outputs. The core does no I/O and reads
+//! no clock, so tests run the same code in virtual time.
 
 pub(crate) mod fleet;
 pub(crate) mod heartbeats;
@@ -42,21 +42,21 @@
 /// How often a controller sends its status to its peers.
 const STATUS_INTERVAL: Millis = Millis(1000);
 
-/// A pause between two inputs that counts as a jump of the clock: ticks come far more often.
+/// Gap between two inputs that counts as a clock jump. Ticks are far more frequent.
 const MIN_CLOCK_JUMP: Millis = Millis(1000);
 
-/// Pause between two runs of the housekeeping steps.
+/// Interval between runs of the housekeeping steps.
 const HOUSEKEEPING_INTERVAL: Millis = Millis(500);
 
-/// Pause between two ticks.
+/// Interval between ticks.
 const TICK_INTERVAL: Millis = Millis(50);
 
-/// The share of the store's rate limits that all controllers use together; each has an equal part of it.
+/// Share of the store's rate limits that the controllers use, divided equally among them.
 const RATE_LIMIT_SHARE: f64 = 0.9;
 
-/// One controller's state machine. It does no I/O, reads no clock and draws no random numbers: everything that
-/// it knows came in as an [`Input`], and everything that it does goes out as an [`Output`]. Its fields are open
-/// to the modules below this one; each concern keeps its own state in a type with private fields.
+/// State machine of one controller. It does no I/O, reads no clock and draws no random numbers: all information
+/// arrives as an [`Input`], and all effects are returned as an [`Output`]. The fields are visible to the submodules;
+/// each submodule keeps its own state in a type with private fields.
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
@@ -66,7 +66,7 @@
     now: MonotonicTime,
     /// When this process started.
     started_at: MonotonicTime,
-    /// When the clock last jumped.
+    /// When this process last resumed after a clock jump.
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
     outputs: Vec<Output>,
@@ -77,7 +77,7 @@
     membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
-    /// A job arrived whose slices are to be assigned before the next housekeeping.
+    /// A new job has slices to assign before the next housekeeping run.
     assignment_requested: bool,
     next_assignment: MonotonicTime,
     catalog: MachineCatalog,
@@ -94,8 +94,8 @@
 }
 
 impl Core {
-    /// A core that knows nothing yet but its settings. Limits of the store that are announced for later hold from
-    /// the start, so that nothing is begun that could not be finished under them.
+    /// Creates a core from its settings, without records. Announced future limits of the store apply from the start,
+    /// so that no operation starts that could not be completed under them.
     pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
         settings.cluster.state = settings.cluster.state.least();
         let names = settings.node_names();
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Handles one input and returns what is to be sent, written and answered. `now` is this process's monotonic
-    /// clock; the time of day (milliseconds since the epoch) serves estimates of age only.
+    /// Handles one input and returns the resulting calls, messages and responses. `now` is this process's monotonic
+    /// clock. The time of day, in milliseconds since the Unix epoch, is used only to estimate ages.
     pub fn handle(&mut self, now: MonotonicTime, time_of_day_ms: u64, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
@@ -165,17 +165,17 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// No input came for much longer than the pause between ticks: this process was suspended while its clocks ran
-    /// on. That nothing was received meanwhile proves no peer or machine silent, and does not make runs longer.
-    /// Leases do run out during a jump.
+    /// Adjusts timers after a gap between inputs that is much longer than the tick interval: this process was
+    /// suspended while its clocks advanced. The gap must not make peers or machines count as silent, nor lengthen
+    /// the measured run times of tasks. Leases do expire during the gap.
     fn handle_clock_jump(&mut self, gap: Millis) {
-        tracing::info!(gap_s = gap.as_secs(), "clock jumped: this process was suspended");
+        tracing::info!(gap_s = gap.as_secs(), "clock jumped; this process was suspended");
         self.resumed_at = self.now;
         self.membership.clock_jumped(gap);
         self.fleet.clock_jumped(gap);
     }
 
-    /// How long the caller may wait before the next tick.
+    /// Longest time that the caller may wait before the next [`Input::Tick`].
     pub fn tick_interval(&self) -> Millis {
         TICK_INTERVAL
     }
@@ -220,17 +220,17 @@
         self.archive_ended_jobs();
     }
 
-    /// Answers a request of a user or worker.
+    /// Sends the response to a request of a user or worker.
     fn respond(&mut self, request: RequestId, response: Response) {
         self.outputs.push(Output::Response(request, response));
     }
 
-    /// Tells a user why a request is not carried out.
+    /// Responds to a user's request with the reason for its refusal.
     fn refuse(&mut self, request: RequestId, refusal: Refusal) {
         self.respond(request, Response::Error(refusal));
     }
 
-    /// True if the records were read lately enough to start new work on them.
+    /// True if the last read of the records is recent enough to start new work.
     fn records_fresh(&self) -> bool {
         self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.max_record_age)
     }
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -25,7 +25,8 @@
 /// Progress of the cache from the initial read of all records to the watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CacheSync {
-    /// A full read of the records has to start, initially or because the watch fell too far behind.
+    /// A full read of the records has to start: initially, after a failed read of a page, or because
+    /// the watch fell too far behind.
     NotLoaded,
     /// Pages of records are being read.
     Loading,
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -28,8 +28,8 @@
     GrantLease,
     /// Renews this node's lease.
     RenewLease(LeaseId),
-    /// Changes single records. If the response is lost, the watch or a read after a
-    /// conflict shows the outcome.
+    /// Changes single records. If the response does not show the outcome, the watch
+    /// or a read after a conflict does.
     Transaction(Transaction),
     /// Retries a quota transfer whose outcome is unknown.
     QuotaTransferRetry(Transaction),
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -7,7 +7,7 @@
     Core::new(crate::settings::tests::example(40.0), Tuning::default())
 }
 
-/// The record of job wk-000002, of one task, with these fields.
+/// Returns the record of job wk-000002, which has one task, with additional fields.
 pub(crate) fn record(mut fields: serde_json::Value) -> serde_json::Value {
     fields["at"] = 0.into();
     fields["spec"] = serde_json::json!({
@@ -17,10 +17,10 @@
     fields
 }
 
-/// A suspended process once took its peers to be silent and its machines to be idle, and runs whose exits it
-/// found afterwards to be longer by the pause.
+/// A process that was suspended must not count its peers as silent or its machines as idle, nor add the suspension to
+/// the run times of tasks that exited during it.
 #[test]
-fn a_clock_jump_proves_no_peer_silent() {
+fn a_clock_jump_does_not_make_peers_silent() {
     let mut core = core();
     core.handle(MonotonicTime(900), 0, Input::Tick);
     core.handle(MonotonicTime(1000), 0, Input::PeerStatus(PeerStatus { from: "n1".into(), ..PeerStatus::default() }));
@@ -32,8 +32,8 @@
     assert_eq!(heard, Some(MonotonicTime(21_000)));
 }
 
-/// With a size of 16, an array of 25,000 tasks took thousands of writes;
-/// a slice must still stay one value with all of its tasks running.
+/// With slices of 16 tasks, an array of 25,000 tasks took thousands of writes. A larger slice must still fit into one
+/// value with all of its tasks running.
 #[test]
 fn large_arrays_share_writes_within_one_value() {
     let core = core();
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -1,44 +1,48 @@
-//! Lengths of time that the rules rest on, derived from the platform's settings once.
+//! Leases and time limits, derived once from the platform's settings.
 
 use crate::settings::Settings;
 use crate::units::Millis;
 
-/// A controller's lease in the store, as a share of the workers' lease, and its bounds in seconds.
+/// Duration of a controller's lease in the store, as a share of the workers' lease.
 const NODE_LEASE_SHARE: f64 = 0.4;
+/// Minimum and maximum duration of a controller's lease.
 const NODE_LEASE_BOUNDS_S: (f64, f64) = (1.0, 60.0);
 
-/// Pause between renewals of that lease, as a share of the workers' lease, and its bounds in seconds.
+/// Interval between renewals of a controller's lease, as a share of the workers' lease.
 const RENEWAL_INTERVAL_SHARE: f64 = 0.1;
+/// Minimum and maximum interval between renewals.
 const RENEWAL_INTERVAL_BOUNDS_S: (f64, f64) = (0.25, 15.0);
 
-/// Age up to which records count as fresh, as a share of the workers' lease, and the least in seconds.
+/// Age up to which records count as fresh, as a share of the workers' lease.
 const MAX_RECORD_AGE_SHARE: f64 = 0.3;
+/// Lower bound on the age up to which records count as fresh.
 const MAX_RECORD_AGE_FLOOR_S: f64 = 1.0;
 
-/// The times by which leases, isolation from the store and freshness are judged.
+/// Durations of leases, and limits on isolation from the store and on the age of records.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Timing {
-    /// How long a controller's lease lasts unrenewed.
+    /// Duration of a controller's lease without renewal.
     pub node_lease: Millis,
-    /// Pause between two renewals of it.
+    /// Interval between renewals of a controller's lease.
     pub renewal_interval: Millis,
-    /// A worker's lease, with room for drifting clocks.
+    /// Duration of a worker's lease, with a margin for clock drift.
     pub worker_lease: Millis,
-    /// How long an owner cut off from the store may answer workers after its last read was sent. Their leases then
-    /// expire before a cancellation that it can't know of is due: limit + lease + margin <= `cancel_s`.
+    /// How long a shard owner that can't reach the store may respond to workers, counted from when its last read was
+    /// sent. The workers' leases then expire before the deadline of a cancellation that the owner has not seen:
+    /// limit + lease + margin <= `cancel_s`.
     pub store_isolation_limit: Millis,
-    /// How old the last read may be for starts to be sent.
+    /// Maximum age of the last read of the records for starting tasks and other new work.
     pub max_record_age: Millis,
 }
 
 impl Timing {
-    /// The times that follow from the platform's settings.
+    /// Derives the durations from the platform's settings.
     pub(crate) fn from_settings(settings: &Settings) -> Timing {
         let workers = &settings.cluster.workers;
-        let share = |share: f64, (min, max): (f64, f64)| (workers.lease_s * share).clamp(min, max);
+        let lease_share_s = |share: f64, (min, max): (f64, f64)| (workers.lease_s * share).clamp(min, max);
         Timing {
-            node_lease: Millis::secs(share(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
-            renewal_interval: Millis::secs(share(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
+            node_lease: Millis::secs(lease_share_s(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
+            renewal_interval: Millis::secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
             worker_lease: Millis::secs(workers.longest_lease_s()),
             store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
             max_record_age: Millis::secs((workers.lease_s * MAX_RECORD_AGE_SHARE).max(MAX_RECORD_AGE_FLOOR_S)),
