--- a/src/coordination/heartbeats/deferred_responses.rs
+++ b/src/coordination/heartbeats/deferred_responses.rs
@@ -1,18 +1,20 @@
-//! Long poll: responses to heartbeats that are held back briefly until there is something to say.
+//! Long poll: defers responses to heartbeats briefly until there are commands for the worker.
 //!
-//! Starts travel only in responses to heartbeats, and a worker without news sends the next heartbeat after
-//! `report_s` only: without the long poll, a machine whose task had ended stood idle until then, however soon its
-//! next task was written. So a response without commands is deferred. Three rules keep that safe:
+//! Start commands are sent only in responses to heartbeats, and a worker whose state has not changed sends the next
+//! heartbeat only after `report_s`. Without the long poll, a machine whose task had ended stayed idle until then,
+//! however soon its next task was written. A response without commands is therefore deferred. Three rules keep that
+//! safe:
 //!
-//! - A deferred response is made when it is sent, from the records of that moment, and only if this controller may
-//!   still answer. A newer heartbeat of the machine replaces the older one, whose response then starts nothing.
-//! - A worker drops responses after 4 s and counts its lease from when it sent the heartbeat, as the owner counts
-//!   it from when the heartbeat came: the long poll changes neither.
+//! - The commands of a deferred response are computed when it is sent, from the records at that time, and only if
+//!   this controller may still respond. A newer heartbeat of the machine replaces the older one, and the response to
+//!   the older one then contains no commands.
+//! - A worker drops responses after 4 s and counts its lease from when it sent the heartbeat, and the owner counts
+//!   the lease from when the heartbeat arrived. The long poll changes neither.
 //! - A worker with tasks reports changes at most every half second, so its response is deferred no longer than
 //!   that. A worker without tasks has nothing to report.
 //!
-//! `handling` hands each recorded heartbeat over, `store_client` marks machines whose tasks have become durable, and
-//! the core sends what is due after each input.
+//! `handling` passes in each recorded heartbeat, `store_client` marks machines whose placed tasks have become durable,
+//! and the core sends due responses after each input.
 
 use crate::coordination::shards::owned_shard::Machine;
 use crate::coordination::{Core, Response};
@@ -20,24 +22,24 @@
 use crate::units::{MachineId, Millis, MonotonicTime, RequestId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Workers report changes no more often than this.
+/// Workers report changes at most this often, so responses to workers with tasks are deferred no longer.
 const CHANGE_INTERVAL: Millis = Millis(450);
 
-/// The longest wait of a worker without tasks: well within the 4 s after which it would turn to another
-/// controller, even if this one is slow.
+/// Upper bound on the deferral for a worker without tasks. Leaves a margin to the 4 s after which the worker would
+/// try another controller, even if this controller is slow.
 const MAX_IDLE_WAIT: Millis = Millis(2000);
 
-/// Time that is left for a heartbeat on its way before its machine counts as silent.
+/// Time allowed for a heartbeat in transit before its machine counts as silent.
 const SILENCE_MARGIN: Millis = Millis(500);
 
-/// Where the interval between heartbeats is shorter than this many times [`CHANGE_INTERVAL`], the next heartbeat
-/// comes about as soon as a deferred response would.
+/// Responses are not deferred if the interval between heartbeats is shorter than this multiple of
+/// [`CHANGE_INTERVAL`]: the next heartbeat then arrives about as soon as a deferred response would be sent.
 const MIN_INTERVAL_RATIO: f64 = 4.0;
 
-/// The share of the interval between heartbeats for which a response may be deferred.
+/// Upper bound on the deferral, as a share of the interval between heartbeats.
 const MAX_INTERVAL_SHARE: f64 = 0.75;
 
-/// A heartbeat whose response is held back.
+/// A heartbeat whose response is deferred.
 #[derive(Debug)]
 struct DeferredResponse {
     request: RequestId,
@@ -45,18 +47,18 @@
     due_at: MonotonicTime,
 }
 
-/// The responses that are held back, at most one a machine.
+/// Deferred responses, at most one per machine.
 #[derive(Debug, Default)]
 pub(crate) struct DeferredResponses {
     by_machine: BTreeMap<MachineId, DeferredResponse>,
-    /// When each response is to be sent at the latest.
+    /// Latest time at which each response must be sent, earliest first.
     deadlines: BTreeSet<(MonotonicTime, MachineId)>,
-    /// Machines for which there may be commands now.
+    /// Machines for which there may be commands now; their heartbeats are evaluated after the input.
     ready: BTreeSet<MachineId>,
 }
 
 impl DeferredResponses {
-    /// Some of the machine's tasks became durable, so that there may be commands for it.
+    /// Marks a machine as having new commands, because tasks placed on it have become durable.
     pub(crate) fn mark_ready(&mut self, machine: &MachineId) {
         if self.by_machine.contains_key(machine) {
             self.ready.insert(machine.clone());
@@ -75,7 +77,7 @@
         Some(deferred)
     }
 
-    /// The machine whose response is due first, if it is due by now.
+    /// Returns the machine with the earliest deadline, if that has passed.
     fn first_due(&self, now: MonotonicTime) -> Option<MachineId> {
         let (due_at, machine) = self.deadlines.first()?;
         (*due_at <= now).then(|| machine.clone())
@@ -83,7 +85,7 @@
 }
 
 impl Core {
-    /// Answers a recorded heartbeat of a machine in an owned shard, now or as a long poll.
+    /// Responds to a recorded heartbeat of a machine in an owned shard, now or as a long poll.
     pub(super) fn answer_heartbeat(
         &mut self,
         shard: ShardId,
@@ -93,7 +95,7 @@
     ) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         let (token, ready) = (owned_shard.token, owned_shard.ready);
-        // A worker that sends another heartbeat does not wait for the older response any more.
+        // A worker that sends another heartbeat no longer waits for the older response.
         if let Some(older) = self.deferred_responses.remove(&heartbeat.machine) {
             self.respond(older.request, Response::Commands { token, commands: vec![] });
         }
@@ -108,7 +110,7 @@
         self.respond(request, Response::Commands { token, commands });
     }
 
-    /// Sends the deferred responses that are due, and those that have commands by now.
+    /// Sends the deferred responses that are due or have commands by now.
     pub(crate) fn send_due_responses(&mut self) {
         for machine in std::mem::take(&mut self.deferred_responses.ready) {
             self.answer_deferred(&machine, false);
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Makes all deferred responses of a shard due: it is no longer owned.
+    /// Makes all deferred responses of a shard due, because the shard is no longer owned.
     pub(crate) fn expire_deferred_responses(&mut self, shard: ShardId) {
         let machines = self.deferred_responses.by_machine.keys();
         let of_shard: Vec<MachineId> = machines.filter(|name| self.shard_of(name) == shard).cloned().collect();
@@ -129,7 +131,7 @@
         }
     }
 
-    /// How long the response to this heartbeat may be deferred; none if there is nothing to wait for.
+    /// Returns how long the response to this heartbeat may be deferred; `None` if there is nothing to wait for.
     fn long_poll_wait(&self, shard: ShardId, machine: &Machine, heartbeat: &Heartbeat) -> Option<Millis> {
         let owned_shard = self.owned_shards.get(&shard)?;
         let interval_ms = self.settings.cluster.workers.report_s * 1000.0;
@@ -143,8 +145,8 @@
         if !may_get_starts {
             return None;
         }
-        // The worker's next heartbeat may come an interval and a quarter after the response: the machine must not
-        // count as silent by then.
+        // The worker's next heartbeat may arrive 1.25 intervals after the response. The machine must not count as
+        // silent by then.
         let before_silence = self.heartbeat_overdue_after().0 as f64 - 1.25 * interval_ms - SILENCE_MARGIN.0 as f64;
         let limit = Millis((interval_ms * MAX_INTERVAL_SHARE).min(before_silence).max(0.0) as u64);
         if heartbeat.tasks.is_empty() {
@@ -157,8 +159,8 @@
         (has_exits || has_unreported).then_some(limit.min(CHANGE_INTERVAL))
     }
 
-    /// The commands for a machine of an owned shard. An owner whose cache has not caught up with its ownership
-    /// renews the machine's lease all the same, so it stops at least the tasks of jobs that it knows to have ended.
+    /// Returns the commands for a machine of an owned shard. An owner whose cache has not yet caught up with its
+    /// fencing token still renews the machine's lease, so it at least stops the tasks of jobs known to have ended.
     fn commands_for(&mut self, shard: ShardId, heartbeat: &Heartbeat, is_newest: bool, ready: bool) -> Vec<Command> {
         if !is_newest {
             return vec![];
@@ -170,8 +172,8 @@
         }
     }
 
-    /// Answers a deferred heartbeat if there are commands for its worker or the response is due; otherwise it stays
-    /// deferred.
+    /// Responds to a deferred heartbeat if there are commands for its worker or the response is due. Otherwise the
+    /// response stays deferred.
     fn answer_deferred(&mut self, machine: &MachineId, is_due: bool) {
         let Some(deferred) = self.deferred_responses.remove(machine) else { return };
         let shard = self.shard_of(machine);
@@ -182,7 +184,7 @@
         if !self.may_answer_workers() || deferred.heartbeat.token > token {
             return self.respond(deferred.request, Response::Redirect(None));
         }
-        // The shard may have been lost and won again meanwhile: this owner then knows nothing of the machine.
+        // This controller may have lost and regained the shard in the meantime; the machine is then unknown to it.
         let known = self.owned_shards.get(&shard).and_then(|owned| owned.machines.get(machine));
         let is_newest = known.is_some_and(|known| known.heartbeat_id() == deferred.heartbeat.id());
         let commands = self.commands_for(shard, &deferred.heartbeat, is_newest, ready);
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -3,10 +3,10 @@
 use crate::protocol::workers::{TaskName, TaskStatus};
 use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, Revision};
 
-/// A new owner whose watch brought no more events went on renewing the leases of machines on which tasks ran of a
-/// job that it knew to be cancelled.
+/// A new owner whose watch stalls renews machine leases before its cache has caught up. It must still stop tasks of a
+/// job that it knows to be cancelled.
 #[test]
-fn an_owner_that_is_not_ready_stops_tasks_of_jobs_that_it_knows_to_have_ended() {
+fn an_owner_that_is_not_ready_stops_tasks_of_jobs_known_to_have_ended() {
     let mut core = crate::coordination::tests::core();
     let record =
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -1,7 +1,7 @@
-//! Receives heartbeats: checks that this controller may answer, and records what the heartbeat says of its machine.
+//! Receives heartbeats: checks that this controller may respond, and records the reported state of the machine.
 //!
-//! Called by the core for each heartbeat that a worker sends. What the worker is to do is decided in
-//! `reconciliation`, and when it is told in `deferred_responses`. The desired state of tasks is not changed here.
+//! Called by the core for each worker heartbeat. `reconciliation` decides on the commands, and `deferred_responses`
+//! on when they are sent. The desired state of tasks is not changed here.
 
 use crate::coordination::heartbeats::reachability::Reachability;
 use crate::coordination::heartbeats::reconciliation::task_key;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 impl Core {
-    /// Records a heartbeat and answers it, at once or within a short time.
+    /// Records a heartbeat and responds, either immediately or after a short deferral.
     pub(crate) fn handle_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let shard = self.shard_of(&heartbeat.machine);
         self.membership.heartbeat_arrived(self.now);
@@ -20,7 +20,7 @@
             let response = self.answer_foreign_heartbeat(shard, &heartbeat);
             return self.respond(request, response);
         };
-        // A worker that has seen a newer token obeys a later owner of the shard.
+        // A worker that has seen a newer token follows a later owner of the shard.
         if !self.may_answer_workers() || heartbeat.token > owned_shard.token {
             return self.respond(request, Response::Redirect(None));
         }
@@ -28,14 +28,15 @@
         self.answer_heartbeat(shard, request, heartbeat, is_newest);
     }
 
-    /// False once the records could not be read for longer than the store isolation limit: workers' leases must
-    /// then be allowed to expire, for another controller may own the shard.
+    /// False if the last read of the records is older than the store isolation limit. Another controller may then own
+    /// the shard, so workers' leases must be allowed to expire.
     pub(crate) fn may_answer_workers(&self) -> bool {
         self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.store_isolation_limit)
     }
 
-    /// Records what a heartbeat says of its machine. False, and nothing is recorded, if it is a copy or arrived
-    /// after a newer one: the worker counts its lease from when it sent a heartbeat, so an old one renews nothing.
+    /// Records the machine state in a heartbeat. Returns false and records nothing if the heartbeat is a duplicate or
+    /// arrived after a newer one: the worker counts its lease from when it sent the heartbeat, so an old heartbeat
+    /// does not renew the lease.
     fn record_heartbeat(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> bool {
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return false };
@@ -43,7 +44,7 @@
         if removed.is_some_and(|newest| heartbeat.id() <= newest) {
             return false;
         }
-        let new_machine = || machine_of(heartbeat, now, removed.is_some());
+        let new_machine = || machine_from_heartbeat(heartbeat, now, removed.is_some());
         let machine = owned_shard.machines.entry(heartbeat.machine.clone()).or_insert_with(new_machine);
         let previous = machine.heartbeat_id();
         if heartbeat.id() <= previous {
@@ -62,7 +63,7 @@
         machine.agent_epoch = heartbeat.agent_epoch;
         machine.heartbeat_number = heartbeat.heartbeat_number;
         machine.token_acknowledged = heartbeat.token == owned_shard.token;
-        // The first notice counts: later heartbeats repeat it.
+        // Only the first termination notice counts, because later heartbeats repeat it.
         let known_notice = machine.notice;
         let notice_s = heartbeat.termination_notice_s;
         machine.notice = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::secs(seconds)));
@@ -71,8 +72,8 @@
     }
 }
 
-/// A machine as its first heartbeat shows it, before that heartbeat is recorded.
-fn machine_of(heartbeat: &Heartbeat, now: MonotonicTime, removed_before: bool) -> Machine {
+/// Creates a machine from its first heartbeat, before that heartbeat is recorded.
+fn machine_from_heartbeat(heartbeat: &Heartbeat, now: MonotonicTime, removed_before: bool) -> Machine {
     Machine {
         addr: heartbeat.addr.clone(),
         kind: heartbeat.kind.clone(),
@@ -94,8 +95,8 @@
     }
 }
 
-/// Replaces the tasks that the machine's last heartbeat listed by those of this one. A task that is listed in the
-/// same attempt and state as before keeps the time since when it is.
+/// Replaces the machine's reported tasks with those in this heartbeat. A task whose attempt and state are unchanged
+/// keeps its `since` time.
 fn record_reported_tasks(owned_shard: &mut OwnedShard, heartbeat: &Heartbeat, now: MonotonicTime) {
     let Some(machine) = owned_shard.machines.get_mut(&heartbeat.machine) else { return };
     let placed_tasks = owned_shard.placed_tasks.get(&heartbeat.machine);
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat proves of the tasks on its machine, and what it doesn't.
+//! When a heartbeat proves that a task is absent from its machine.
 
 use super::*;
 use crate::coordination::shards::owned_shard::TaskKey;
@@ -6,7 +6,7 @@
 use crate::storage::records::{FleetRecord, TaskRecord};
 use crate::units::{FencingToken, JobId, MachineId, Revision};
 
-/// An owner of shard 0 whose records place a task on a machine that is being drained.
+/// An owner of shard 0 with a task placed on a machine that is being drained.
 struct Case {
     core: Core,
     machine: MachineId,
@@ -18,7 +18,7 @@
         let mut core = crate::coordination::tests::core();
         let shard = ShardId(0);
         let mut names = (0..).map(|n| MachineId::new(&format!("i-{n:06}")));
-        let machine = names.find(|name| core.shard_of(name) == shard).expect("a name");
+        let machine = names.find(|name| core.shard_of(name) == shard).expect("a machine of the shard");
         let record = crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}}));
         let slice = serde_json::json!({"n": 1, "t": [[0, 1, machine]]});
         core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
@@ -32,8 +32,8 @@
         Case { core, machine, key }
     }
 
-    /// Handles a heartbeat that lists no task. True if the task is still placed on the machine afterwards.
-    fn is_there_after(&mut self, heartbeat_number: u64, token: u64) -> bool {
+    /// Handles a heartbeat without tasks. Returns true if the task is still placed on the machine afterwards.
+    fn is_placed_after(&mut self, heartbeat_number: u64, token: u64) -> bool {
         let heartbeat = Heartbeat {
             machine: self.machine.clone(),
             addr: String::new(),
@@ -51,40 +51,40 @@
     }
 }
 
-/// A copy of a heartbeat that was sent before an earlier owner's start command reached the next owner: the task is
-/// on the machine all the same, until the worker has acknowledged the new token.
+/// A heartbeat that was sent before an earlier owner's start command may reach the next owner late. The task counts as
+/// present on the machine until the worker has acknowledged the new token.
 #[test]
 fn an_unlisted_task_is_absent_once_the_worker_has_acknowledged_the_token() {
     let mut case = Case::new();
-    assert!(case.is_there_after(4, 7));
-    assert!(case.is_there_after(5, 8));
-    assert!(!case.is_there_after(6, 9));
+    assert!(case.is_placed_after(4, 7));
+    assert!(case.is_placed_after(5, 8));
+    assert!(!case.is_placed_after(6, 9));
 }
 
-/// Neither the heartbeat that a start command was sent in response to nor an older one shows that the start had no
+/// The heartbeat to which a start command was the response, or an older one, does not show that the start had no
 /// effect.
 #[test]
-fn an_unlisted_task_is_absent_only_by_a_later_heartbeat_than_its_start_responds_to() {
+fn an_unlisted_task_is_absent_only_after_a_heartbeat_newer_than_its_start() {
     let mut case = Case::new();
-    assert!(case.is_there_after(4, 8));
+    assert!(case.is_placed_after(4, 8));
     let shard = ShardId(0);
     let machine =
         case.core.owned_shards.get_mut(&shard).and_then(|m| m.machines.get_mut(&case.machine)).expect("a machine");
     let sent_with = HeartbeatId { agent_epoch: AgentEpoch(1), heartbeat_number: HeartbeatNumber(5) };
     machine.starts_sent.insert(case.key.clone(), sent_with);
-    assert!(case.is_there_after(5, 9), "the answer to this one had the start");
-    assert!(case.is_there_after(3, 9), "a copy from before");
-    assert!(!case.is_there_after(6, 9));
+    assert!(case.is_placed_after(5, 9), "the start was sent in response to this heartbeat");
+    assert!(case.is_placed_after(3, 9), "an older duplicate");
+    assert!(!case.is_placed_after(6, 9));
 }
 
-/// A copy renews no lease and changes nothing, whatever token it has.
+/// A duplicate or older heartbeat renews no lease and changes nothing, whatever its token.
 #[test]
 fn a_heartbeat_that_is_not_newer_is_ignored() {
     let mut case = Case::new();
     case.core.now = MonotonicTime(1000);
-    assert!(case.is_there_after(7, 8));
+    assert!(case.is_placed_after(7, 8));
     case.core.now = MonotonicTime(9000);
-    assert!(case.is_there_after(7, 9) && case.is_there_after(2, 9));
+    assert!(case.is_placed_after(7, 9) && case.is_placed_after(2, 9));
     let machine = &case.core.owned_shards[&ShardId(0)].machines[&case.machine];
     assert_eq!(
         (machine.heartbeat_number, machine.last_heartbeat, machine.token_acknowledged),
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -1,8 +1,9 @@
-//! Workers' heartbeats: what they prove of machines and tasks, and the commands that answer them.
+//! Worker heartbeats: records the state of machines and tasks, and responds with commands.
 //!
-//! The core hands each heartbeat to `handling`, which records it. `reconciliation` compares it with the records and
-//! names the commands, `deferred_responses` decides when they are sent (long poll), and `reachability` tells which
-//! workers receive responses at all. Effects follow durable records only: nothing here writes to the store.
+//! The core passes each heartbeat to `handling`, which records it. `reconciliation` compares it with the records and
+//! returns the commands, `deferred_responses` decides when they are sent (long poll), and `reachability` detects
+//! workers that do not receive responses. Tasks are started only after their placement is durable. This module does
+//! not write to the store.
 
 pub(crate) mod deferred_responses;
 pub(crate) mod handling;
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -1,8 +1,8 @@
-//! Reconciles heartbeats with the records of tasks: which commands a worker gets, which tasks have ended, and which
-//! are certainly not on a machine.
+//! Reconciles heartbeats with the records of tasks: determines the commands for a worker, the tasks that have exited,
+//! and the tasks that are certainly not on a machine.
 //!
-//! Called for heartbeats that were recorded, and for machines that are lost. Changes the desired state of tasks;
-//! starts are sent only for what the store holds already.
+//! Called for recorded heartbeats and for lost machines. Changes the desired state of tasks. Start commands are sent
+//! only for placements that are durable in the store.
 
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::shards::owned_shard::{CachedImage, Machine, TaskKey};
@@ -11,34 +11,34 @@
 use crate::storage::records::TaskRecord;
 use crate::units::{Attempt, JobId, MachineId, ShardId};
 
-/// The most commands of one response. The rest follow in the response to the next heartbeat.
+/// Maximum number of commands in one response. Further commands follow in the response to the next heartbeat.
 pub(crate) const MAX_COMMANDS: usize = 200;
 
-/// Removed machines whose newest heartbeat is remembered, by shard.
+/// Maximum number of removed machines per shard whose newest heartbeat id is kept.
 const MAX_REMOVED_MACHINES: usize = 1000;
 
-/// A try of a task.
+/// One attempt to run a task.
 struct TaskAttempt {
     key: TaskKey,
     attempt: Attempt,
 }
 
-/// Tasks that are placed on a machine and that its heartbeat did not list.
+/// Tasks that are placed on a machine but missing in its heartbeat.
 #[derive(Default)]
 struct UnreportedTasks {
-    /// To be started now.
+    /// Tasks to start now.
     to_start: Vec<TaskAttempt>,
-    /// Must not start there any more, and are certainly not on the machine.
+    /// Tasks that must no longer start on the machine and are certainly not on it.
     absent: Vec<TaskAttempt>,
 }
 
-/// The task that a heartbeat lists, as the cache knows it.
+/// Returns the cache key of a task in a heartbeat.
 pub(super) fn task_key(task: &TaskStatus) -> TaskKey {
     (task.task.job.clone(), task.task.index)
 }
 
 impl Core {
-    /// Takes in the exits that a heartbeat lists and names the commands for its worker, at most [`MAX_COMMANDS`].
+    /// Applies the task exits in a heartbeat and returns the commands for its worker, at most [`MAX_COMMANDS`].
     pub(super) fn reconcile(&mut self, shard: ShardId, heartbeat: &Heartbeat) -> Vec<Command> {
         for task in heartbeat.tasks.iter().filter(|task| task.state == TaskState::Exited) {
             self.record_exit(&heartbeat.machine, task);
@@ -60,13 +60,13 @@
         commands
     }
 
-    /// True if the machine may be given work, as far as its own state goes.
+    /// True if the machine's own state allows it to get work.
     pub(super) fn is_usable(&self, name: &MachineId, machine: &Machine) -> bool {
         machine.notice.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.draining(name)
     }
 
-    /// All tasks that were on the machine are certainly gone: forgets the machine and lets its tasks be placed
-    /// again.
+    /// Removes a lost machine and makes its tasks pending again. The caller has established that none of its tasks
+    /// can still run.
     pub(crate) fn remove_lost_machine(&mut self, shard: ShardId, name: &MachineId) {
         let unexpected = !self.returned(name);
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
@@ -74,7 +74,7 @@
         if let Some(machine) = owned_shard.machines.remove(name) {
             owned_shard.removed_machines.insert(name.clone(), machine.heartbeat_id());
             if owned_shard.removed_machines.len() > MAX_REMOVED_MACHINES {
-                // The cloud numbers its machines: the first name is about the oldest one.
+                // The cloud numbers its machines, so the first name belongs to approximately the oldest one.
                 owned_shard.removed_machines.pop_first();
             }
             self.estimates.machine_gone(&machine, self.now, unexpected);
@@ -86,14 +86,14 @@
         }
     }
 
-    /// The command that a task listed by a heartbeat calls for, if any.
+    /// Returns the command for a task in a heartbeat, if one is needed.
     fn command_for_reported_task(&self, shard: ShardId, machine: &MachineId, task: &TaskStatus) -> Option<Command> {
         let key = task_key(task);
         let desired = is_attempt_on(self.desired_task(&key), task.attempt, machine);
         let durable = is_attempt_on(self.durable_task(&key), task.attempt, machine);
         let (name, attempt) = (task.task.clone(), task.attempt);
         if task.state == TaskState::Exited {
-            // The exit is durable, or the attempt was never the task's.
+            // Forget only if the exit is durable or the attempt was never recorded for the task.
             let job_done = self.cache.jobs.get(&key.0).is_some_and(|job| !job.holds_machines());
             let may_forget = (!durable || job_done) && !desired;
             return may_forget.then_some(Command::Forget { task: name, attempt });
@@ -102,11 +102,12 @@
             return Some(Command::Stop { task: name, attempt, grace_s: 0.0 });
         }
         let grace_s = *self.owned_shards.get(&shard)?.stopping.get(&key)?;
-        let stops_already = task.state == TaskState::Saving;
-        (!stops_already).then_some(Command::Stop { task: name, attempt, grace_s })
+        let is_saving = task.state == TaskState::Saving;
+        (!is_saving).then_some(Command::Stop { task: name, attempt, grace_s })
     }
 
-    /// The tasks that are placed on the heartbeat's machine and not listed, with at most so many to start.
+    /// Returns the tasks that are placed on the machine but missing in its heartbeat, with at most `max_starts` tasks
+    /// to start.
     fn unreported_tasks(&self, shard: ShardId, heartbeat: &Heartbeat, max_starts: usize) -> UnreportedTasks {
         let mut unreported = UnreportedTasks::default();
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return unreported };
@@ -137,7 +138,7 @@
         unreported
     }
 
-    /// The command that starts the task, noted as sent in response to this heartbeat.
+    /// Returns the start command for a task and records that it was sent in response to this heartbeat.
     fn start_command(&mut self, shard: ShardId, heartbeat: &Heartbeat, task: TaskAttempt) -> Command {
         let TaskAttempt { key, attempt } = task;
         self.record_image(shard, &heartbeat.machine, &key.0);
@@ -148,7 +149,8 @@
         Command::Start { task: TaskName { job: key.0, index: key.1 }, attempt }
     }
 
-    /// The machine fetches the job's image, and evicts its oldest images if its cache is full.
+    /// Records that the machine fetches the job's image, and removes its oldest images as long as its cache is
+    /// over capacity.
     fn record_image(&mut self, shard: ShardId, machine: &MachineId, job: &JobId) {
         let Some(job) = self.cache.jobs.get(job) else { return };
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
@@ -161,8 +163,8 @@
         }
     }
 
-    /// Changes the desired state of a task that has exited. Later heartbeats list the exit again until it is
-    /// durable: only the first one has an effect.
+    /// Updates the desired state of a task that has exited. Heartbeats repeat the exit until it is durable; only the
+    /// first one has an effect.
     fn record_exit(&mut self, machine: &MachineId, task: &TaskStatus) {
         let key = task_key(task);
         if !is_attempt_on(self.desired_task(&key), task.attempt, machine) {
@@ -183,14 +185,16 @@
         }
     }
 
-    /// A task completed on the machine: earlier failures there were not the machine's fault.
+    /// Clears the machine's failed jobs after a task has completed there, because the machine did not cause the earlier
+    /// failures.
     fn record_task_success(&mut self, shard: ShardId, machine: &MachineId) {
         if let Some(machine) = self.owned_shards.get_mut(&shard).and_then(|shard| shard.machines.get_mut(machine)) {
             machine.failed_jobs.clear();
         }
     }
 
-    /// A task failed by itself on the machine, which may be the fault of either: see `fleet::fault_attribution`.
+    /// Records a task that exited with an error. The cause may be the task or the machine: see
+    /// `fleet::fault_attribution`.
     fn record_task_failure(&mut self, shard: ShardId, name: &MachineId, key: &TaskKey, attempt: Attempt) {
         let owned_shard = self.owned_shards.get_mut(&shard);
         let Some(machine) = owned_shard.and_then(|owned_shard| owned_shard.machines.get_mut(name)) else { return };
@@ -201,7 +205,7 @@
         self.update_faulty_machine(shard, name);
     }
 
-    /// True if the job is known and was completed or cancelled.
+    /// True if the job is known and has been completed or cancelled.
     fn has_job_ended(&self, job: &JobId) -> bool {
         self.cache.jobs.get(job).is_some_and(|job| job.record.end.is_some())
     }
@@ -212,9 +216,9 @@
     matches!(record, Some(TaskRecord::Placed(placed, on)) if *placed == attempt && on == machine)
 }
 
-/// True if a task that this heartbeat does not list can't be on the machine, nor get there by a response that is
-/// still on its way: responses of earlier owners are void once the worker has seen this owner's token, and those
-/// of this owner once a later heartbeat than the one they answered has arrived.
+/// True if a task that is missing in this heartbeat can't be on the machine, nor be started there by a response in
+/// transit. Responses of earlier owners are void after the worker has seen this owner's token. Responses of this
+/// owner are void after a heartbeat newer than the one they answered has arrived.
 fn is_certainly_absent(machine: &Machine, key: &TaskKey, heartbeat: HeartbeatId) -> bool {
     let starts_void = machine.starts_sent.get(key).is_none_or(|sent_with| *sent_with < heartbeat);
     machine.token_acknowledged && starts_void
