--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -14,9 +14,9 @@
 const RENEWAL_INTERVAL_BOUNDS_S: (f64, f64) = (0.25, 15.0);
 
 /// Age up to which records count as fresh, as a share of the workers' lease.
-const MAX_RECORD_AGE_SHARE: f64 = 0.3;
-/// Lower bound on the age up to which records count as fresh.
-const MAX_RECORD_AGE_FLOOR_S: f64 = 1.0;
+const RECORD_AGE_LIMIT_SHARE: f64 = 0.3;
+/// Lower bound on that age.
+const MIN_RECORD_AGE_LIMIT_S: f64 = 1.0;
 
 /// Durations of leases, and limits on isolation from the store and on the age of records.
 #[derive(Debug, Clone, Copy)]
@@ -45,7 +45,7 @@
             renewal_interval: Millis::secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
             worker_lease: Millis::secs(workers.longest_lease_s()),
             store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
-            max_record_age: Millis::secs((workers.lease_s * MAX_RECORD_AGE_SHARE).max(MAX_RECORD_AGE_FLOOR_S)),
+            max_record_age: Millis::secs((workers.lease_s * RECORD_AGE_LIMIT_SHARE).max(MIN_RECORD_AGE_LIMIT_S)),
         }
     }
 }
