--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -1,15 +1,15 @@
 //! Dispatches each answer of the cloud to the module that made the call.
 
 use crate::coordination::store_client::pending_requests::{PendingRequest, SentRequest};
-use crate::coordination::{CloudAnswer, Core};
+use crate::coordination::{CloudResponse, Core};
 use crate::units::{CallId, MachineId};
 
 impl Core {
     /// Handles the answer to a call. Ignores answers to calls that are no longer pending.
-    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer) {
-        let Some(SentRequest { what, .. }) = self.store.take_request(id) else { return };
-        match (what, answer) {
-            (PendingRequest::Catalog, CloudAnswer::Catalog(catalog)) => self.apply_catalog(catalog),
+    pub(crate) fn handle_cloud_response(&mut self, id: CallId, answer: CloudResponse) {
+        let Some(SentRequest { pending, .. }) = self.store.take_request(id) else { return };
+        match (pending, answer) {
+            (PendingRequest::Catalog, CloudResponse::Catalog(catalog)) => self.apply_catalog(catalog),
             (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
             (PendingRequest::Rent(rental), answer) => self.rental_answer(rental, answer),
             (PendingRequest::Return(names), answer) => self.return_answer(names, &answer),
@@ -20,9 +20,9 @@
 
     /// Handles the answer to a return request. A later pass retries a failed one, because its
     /// machines are still draining.
-    fn return_answer(&mut self, names: Vec<MachineId>, answer: &CloudAnswer) {
+    fn return_answer(&mut self, names: Vec<MachineId>, answer: &CloudResponse) {
         self.fleet.returning = false;
-        if !matches!(answer, CloudAnswer::Returned) {
+        if !matches!(answer, CloudResponse::Returned) {
             return;
         }
         self.fleet.inventory.confirm_returns(names, self.now);
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -4,7 +4,7 @@
 //! is therefore removed only after it has been missing from the list for much longer than that.
 
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{CloudAnswer, CloudCall, Core};
+use crate::coordination::{CloudCall, CloudResponse, Core};
 use crate::protocol::cloud::ListedMachine;
 use crate::units::{Millis, MonotonicTime};
 
@@ -62,8 +62,8 @@
 
     /// Handles a page: requests the next one, or applies the list if it was the last. If a page fails,
     /// drops the list, which is later read again from the start.
-    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudAnswer) {
-        let CloudAnswer::Page(page) = answer else {
+    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudResponse) {
+        let CloudResponse::Page(page) = answer else {
             self.fleet.listing.abort();
             return;
         };
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::coordination::fleet::inventory::RentedMachine;
 use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::store_client::pending_requests::PendingRequest;
-use crate::coordination::{CloudAnswer, CloudCall, Core};
+use crate::coordination::{CloudCall, CloudResponse, Core};
 use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
 use crate::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::FLEET_KEY;
@@ -100,23 +100,23 @@
         self.store.release_key(FLEET_KEY);
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.request_rental(rental);
             }
             StoreResponse::Conflict(failed) => {
                 self.fleet.renting = false;
-                self.reread(failed, None);
+                self.reread_keys(failed, None);
             }
             _ => self.fleet.renting = false,
         }
     }
 
     /// Handles the cloud's answer to a rental.
-    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudAnswer) {
+    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudResponse) {
         self.fleet.renting = false;
         let pool = rental.pool();
         match answer {
-            CloudAnswer::Rented(names) => {
+            CloudResponse::Rented(names) => {
                 let (rented, requested) = (names.machines.len(), rental.request.count);
                 tracing::info!(
                     rented,
@@ -135,7 +135,7 @@
                     self.fleet.pool_backoffs.record_full_rental(&pool);
                 }
             }
-            CloudAnswer::NoCapacity => self.fleet.pool_backoffs.record_refusal(pool, self.now),
+            CloudResponse::NoCapacity => self.fleet.pool_backoffs.record_refusal(pool, self.now),
             // The cloud may have performed the rental: a retry under the same id gets the same machines.
             _ if rental.retries_left > 0 && self.is_leader() => {
                 self.fleet.renting = true;
@@ -229,9 +229,9 @@
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
         let rental = PendingRental { request, retries_left: MAX_RENTAL_RETRIES };
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
-            PendingRequest::RentName { rental, transaction },
+            PendingRequest::RentalRecord { rental, transaction },
         );
     }
 
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -3,15 +3,15 @@
 use crate::protocol::workers::{TaskName, TaskStatus};
 use crate::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, Revision};
 
-/// A new owner whose watch brought no more events went on renewing the leases of machines on which tasks ran of a
-/// job that it knew to be cancelled.
+/// A new owner whose watch stalls renews machine leases before its cache has caught up. It must still stop tasks of a
+/// job that it knows to be cancelled.
 #[test]
-fn an_owner_that_is_not_ready_stops_tasks_of_jobs_that_it_knows_to_have_ended() {
+fn an_owner_that_is_not_ready_stops_tasks_of_jobs_known_to_have_ended() {
     let mut core = crate::coordination::tests::core();
     let record =
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 16, "parts": [0]}, "end": "cancelled"}));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
-    core.changed(changed);
+    core.handle_cache_change(changed);
     core.store.set_last_read(MonotonicTime(0));
     for shard in 0..2 {
         core.owned_shards.insert(
@@ -43,5 +43,5 @@
         matches!(o, Output::Response(_, Response::Commands { commands, .. })
         if matches!(commands[..], [Command::Stop { grace_s: 0.0, .. }]))
     };
-    assert!(core.out.iter().any(stops_the_task), "{:?}", core.out);
+    assert!(core.outputs.iter().any(stops_the_task), "{:?}", core.outputs);
 }
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -30,7 +30,7 @@
     /// Moves old ended jobs from the watched records to the archive, using spare write capacity. Does
     /// nothing unless this node is the leader.
     pub(crate) fn archive_ended_jobs(&mut self) {
-        let idle = self.store.writes_above(self.now, MIN_UNUSED_WRITES_S);
+        let idle = self.store.write_budget_above(self.now, MIN_UNUSED_WRITES_S);
         if !self.is_leader() || !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
@@ -80,7 +80,7 @@
         }
         if self.try_charge_request(request) {
             let call = StoreRequest::Get { key: archived_job_key(&job) };
-            self.call_state(call, PendingRequest::Archived { request, job, known: accepted });
+            self.call_store(call, PendingRequest::ArchiveLookUp { request, job, known: accepted });
         }
     }
 
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -22,7 +22,7 @@
         }
         if self.try_charge_request(request) {
             let call = StoreRequest::Get { key: job_key(&job) };
-            self.call_state(call, PendingRequest::CancelRead { request, job, tries: MAX_CANCEL_ATTEMPTS });
+            self.call_store(call, PendingRequest::CancelRead { request, job, tries: MAX_CANCEL_ATTEMPTS });
         }
     }
 
@@ -55,7 +55,7 @@
         let condition = Condition { key: job_key(&id), version };
         let transaction = Transaction { conditions: vec![condition], changes: vec![change] };
         self.store.charge_transaction(self.now, 1);
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::CancelWrite { request, job, transaction, tries: tries - 1 },
         );
@@ -73,13 +73,13 @@
     ) {
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.answer_known_job(request, &job);
             }
             StoreResponse::Conflict(_) | StoreResponse::Unknown => {
-                self.store.charge_read(self.now);
-                self.call_state(
+                self.store.charge_request(self.now);
+                self.call_store(
                     StoreRequest::Get { key: job_key(&job) },
                     PendingRequest::CancelRead { request, job, tries },
                 );
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -49,8 +49,8 @@
         let next = self.dependency_graph.next_unknown(self.dependency_lookups.last.as_ref());
         let Some(id) = next.cloned() else { return };
         self.dependency_lookups.start(&id);
-        self.store.charge_read(self.now);
-        self.call_state(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
+        self.store.charge_request(self.now);
+        self.call_store(StoreRequest::Get { key: archived_job_key(&id) }, PendingRequest::DependencyLookUp(id));
     }
 
     /// Handles the response to a dependency look-up: records the outcome in the dependency graph, or
--- a/src/coordination/jobs/dependency_lookup/tests.rs
+++ b/src/coordination/jobs/dependency_lookup/tests.rs
@@ -13,10 +13,10 @@
         crate::coordination::tests::record(serde_json::json!({"plan": {"size": 1, "parts": []}, "awaits": "000001"}));
     let (first, second) = (JobId::new("wk-000001"), JobId::new("wk-000002"));
     let changed = core.cache.apply("t/j/wk-000002", Some(record), Revision(5));
-    core.changed(changed);
+    core.handle_cache_change(changed);
     let answered_state = |core: &mut Core| {
         core.answer_known_job(RequestId(1), &second);
-        match core.out.pop() {
+        match core.outputs.pop() {
             Some(Output::Response(_, Response::Job { state, .. })) => Some(state),
             _ => None,
         }
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -134,7 +134,7 @@
     pub(crate) fn release_ready_jobs(&mut self) {
         self.dependency_release.requested = false;
         // Like submissions, releases take precedence over other writes.
-        let affordable = self.store.writes_above(self.now, -MAX_CREDIT_S);
+        let affordable = self.store.write_budget_above(self.now, -MAX_CREDIT_S);
         if !affordable || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
@@ -152,7 +152,7 @@
     /// Writes the outcomes of jobs that were cancelled through a dependency. Uses only spare write
     /// capacity, because users are answered without these writes.
     pub(crate) fn write_dependency_cancellations(&mut self) {
-        let idle = self.store.writes_above(self.now, MIN_UNUSED_WRITES_S);
+        let idle = self.store.write_budget_above(self.now, MIN_UNUSED_WRITES_S);
         if !idle || !self.records_fresh() || !self.store.may_send(self.now) {
             return;
         }
--- a/src/coordination/jobs/health.rs
+++ b/src/coordination/jobs/health.rs
@@ -12,7 +12,7 @@
     /// Answers a health check.
     pub(crate) fn check_health(&mut self, request: RequestId) {
         if self.can_accept_jobs() {
-            self.response(request, Response::Healthy);
+            self.respond(request, Response::Healthy);
         } else {
             self.refuse(request, Refusal::Starting);
         }
@@ -21,7 +21,7 @@
     /// True if submissions can be validated and the store is reachable. An unreachable store is
     /// tolerated if no peer reaches it either, because no other controller could serve users better.
     pub(crate) fn can_accept_jobs(&self) -> bool {
-        let store_reached = self.is_recent(self.store.last_answer());
+        let store_reached = self.is_recent(self.store.last_response());
         self.store.is_loaded()
             && !self.catalog.is_empty()
             && (store_reached || self.membership.peers().no_peer_reaches_store(self.now))
--- a/src/coordination/jobs/health/tests.rs
+++ b/src/coordination/jobs/health/tests.rs
@@ -13,7 +13,7 @@
     core.store.set_loaded();
     core.now = MonotonicTime(60_000);
     let mut is_healthy = |last_answer: u64, peer: Option<(u64, bool)>| {
-        core.store.set_last_answer(MonotonicTime(last_answer));
+        core.store.set_last_response(MonotonicTime(last_answer));
         let peer = peer.map(|(heard, state_reachable)| Peer {
             last_heard: Some(MonotonicTime(heard)),
             state_reachable,
--- a/src/coordination/jobs/responses.rs
+++ b/src/coordination/jobs/responses.rs
@@ -38,7 +38,7 @@
             None if running > 0 => (JobState::Running, Some(JobProgress { done, running })),
             None => (JobState::Queued, Some(JobProgress { done, running })),
         };
-        self.response(request, Response::Job { status, id: id.clone(), state, progress });
+        self.respond(request, Response::Job { status, id: id.clone(), state, progress });
     }
 
     /// Answers from a cache that is at least as recent as the request. Looks up a job without a record
@@ -61,7 +61,7 @@
     /// Charges one read for a user's request to this node's share of the store's rate limit. If the
     /// share is exhausted, refuses the request and returns false.
     pub(crate) fn try_charge_request(&mut self, request: RequestId) -> bool {
-        if self.store.may_send(self.now) && self.store.try_charge_reads(self.now, 1.0) {
+        if self.store.may_send(self.now) && self.store.try_charge_requests(self.now, 1.0) {
             return true;
         }
         self.refuse(request, Refusal::Busy);
--- a/src/coordination/jobs/status_query.rs
+++ b/src/coordination/jobs/status_query.rs
@@ -134,7 +134,7 @@
     /// True if the store has not answered for `MAX_STORE_SILENCE`, not counting the time during which
     /// this process was suspended.
     fn is_store_silent(&self) -> bool {
-        let last_answer = self.store.last_answer().map(|at| at.max(self.resumed_at));
+        let last_answer = self.store.last_response().map(|at| at.max(self.resumed_at));
         last_answer.is_none_or(|at| self.now.since(at) > MAX_STORE_SILENCE)
     }
 
@@ -145,9 +145,9 @@
         if !self.status_queries.is_probe_due(self.now) || !self.store.may_send(self.now) {
             return;
         }
-        if self.store.try_charge_reads(self.now, 1.0) {
+        if self.store.try_charge_requests(self.now, 1.0) {
             let queries = self.status_queries.start_probe(self.now);
-            self.call_state(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::Probe(queries));
+            self.call_store(StoreRequest::Get { key: PROBE_KEY.into() }, PendingRequest::RevisionProbe(queries));
         }
     }
 
@@ -159,7 +159,7 @@
         self.status_queries.hold_until(revision, queries);
         if self.cache.revision < revision {
             // The queries wait for the changes that the next watch returns.
-            self.store.watch_at_once(self.now);
+            self.store.request_watch_now(self.now);
             self.tick_membership();
         }
         self.answer_ready_queries();
--- a/src/coordination/jobs/submission.rs
+++ b/src/coordination/jobs/submission.rs
@@ -44,7 +44,7 @@
             return self.refuse_unless_known(request, spec.id, reason.into());
         }
         // Submissions take precedence over other requests to the store.
-        if !self.store.may_send(self.now) || self.store.reads_below(self.now, -MAX_CREDIT_S) {
+        if !self.store.may_send(self.now) || self.store.request_budget_below(self.now, -MAX_CREDIT_S) {
             return self.refuse(request, Refusal::Busy);
         }
         if !spec.dependencies.is_empty() {
@@ -91,7 +91,7 @@
             ],
             changes: vec![change],
         };
-        self.call_state(
+        self.call_store(
             StoreRequest::Transaction(transaction.clone()),
             PendingRequest::SubmitWrite { request, transaction, spec },
         );
@@ -118,7 +118,7 @@
     ) {
         match answer {
             StoreResponse::Committed(revision) => {
-                self.committed(&transaction, revision);
+                self.apply_committed(&transaction, revision);
                 self.send_revision_hint(revision);
                 self.milestone_reached(Milestone::SubmissionAccepted);
                 self.answer_job(request, JobResponseStatus::Accepted, &spec.id, None);
@@ -133,9 +133,9 @@
     }
 
     fn read_submitted(&mut self, request: RequestId, job: JobId, status: JobResponseStatus) {
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         let call = StoreRequest::Get { key: job_key(&job) };
-        self.call_state(call, PendingRequest::SubmitRead { request, job, status });
+        self.call_store(call, PendingRequest::SubmitRead { request, job, status });
     }
 
     /// Handles the response to the read of a submitted job's record and answers with the given status.
@@ -168,7 +168,7 @@
             }
         };
         let changed = self.cache.apply(&item.key, Some(item.value), item.version);
-        self.changed(changed);
+        self.handle_cache_change(changed);
         Some((record.spec.id.clone(), record))
     }
 }
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -63,7 +63,7 @@
         if !self.store.may_send(self.now) {
             return;
         }
-        self.keep_cache_current();
+        self.sync_cache();
         self.request_lease();
         if let (true, Some(lease)) = (self.store.is_loaded(), self.membership.lease()) {
             self.update_shard_release();
@@ -75,13 +75,16 @@
 
     fn request_lease(&mut self) {
         let Some(request) = self.membership.node_lease.next_request(self.now) else { return };
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         match request {
             LeaseRequest::Grant => {
-                self.call_state(StoreRequest::GrantLease { ttl_ms: self.timing.ttl.0 }, PendingRequest::Grant);
+                self.call_store(
+                    StoreRequest::GrantLease { ttl_ms: self.timing.node_lease.0 },
+                    PendingRequest::GrantLease,
+                );
             }
             LeaseRequest::Renew(lease) => {
-                self.call_state(StoreRequest::RenewLease { lease }, PendingRequest::Renew(lease));
+                self.call_store(StoreRequest::RenewLease { lease }, PendingRequest::RenewLease(lease));
             }
         }
     }
@@ -91,16 +94,16 @@
         self.membership.node_lease.granting = false;
         match answer {
             StoreResponse::LeaseGranted(lease) => {
-                self.membership.node_lease.granted(lease, self.now + self.timing.renew_every);
+                self.membership.node_lease.granted(lease, self.now + self.timing.renewal_interval);
             }
-            _ => self.store.pause(self.now),
+            _ => self.store.back_off(self.now),
         }
     }
 
     /// Handles the response to a renewal of `lease`, which may no longer be the current lease.
     pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.membership.node_lease.renewing = false;
-        self.membership.node_lease.next_renewal_at = self.now + self.timing.renew_every;
+        self.membership.node_lease.next_renewal_at = self.now + self.timing.renewal_interval;
         match answer {
             StoreResponse::LeaseRenewed => {}
             StoreResponse::LeaseGone if self.membership.lease() == Some(lease) => self.lease_lost(),
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -57,12 +57,12 @@
             failing_jobs: self.failing_jobs(),
         };
         self.membership.status_schedule.sent += 1;
-        self.out.push(Output::BroadcastStatus(status));
+        self.outputs.push(Output::BroadcastStatus(status));
     }
 
     /// Broadcasts immediately that there are new records to read, up to `revision`.
     pub(crate) fn send_revision_hint(&mut self, revision: Revision) {
-        self.out.push(Output::RevisionHint(revision));
+        self.outputs.push(Output::RevisionHint(revision));
     }
 
     fn shard_status(&self, shard: ShardId, owned_shard: &OwnedShard) -> ShardStatus {
@@ -123,7 +123,7 @@
             return;
         }
         if status.revision > self.cache.revision.0 {
-            self.store.watch_at_once(self.now);
+            self.store.request_watch_now(self.now);
             if self.store.may_send(self.now) {
                 self.tick_membership();
             }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,8 @@
-//! The core: a pure state machine that decides everything a controller does.
+//! The core: a deterministic state machine that makes all decisions of a controller.
 //!
-//! This module owns [`Core`] and the order of its steps; the modules below own one concern each. The transport
-//! layer calls [`Core::handle`] with each input and the time, and carries out the outputs. Nothing here does I/O
-//! or reads a clock, so tests run the same code in virtual time.
+//! This module owns [`Core`] and the order of its steps; each submodule owns one concern. The transport layer calls
+//! [`Core::handle`] with each input and the current time, and executes the outputs. The core does no I/O and reads
+//! no clock, so tests run the same code in virtual time.
 
 pub(crate) mod fleet;
 pub(crate) mod heartbeats;
@@ -35,28 +35,28 @@
 use crate::units::{Millis, MonotonicTime, NodeName, RequestId, ShardId};
 pub use jobs::refusal::{InfeasibleJob, Refusal, RefusalKind};
 pub use jobs::replicas::{Replica, ReplicaState};
-pub use messages::{ClientRequest, CloudAnswer, CloudCall, Input, JobProgress, JobResponseStatus, Output, Response};
+pub use messages::{ClientRequest, CloudCall, CloudResponse, Input, JobProgress, JobResponseStatus, Output, Response};
 use std::collections::BTreeMap;
 use timing::Timing;
 
 /// How often a controller sends its status to its peers.
 const STATUS_INTERVAL: Millis = Millis(1000);
 
-/// A pause between two inputs that counts as a jump of the clock: ticks come far more often.
-const CLOCK_JUMP: Millis = Millis(1000);
+/// Gap between two inputs that counts as a clock jump. Ticks are far more frequent.
+const MIN_CLOCK_JUMP: Millis = Millis(1000);
 
-/// Pause between two runs of the housekeeping steps.
+/// Interval between runs of the housekeeping steps.
 const HOUSEKEEPING_INTERVAL: Millis = Millis(500);
 
-/// Pause between two ticks.
+/// Interval between ticks.
 const TICK_INTERVAL: Millis = Millis(50);
 
-/// The share of the store's rate limits that all controllers use together; each has an equal part of it.
+/// Share of the store's rate limits that the controllers use, divided equally among them.
 const RATE_LIMIT_SHARE: f64 = 0.9;
 
-/// One controller's state machine. It does no I/O, reads no clock and draws no random numbers: everything that
-/// it knows came in as an [`Input`], and everything that it does goes out as an [`Output`]. Its fields are open
-/// to the modules below this one; each concern keeps its own state in a type with private fields.
+/// State machine of one controller. It does no I/O, reads no clock and draws no random numbers: all information
+/// arrives as an [`Input`], and all effects are returned as an [`Output`]. The fields are visible to the submodules;
+/// each submodule keeps its own state in a type with private fields.
 pub struct Core {
     settings: Settings,
     tuning: Tuning,
@@ -65,11 +65,11 @@
     shard_count: u32,
     now: MonotonicTime,
     /// When this process started.
-    began: MonotonicTime,
-    /// When the clock last jumped.
+    started_at: MonotonicTime,
+    /// When this process last resumed after a clock jump.
     resumed_at: MonotonicTime,
     time_of_day_ms: u64,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     cache: StateCache,
     store: StoreClient,
     owned_shards: BTreeMap<ShardId, OwnedShard>,
@@ -77,8 +77,8 @@
     membership: Membership,
     next_cycle: MonotonicTime,
     next_housekeeping: MonotonicTime,
-    /// A job arrived whose slices are to be assigned before the next housekeeping.
-    assign_soon: bool,
+    /// A new job has slices to assign before the next housekeeping run.
+    assignment_requested: bool,
     next_assignment: MonotonicTime,
     catalog: MachineCatalog,
     fleet: Fleet,
@@ -94,13 +94,13 @@
 }
 
 impl Core {
-    /// A core that knows nothing yet but its settings. Limits of the store that are announced for later hold from
-    /// the start, so that nothing is begun that could not be finished under them.
+    /// Creates a core from its settings, without records. Announced future limits of the store apply from the start,
+    /// so that no operation starts that could not be completed under them.
     pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
         settings.cluster.state = settings.cluster.state.least();
         let names = settings.node_names();
-        let share = names.len().max(1) as f64;
-        let state = &settings.cluster.state;
+        let controllers = names.len().max(1) as f64;
+        let limits = &settings.cluster.state;
         let mut cache = StateCache::default();
         let objectives = Objectives::from_settings(&settings.cluster.objectives, &mut cache.names);
         let fleet = Fleet::new(settings.cluster.cloud.rps);
@@ -108,19 +108,19 @@
         Core {
             node_name: NodeName::new(&settings.node),
             shard_count: names.len() as u32,
-            timing: Timing::of(&settings),
+            timing: Timing::from_settings(&settings),
             store: StoreClient::new(
-                state.rps * RATE_LIMIT_SHARE / share,
-                (state.write_rps * RATE_LIMIT_SHARE / share).max(1.0),
+                limits.rps * RATE_LIMIT_SHARE / controllers,
+                (limits.write_rps * RATE_LIMIT_SHARE / controllers).max(1.0),
             ),
             membership: Membership::new(settings.peers.iter().map(|peer| NodeName::new(&peer.node))),
             settings,
             tuning,
             now: MonotonicTime(0),
-            began: MonotonicTime(0),
+            started_at: MonotonicTime(0),
             resumed_at: MonotonicTime(0),
             time_of_day_ms: 0,
-            out: vec![],
+            outputs: vec![],
             cache,
             objectives,
             guarantees,
@@ -128,7 +128,7 @@
             completed_jobs: CompletedJobs::default(),
             next_cycle: MonotonicTime(0),
             next_housekeeping: MonotonicTime(0),
-            assign_soon: false,
+            assignment_requested: false,
             next_assignment: MonotonicTime(0),
             catalog: MachineCatalog::default(),
             fleet,
@@ -142,41 +142,41 @@
         }
     }
 
-    /// Handles one input and returns what is to be sent, written and answered. `now` is this process's monotonic
-    /// clock; the time of day (milliseconds since the epoch) serves estimates of age only.
+    /// Handles one input and returns the resulting calls, messages and responses. `now` is this process's monotonic
+    /// clock. The time of day, in milliseconds since the Unix epoch, is used only to estimate ages.
     pub fn handle(&mut self, now: MonotonicTime, time_of_day_ms: u64, input: Input) -> Vec<Output> {
         let gap = now.since(self.now);
         self.now = self.now.max(now);
         self.time_of_day_ms = time_of_day_ms;
-        if gap >= CLOCK_JUMP {
-            self.clock_jumped(gap);
+        if gap >= MIN_CLOCK_JUMP {
+            self.handle_clock_jump(gap);
         }
         match input {
             Input::Tick => self.tick(),
             Input::ClientRequest(request, client_request) => self.handle_client_request(request, client_request),
             Input::Heartbeat(request, heartbeat) => self.handle_heartbeat(request, heartbeat),
-            Input::State(call, answer) => self.state_answer(call, answer),
-            Input::Cloud(call, answer) => self.cloud_answer(call, answer),
+            Input::Store(call, answer) => self.handle_store_response(call, answer),
+            Input::Cloud(call, answer) => self.handle_cloud_response(call, answer),
             Input::PeerStatus(status) => self.receive_peer_status(status),
         }
         self.process_status_queries();
         self.send_due_responses();
         self.write_pending_changes();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// No input came for much longer than the pause between ticks: this process was suspended while its clocks ran
-    /// on. That nothing was received meanwhile proves no peer or machine silent, and does not make runs longer.
-    /// Leases do run out during a jump.
-    fn clock_jumped(&mut self, gap: Millis) {
-        tracing::info!(gap_s = gap.as_secs(), "clock jumped: this process was suspended");
+    /// Adjusts timers after a gap between inputs that is much longer than the tick interval: this process was
+    /// suspended while its clocks advanced. The gap must not make peers or machines count as silent, nor lengthen
+    /// the measured run times of tasks. Leases do expire during the gap.
+    fn handle_clock_jump(&mut self, gap: Millis) {
+        tracing::info!(gap_s = gap.as_secs(), "clock jumped; this process was suspended");
         self.resumed_at = self.now;
         self.membership.clock_jumped(gap);
         self.fleet.clock_jumped(gap);
     }
 
-    /// How long the caller may wait before the next tick.
-    pub fn next_tick(&self) -> Millis {
+    /// Longest time that the caller may wait before the next [`Input::Tick`].
+    pub fn tick_interval(&self) -> Millis {
         TICK_INTERVAL
     }
 
@@ -185,14 +185,14 @@
         self.check_milestones();
         if self.now >= self.next_housekeeping {
             self.next_housekeeping = self.now + HOUSEKEEPING_INTERVAL;
-            self.housekeeping();
+            self.run_housekeeping();
         }
         self.look_up_unknown_dependencies();
         if self.dependency_release.is_requested() {
             self.release_ready_jobs();
         }
-        if self.assign_soon && self.now >= self.next_assignment {
-            self.assign_soon = false;
+        if self.assignment_requested && self.now >= self.next_assignment {
+            self.assignment_requested = false;
             self.next_assignment = self.now + Millis(self.tuning.cycle_interval_ms);
             self.assign_new_slices();
         }
@@ -203,7 +203,7 @@
         self.broadcast_due_status();
     }
 
-    fn housekeeping(&mut self) {
+    fn run_housekeeping(&mut self) {
         self.refresh_catalog();
         self.update_faulty_machines();
         self.update_reachability();
@@ -220,19 +220,19 @@
         self.archive_ended_jobs();
     }
 
-    /// Answers a request of a user or worker.
-    fn response(&mut self, request: RequestId, response: Response) {
-        self.out.push(Output::Response(request, response));
+    /// Sends the response to a request of a user or worker.
+    fn respond(&mut self, request: RequestId, response: Response) {
+        self.outputs.push(Output::Response(request, response));
     }
 
-    /// Tells a user why a request is not carried out.
+    /// Responds to a user's request with the reason for its refusal.
     fn refuse(&mut self, request: RequestId, refusal: Refusal) {
-        self.response(request, Response::Error(refusal));
+        self.respond(request, Response::Error(refusal));
     }
 
-    /// True if the records were read lately enough to start new work on them.
+    /// True if the last read of the records is recent enough to start new work.
     fn records_fresh(&self) -> bool {
-        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.fresh)
+        self.store.last_read().is_some_and(|at| self.now.since(at) <= self.timing.max_record_age)
     }
 }
 
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -33,7 +33,7 @@
 
     /// True if a peer was heard within this time. A peer that was never heard counts as heard when this process began.
     pub(crate) fn peer_heard_within(&self, node: &NodeName, limit: Millis) -> bool {
-        let heard = self.membership.peers().last_heard(node).unwrap_or(self.began);
+        let heard = self.membership.peers().last_heard(node).unwrap_or(self.started_at);
         self.now.since(heard) <= limit
     }
 
@@ -133,7 +133,7 @@
     /// longer fresh, and its last response renews the lease in full.
     pub(super) fn lease_after_proxy(&self) -> Millis {
         // One part in 500 (0.2 %) allows for clock drift.
-        let fresh = Millis(self.timing.fresh.0 + self.timing.fresh.0 / 500);
+        let fresh = Millis(self.timing.max_record_age.0 + self.timing.max_record_age.0 / 500);
         fresh + self.timing.worker_lease
     }
 }
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -84,9 +84,9 @@
         let mut conditions = vec![Condition { key: owner_key(shard), version: Revision(owned_shard.token.0) }];
         let absent = |node| Condition { key: lease_proxy_key(shard, node), version: Revision(0) };
         conditions.extend(self.membership.peers().names().map(absent));
-        self.store.charge_read(self.now);
+        self.store.charge_request(self.now);
         let check = Transaction { conditions, changes: vec![] };
-        self.call_state(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
+        self.call_store(StoreRequest::Transaction(check), PendingRequest::ExpiryCheck(shard));
     }
 
     /// Handles the store's response to the expiry check.
@@ -97,7 +97,7 @@
             StoreResponse::Committed(revision) => {
                 owned_shard.expiry_check = ExpiryCheck::Confirmed { revision, machines };
             }
-            StoreResponse::Conflict(failed) => self.reread(failed, None),
+            StoreResponse::Conflict(failed) => self.reread_keys(failed, None),
             // The check is inconclusive; the next housekeeping sends it again.
             _ => {}
         }
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -1,8 +1,8 @@
-//! Requests in flight to the store and the cloud: what each answer is for, and
-//! which concern takes it.
+//! Requests in flight to the store and the cloud, and the dispatch of the
+//! store's responses to the modules that sent the requests.
 //!
-//! Every part of the core sends through [`Core::call_state`] and
-//! [`Core::call_cloud`]. Answers to requests that are not in flight are ignored.
+//! All modules of the core send through [`Core::call_store`] and
+//! [`Core::call_cloud`]. Responses to requests that are not in flight are ignored.
 
 use crate::coordination::fleet::scale_out::PendingRental;
 use crate::coordination::jobs::dependency_check::DependencyCheck;
@@ -15,88 +15,88 @@
 use crate::units::{CallId, JobId, LeaseId, MachineId, MonotonicTime, RequestId, Revision, ShardId};
 use std::collections::BTreeSet;
 
-/// What a request was sent for, with what its answer needs.
+/// Purpose of a request in flight, with the context that is needed to handle its response.
 #[derive(Debug)]
 pub(crate) enum PendingRequest {
-    /// A page of all records.
+    /// Reads one page of all records.
     Load(LoadProgress),
-    /// Changes since the cache's revision.
+    /// Watches for changes after the cache's revision.
     Watch,
-    /// Whether another controller renews worker leases of the shard.
+    /// Checks whether another controller renews worker leases of the shard.
     ExpiryCheck(ShardId),
-    /// A lease for this node.
-    Grant,
-    /// The renewal of this node's lease.
-    Renew(LeaseId),
-    /// A transaction on single records; the watch or a read after a conflict
-    /// shows its outcome.
+    /// Requests a lease for this node.
+    GrantLease,
+    /// Renews this node's lease.
+    RenewLease(LeaseId),
+    /// Changes single records. If the response does not show the outcome, the watch
+    /// or a read after a conflict does.
     Transaction(Transaction),
-    /// A quota transfer sent once more: the first one got no answer.
+    /// Retries a quota transfer whose outcome is unknown.
     QuotaTransferRetry(Transaction),
-    /// Changes of a shard's slices.
+    /// Writes changes of a shard's slices.
     ShardTransaction { shard: ShardId, transaction: Transaction },
-    /// A record that a conflict named.
+    /// Reads a record again after a conflict.
     Reread {
-        /// The record's key.
+        /// Key of the record to read.
         key: String,
-        /// The shard whose transaction waits for it.
+        /// Shard whose transaction failed on this key; `None` for other transactions.
         shard: Option<ShardId>,
     },
-    /// The record of a new job, which a user waits for.
+    /// Writes the record of a submitted job before the user gets a response.
     SubmitWrite { request: RequestId, transaction: Transaction, spec: Box<JobSpec> },
-    /// The record of a job that was submitted before, perhaps; `status` is what its submission is
-    /// answered with if it is there.
+    /// Reads the record of a job that may have been submitted before. `status` goes into the
+    /// response to the submission if the record exists.
     SubmitRead { request: RequestId, job: JobId, status: JobResponseStatus },
-    /// The newest revision; these status queries wait for the cache to reach it.
-    Probe(Vec<StatusQuery>),
-    /// Whether a job that has no record ended long ago; `known` if it was accepted once.
-    Archived { request: RequestId, job: JobId, known: bool },
-    /// The record of a job whose submission is invalid: it may be known all the same.
+    /// Asks for the store's newest revision. These status queries wait until the cache reaches it.
+    RevisionProbe(Vec<StatusQuery>),
+    /// Looks up a job without a record in the archive; `known` if the job has been accepted before.
+    ArchiveLookUp { request: RequestId, job: JobId, known: bool },
+    /// Looks up the job of an invalid submission, which an earlier valid one may have created.
     RefusalLookUp(HeldRefusal),
-    /// A job that a submission depends on; one is read after the other.
+    /// Reads a job that a submission depends on. Dependencies are read one after another.
     DependencyCheck(DependencyCheck),
-    /// The archived record of a job that waiting ones depend on.
+    /// Reads the archived record of a job that waiting jobs depend on.
     DependencyLookUp(JobId),
-    /// The record of a job that is to be cancelled, with the attempts that are left.
+    /// Reads the record of a job to cancel; `tries` is the number of attempts left.
     CancelRead { request: RequestId, job: JobId, tries: u32 },
-    /// The end of a job that is cancelled, with the attempts that are left.
+    /// Writes the cancellation of a job; `tries` is the number of attempts left.
     CancelWrite { request: RequestId, job: JobId, transaction: Transaction, tries: u32 },
-    /// The record that names a rental request before it is made.
-    RentName { rental: PendingRental, transaction: Transaction },
-    /// A rental request to the cloud.
+    /// Records the id of a rental request before the request is sent to the cloud.
+    RentalRecord { rental: PendingRental, transaction: Transaction },
+    /// Rents machines from the cloud.
     Rent(PendingRental),
-    /// Machines that are returned to the cloud.
+    /// Returns machines to the cloud.
     Return(Vec<MachineId>),
-    /// A page of the machines that the cloud lists.
+    /// Lists one page of the rented machines.
     List {
-        /// Machines on the pages so far.
+        /// Machines listed on the pages read so far.
         seen: Vec<ListedMachine>,
     },
-    /// The cloud's machine types.
+    /// Reads the cloud's machine types.
     Catalog,
 }
 
-/// How far a read of all records, page by page, has come.
+/// Progress of a paged read of all records.
 #[derive(Debug)]
 pub(crate) struct LoadProgress {
-    /// Keys in the pages so far.
-    pub(super) seen: BTreeSet<String>,
-    /// The first page's revision, once it has come.
+    /// Keys on the pages read so far.
+    pub(super) keys: BTreeSet<String>,
+    /// Revision of the first page; `None` before it arrives.
     pub(super) revision: Option<Revision>,
-    /// When the first page was asked for.
-    pub(super) since: MonotonicTime,
+    /// When the first page was requested.
+    pub(super) started_at: MonotonicTime,
 }
 
 /// A request in flight.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
-    /// What its answer is for.
-    pub(crate) what: PendingRequest,
-    /// When it was sent.
-    pub(crate) sent: MonotonicTime,
+    /// Purpose and context of the request.
+    pub(crate) pending: PendingRequest,
+    /// When the request was sent.
+    pub(crate) sent_at: MonotonicTime,
 }
 
-/// The key that a change puts or deletes.
+/// Returns the key that a change puts or deletes.
 pub(crate) fn change_key(change: &Change) -> &str {
     match change {
         Change::Put { key, .. } => key,
@@ -105,61 +105,65 @@
 }
 
 impl Core {
-    /// Sends a request to the store; `what` says what its answer is for.
-    pub(crate) fn call_state(&mut self, call: StoreRequest, what: PendingRequest) -> CallId {
-        let id = self.store.register(what, self.now);
-        self.out.push(Output::State(id, call));
+    /// Sends a request to the store and keeps `pending` until the response arrives.
+    pub(crate) fn call_store(&mut self, call: StoreRequest, pending: PendingRequest) -> CallId {
+        let id = self.store.register(pending, self.now);
+        self.outputs.push(Output::Store(id, call));
         id
     }
 
-    /// Sends a request to the cloud; `what` says what its answer is for.
-    pub(crate) fn call_cloud(&mut self, call: CloudCall, what: PendingRequest) {
-        let id = self.store.register(what, self.now);
-        self.out.push(Output::Cloud(id, call));
+    /// Sends a request to the cloud and keeps `pending` until the response arrives.
+    pub(crate) fn call_cloud(&mut self, call: CloudCall, pending: PendingRequest) {
+        let id = self.store.register(pending, self.now);
+        self.outputs.push(Output::Cloud(id, call));
     }
 
-    /// Takes the store's answer to a request.
-    pub(crate) fn state_answer(&mut self, id: CallId, answer: StoreResponse) {
-        let Some(SentRequest { what, sent }) = self.store.take_request(id) else { return };
-        if !matches!(answer, StoreResponse::Unknown | StoreResponse::Unavailable) {
-            self.store.last_answer = Some(self.now);
+    /// Handles the store's response to a request.
+    pub(crate) fn handle_store_response(&mut self, id: CallId, response: StoreResponse) {
+        let Some(SentRequest { pending, sent_at }) = self.store.take_request(id) else { return };
+        if !matches!(response, StoreResponse::Unknown | StoreResponse::Unavailable) {
+            self.store.last_response = Some(self.now);
         }
-        if let StoreResponse::Invalid(reason) = &answer {
-            tracing::error!(request = ?what, reason, "store rejected request as invalid");
+        if let StoreResponse::Invalid(reason) = &response {
+            tracing::error!(request = ?pending, reason, "store rejected a request as invalid");
         }
-        self.route_answer(what, sent, answer);
+        self.route_response(pending, sent_at, response);
     }
 
-    /// Hands an answer to the concern that sent the request at `sent`.
-    fn route_answer(&mut self, what: PendingRequest, sent: MonotonicTime, answer: StoreResponse) {
-        match what {
-            PendingRequest::Load(progress) => self.load_answer(progress, answer),
-            PendingRequest::Watch => self.watch_answer(sent, answer),
-            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, answer),
-            PendingRequest::Grant => self.grant_answer(answer),
-            PendingRequest::Renew(lease) => self.renew_answer(lease, answer),
-            PendingRequest::Transaction(transaction) => self.transaction_answer(transaction, answer),
-            PendingRequest::QuotaTransferRetry(transaction) => self.quota_transfer_retry_answer(transaction, answer),
+    /// Dispatches a response to the module that sent the request.
+    fn route_response(&mut self, pending: PendingRequest, sent_at: MonotonicTime, response: StoreResponse) {
+        match pending {
+            PendingRequest::Load(progress) => self.handle_load_response(progress, response),
+            PendingRequest::Watch => self.handle_watch_response(sent_at, response),
+            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, response),
+            PendingRequest::GrantLease => self.grant_answer(response),
+            PendingRequest::RenewLease(lease) => self.renew_answer(lease, response),
+            PendingRequest::Transaction(transaction) => self.handle_transaction_response(transaction, response),
+            PendingRequest::QuotaTransferRetry(transaction) => {
+                self.handle_quota_transfer_retry_response(transaction, response)
+            }
             PendingRequest::ShardTransaction { shard, transaction } => {
-                self.shard_transaction_answer(shard, transaction, answer)
+                self.handle_shard_transaction_response(shard, transaction, response)
             }
-            PendingRequest::Reread { key, shard } => self.reread_answer(key, shard, answer),
+            PendingRequest::Reread { key, shard } => self.handle_reread_response(key, shard, response),
             PendingRequest::SubmitWrite { request, transaction, spec } => {
-                self.handle_submit_write(request, transaction, spec, answer)
+                self.handle_submit_write(request, transaction, spec, response)
             }
             PendingRequest::SubmitRead { request, job, status } => {
-                self.handle_submit_read(request, job, status, answer)
+                self.handle_submit_read(request, job, status, response)
+            }
+            PendingRequest::ArchiveLookUp { request, job, known } => {
+                self.handle_archive_read(request, job, known, response)
             }
-            PendingRequest::Archived { request, job, known } => self.handle_archive_read(request, job, known, answer),
-            PendingRequest::RefusalLookUp(held) => self.handle_refusal_lookup(held, answer),
-            PendingRequest::DependencyCheck(check) => self.handle_dependency_read(check, answer),
-            PendingRequest::DependencyLookUp(job) => self.handle_dependency_lookup(job, answer),
-            PendingRequest::Probe(queries) => self.handle_probe(queries, answer),
-            PendingRequest::CancelRead { request, job, tries } => self.handle_cancel_read(request, job, tries, answer),
+            PendingRequest::RefusalLookUp(held) => self.handle_refusal_lookup(held, response),
+            PendingRequest::DependencyCheck(check) => self.handle_dependency_read(check, response),
+            PendingRequest::DependencyLookUp(job) => self.handle_dependency_lookup(job, response),
+            PendingRequest::RevisionProbe(queries) => self.handle_probe(queries, response),
+            PendingRequest::CancelRead { request, job, tries } => self.handle_cancel_read(request, job, tries, response),
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
-                self.handle_cancel_write(request, job, transaction, tries, answer)
+                self.handle_cancel_write(request, job, transaction, tries, response)
             }
-            PendingRequest::RentName { rental, transaction } => self.rental_recorded(rental, transaction, answer),
+            PendingRequest::RentalRecord { rental, transaction } => self.rental_recorded(rental, transaction, response),
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
--- a/src/coordination/store_client/rate_limiter.rs
+++ b/src/coordination/store_client/rate_limiter.rs
@@ -1,56 +1,58 @@
-//! A controller's share of a rate limit, as a token bucket
-//! that holds one second's worth.
+//! Token bucket for a controller's share of a rate limit. It holds at most the
+//! tokens of one second.
 //!
-//! [`super::StoreClient`] owns two, for requests and for changed keys, and the
-//! fleet one for calls on the cloud.
+//! [`super::StoreClient`] owns two, for requests and for changed keys. The
+//! fleet owns one for calls to the cloud.
 
 use crate::units::MonotonicTime;
 
-/// A token bucket that may go into debt by as much as it holds.
+/// A token bucket whose debt is limited to its capacity.
 #[derive(Debug, Clone)]
 pub(crate) struct RateLimiter {
-    per_s: f64,
-    /// Tokens that are left; negative on credit.
-    level: f64,
+    rate_per_s: f64,
+    /// Tokens left; negative in debt.
+    available: f64,
     /// When tokens were last added.
     refilled_at: MonotonicTime,
 }
 
 impl RateLimiter {
-    /// A full bucket to which this many tokens are added a second.
-    pub(crate) fn new(per_s: f64) -> Self {
-        RateLimiter { per_s, level: per_s, refilled_at: MonotonicTime(0) }
+    /// Creates a full bucket that gains this many tokens per second.
+    pub(crate) fn new(rate_per_s: f64) -> Self {
+        RateLimiter { rate_per_s, available: rate_per_s, refilled_at: MonotonicTime(0) }
     }
 
-    /// Tokens a second, which is also what the bucket holds.
-    pub(crate) fn per_s(&self) -> f64 {
-        self.per_s
+    /// Tokens added per second, which is also the bucket's capacity.
+    pub(crate) fn rate_per_s(&self) -> f64 {
+        self.rate_per_s
     }
 
-    /// Takes `cost` tokens if that many are left; false if not.
+    /// Takes `cost` tokens if that many are left. Otherwise takes none and returns false.
     pub(crate) fn try_take(&mut self, now: MonotonicTime, cost: f64) -> bool {
         self.refill(now);
-        let is_enough = self.level >= cost;
+        let is_enough = self.available >= cost;
         if is_enough {
-            self.level -= cost;
+            self.available -= cost;
         }
         is_enough
     }
 
-    /// Takes `cost` tokens even on credit: for what cannot wait, such as fencing.
+    /// Takes `cost` tokens, going into debt if too few are left. For requests that cannot wait,
+    /// such as fencing.
     pub(crate) fn take_on_credit(&mut self, now: MonotonicTime, cost: f64) {
         self.refill(now);
-        self.level = (self.level - cost).max(-self.per_s);
+        self.available = (self.available - cost).max(-self.rate_per_s);
     }
 
-    /// Tokens that are left; negative on credit.
-    pub(crate) fn level(&mut self, now: MonotonicTime) -> f64 {
+    /// Returns the tokens left; negative in debt.
+    pub(crate) fn available(&mut self, now: MonotonicTime) -> f64 {
         self.refill(now);
-        self.level
+        self.available
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        self.level = (self.level + self.per_s * now.since(self.refilled_at).as_secs()).min(self.per_s);
+        self.available =
+            (self.available + self.rate_per_s * now.since(self.refilled_at).as_secs()).min(self.rate_per_s);
         self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -1,8 +1,8 @@
-//! Keeps the cache current: reads every record once, page by page, then
-//! watches for changes from the revision of the first page on.
+//! Synchronizes the cache with the store: reads all records page by page, then
+//! watches for changes after the revision of the first page.
 //!
-//! Called on every membership tick, and by the dispatch of store answers. It
-//! never writes to the store.
+//! Called on every membership tick and by the dispatch of store responses. Does
+//! not write to the store.
 
 use crate::coordination::membership::startup::Milestone;
 use crate::coordination::store_client::pending_requests::{LoadProgress, PendingRequest};
@@ -15,22 +15,24 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// Longest that one watch request may wait for a change, in milliseconds.
+/// Upper bound on how long the store holds a watch request without changes.
 const MAX_WATCH_WAIT_MS: u64 = 1000;
 
-/// Pause after a watch that brought changes. It bounds the rate of watches
-/// under load: the next one brings what came in the pause all at once.
-const PAUSE_AFTER_EVENTS: Millis = Millis(80);
+/// Delay between a watch response with changes and the next watch. It bounds the
+/// rate of watches under load: the next response contains all changes made during
+/// the delay.
+const DELAY_AFTER_EVENTS: Millis = Millis(80);
 
 impl Core {
-    /// Begins to read all records, or sends the next watch, if neither is under way.
-    pub(crate) fn keep_cache_current(&mut self) {
+    /// Starts reading all records, or sends the next watch if it is due. Does nothing while one of
+    /// them is in flight.
+    pub(crate) fn sync_cache(&mut self) {
         match self.store.sync {
-            CacheSync::Unread => {
+            CacheSync::NotLoaded => {
                 self.store.sync = CacheSync::Loading;
-                self.load_page(None, LoadProgress { seen: BTreeSet::new(), revision: None, since: self.now });
+                self.load_page(None, LoadProgress { keys: BTreeSet::new(), revision: None, started_at: self.now });
             }
-            CacheSync::Loaded if self.now >= self.store.next_watch => {
+            CacheSync::Loaded if self.now >= self.store.next_watch_at => {
                 self.store.sync = CacheSync::Watching;
                 self.send_watch();
             }
@@ -38,33 +40,33 @@
         }
     }
 
-    /// Asks for the page of records after the key `after`.
+    /// Requests the page of records after the key `after`; `None` for the first page.
     fn load_page(&mut self, after: Option<String>, progress: LoadProgress) {
-        self.store.charge_read(self.now);
-        self.call_state(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
+        self.store.charge_request(self.now);
+        self.call_store(StoreRequest::List { prefix: ROOT.into(), after }, PendingRequest::Load(progress));
     }
 
     fn send_watch(&mut self) {
-        self.store.charge_read(self.now);
-        // A watch without events must end well before the last read is stale.
-        let wait_ms = (self.timing.fresh.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
+        self.store.charge_request(self.now);
+        // A watch without events must return well before the last read counts as stale.
+        let wait_ms = (self.timing.max_record_age.0 * 2 / 5).min(MAX_WATCH_WAIT_MS);
         let call = StoreRequest::Watch { prefix: ROOT.into(), after: self.cache.revision, wait_ms };
-        self.call_state(call, PendingRequest::Watch);
+        self.call_store(call, PendingRequest::Watch);
     }
 
-    /// Takes a page of records; the last one completes the load.
-    pub(super) fn load_answer(&mut self, mut progress: LoadProgress, answer: StoreResponse) {
-        let StoreResponse::Page(page) = answer else {
-            self.store.sync = CacheSync::Unread;
-            return self.store.pause(self.now);
+    /// Applies a page of records, and finishes the load after the last page.
+    pub(super) fn handle_load_response(&mut self, mut progress: LoadProgress, response: StoreResponse) {
+        let StoreResponse::Page(page) = response else {
+            self.store.sync = CacheSync::NotLoaded;
+            return self.store.back_off(self.now);
         };
-        // Changes made while the pages were read come again by the watch,
-        // which begins at the first page's revision.
+        // The watch starts at the first page's revision, so it repeats all changes
+        // that were made while the pages were read.
         let revision = *progress.revision.get_or_insert(page.revision);
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
             self.apply_record(&item.key, Some(item.value), item.version);
-            progress.seen.insert(item.key);
+            progress.keys.insert(item.key);
         }
         match last_key {
             Some(after) if page.truncated => self.load_page(Some(after), progress),
@@ -72,34 +74,34 @@
         }
     }
 
-    /// All records have been read, as of the first page's revision.
+    /// Completes a read of all records, as of the first page's revision.
     fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
-        self.cache.forget_missing(&progress.seen, revision);
+        self.cache.forget_missing(&progress.keys, revision);
         self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
-        // The first page is as old as when it was asked for, however long the others took.
-        self.store.last_read = Some(progress.since);
+        // Counts from the request for the first page: later pages may have taken long.
+        self.store.last_read = Some(progress.started_at);
         for shard in 0..self.shard_count {
             self.owner_changed(ShardId(shard));
         }
         self.activate_ready_shards();
-        tracing::info!(records = progress.seen.len(), %revision, "loaded all records");
+        tracing::info!(records = progress.keys.len(), %revision, "loaded all records");
         self.milestone_reached(Milestone::RecordsRead);
     }
 
-    /// Takes what a watch that was sent at `sent` brought.
-    pub(super) fn watch_answer(&mut self, sent: MonotonicTime, answer: StoreResponse) {
+    /// Handles the response to a watch that was sent at `sent_at`.
+    pub(super) fn handle_watch_response(&mut self, sent_at: MonotonicTime, response: StoreResponse) {
         self.store.sync = CacheSync::Loaded;
-        match answer {
-            StoreResponse::WatchEvents(events) => self.take_watch_events(sent, events),
-            StoreResponse::TooOld => self.store.sync = CacheSync::Unread,
-            _ => self.store.pause(self.now),
+        match response {
+            StoreResponse::WatchEvents(events) => self.apply_watch_events(sent_at, events),
+            StoreResponse::TooOld => self.store.sync = CacheSync::NotLoaded,
+            _ => self.store.back_off(self.now),
         }
     }
 
-    fn take_watch_events(&mut self, sent: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
-        let pause = if events.is_empty() { Millis(0) } else { PAUSE_AFTER_EVENTS };
-        self.store.next_watch = self.now + pause;
+    fn apply_watch_events(&mut self, sent_at: MonotonicTime, WatchEvents { revision, events }: WatchEvents) {
+        let delay = if events.is_empty() { Millis(0) } else { DELAY_AFTER_EVENTS };
+        self.store.next_watch_at = self.now + delay;
         self.cache.revision = self.cache.revision.max(revision);
         for event in events {
             match event {
@@ -107,21 +109,21 @@
                 WatchEvent::Delete { key, version } => self.apply_record(&key, None, version),
             }
         }
-        // The answer shows the records as of when it was asked for, or later.
-        self.store.last_read = Some(self.store.last_read.map_or(sent, |at| at.max(sent)));
+        // The response contains every change made before the watch was sent.
+        self.store.last_read = Some(self.store.last_read.map_or(sent_at, |at| at.max(sent_at)));
         self.activate_ready_shards();
         self.answer_ready_queries();
     }
 
-    /// Takes a key's value as of a revision, or its absence, into the cache, and
-    /// lets whoever goes by it act on the change.
+    /// Applies a key's value at a revision to the cache (`None` if the key is absent)
+    /// and handles the resulting change.
     pub(super) fn apply_record(&mut self, key: &str, value: Option<Value>, at: Revision) {
         let change = self.cache.apply(key, value, at);
-        self.changed(change);
+        self.handle_cache_change(change);
     }
 
-    /// Lets the concern that goes by a record act on its change.
-    pub(crate) fn changed(&mut self, change: CacheChange) {
+    /// Dispatches a change of the cache to the module that depends on the record.
+    pub(crate) fn handle_cache_change(&mut self, change: CacheChange) {
         match change {
             CacheChange::Owner(shard) => self.owner_changed(shard),
             CacheChange::Job(job, change) => self.job_changed(&job, change),
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -1,47 +1,51 @@
-//! Lengths of time that the rules rest on, derived from the platform's settings once.
+//! Leases and time limits, derived once from the platform's settings.
 
 use crate::settings::Settings;
 use crate::units::Millis;
 
-/// A controller's lease in the store, as a share of the workers' lease, and its bounds in seconds.
+/// Duration of a controller's lease in the store, as a share of the workers' lease.
 const NODE_LEASE_SHARE: f64 = 0.4;
-const NODE_LEASE_S: (f64, f64) = (1.0, 60.0);
+/// Minimum and maximum duration of a controller's lease.
+const NODE_LEASE_BOUNDS_S: (f64, f64) = (1.0, 60.0);
 
-/// Pause between renewals of that lease, as a share of the workers' lease, and its bounds in seconds.
-const RENEWAL_SHARE: f64 = 0.1;
-const RENEWAL_S: (f64, f64) = (0.25, 15.0);
+/// Interval between renewals of a controller's lease, as a share of the workers' lease.
+const RENEWAL_INTERVAL_SHARE: f64 = 0.1;
+/// Minimum and maximum interval between renewals.
+const RENEWAL_INTERVAL_BOUNDS_S: (f64, f64) = (0.25, 15.0);
 
-/// Age up to which records count as fresh, as a share of the workers' lease, and the least in seconds.
-const FRESH_SHARE: f64 = 0.3;
-const MIN_FRESH_S: f64 = 1.0;
+/// Age up to which records count as fresh, as a share of the workers' lease.
+const RECORD_AGE_LIMIT_SHARE: f64 = 0.3;
+/// Lower bound on that age.
+const MIN_RECORD_AGE_LIMIT_S: f64 = 1.0;
 
-/// The times by which leases, isolation from the store and freshness are judged.
+/// Durations of leases, and limits on isolation from the store and on the age of records.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Timing {
-    /// How long a controller's lease lasts unrenewed.
-    pub ttl: Millis,
-    /// Pause between two renewals of it.
-    pub renew_every: Millis,
-    /// A worker's lease, with room for drifting clocks.
+    /// Duration of a controller's lease without renewal.
+    pub node_lease: Millis,
+    /// Interval between renewals of a controller's lease.
+    pub renewal_interval: Millis,
+    /// Duration of a worker's lease, with a margin for clock drift.
     pub worker_lease: Millis,
-    /// How long an owner cut off from the store may answer workers after its last read was sent. Their leases then
-    /// expire before a cancellation that it can't know of is due: limit + lease + margin <= `cancel_s`.
+    /// How long a shard owner that can't reach the store may respond to workers, counted from when its last read was
+    /// sent. The workers' leases then expire before the deadline of a cancellation that the owner has not seen:
+    /// limit + lease + margin <= `cancel_s`.
     pub store_isolation_limit: Millis,
-    /// How old the last read may be for starts to be sent.
-    pub fresh: Millis,
+    /// Maximum age of the last read of the records for starting tasks and other new work.
+    pub max_record_age: Millis,
 }
 
 impl Timing {
-    /// The times that follow from the platform's settings.
-    pub(crate) fn of(settings: &Settings) -> Timing {
+    /// Derives the durations from the platform's settings.
+    pub(crate) fn from_settings(settings: &Settings) -> Timing {
         let workers = &settings.cluster.workers;
-        let share = |share: f64, (least, most): (f64, f64)| (workers.lease_s * share).clamp(least, most);
+        let lease_share_s = |share: f64, (min, max): (f64, f64)| (workers.lease_s * share).clamp(min, max);
         Timing {
-            ttl: Millis::secs(share(NODE_LEASE_SHARE, NODE_LEASE_S)),
-            renew_every: Millis::secs(share(RENEWAL_SHARE, RENEWAL_S)),
+            node_lease: Millis::secs(lease_share_s(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
+            renewal_interval: Millis::secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
             worker_lease: Millis::secs(workers.longest_lease_s()),
             store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
-            fresh: Millis::secs((workers.lease_s * FRESH_SHARE).max(MIN_FRESH_S)),
+            max_record_age: Millis::secs((workers.lease_s * RECORD_AGE_LIMIT_SHARE).max(MIN_RECORD_AGE_LIMIT_S)),
         }
     }
 }
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use simulator::{ClusterConfig, SimulatedStore};
 use std::collections::VecDeque;
-use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
+use tillercleat::coordination::{ClientRequest, CloudCall, CloudResponse, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::{Catalog, MachinePage};
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::protocol::users::JobSpec;
@@ -119,16 +119,18 @@
         let steady = MonotonicTime(self.now - self.started_at + 1);
         for output in self.core.handle(steady, self.now, input) {
             match output {
-                Output::State(id, call) => self.in_flight.push_back((id, call)),
+                Output::Store(id, call) => self.in_flight.push_back((id, call)),
                 Output::Response(request, response) => self.responses.push((request, response)),
                 Output::Cloud(id, call) => {
                     let answer = match call {
                         CloudCall::Catalog => {
-                            CloudAnswer::Catalog(Catalog { types: self.config.machine_types.clone() })
+                            CloudResponse::Catalog(Catalog { types: self.config.machine_types.clone() })
                         }
-                        CloudCall::List { .. } => CloudAnswer::Page(MachinePage { machines: vec![], truncated: false }),
-                        CloudCall::Rent(_) => CloudAnswer::NoCapacity,
-                        CloudCall::Return(_) => CloudAnswer::Failed,
+                        CloudCall::List { .. } => {
+                            CloudResponse::Page(MachinePage { machines: vec![], truncated: false })
+                        }
+                        CloudCall::Rent(_) => CloudResponse::NoCapacity,
+                        CloudCall::Return(_) => CloudResponse::Failed,
                     };
                     self.handle_input(Input::Cloud(id, answer));
                 }
@@ -187,7 +189,7 @@
             while let Some((id, call)) = self.in_flight.pop_front() {
                 let watch = matches!(call, StoreRequest::Watch { .. });
                 let answer = self.store.execute(self.now, call);
-                self.handle_input(Input::State(id, answer));
+                self.handle_input(Input::Store(id, answer));
                 if watch {
                     break;
                 }
@@ -262,7 +264,7 @@
         let at = pick % self.in_flight.len();
         let Some((id, call)) = self.in_flight.remove(at) else { return };
         let answer = how(&mut self.store, self.now, call);
-        self.handle_input(Input::State(id, answer));
+        self.handle_input(Input::Store(id, answer));
     }
 }
 
@@ -375,7 +377,7 @@
             bed.wait(20);
             while let Some((id, call)) = bed.in_flight.pop_front() {
                 let answer = bed.store.execute(bed.now, call);
-                bed.handle_input(Input::State(id, answer));
+                bed.handle_input(Input::Store(id, answer));
                 if bed.in_flight.len() > 20 {
                     break;
                 }
