--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -62,7 +62,10 @@
 
     /// True if the machine's own state allows it to get work.
     pub(super) fn is_usable(&self, name: &MachineId, machine: &Machine) -> bool {
-        machine.termination_at.is_none() && !machine.faulty && !self.is_downlink_lost(machine) && !self.is_draining(name)
+        machine.termination_at.is_none()
+            && !machine.faulty
+            && !self.is_downlink_lost(machine)
+            && !self.is_draining(name)
     }
 
     /// Removes a lost machine and makes its tasks pending again. The caller has established that none of its tasks
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -140,7 +140,8 @@
         // A deadline counts from the submission, even if the job waited for dependencies.
         let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
         let own_s = deadline_s.unwrap_or_else(|| {
-            let earliest_completion_s = self.age_s(job) + EARLIEST_COMPLETION_RUN_SHARE * self.estimates.expected_run_s(job);
+            let earliest_completion_s =
+                self.age_s(job) + EARLIEST_COMPLETION_RUN_SHARE * self.estimates.expected_run_s(job);
             let objective_s = self.objectives.finish_within_s(&job.class, earliest_completion_s);
             objective_s.unwrap_or(DEFAULT_ALLOWED_S + spec.estimated_run_s * DEFAULT_ALLOWED_RUN_FACTOR)
         });
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -159,7 +159,9 @@
             PendingRequest::DependencyCheck(check) => self.handle_dependency_read(check, response),
             PendingRequest::DependencyLookUp(job) => self.handle_dependency_lookup(job, response),
             PendingRequest::RevisionProbe(queries) => self.handle_probe(queries, response),
-            PendingRequest::CancelRead { request, job, tries } => self.handle_cancel_read(request, job, tries, response),
+            PendingRequest::CancelRead { request, job, tries } => {
+                self.handle_cancel_read(request, job, tries, response)
+            }
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.handle_cancel_write(request, job, transaction, tries, response)
             }
