--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -1,8 +1,8 @@
-//! The thread that owns the core: gives it events, the time and ticks, and carries out its outputs.
+//! The thread that owns the core: feeds it events, the current time and ticks, and executes its outputs.
 //!
-//! It never waits for anything but events: responses, calls and peer messages go into bounded queues,
-//! and what finds its queue full is dropped (responses, whose receivers have their own deadlines) or fed
-//! back to the core as refused (calls).
+//! The loop blocks only while waiting for events. Responses, calls and peer messages go into bounded
+//! queues. If a queue is full, a response is dropped (its receiver has its own deadline) and a call is
+//! reported back to the core as refused.
 
 use super::events::{Event, IncomingRequest};
 use super::external_clients::ExternalClients;
@@ -14,7 +14,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the responses of requests go that the core has not answered yet.
+/// Response channels of the requests that the core has not answered yet.
 #[derive(Default)]
 struct PendingResponses {
     last_id: u64,
@@ -22,7 +22,7 @@
 }
 
 impl PendingResponses {
-    /// Registers a request under a new id.
+    /// Assigns an id to a request and stores the sender of its response.
     fn register(&mut self, response_sender: SyncSender<Response>) -> RequestId {
         self.last_id += 1;
         let id = RequestId(self.last_id);
@@ -30,7 +30,7 @@
         id
     }
 
-    /// Hands the response to the thread that awaits it.
+    /// Sends the response to the thread that waits for it; drops it if that thread has timed out.
     fn resolve(&mut self, id: RequestId, response: Response) {
         let Some(sender) = self.senders.remove(&id) else { return };
         if sender.try_send(response).is_err() {
@@ -42,27 +42,27 @@
 /// What the event loop does next.
 enum Step {
     Handle(Input),
-    /// The event needed no input.
+    /// The event was handled without an input for the core.
     Continue,
-    /// No thread is left that could send events.
+    /// All senders of events have been dropped.
     Stop,
 }
 
-/// The core with all that its outputs go to.
+/// The core and the destinations of its outputs.
 pub struct EventLoop {
     core: Core,
     external_clients: ExternalClients,
     status_broadcaster: StatusBroadcaster,
     pending_responses: PendingResponses,
-    /// Inputs that the loop made itself; they go before events.
+    /// Inputs created by the loop itself, handled before the next event: ticks and refused calls.
     queued_inputs: VecDeque<Input>,
-    /// Zero of the core's monotonic clock.
+    /// Origin of the core's monotonic clock.
     started_at: Instant,
     schedule: TickSchedule,
 }
 
 impl EventLoop {
-    /// A loop around a core that has seen no input yet; its clock starts now.
+    /// Creates a loop for a core that has not handled any input yet. The core's clock starts now.
     pub fn new(core: Core, external_clients: ExternalClients, status_broadcaster: StatusBroadcaster) -> EventLoop {
         let started_at = Instant::now();
         EventLoop {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Serves events until all of their senders are gone.
+    /// Handles events until all of their senders have been dropped.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
             let step = match self.queued_inputs.pop_front() {
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Gives the core one input and carries out its outputs.
+    /// Passes one input to the core and executes the outputs.
     fn handle(&mut self, input: Input) {
-        // Begins at 1: 0 is the core's time before its first input.
+        // Starts at 1, since 0 is the core's time before its first input.
         let now = MonotonicTime(self.started_at.elapsed().as_millis() as u64 + 1);
         for output in self.core.handle(now, time_of_day_ms(), input) {
             self.carry_out(output);
@@ -149,7 +149,7 @@
     }
 }
 
-/// Milliseconds since 1970 by the system's clock; 0 if it stands before.
+/// Milliseconds since the Unix epoch by the system clock; 0 if the clock is set to an earlier time.
 fn time_of_day_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/src/transport/events.rs
+++ b/src/transport/events.rs
@@ -1,40 +1,40 @@
-//! What other threads send to the event loop.
+//! Events that other threads send to the event loop.
 
 use crate::coordination::{ClientRequest, Input, Replica, Response};
 use crate::protocol::workers::Heartbeat;
 use crate::units::JobId;
 use std::sync::mpsc::SyncSender;
 
-/// The way into the event loop, bounded: whoever must not wait uses `try_send` and refuses if it is full.
+/// Sender of the event loop's bounded queue. Threads that must not block use `try_send` and refuse the
+/// request if the queue is full.
 pub type EventSender = SyncSender<Event>;
 
-/// A request that came over HTTP and awaits a response of the core.
+/// An HTTP request that needs a response from the core.
 pub enum IncomingRequest {
-    /// Of a user or a health check.
+    /// Sent by a user or a health check.
     Client(ClientRequest),
-    /// Of a worker.
+    /// Sent by a worker.
     Heartbeat(Box<Heartbeat>),
 }
 
 /// One event for the event loop.
 pub enum Event {
-    /// A request, and where its response goes. The response is dropped if nobody awaits it any more.
+    /// A request with the sender for its response. The response is dropped if the receiver has timed out.
     Request {
-        /// The request.
         request: IncomingRequest,
-        /// Holds one response; the event loop never waits for room in it.
+        /// Has a capacity of one response; the event loop never blocks on it.
         response_sender: SyncSender<Response>,
     },
-    /// An input that needs no response.
+    /// An input for the core that needs no response.
     Input(Input),
-    /// The state of the replicas of these jobs, as far as this controller owns their shards.
+    /// Queries the replicas of these jobs in the shards that this controller owns.
     ReplicaQuery {
-        /// Ids of services' jobs.
+        /// Ids of the services' jobs.
         jobs: Vec<JobId>,
-        /// Called once with the replicas, on the event loop's thread.
+        /// Called once with the replicas on the event loop's thread.
         reply: ReplicaReply,
     },
 }
 
-/// Takes the answer to a replica query; must not block.
+/// Receives the result of a replica query; must not block.
 pub type ReplicaReply = Box<dyn FnOnce(Vec<Replica>) + Send>;
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the store and the cloud: a few threads, each with one connection, that carry out the core's
-//! calls and send what came of them to the event loop. Every call has a deadline. No call is ever repeated
-//! here: only the core knows whether that is safe.
+//! Clients of the store and the cloud. A few threads, each with one connection, execute the core's calls
+//! and send the results to the event loop. Every call has a deadline. Failed calls are not retried here:
+//! only the core knows whether a retry is safe.
 
 use super::events::{Event, EventSender};
 use super::http::{Client, HttpError};
@@ -15,31 +15,31 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Stack of each thread in bytes.
+/// Stack size of each client thread.
 const STACK: usize = 256 * 1024;
 
-/// Deadline of a call on the store; a watch may take its own waiting time more.
+/// Deadline of a call to the store; the wait time of a watch is added to it.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Deadline of a call on the cloud.
+/// Deadline of a call to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Calls of one pool that may wait for a thread; more are refused.
+/// Maximum number of calls of one pool that wait for a thread; further calls are refused.
 const MAX_QUEUED_CALLS: usize = 256;
 
-/// Threads for calls on the store that are neither watches nor about leases.
+/// Number of threads for calls to the store other than watches and lease calls.
 const STORE_CALL_THREADS: usize = 3;
 
-/// Threads of all pools: for watches, leases, other calls on the store, and the cloud.
+/// Number of threads of all pools: watches, leases, other calls to the store, and the cloud.
 pub const THREADS: usize = 1 + 1 + STORE_CALL_THREADS + 1;
 
-/// A call that waits for a thread.
+/// A call that waits for a thread of its pool.
 struct QueuedCall<C> {
     id: CallId,
     call: C,
 }
 
-/// Carries out one call and says what came of it.
+/// Executes one call and returns the result as an input for the core.
 type CarryOut<C> = fn(&mut Client, CallId, &C) -> Input;
 
 /// Threads that share one bounded queue of calls.
@@ -67,13 +67,13 @@
         Ok(CallPool { queue })
     }
 
-    /// Queues a call; false if there are too many already: it will not be carried out.
+    /// Queues a call. Returns false if the queue is full; the call is not executed then.
     fn call(&self, id: CallId, call: C) -> bool {
         self.queue.try_send(QueuedCall { id, call }).is_ok()
     }
 }
 
-/// Carries out calls until the event loop is gone.
+/// Executes calls until the event loop has ended.
 fn serve_calls<C>(
     calls: &Mutex<Receiver<QueuedCall<C>>>,
     events: &EventSender,
@@ -82,7 +82,8 @@
 ) {
     let mut client = Client::new(server);
     loop {
-        // Held while waiting, so that the pool's other threads queue up for the lock; not during the call.
+        // The lock is held while this thread waits for a call, so the pool's other threads wait for the
+        // lock. It is released before the call is executed.
         let next = calls.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(QueuedCall { id, call }) = next else { return };
         if events.send(Event::Input(carry_out(&mut client, id, &call))).is_err() {
@@ -91,7 +92,7 @@
     }
 }
 
-/// The store and the cloud, as the event loop calls them.
+/// Sends the event loop's calls to the store and the cloud.
 pub struct ExternalClients {
     watches: CallPool<StoreRequest>,
     leases: CallPool<StoreRequest>,
@@ -100,7 +101,7 @@
 }
 
 impl ExternalClients {
-    /// Starts the threads; they connect when they are first used.
+    /// Starts the threads. Each one connects when it executes its first call.
     ///
     /// # Errors
     ///
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Queues a call on the store. Watches and leases have threads of their own, so
-    /// that nothing holds them up. Returns an input if the call was refused.
+    /// Queues a call to the store. Watches and leases have their own threads, so that other calls do not
+    /// delay them. Returns an input for the core if the call was refused.
     pub fn call_store(&self, id: CallId, call: StoreRequest) -> Option<Input> {
         let pool = match call {
             StoreRequest::Watch { .. } => &self.watches,
@@ -125,7 +126,7 @@
         (!pool.call(id, call)).then_some(Input::State(id, StoreResponse::Unavailable))
     }
 
-    /// Queues a call on the cloud. Returns an input if the call was refused.
+    /// Queues a call to the cloud. Returns an input for the core if the call was refused.
     pub fn call_cloud(&self, id: CallId, call: CloudCall) -> Option<Input> {
         (!self.cloud_calls.call(id, call)).then_some(Input::Cloud(id, CloudAnswer::Failed))
     }
@@ -133,17 +134,17 @@
 
 fn call_store(client: &mut Client, id: CallId, call: &StoreRequest) -> Input {
     let answer = send_store_call(client, call).unwrap_or_else(|error| {
-        tracing::debug!(%error, "no answer from the store");
+        tracing::debug!(%error, "call to the store failed");
         StoreResponse::Unknown
     });
     Input::State(id, answer)
 }
 
-/// Makes one call on the store.
+/// Sends one call to the store and waits for its response.
 ///
 /// # Errors
 ///
-/// If there is no answer in time; the call may be carried out all the same.
+/// If no response arrives before the deadline; the store may still execute the call.
 pub fn send_store_call(client: &mut Client, call: &StoreRequest) -> Result<StoreResponse, HttpError> {
     let (method, path, body) = call.to_http();
     let timeout = match call {
@@ -159,14 +160,14 @@
     let answer = match client.call(method, &path, &body, CLOUD_TIMEOUT) {
         Ok((status, body)) => cloud_answer(call, status, &body),
         Err(error) => {
-            tracing::debug!(%error, "no answer from the cloud");
+            tracing::debug!(%error, "call to the cloud failed");
             CloudAnswer::Failed
         }
     };
     Input::Cloud(id, answer)
 }
 
-/// A call on the cloud in the form that goes over HTTP.
+/// The HTTP request for a call to the cloud.
 struct CloudRequest {
     method: &'static str,
     path: String,
@@ -199,12 +200,12 @@
 fn cloud_answer(call: &CloudCall, status: u16, body: &[u8]) -> CloudAnswer {
     match status {
         200 => parse_cloud_answer(call, body).unwrap_or_else(|error| {
-            tracing::warn!(%error, "cannot read the cloud's answer");
+            tracing::warn!(%error, "failed to parse a response from the cloud");
             CloudAnswer::Failed
         }),
         503 if String::from_utf8_lossy(body).contains("no capacity") => CloudAnswer::NoCapacity,
         _ => {
-            tracing::debug!(status, "the cloud refused a call");
+            tracing::debug!(status, "the cloud rejected a call");
             CloudAnswer::Failed
         }
     }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,21 +1,21 @@
-//! Sockets, threads and clocks around the core, which has none of its own.
+//! Sockets, threads and clocks for the core, which does no I/O itself.
 //!
-//! [`run`] starts all threads and becomes the event loop; every other thread sends it events. Nothing
-//! here decides anything about jobs or machines, and nothing outside this module does I/O.
+//! [`run`] starts all threads and then runs the event loop on the calling thread; the other threads send
+//! it events. This module makes no decisions about jobs or machines, and no module outside it does I/O.
 //!
-//! | thread | what it does |
+//! | thread | task |
 //! |---|---|
-//! | `main` | the event loop, which alone owns the core |
-//! | `listen` | accepts users, workers and health checks |
-//! | `connection` | one for each connection of these |
-//! | `store-watch`, `store-lease`, `store-calls`, `cloud` | carry out calls on the store and the cloud |
-//! | `peers` | talks with the other controllers in both directions |
+//! | `main` | runs the event loop, the only owner of the core |
+//! | `listen` | accepts connections of users, workers and health checks |
+//! | `connection` | serves one of these connections; one thread per connection |
+//! | `store-watch`, `store-lease`, `store-calls`, `cloud` | execute calls to the store and the cloud |
+//! | `peers` | exchanges messages with the other controllers in both directions |
 //!
-//! With roll-outs turned on, `tillercleat_rollout` starts threads of its own, which call in through
+//! If roll-outs are enabled, `tillercleat_rollout` starts its own threads, which call this module through
 //! `rollouts`.
 //!
-//! The program runs until it is killed: no thread is ever asked to end, and none is joined. All durable
-//! state is in the store, so that a kill at any moment loses nothing.
+//! The program runs until it is killed: threads are neither stopped nor joined. All durable state is in
+//! the store, so a kill at any time loses nothing.
 
 mod event_loop;
 mod events;
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -1,7 +1,7 @@
-//! Messages between controllers, by gRPC: one thread with an asynchronous runtime of its own, which
-//! nothing else in the program sees. It serves other controllers ([`service`]), sends them this one's
-//! status ([`status_broadcast`]) and asks them ([`queries`]). Every message has a deadline, and none is
-//! repeated: each is a hint that the next one replaces.
+//! gRPC messages between controllers. One thread runs an asynchronous runtime that the rest of the program
+//! does not use. It serves requests of other controllers ([`service`]), sends them the status of this one
+//! ([`status_broadcast`]) and queries them ([`queries`]). Every message has a deadline. Messages are not
+//! resent: each one is a hint that the next one replaces.
 
 mod queries;
 mod service;
@@ -22,35 +22,35 @@
 use tokio::sync::{mpsc, watch};
 use tonic::transport::{Channel, Endpoint};
 
-/// Stack of the thread in bytes.
+/// Stack size of the `peers` thread.
 const STACK: usize = 512 * 1024;
 
-/// Deadline of a message to a peer, and of serving one.
+/// Deadline for sending a message to a peer and for serving a message from a peer.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Deadline of a connection to a peer.
+/// Deadline for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The most bytes of a message from a peer.
+/// Maximum size of a message from a peer.
 const MESSAGE_LIMIT: usize = 256 * 1024;
 
-/// Flow-control window of a connection in bytes.
+/// Initial HTTP/2 flow-control window of each stream.
 const STREAM_WINDOW: u32 = 64 * 1024;
 
-/// A client of one peer, which connects when it is first used.
+/// A gRPC client for one peer; connects when it is first used.
 type Client = PeerClient<Channel>;
 
-/// A peer and its client.
+/// The address of a peer and the client for it.
 struct PeerConnection {
     addr: SocketAddr,
     client: Client,
 }
 
 impl PeerConnection {
-    /// None if the address makes no URL.
+    /// None if the address cannot be turned into a URL.
     fn new(addr: SocketAddr) -> Option<PeerConnection> {
         let endpoint = Endpoint::from_shared(format!("http://{addr}"))
-            .inspect_err(|error| tracing::error!(peer = %addr, %error, "cannot use the address of a peer"))
+            .inspect_err(|error| tracing::error!(peer = %addr, %error, "invalid peer address"))
             .ok()?;
         let channel = endpoint
             .connect_timeout(CONNECT_TIMEOUT)
@@ -63,21 +63,21 @@
     }
 }
 
-/// The ways from other threads to the peers.
+/// Handles with which other threads reach the peers.
 pub struct PeerHandles {
-    /// Sends this controller's status to all peers.
+    /// Sends the status of this controller to all peers.
     pub status_broadcaster: StatusBroadcaster,
-    /// Asks all peers.
+    /// Queries all peers.
     pub queries: PeerQueries,
 }
 
-/// Starts the thread, which listens on `listen` and talks to `peers`. Queries of roll-outs are answered
-/// only with `rollouts_enabled`.
+/// Starts the `peers` thread, which listens on `listen` and connects to `peers`. Queries for roll-outs are
+/// answered only if `rollouts_enabled` is true.
 ///
 /// # Errors
 ///
-/// If the runtime or the thread can't be started. An address that can't be listened on is logged
-/// and tried again.
+/// If the runtime or the thread can't be started. A failure to listen on the address is not returned: it
+/// is logged and retried.
 pub fn start(
     listen: SocketAddr,
     peers: Vec<SocketAddr>,
@@ -95,7 +95,7 @@
     Ok(PeerHandles { status_broadcaster, queries })
 }
 
-/// Serves and calls peers for as long as the process lives.
+/// Serves and calls peers until the process ends.
 async fn run(
     listen: SocketAddr,
     peers: Vec<SocketAddr>,
--- a/src/transport/peers/queries.rs
+++ b/src/transport/peers/queries.rs
@@ -1,5 +1,5 @@
-//! Questions to all other controllers at once. Asked from any thread, which waits for the answers; carried
-//! out on the peers' thread. What a peer does not answer in time is left out.
+//! Queries sent to all other controllers at once. The calling thread blocks for the result, while the
+//! `peers` thread sends the requests. Peers that do not respond in time are left out of the result.
 
 use super::{Client, MESSAGE_TIMEOUT};
 use crate::protocol::peer::{
@@ -12,63 +12,64 @@
 use tokio::task::JoinSet;
 use tonic::{Response, Status};
 
-/// Questions that may wait for the peers' thread; more are not asked.
+/// Maximum number of queries that wait for the `peers` thread; further queries are not sent.
 const MAX_QUEUED_QUERIES: usize = 32;
 
-/// How long the asking thread waits: the peers' own deadline comes first.
+/// How long the calling thread waits. Longer than the deadline of the requests to the peers, so that the
+/// requests time out first.
 const ANSWER_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
 
-/// A question to all peers, and where the answer goes.
+/// A query to all peers and the sender for its result.
 pub(super) enum PeerQuery {
-    /// The replicas of these jobs in the shards that peers own.
+    /// Replicas of these jobs in the shards that the peers own.
     Replicas { jobs: Vec<String>, reply: SyncSender<Vec<ReplicaMessage>> },
-    /// Whether any peer reaches the address; none: no peer answered.
+    /// Whether any peer can connect to the address; none if no peer responded.
     Reach { addr: String, reply: SyncSender<Option<bool>> },
 }
 
-/// Asks all other controllers; cheap to clone.
+/// Handle for querying all other controllers; cheap to clone.
 #[derive(Clone)]
 pub struct PeerQueries(mpsc::Sender<PeerQuery>);
 
 impl PeerQueries {
-    /// A handle, and the queue that [`serve_queries`] takes.
+    /// Creates a handle and the queue that is passed to [`serve_queries`].
     pub(super) fn new() -> (PeerQueries, mpsc::Receiver<PeerQuery>) {
         let (sender, queue) = mpsc::channel(MAX_QUEUED_QUERIES);
         (PeerQueries(sender), queue)
     }
 
-    /// The replicas of these jobs in the shards that other controllers own. Blocks for at
-    /// most three seconds; replicas of controllers that don't answer are missing.
+    /// Returns the replicas of these jobs in the shards that other controllers own. Blocks for at most
+    /// three seconds. Replicas of controllers that don't respond are missing.
     pub fn replicas(&self, jobs: Vec<String>) -> Vec<ReplicaMessage> {
         self.ask(|reply| PeerQuery::Replicas { jobs, reply }).unwrap_or_default()
     }
 
-    /// Whether any other controller reaches the address; none: no controller
-    /// answered. Blocks for at most three seconds.
+    /// Returns whether any other controller can connect to the address; none if no controller responded.
+    /// Blocks for at most three seconds.
     pub fn can_reach(&self, addr: String) -> Option<bool> {
         self.ask(|reply| PeerQuery::Reach { addr, reply }).flatten()
     }
 
-    /// Puts a question and waits for the answer; none if there are too many or the time is over.
+    /// Queues a query and waits for its result; none if the queue is full or the query times out.
     fn ask<T>(&self, query: impl FnOnce(SyncSender<T>) -> PeerQuery) -> Option<T> {
         let (reply, answer) = sync_channel(1);
         if self.0.try_send(query(reply)).is_err() {
-            tracing::debug!("did not ask the peers: too many queries are under way");
+            tracing::debug!("did not query the peers: the queue of queries is full");
             return None;
         }
         let answer = answer.recv_timeout(ANSWER_TIMEOUT);
-        answer.inspect_err(|error| tracing::debug!(%error, "no answer to a query of the peers")).ok()
+        answer.inspect_err(|error| tracing::debug!(%error, "no result for a peer query")).ok()
     }
 }
 
-/// Carries out queries, each by itself, until all handles are gone.
+/// Executes queries concurrently until all handles have been dropped.
 pub(super) async fn serve_queries(clients: Vec<Client>, mut queue: mpsc::Receiver<PeerQuery>) {
     while let Some(query) = queue.recv().await {
         tokio::task::spawn_local(answer(clients.clone(), query));
     }
 }
 
-/// Asks all peers one question and replies with what they say together.
+/// Sends one query to all peers and replies with their combined responses.
 async fn answer(clients: Vec<Client>, query: PeerQuery) {
     match query {
         PeerQuery::Replicas { jobs, reply } => {
@@ -83,10 +84,10 @@
     }
 }
 
-/// Hands an answer to the asking thread, which may have stopped waiting.
+/// Sends a result to the calling thread; drops it if that thread has timed out.
 fn send_answer<T>(reply: &SyncSender<T>, answer: T) {
     if reply.try_send(answer).is_err() {
-        tracing::debug!("dropped the answer to a query of the peers: it came too late");
+        tracing::debug!("dropped the result of a peer query: the caller has timed out");
     }
 }
 
@@ -98,7 +99,7 @@
     client.reach(ReachRequest { addr }).await
 }
 
-/// Sends a request to all peers at once and collects the responses that come in time.
+/// Sends a request to all peers concurrently and collects the responses that arrive in time.
 async fn ask_all<T, F>(clients: Vec<Client>, ask: impl Fn(Client) -> F) -> Vec<T>
 where
     T: 'static,
@@ -112,9 +113,9 @@
     while let Some(finished) = requests.join_next().await {
         match finished {
             Ok(Ok(Ok(response))) => responses.push(response.into_inner()),
-            Ok(Ok(Err(status))) => tracing::debug!(%status, "a peer did not answer a query"),
-            Ok(Err(_)) => tracing::debug!("a peer did not answer a query in time"),
-            Err(error) => tracing::error!(%error, "a query of a peer failed"),
+            Ok(Ok(Err(status))) => tracing::debug!(%status, "a peer returned an error for a query"),
+            Ok(Err(_)) => tracing::debug!("a query to a peer timed out"),
+            Err(error) => tracing::error!(%error, "the task that queries a peer failed"),
         }
     }
     responses
--- a/src/transport/peers/service.rs
+++ b/src/transport/peers/service.rs
@@ -1,5 +1,5 @@
-//! What other controllers may ask of this one. Passes everything on to the event loop and never waits for
-//! room in its queue: a peer that comes at a bad time is refused.
+//! The gRPC service that other controllers call. Status messages and replica queries are passed to the
+//! event loop without blocking; if its queue is full, the peer's request is refused.
 
 use super::{MESSAGE_LIMIT, MESSAGE_TIMEOUT};
 use crate::coordination::{Input, Replica, ReplicaState};
@@ -19,13 +19,13 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-/// How long a reachability check on behalf of a peer may take to connect.
+/// Deadline for connecting in a reachability check that a peer requested.
 const REACH_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Requests of one peer that are served at the same time.
+/// Maximum number of requests served at the same time on one connection of a peer.
 const CONCURRENT_REQUESTS: usize = 4;
 
-/// Pause before an address that could not be listened on is tried again.
+/// Delay before listening again after the listener failed.
 const LISTEN_RETRY: Duration = Duration::from_millis(500);
 
 /// The gRPC service of this controller.
@@ -36,12 +36,12 @@
 }
 
 impl PeerService {
-    /// A service that hands requests to the event loop.
+    /// Creates a service that passes requests to the event loop.
     pub fn new(events: EventSender, rollouts_enabled: bool) -> PeerService {
         PeerService { events, rollouts_enabled }
     }
 
-    /// Listens for as long as the process lives, and again whenever that fails.
+    /// Serves peers until the process ends. Listens again if the listener fails.
     pub async fn serve(self, listen: SocketAddr) {
         loop {
             let service = PeerServer::new(self.clone()).max_decoding_message_size(MESSAGE_LIMIT);
@@ -51,7 +51,7 @@
                 .add_service(service)
                 .serve(listen)
                 .await;
-            tracing::error!(addr = %listen, result = ?ended, "listener for peers ended");
+            tracing::error!(addr = %listen, result = ?ended, "listener for peers ended; retrying");
             tokio::time::sleep(LISTEN_RETRY).await;
         }
     }
@@ -60,7 +60,7 @@
         self.rollouts_enabled.then_some(()).ok_or_else(|| Status::unimplemented("roll-outs are off"))
     }
 
-    /// Queues an event, unless there are too many already.
+    /// Queues an event for the event loop; fails if the queue is full.
     fn queue(&self, event: Event) -> Result<(), Status> {
         self.events.try_send(event).map_err(|_| Status::resource_exhausted("too much to do"))
     }
@@ -79,7 +79,7 @@
         self.require_rollouts()?;
         let jobs = request.into_inner().jobs.iter().map(|job| JobId::new(job)).collect();
         let (reply_sender, reply) = oneshot::channel();
-        // Fails only if the peer's deadline is over, and with it this request.
+        // Fails only if the peer's deadline has passed and this request was cancelled.
         let reply_to = Box::new(move |replicas| drop(reply_sender.send(replicas)));
         self.queue(Event::ReplicaQuery { jobs, reply: reply_to })?;
         let replicas: Vec<Replica> = reply.await.map_err(|_| Status::unavailable("ending"))?;
@@ -92,7 +92,7 @@
             request.into_inner().addr.parse().map_err(|_| Status::invalid_argument("not an address"))?;
         let reached = match tokio::time::timeout(REACH_TIMEOUT, TcpStream::connect(addr)).await {
             Ok(Ok(_)) => true,
-            // A refusal comes from the other end: it is reached.
+            // A refused connection shows that the host is reachable.
             Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
             Err(_) => false,
         };
@@ -100,7 +100,7 @@
     }
 }
 
-/// A replica as controllers describe it to each other.
+/// Converts a replica to the message that controllers exchange.
 pub fn replica_message(replica: &Replica) -> ReplicaMessage {
     let state = match replica.state {
         ReplicaState::Waiting => State::Waiting,
--- a/src/transport/peers/status_broadcast.rs
+++ b/src/transport/peers/status_broadcast.rs
@@ -1,6 +1,6 @@
-//! Sends this controller's status to all peers: the whole of it whenever the core has a new one, and in
-//! between short messages that only say how far the records have come. The newest status replaces those
-//! that a slow peer has not taken yet, so that nothing queues up.
+//! Sends the status of this controller to all peers: the full status whenever the core has a new one, and
+//! in between short messages that only carry the latest revision of the records. A newer status replaces
+//! the ones that a slow peer has not received yet, so no messages queue up.
 
 use super::{Client, MESSAGE_TIMEOUT};
 use crate::protocol::peer::PeerStatus;
@@ -10,21 +10,21 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Pause after a peer did not take a status.
+/// Delay after a status could not be sent to a peer.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The newest whole status, and how far the records have come since.
+/// The latest full status and the latest revision of the records.
 #[derive(Clone, Default)]
 pub(super) struct LatestStatus {
-    /// Counts whole statuses; 0: there is none yet.
+    /// Number of full statuses so far; 0 before the first one.
     number: u64,
     status: Arc<PeerStatus>,
     revision: u64,
 }
 
 impl LatestStatus {
-    /// The message for a peer that took the whole status of this number last: all of
-    /// it only if it is new to that peer.
+    /// Returns the message for a peer that last received the full status with this sequence number. Contains
+    /// the full status only if it is new to that peer.
     fn message_after(&self, number: u64) -> PeerStatus {
         let whole = &*self.status;
         if self.number != number {
@@ -39,17 +39,17 @@
     }
 }
 
-/// The event loop's side: sets what is sent to all peers. Never waits.
+/// Used by the event loop to set the status that is sent to all peers. Never blocks.
 pub struct StatusBroadcaster(watch::Sender<LatestStatus>);
 
 impl StatusBroadcaster {
-    /// A broadcaster, and what [`send_statuses`] watches for each peer.
+    /// Creates a broadcaster and the receiver that [`send_statuses`] watches for each peer.
     pub(super) fn new() -> (StatusBroadcaster, watch::Receiver<LatestStatus>) {
         let (sender, latest) = watch::channel(LatestStatus::default());
         (StatusBroadcaster(sender), latest)
     }
 
-    /// Sends a whole status.
+    /// Sends a full status to all peers.
     pub fn broadcast_status(&self, status: PeerStatus) {
         self.0.send_modify(|latest| {
             latest.number += 1;
@@ -58,19 +58,19 @@
         });
     }
 
-    /// Sends how far the records have come.
+    /// Sends the latest revision of the records to all peers.
     pub fn hint_revision(&self, revision: Revision) {
         self.0.send_modify(|latest| latest.revision = latest.revision.max(revision.0));
     }
 }
 
-/// Sends the newest status to one peer whenever it changes, until the broadcaster is gone.
+/// Sends the latest status to one peer whenever it changes, until the broadcaster is dropped.
 pub(super) async fn send_statuses(peer: SocketAddr, mut client: Client, mut latest: watch::Receiver<LatestStatus>) {
     let mut sent_number = 0;
     while latest.changed().await.is_ok() {
         let status = latest.borrow_and_update().clone();
         if status.number == 0 {
-            // No whole status yet, without which a hint has no sender.
+            // The sender's name comes from the full status; without one, a hint would not name its sender.
             continue;
         }
         let message = status.message_after(sent_number);
@@ -79,8 +79,8 @@
                 sent_number = status.number;
                 continue;
             }
-            Ok(Err(error)) => tracing::debug!(%peer, %error, "cannot send status to a peer"),
-            Err(_) => tracing::debug!(%peer, "timed out sending status to a peer"),
+            Ok(Err(error)) => tracing::debug!(%peer, %error, "failed to send the status to a peer"),
+            Err(_) => tracing::debug!(%peer, "timed out sending the status to a peer"),
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
--- a/src/transport/peers/status_broadcast/tests.rs
+++ b/src/transport/peers/status_broadcast/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Each hint carried the ages of a whole fleet; a peer that missed the
-/// whole status must still get it, however many hints come between.
+/// Guards against hints that carry the machine ages of the whole fleet, and against a peer that never gets
+/// the full status because hints followed it before the peer had received it.
 #[test]
 fn a_revision_hint_is_short_but_never_replaces_a_whole_status() {
     let (sender, mut receiver) = watch::channel(LatestStatus::default());
--- a/src/transport/responses.rs
+++ b/src/transport/responses.rs
@@ -1,4 +1,4 @@
-//! How responses are written: the core's as HTTP, and HTTP onto a connection.
+//! Converts the core's responses to HTTP responses and writes these to connections.
 
 use super::http::{Connection, HttpError};
 use crate::coordination::Response;
@@ -7,12 +7,12 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A response as it goes over HTTP. The body is JSON.
+/// An HTTP response with a JSON body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
     status: u16,
     body: String,
-    /// Seconds after which the request may be made again.
+    /// Value of the `Retry-After` header in seconds; no header if absent.
     retry_after_s: Option<u32>,
 }
 
@@ -22,22 +22,22 @@
         HttpResponse { status, body, retry_after_s: None }
     }
 
-    /// A refusal with its reason.
+    /// An error response that states the reason.
     pub fn error(status: u16, reason: &str) -> HttpResponse {
         HttpResponse::new(status, &serde_json::json!({ "error": reason }))
     }
 
-    /// A refusal for lack of room; the request may be made again in a second.
+    /// A 503 response for lack of capacity; the client may retry after one second.
     pub fn unavailable(reason: &str) -> HttpResponse {
         HttpResponse { retry_after_s: Some(1), ..HttpResponse::error(503, reason) }
     }
 
-    /// Writes the whole response; each piece may take `timeout`. With `close` it tells the other side
-    /// that the connection ends after it.
+    /// Writes the response; `timeout` applies to each write to the socket. If `close` is true, the response
+    /// tells the client that the connection is closed after it.
     ///
     /// # Errors
     ///
-    /// If the other side takes nothing for that long, or is gone.
+    /// If the client accepts no data within `timeout` or has disconnected.
     pub fn write(&self, connection: &mut Connection, close: bool, timeout: Duration) -> Result<(), HttpError> {
         let retry_after = self.retry_after_s.map(|seconds| format!("Retry-After: {seconds}\r\n")).unwrap_or_default();
         let close = if close { "Connection: close\r\n" } else { "" };
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -1,6 +1,6 @@
-//! What roll-outs need of a controller: the store, submissions and cancellations on this controller's own
-//! core, and what the owners of all shards know of replicas. Called by the threads of `tillercleat_rollout`,
-//! which wait for each answer; every call has a deadline.
+//! The controller's interface for roll-outs: calls to the store, submissions and cancellations through this
+//! controller's core, and queries for replicas in all shards. The threads of `tillercleat_rollout` call it
+//! and block for each answer; every call has a deadline.
 
 mod conversions;
 
@@ -20,13 +20,13 @@
 use tillercleat_rollout::runtime::ControllerApi;
 use tillercleat_rollout::units::JobId as RolloutJobId;
 
-/// How long this controller's core may take to answer.
+/// Deadline for a response from this controller's core.
 const CORE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Connections to the store that are kept open between calls.
+/// Maximum number of connections to the store that are kept open between calls.
 const MAX_IDLE_CLIENTS: usize = 6;
 
-/// This controller, as roll-outs see it.
+/// Executes the calls of roll-outs on this controller.
 pub struct ControllerSite {
     events: EventSender,
     peers: PeerQueries,
@@ -35,12 +35,12 @@
 }
 
 impl ControllerSite {
-    /// A site that asks the event loop, the peers and the store at this address.
+    /// Creates the interface from the event loop's queue, the peers and the address of the store.
     pub fn new(events: EventSender, peers: PeerQueries, store: SocketAddr) -> ControllerSite {
         ControllerSite { events, peers, store, idle_clients: Mutex::new(vec![]) }
     }
 
-    /// Locked only to take a client or put one back, never during a call.
+    /// Locks the idle clients. The lock is held only to take or return a client, not during a call.
     fn idle_clients(&self) -> MutexGuard<'_, Vec<Client>> {
         self.idle_clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -54,7 +54,7 @@
                 store_answer(answer)
             }
             Err(error) => {
-                tracing::debug!(%error, "no answer from the store to a call of roll-outs");
+                tracing::debug!(%error, "call to the store for roll-outs failed");
                 store_answer(StoreResponse::Unknown)
             }
         }
@@ -67,19 +67,21 @@
         }
     }
 
-    /// The core's response; none if it is overloaded or takes too long.
+    /// Returns the core's response; none if the event queue is full or the core does not respond in time.
     fn ask_core(&self, request: ClientRequest) -> Option<Response> {
         let (response_sender, response) = sync_channel(1);
         let event = Event::Request { request: IncomingRequest::Client(request), response_sender };
         if self.events.try_send(event).is_err() {
-            tracing::debug!("the event loop has no room for a request of roll-outs");
+            tracing::debug!("refused a request of roll-outs: the event queue is full");
             return None;
         }
         let response = response.recv_timeout(CORE_TIMEOUT);
-        response.inspect_err(|error| tracing::debug!(%error, "no response to a request of roll-outs")).ok()
+        response
+            .inspect_err(|error| tracing::debug!(%error, "no response from the core to a request of roll-outs"))
+            .ok()
     }
 
-    /// What all owners know of the replicas of these jobs. Peers are asked while the core answers.
+    /// Returns the replicas of these jobs in all shards. The peers and the core are queried concurrently.
     fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ReplicaSeen> {
         let (reply_sender, reply) = sync_channel(1);
         let reply_to = Box::new(move |replicas: Vec<Replica>| drop(reply_sender.try_send(replicas)));
@@ -88,7 +90,7 @@
         let mut replicas = self.peers.replicas(jobs.iter().map(|job| job.0.clone()).collect());
         match asked.then(|| reply.recv_timeout(CORE_TIMEOUT)) {
             Some(Ok(own)) => replicas.extend(own.iter().map(replica_message)),
-            Some(Err(_)) | None => tracing::debug!("the event loop did not answer a query for replicas"),
+            Some(Err(_)) | None => tracing::debug!("replica query to the event loop failed or timed out"),
         }
         replicas.into_iter().map(observed_replica).collect()
     }
--- a/src/transport/rollouts/conversions.rs
+++ b/src/transport/rollouts/conversions.rs
@@ -1,4 +1,5 @@
-//! Between the types of `tillercleat_rollout`, which depends on nothing of this crate, and ours. Pure functions.
+//! Converts between the types of this crate and those of `tillercleat_rollout`, which does not depend on
+//! this crate. Pure functions.
 
 use crate::coordination::{RefusalKind, Response};
 use crate::protocol::peer;
@@ -11,7 +12,7 @@
 use tillercleat_rollout::ports::{Answer, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
 use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId as RolloutLeaseId, Millis as RolloutMillis, Stamp};
 
-/// A change of a roll-out's record that holds only if the named keys are unchanged.
+/// The store transaction that writes a roll-out's record only if the keys in the conditions are unchanged.
 pub fn transaction(commit: &Commit) -> Transaction {
     let conditions = commit.when.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
     let (key, value) = (commit.key.clone(), commit.value.clone());
@@ -22,7 +23,7 @@
     Transaction { conditions: conditions.collect(), changes: vec![change] }
 }
 
-/// An answer of the store.
+/// Converts a response from the store.
 pub fn store_answer(answer: StoreResponse) -> Answer {
     match answer {
         StoreResponse::Found(found) => Answer::Found(item(found)),
@@ -55,7 +56,7 @@
     Item { key: item.key, value: item.value, stamp: Stamp(item.version.0) }
 }
 
-/// Key, value (none: deleted) and version of a change that a watch brought.
+/// Key, value (none if deleted) and version of a key reported by a watch.
 fn change(event: WatchEvent) -> (String, Option<Value>, Stamp) {
     match event {
         WatchEvent::Put { key, value, version } => (key, Some(value), Stamp(version.0)),
@@ -63,7 +64,7 @@
     }
 }
 
-/// The job of one group of replicas, as a user would submit it.
+/// The job specification for one group of replicas, equivalent to a user's submission.
 pub fn job_spec(id: &RolloutJobId, order: &Order) -> JobSpec {
     let job = &order.job;
     JobSpec {
@@ -103,7 +104,8 @@
     })
 }
 
-/// What came of a submission; no response: it may be accepted all the same.
+/// Converts the response to a submission. Without a response the outcome is unknown: the core may still
+/// accept the job.
 pub fn submission_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => job_fate(state),
@@ -116,7 +118,8 @@
     }
 }
 
-/// What came of a cancellation; no response: it may be carried out all the same.
+/// Converts the response to a cancellation. Without a response the outcome is unknown: the core may still
+/// cancel the job.
 pub fn cancellation_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => job_fate(state),
@@ -126,7 +129,8 @@
     }
 }
 
-/// A replica as roll-outs see it: its machine's address without a port; empty if the machine is not known.
+/// Converts a replica reported by its shard's owner. `host` is the address of its machine without the port;
+/// empty if the address is unknown.
 pub fn observed_replica(replica: peer::Replica) -> ReplicaSeen {
     use peer::replica::State;
     let standing = match replica.state() {
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -1,5 +1,5 @@
-//! Which request a method, path and body make: of users, workers or health checks. Pure functions, called
-//! by the threads of connections.
+//! Parses HTTP requests of users, workers and health checks into requests for the core. Pure functions,
+//! called by the connections' threads.
 
 use super::events::IncomingRequest;
 use super::responses::HttpResponse;
@@ -8,21 +8,21 @@
 use crate::protocol::workers::Heartbeat;
 use crate::units::JobId;
 
-/// Where workers send heartbeats; every other path is for users.
+/// Path for the heartbeats of workers; all other paths are for users and health checks.
 const HEARTBEAT_PATH: &str = "/hello";
 
 const HEALTH_PATH: &str = "/up";
 
 const JOBS_PATH: &str = "/v2/runs";
 
-/// The last part of the path of a cancellation.
+/// Last segment of the path of a cancellation.
 const CANCEL: &str = "withdraw";
 
-/// What becomes of a request.
+/// How a request is answered.
 pub enum Routed {
-    /// The core decides.
+    /// The core handles the request.
     ForCore(IncomingRequest),
-    /// It is answered at once.
+    /// The response is known without the core.
     Immediate(HttpResponse),
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What a path stands for; a job id in it is not checked yet.
+/// The endpoint of a path. Job ids are not validated.
 #[derive(Clone, Copy)]
 enum Endpoint<'a> {
     Health,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Endpoint<'a> {
-    /// None if there is no such path.
+    /// None if the path is unknown.
     fn from_path(path: &'a str) -> Option<Endpoint<'a>> {
         match path {
             HEALTH_PATH => return Some(Endpoint::Health),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The one method that is allowed.
+    /// The only method that the endpoint allows.
     fn method(self) -> &'static str {
         match self {
             Endpoint::Health | Endpoint::Job(_) => "GET",
@@ -76,7 +76,7 @@
     target.split_once('?').map_or(target, |(path, _)| path)
 }
 
-/// Reads a request; a query after the path is ignored.
+/// Parses a request. The query string is ignored.
 pub fn route(method: &str, target: &str, body: &[u8]) -> Routed {
     let Some(endpoint) = Endpoint::from_path(path_of(target)) else { return Routed::error(404, "no such path") };
     if method != endpoint.method() {
@@ -97,13 +97,14 @@
     match serde_json::from_slice::<Heartbeat>(body) {
         Ok(heartbeat) => Routed::ForCore(IncomingRequest::Heartbeat(Box::new(heartbeat))),
         Err(error) => {
-            tracing::warn!(%error, "cannot read a heartbeat");
+            tracing::warn!(%error, "failed to parse a heartbeat");
             Routed::error(400, "not a report")
         }
     }
 }
 
-/// A submission that makes no sense still goes to the core if its job id can be read: the job may be known.
+/// Parses a submission. A malformed one is still passed to the core if its job id can be read, since the
+/// job may be known.
 fn submission(body: &[u8]) -> Routed {
     match JobSpec::parse(body) {
         Ok(spec) => Routed::client(ClientRequest::Submit(Box::new(spec))),
@@ -112,7 +113,7 @@
     }
 }
 
-/// True for a request that only workers make.
+/// True if only workers send requests to this target.
 pub fn is_from_worker(target: &str) -> bool {
     path_of(target) == HEARTBEAT_PATH
 }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -1,5 +1,5 @@
-//! Starts a controller: divides the process's limits, opens sockets, starts all threads and becomes the
-//! event loop. Called by `main` only.
+//! Starts a controller: divides the process's limits, opens sockets, starts all threads and runs the event
+//! loop. Called only by `main`.
 
 use super::event_loop::EventLoop;
 use super::external_clients::{self, ExternalClients};
@@ -14,62 +14,62 @@
 use tillercleat_connection_limits::{BudgetError, Limits, ReservedResources, ResourceBudget};
 use tillercleat_rollout::settings::Settings as RolloutSettings;
 
-/// The least number of events that may wait for the event loop; a request that finds the queue full is
-/// refused. It holds one event of each connection, as many come at once after a pause of the process.
+/// Minimum capacity of the event queue; requests are refused while it is full. The queue is enlarged to
+/// hold one event of each connection, because that many arrive at once after a pause of the process.
 const MIN_EVENT_QUEUE: usize = 1024;
 
-/// Threads that neither serve connections nor make calls: the event loop's, the listener's and the
-/// peers', and some to spare for what libraries start.
+/// Threads that neither serve connections nor execute calls: the event loop's, the listener's and the
+/// peers' thread, plus a reserve for threads started by libraries.
 const OTHER_THREADS: usize = 8;
 
-/// Sockets of this process's own, beside those to and from each peer.
+/// Sockets reserved for this process, besides those to and from each peer.
 const OWN_SOCKETS: usize = 24;
 
-/// Sockets to and from each peer.
+/// Sockets reserved for the connections to and from each peer.
 const SOCKETS_PER_PEER: usize = 4;
 
-/// Stack of the listener's thread in bytes.
+/// Stack size of the `listen` thread.
 const LISTENER_STACK: usize = 128 * 1024;
 
-/// Bytes in the KiB that the platform counts values in.
+/// Bytes per KiB, the unit of the platform's limit on the size of values.
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Why a controller cannot start.
+/// An error that prevents a controller from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The process's limits leave too little for connections.
+    /// The process's limits leave too few resources for connections.
     #[error(transparent)]
     Budget(#[from] BudgetError),
     /// The address for users and workers cannot be listened on.
     #[error("cannot listen on {addr} for users and workers: {source}")]
     Listen {
-        /// The address from the settings.
+        /// The listen address from the settings.
         addr: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A thread could not be started, or what it needs first could not be had.
-    #[error("cannot start {what}: {source}")]
+    /// A thread could not be started, or a resource that it needs could not be acquired.
+    #[error("cannot start {component}: {source}")]
     Start {
-        /// What was to be started.
-        what: &'static str,
-        /// What the system says.
+        /// The component that failed to start.
+        component: &'static str,
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
 impl RunError {
-    /// An error while starting `what`, for `map_err`.
-    fn starting(what: &'static str) -> impl Fn(io::Error) -> RunError {
-        move |source| RunError::Start { what, source }
+    /// Returns a function for `map_err` that wraps an error while starting `component`.
+    fn starting(component: &'static str) -> impl Fn(io::Error) -> RunError {
+        move |source| RunError::Start { component, source }
     }
 }
 
-/// What users and workers may have of threads, sockets and memory.
+/// Returns the threads, sockets and memory available for connections of users and workers.
 ///
 /// # Errors
 ///
-/// If the limits leave too little for them.
+/// If the process's limits leave too few resources for these connections.
 pub fn resource_budget(
     settings: &Settings,
     tuning: &Tuning,
@@ -85,12 +85,12 @@
     ResourceBudget::new(limits, reserved)
 }
 
-/// Serves until the process is killed; takes part in roll-outs if `rollouts` has their settings.
+/// Runs a controller until the process is killed. Takes part in roll-outs if `rollouts` has their settings.
 ///
 /// # Errors
 ///
-/// If an address can't be had, a thread can't be started, or the limits leave
-/// too little.
+/// If the client address can't be listened on, a thread can't be started, or the limits leave too few
+/// resources.
 pub fn run(settings: Settings, tuning: Tuning, rollouts: Option<RolloutSettings>) -> Result<(), RunError> {
     let budget = resource_budget(&settings, &tuning, rollouts.as_ref())?;
     let (events, event_queue) = sync_channel(MIN_EVENT_QUEUE.max(budget.connections));
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,6 +1,6 @@
-//! The listener for users, workers and health checks: a thread for each connection, as many as the
-//! connection limiter admits. Every read and write has a deadline. A request is handed to the event loop
-//! without waiting for room, and its response is awaited for a bounded time.
+//! The HTTP server for users, workers and health checks. Each connection that the connection limiter admits
+//! has its own thread. Every read and write has a deadline. Requests are queued for the event loop without
+//! blocking, and the wait for their responses is bounded.
 
 mod connection_registry;
 
@@ -18,62 +18,62 @@
 use std::time::Duration;
 use tillercleat_connection_limits::{ConnectionAction, ConnectionId, ResourceBudget, Role};
 
-/// Stack of a connection's thread in bytes.
+/// Stack size of each connection's thread.
 const STACK: usize = 128 * 1024;
 
-/// How long a new connection may take to begin its first request.
+/// How long the first request of a new connection may take to begin.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a connection may be idle between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long a request may take to arrive once it has begun, and a response to be taken.
+/// Deadline for receiving the rest of a request once it has begun, and for writing a response.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the core may take to respond.
+/// Deadline for a response from the core.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// Deadline of a refusal that the accepting thread writes itself: it must not wait for anybody.
+/// Deadline for writing a refusal on the accepting thread, which a slow client must not block.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// Pause after a connection could not be accepted, for instance for lack of descriptors.
+/// Delay after a failure to accept a connection, for instance when out of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Why a connection or a user's request is refused with 503.
+/// Error text of the 503 response that refuses a connection or a user's request.
 const TOO_MANY_CONNECTIONS: &str = "too many connections";
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process ends.
 pub fn listen(listener: &TcpListener, budget: ResourceBudget, events: &EventSender) {
     let registry = ConnectionRegistry::new(budget);
     for stream in listener.incoming() {
         match stream {
             Ok(stream) => accept(Arc::new(stream), &registry, events),
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a connection");
+                tracing::warn!(%error, "failed to accept a connection");
                 std::thread::sleep(ACCEPT_RETRY);
             }
         }
     }
 }
 
-/// Starts a thread for a connection, or refuses it.
+/// Starts a thread for a connection, or refuses the connection if it is not admitted or no thread can be started.
 fn accept(stream: Arc<TcpStream>, registry: &ConnectionRegistry, events: &EventSender) {
     let Some(id) = registry.admit(&stream) else {
         refuse(stream);
         return;
     };
     if let Err(error) = spawn_connection(Arc::clone(&stream), id, registry.clone(), events.clone()) {
-        tracing::warn!(%error, "no thread for a connection");
+        tracing::warn!(%error, "failed to start a thread for a connection");
         registry.closed(id);
         refuse(stream);
     }
 }
 
-/// Tells a client that there is no room, and when to come back.
+/// Sends a 503 response with a `Retry-After` header.
 fn refuse(stream: Arc<TcpStream>) {
     let response = HttpResponse::unavailable(TOO_MANY_CONNECTIONS);
     if let Err(error) = response.write(&mut Connection::new(stream), true, REFUSAL_TIMEOUT) {
-        tracing::debug!(%error, "cannot write a refusal");
+        tracing::debug!(%error, "failed to write a refusal to a connection");
     }
 }
 
@@ -85,14 +85,14 @@
 ) -> io::Result<()> {
     let serve_until_closed = move || {
         if let Err(error) = serve(stream, id, &registry, &events) {
-            tracing::debug!(%error, "a connection ended");
+            tracing::debug!(%error, "connection ended with an error");
         }
         registry.closed(id);
     };
     std::thread::Builder::new().name("connection".into()).stack_size(STACK).spawn(serve_until_closed).map(drop)
 }
 
-/// Serves requests one after the other until the connection ends.
+/// Serves the requests of a connection in sequence until it is closed.
 fn serve(
     stream: Arc<TcpStream>,
     id: ConnectionId,
@@ -129,10 +129,10 @@
     }
 }
 
-/// What a request is answered with.
+/// The response to a request and whether the connection must be closed after it.
 struct Reply {
     response: HttpResponse,
-    /// The core's own response may still come, and must not be taken for that of the next request.
+    /// True if the core's response may still arrive: it would be mistaken for that of the next request.
     must_close: bool,
 }
 
@@ -160,15 +160,15 @@
         }
     }
 
-    /// The core's response; none if the event loop has no room for the request or takes too long.
+    /// Returns the core's response; none if the event queue is full or the core does not respond in time.
     fn ask_core(&self, request: IncomingRequest) -> Option<Response> {
         let event = Event::Request { request, response_sender: self.response_sender.clone() };
         if self.events.try_send(event).is_err() {
-            tracing::debug!("refused a request: too many events wait for the event loop");
+            tracing::debug!("refused a request: the event queue is full");
             return None;
         }
         let response = self.responses.recv_timeout(RESPONSE_TIMEOUT);
-        response.inspect_err(|error| tracing::debug!(%error, "no response of the core to a request")).ok()
+        response.inspect_err(|error| tracing::debug!(%error, "no response from the core to a request")).ok()
     }
 }
 
--- a/src/transport/server/connection_registry.rs
+++ b/src/transport/server/connection_registry.rs
@@ -1,6 +1,6 @@
-//! Which connections are open: the connection limiter, which decides on them, with the sockets behind its
-//! decisions. Shared by the listener and the threads of connections, under one lock that is held for a
-//! decision only, never during I/O.
+//! Registry of open connections: the connection limiter, which decides which to accept and which to close,
+//! and their sockets. Shared by the listener and the connections' threads under one lock, which is held only
+//! while the limiter decides, not during I/O.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, Shutdown, TcpStream};
@@ -10,7 +10,7 @@
     Admission, ConnectionAction, ConnectionId, ConnectionLimiter, Millis, ResourceBudget, Role,
 };
 
-/// What the lock guards.
+/// State guarded by the registry's lock.
 struct State {
     limiter: ConnectionLimiter,
     streams: HashMap<ConnectionId, Arc<TcpStream>>,
@@ -23,37 +23,39 @@
     }
 }
 
-/// Counts connections from their arrival until their threads end; cheap to clone.
+/// Tracks connections from admission until their threads end; cheap to clone.
 #[derive(Clone)]
 pub struct ConnectionRegistry(Arc<Mutex<State>>);
 
 impl ConnectionRegistry {
-    /// A registry without connections.
+    /// Creates an empty registry.
     pub fn new(budget: ResourceBudget) -> ConnectionRegistry {
         let state =
             State { limiter: ConnectionLimiter::new(budget), streams: HashMap::new(), started_at: Instant::now() };
         ConnectionRegistry(Arc::new(Mutex::new(state)))
     }
 
-    /// No function leaves the state inconsistent where it could panic.
+    /// Ignores lock poisoning: no function leaves the state inconsistent where it could panic.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Admits a connection if there is room, and closes another if need be.
+    /// Admits a connection if the limiter allows it, and shuts down the one that the limiter evicts for it,
+    /// if any.
     pub fn admit(&self, stream: &Arc<TcpStream>) -> Option<ConnectionId> {
         let from = stream.peer_addr().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |addr| addr.ip());
         let (admission, evicted) = self.decide(from, stream);
         if let Some(evicted) = evicted {
-            // Its thread wakes with an end of file, and ends.
+            // The evicted connection's thread reads an end of file and ends.
             if let Err(error) = evicted.shutdown(Shutdown::Both) {
-                tracing::debug!(%error, "a connection to be closed has ended already");
+                tracing::debug!(%error, "failed to shut down an evicted connection; it may have ended already");
             }
         }
         admission.admitted.inspect_err(|reason| tracing::debug!(%from, ?reason, "refused a connection")).ok()
     }
 
-    /// Lets the limiter decide and registers the socket; returns that of the connection to be closed too.
+    /// Asks the limiter for a decision and registers the socket if admitted. Also returns the socket of the
+    /// evicted connection.
     fn decide(&self, from: IpAddr, stream: &Arc<TcpStream>) -> (Admission, Option<Arc<TcpStream>>) {
         let mut state = self.lock();
         let now = state.now();
@@ -65,21 +67,22 @@
         (admission, evicted)
     }
 
-    /// A whole request has arrived: whether it is served, and whether the connection stays.
+    /// Records that a complete request has arrived. Returns whether to serve the request and whether to keep
+    /// the connection open.
     pub fn request_started(&self, id: ConnectionId, role: Role) -> ConnectionAction {
         let mut state = self.lock();
         let now = state.now();
         state.limiter.request_started(id, role, now)
     }
 
-    /// The request was answered and the connection stays.
+    /// Records that the response was sent and the connection stays open.
     pub fn response_sent(&self, id: ConnectionId) {
         let mut state = self.lock();
         let now = state.now();
         state.limiter.response_sent(id, now);
     }
 
-    /// The connection's thread ends. Drops its socket, which closes it with the last handle.
+    /// Removes a connection whose thread ends. The socket is closed when its last handle is dropped.
     pub fn closed(&self, id: ConnectionId) {
         let mut state = self.lock();
         state.limiter.closed(id);
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -2,7 +2,8 @@
 use crate::coordination::Response;
 use std::io::{Read, Write};
 
-/// Sends a request to a crowded controller and says whether it may send another.
+/// Sends a request to a controller close to its connection limit. Returns true if the controller answers
+/// and keeps the connection open.
 fn kept_after(request: &str) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -15,7 +16,7 @@
     });
     let registry = ConnectionRegistry::new(ResourceBudget { connections: 4, crowded: 2, unidentified: 8, workers: 1 });
     let stream = Arc::new(stream);
-    // Others are there already.
+    // Three other connections of workers are already open.
     let others: Vec<_> = (0..3).map(|_| registry.admit(&stream)).collect();
     assert!(others
         .iter()
@@ -25,17 +26,17 @@
     std::thread::spawn(move || {
         let _ = serve(stream, id, &registry, &event_sender);
         registry.closed(id);
-        // The other end hears of it when the last handle is dropped.
+        // The client sees the connection close only when the last handle of the socket is dropped.
         others.into_iter().flatten().for_each(|other| registry.closed(other));
     });
     client.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     client.write_all(request.as_bytes()).unwrap();
     let mut answer = vec![];
-    // Ends at once if the controller closes, else when the time is over.
+    // Returns immediately if the controller closes the connection, otherwise when the read times out.
     client.read_to_end(&mut answer).is_err() && !answer.is_empty()
 }
 
-/// Users that kept their connections could leave none for workers.
+/// Guards against users who keep their connections open and leave none for workers.
 #[test]
 fn a_crowded_controller_keeps_only_connections_of_workers() {
     let heartbeat = r#"{"deck":"i-1","endpoint":"a","hull":"h","berth":"z","watch":1,"tally":1}"#;
--- a/src/transport/tick_schedule.rs
+++ b/src/transport/tick_schedule.rs
@@ -1,44 +1,45 @@
-//! When the core gets its next tick. Owned by the event loop; holds no clock of its own: each function is
-//! given the present moment.
+//! Schedules the core's ticks. Owned by the event loop; reads no clock: the caller passes the current time.
 //!
-//! A tick is where the core notices that something is overdue. After a pause of the whole process (a
-//! suspended container, a host without processor time) what arrived meanwhile still lies in the sockets,
-//! and would seem overdue. So the first tick after such a pause is put off until it has been read.
+//! The core detects missed deadlines in its ticks. After a pause of the whole process (a suspended
+//! container, a host without processor time), messages that arrived meanwhile are still unread in the
+//! sockets, and their senders would appear overdue. The first tick after such a pause is therefore
+//! postponed until the messages have been read.
 
 use crate::units::Millis;
 use std::time::{Duration, Instant};
 
-/// Turns of the event loop follow each other far more closely; a longer gap means that the process
-/// did not run.
+/// Minimum gap between two iterations of the event loop that counts as a pause of the process. The gap is
+/// far shorter while the process runs.
 const PROCESS_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long the first tick after a pause is put off, so that the connections' threads, which wake as
-/// late as the event loop, can hand in what lay in their sockets.
+/// How long the first tick after a pause is postponed. The connections' threads resume at the same time as
+/// the event loop and need this time to queue the messages from their sockets.
 const BACKLOG_TIME: Duration = Duration::from_millis(60);
 
-/// How late a tick may be before it goes ahead of waiting events.
+/// Maximum delay of a tick; a later tick is handled before queued events.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// The moment of the next tick, and whether it is put off after a pause.
+/// The time of the next tick, and whether it is postponed after a pause.
 pub struct TickSchedule {
     next_tick: Instant,
     last_turn: Instant,
-    /// True from a pause until the tick that follows it.
+    /// True from a pause until the first tick after it.
     reading_backlog: bool,
 }
 
 impl TickSchedule {
-    /// A schedule whose first tick is due now.
+    /// Creates a schedule whose first tick is due at `now`.
     pub fn new(now: Instant) -> TickSchedule {
         TickSchedule { next_tick: now, last_turn: now, reading_backlog: false }
     }
 
-    /// How long to wait for events before the next tick; zero if it is due.
+    /// Returns how long to wait for events before the next tick; zero if it is due.
     pub fn time_until_tick(&self, now: Instant) -> Duration {
         self.next_tick.saturating_duration_since(now)
     }
 
-    /// No event came until the tick was due. False if the process paused meanwhile: the tick is put off.
+    /// Called when no event arrived before the tick was due. Returns false, and postpones the tick, if the
+    /// process has paused since the last iteration.
     pub fn is_tick_due(&mut self, now: Instant) -> bool {
         if self.has_paused(now) {
             self.put_off_tick(now);
@@ -48,13 +49,13 @@
         true
     }
 
-    /// Sets the time of the next tick.
+    /// Schedules the next tick `interval` after `now`.
     pub fn schedule_next_tick(&mut self, now: Instant, interval: Millis) {
         self.next_tick = now + Duration::from_millis(interval.0);
     }
 
-    /// An input was handled. True if a tick has to go ahead of waiting events: a steady stream of them
-    /// must not keep the core's clock from moving.
+    /// Called after each handled input. Returns true if a tick must be handled before queued events, since a
+    /// steady stream of events must not delay ticks indefinitely.
     pub fn end_turn(&mut self, now: Instant) -> bool {
         if self.has_paused(now) {
             self.put_off_tick(now);
--- a/src/transport/tick_schedule/tests.rs
+++ b/src/transport/tick_schedule/tests.rs
@@ -16,7 +16,7 @@
     assert!(schedule.is_tick_due(after(start, 50)));
 }
 
-/// Workers whose heartbeats lay unread in the sockets were taken for lost.
+/// Guards against treating workers as lost while their heartbeats are still unread in the sockets.
 #[test]
 fn the_first_tick_after_a_pause_waits_for_what_arrived_meanwhile() {
     let start = Instant::now();
