--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -131,20 +131,20 @@
         // Starts at 1, since 0 is the core's time before its first input.
         let now = MonotonicTime(self.started_at.elapsed().as_millis() as u64 + 1);
         for output in self.core.handle(now, time_of_day_ms(), input) {
-            self.carry_out(output);
+            self.execute(output);
         }
-        if self.schedule.end_turn(Instant::now()) {
+        if self.schedule.finish_iteration(Instant::now()) {
             self.queued_inputs.push_back(Input::Tick);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Response(id, response) => self.pending_responses.resolve(id, response),
             Output::State(id, call) => self.queued_inputs.extend(self.external_clients.call_store(id, call)),
             Output::Cloud(id, call) => self.queued_inputs.extend(self.external_clients.call_cloud(id, call)),
             Output::BroadcastStatus(status) => self.status_broadcaster.broadcast_status(status),
-            Output::RevisionHint(revision) => self.status_broadcaster.hint_revision(revision),
+            Output::RevisionHint(revision) => self.status_broadcaster.broadcast_revision(revision),
         }
     }
 }
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Stack size of each client thread.
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
 /// Deadline of a call to the store; the wait time of a watch is added to it.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -40,7 +40,7 @@
 }
 
 /// Executes one call and returns the result as an input for the core.
-type CarryOut<C> = fn(&mut Client, CallId, &C) -> Input;
+type ExecuteCall<C> = fn(&mut Client, CallId, &C) -> Input;
 
 /// Threads that share one bounded queue of calls.
 struct CallPool<C> {
@@ -53,7 +53,7 @@
         threads: usize,
         events: &EventSender,
         server: SocketAddr,
-        carry_out: CarryOut<C>,
+        execute: ExecuteCall<C>,
     ) -> io::Result<Self> {
         let (queue, calls) = sync_channel(MAX_QUEUED_CALLS);
         let calls = Arc::new(Mutex::new(calls));
@@ -61,8 +61,8 @@
             let (calls, events) = (Arc::clone(&calls), events.clone());
             std::thread::Builder::new()
                 .name(name.into())
-                .stack_size(STACK)
-                .spawn(move || serve_calls(&calls, &events, server, carry_out))?;
+                .stack_size(STACK_BYTES)
+                .spawn(move || serve_calls(&calls, &events, server, execute))?;
         }
         Ok(CallPool { queue })
     }
@@ -78,7 +78,7 @@
     calls: &Mutex<Receiver<QueuedCall<C>>>,
     events: &EventSender,
     server: SocketAddr,
-    carry_out: CarryOut<C>,
+    execute: ExecuteCall<C>,
 ) {
     let mut client = Client::new(server);
     loop {
@@ -86,7 +86,7 @@
         // lock. It is released before the call is executed.
         let next = calls.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(QueuedCall { id, call }) = next else { return };
-        if events.send(Event::Input(carry_out(&mut client, id, &call))).is_err() {
+        if events.send(Event::Input(execute(&mut client, id, &call))).is_err() {
             return;
         }
     }
@@ -158,7 +158,7 @@
 fn call_cloud(client: &mut Client, id: CallId, call: &CloudCall) -> Input {
     let CloudRequest { method, path, body } = cloud_request(call);
     let answer = match client.call(method, &path, &body, CLOUD_TIMEOUT) {
-        Ok((status, body)) => cloud_answer(call, status, &body),
+        Ok((status, body)) => read_cloud_response(call, status, &body),
         Err(error) => {
             tracing::debug!(%error, "call to the cloud failed");
             CloudAnswer::Failed
@@ -197,9 +197,9 @@
     }
 }
 
-fn cloud_answer(call: &CloudCall, status: u16, body: &[u8]) -> CloudAnswer {
+fn read_cloud_response(call: &CloudCall, status: u16, body: &[u8]) -> CloudAnswer {
     match status {
-        200 => parse_cloud_answer(call, body).unwrap_or_else(|error| {
+        200 => parse_cloud_body(call, body).unwrap_or_else(|error| {
             tracing::warn!(%error, "failed to parse a response from the cloud");
             CloudAnswer::Failed
         }),
@@ -211,7 +211,7 @@
     }
 }
 
-fn parse_cloud_answer(call: &CloudCall, body: &[u8]) -> Result<CloudAnswer, serde_json::Error> {
+fn parse_cloud_body(call: &CloudCall, body: &[u8]) -> Result<CloudAnswer, serde_json::Error> {
     match call {
         CloudCall::Catalog => serde_json::from_slice(body).map(CloudAnswer::Catalog),
         CloudCall::List { .. } => serde_json::from_slice(body).map(CloudAnswer::Page),
--- a/src/transport/peers.rs
+++ b/src/transport/peers.rs
@@ -23,7 +23,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 /// Stack size of the `peers` thread.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 
 /// Deadline for sending a message to a peer and for serving a message from a peer.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -32,10 +32,10 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Maximum size of a message from a peer.
-const MESSAGE_LIMIT: usize = 256 * 1024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 /// Initial HTTP/2 flow-control window of each stream.
-const STREAM_WINDOW: u32 = 64 * 1024;
+const STREAM_WINDOW_BYTES: u32 = 64 * 1024;
 
 /// A gRPC client for one peer; connects when it is first used.
 type Client = PeerClient<Channel>;
@@ -56,9 +56,9 @@
             .connect_timeout(CONNECT_TIMEOUT)
             .timeout(MESSAGE_TIMEOUT)
             .tcp_nodelay(true)
-            .initial_stream_window_size(STREAM_WINDOW)
+            .initial_stream_window_size(STREAM_WINDOW_BYTES)
             .connect_lazy();
-        let client = PeerClient::new(channel).max_decoding_message_size(MESSAGE_LIMIT);
+        let client = PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
         Some(PeerConnection { addr, client })
     }
 }
@@ -88,7 +88,7 @@
     let (queries, query_queue) = PeerQueries::new();
     let service = PeerService::new(events, rollouts_enabled);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
-    std::thread::Builder::new().name("peers".into()).stack_size(STACK).spawn(move || {
+    std::thread::Builder::new().name("peers".into()).stack_size(STACK_BYTES).spawn(move || {
         let tasks = tokio::task::LocalSet::new();
         tasks.block_on(&runtime, run(listen, peers, service, latest_status, query_queue));
     })?;
--- a/src/transport/peers/queries.rs
+++ b/src/transport/peers/queries.rs
@@ -17,7 +17,7 @@
 
 /// How long the calling thread waits. Longer than the deadline of the requests to the peers, so that the
 /// requests time out first.
-const ANSWER_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
+const RESULT_TIMEOUT: Duration = MESSAGE_TIMEOUT.saturating_mul(2);
 
 /// A query to all peers and the sender for its result.
 pub(super) enum PeerQuery {
@@ -41,79 +41,79 @@
     /// Returns the replicas of these jobs in the shards that other controllers own. Blocks for at most
     /// three seconds. Replicas of controllers that don't respond are missing.
     pub fn replicas(&self, jobs: Vec<String>) -> Vec<ReplicaMessage> {
-        self.ask(|reply| PeerQuery::Replicas { jobs, reply }).unwrap_or_default()
+        self.run_query(|reply| PeerQuery::Replicas { jobs, reply }).unwrap_or_default()
     }
 
     /// Returns whether any other controller can connect to the address; none if no controller responded.
     /// Blocks for at most three seconds.
     pub fn can_reach(&self, addr: String) -> Option<bool> {
-        self.ask(|reply| PeerQuery::Reach { addr, reply }).flatten()
+        self.run_query(|reply| PeerQuery::Reach { addr, reply }).flatten()
     }
 
     /// Queues a query and waits for its result; none if the queue is full or the query times out.
-    fn ask<T>(&self, query: impl FnOnce(SyncSender<T>) -> PeerQuery) -> Option<T> {
-        let (reply, answer) = sync_channel(1);
+    fn run_query<T>(&self, query: impl FnOnce(SyncSender<T>) -> PeerQuery) -> Option<T> {
+        let (reply, result) = sync_channel(1);
         if self.0.try_send(query(reply)).is_err() {
             tracing::debug!("did not query the peers: the queue of queries is full");
             return None;
         }
-        let answer = answer.recv_timeout(ANSWER_TIMEOUT);
-        answer.inspect_err(|error| tracing::debug!(%error, "no result for a peer query")).ok()
+        let result = result.recv_timeout(RESULT_TIMEOUT);
+        result.inspect_err(|error| tracing::debug!(%error, "no result for a peer query")).ok()
     }
 }
 
 /// Executes queries concurrently until all handles have been dropped.
 pub(super) async fn serve_queries(clients: Vec<Client>, mut queue: mpsc::Receiver<PeerQuery>) {
     while let Some(query) = queue.recv().await {
-        tokio::task::spawn_local(answer(clients.clone(), query));
+        tokio::task::spawn_local(execute_query(clients.clone(), query));
     }
 }
 
 /// Sends one query to all peers and replies with their combined responses.
-async fn answer(clients: Vec<Client>, query: PeerQuery) {
+async fn execute_query(clients: Vec<Client>, query: PeerQuery) {
     match query {
         PeerQuery::Replicas { jobs, reply } => {
-            let responses = ask_all(clients, |client| ask_replicas(client, jobs.clone())).await;
-            send_answer(&reply, responses.into_iter().flat_map(|response| response.replicas).collect());
+            let responses = request_all(clients, |client| request_replicas(client, jobs.clone())).await;
+            send_result(&reply, responses.into_iter().flat_map(|response| response.replicas).collect());
         }
         PeerQuery::Reach { addr, reply } => {
-            let responses = ask_all(clients, |client| ask_reach(client, addr.clone())).await;
+            let responses = request_all(clients, |client| request_reach(client, addr.clone())).await;
             let reached = responses.iter().any(|response| response.reached);
-            send_answer(&reply, (!responses.is_empty()).then_some(reached));
+            send_result(&reply, (!responses.is_empty()).then_some(reached));
         }
     }
 }
 
 /// Sends a result to the calling thread; drops it if that thread has timed out.
-fn send_answer<T>(reply: &SyncSender<T>, answer: T) {
-    if reply.try_send(answer).is_err() {
+fn send_result<T>(reply: &SyncSender<T>, result: T) {
+    if reply.try_send(result).is_err() {
         tracing::debug!("dropped the result of a peer query: the caller has timed out");
     }
 }
 
-async fn ask_replicas(mut client: Client, jobs: Vec<String>) -> Result<Response<ReplicasResponse>, Status> {
+async fn request_replicas(mut client: Client, jobs: Vec<String>) -> Result<Response<ReplicasResponse>, Status> {
     client.replicas(ReplicasRequest { jobs }).await
 }
 
-async fn ask_reach(mut client: Client, addr: String) -> Result<Response<ReachResponse>, Status> {
+async fn request_reach(mut client: Client, addr: String) -> Result<Response<ReachResponse>, Status> {
     client.reach(ReachRequest { addr }).await
 }
 
 /// Sends a request to all peers concurrently and collects the responses that arrive in time.
-async fn ask_all<T, F>(clients: Vec<Client>, ask: impl Fn(Client) -> F) -> Vec<T>
+async fn request_all<T, F>(clients: Vec<Client>, send_request: impl Fn(Client) -> F) -> Vec<T>
 where
     T: 'static,
     F: Future<Output = Result<Response<T>, Status>> + 'static,
 {
     let mut requests = JoinSet::new();
     for client in clients {
-        requests.spawn_local(tokio::time::timeout(MESSAGE_TIMEOUT, ask(client)));
+        requests.spawn_local(tokio::time::timeout(MESSAGE_TIMEOUT, send_request(client)));
     }
     let mut responses = vec![];
     while let Some(finished) = requests.join_next().await {
         match finished {
             Ok(Ok(Ok(response))) => responses.push(response.into_inner()),
-            Ok(Ok(Err(status))) => tracing::debug!(%status, "a peer returned an error for a query"),
+            Ok(Ok(Err(status))) => tracing::debug!(%status, "a query to a peer failed"),
             Ok(Err(_)) => tracing::debug!("a query to a peer timed out"),
             Err(error) => tracing::error!(%error, "the task that queries a peer failed"),
         }
--- a/src/transport/peers/service.rs
+++ b/src/transport/peers/service.rs
@@ -1,7 +1,7 @@
 //! The gRPC service that other controllers call. Status messages and replica queries are passed to the
 //! event loop without blocking; if its queue is full, the peer's request is refused.
 
-use super::{MESSAGE_LIMIT, MESSAGE_TIMEOUT};
+use super::{MAX_MESSAGE_BYTES, MESSAGE_TIMEOUT};
 use crate::coordination::{Input, Replica, ReplicaState};
 use crate::protocol::peer::peer_server::{Peer, PeerServer};
 use crate::protocol::peer::replica::State;
@@ -23,10 +23,10 @@
 const REACH_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Maximum number of requests served at the same time on one connection of a peer.
-const CONCURRENT_REQUESTS: usize = 4;
+const MAX_CONCURRENT_REQUESTS: usize = 4;
 
 /// Delay before listening again after the listener failed.
-const LISTEN_RETRY: Duration = Duration::from_millis(500);
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The gRPC service of this controller.
 #[derive(Clone)]
@@ -44,15 +44,15 @@
     /// Serves peers until the process ends. Listens again if the listener fails.
     pub async fn serve(self, listen: SocketAddr) {
         loop {
-            let service = PeerServer::new(self.clone()).max_decoding_message_size(MESSAGE_LIMIT);
-            let ended = Server::builder()
-                .concurrency_limit_per_connection(CONCURRENT_REQUESTS)
+            let service = PeerServer::new(self.clone()).max_decoding_message_size(MAX_MESSAGE_BYTES);
+            let result = Server::builder()
+                .concurrency_limit_per_connection(MAX_CONCURRENT_REQUESTS)
                 .timeout(MESSAGE_TIMEOUT)
                 .add_service(service)
                 .serve(listen)
                 .await;
-            tracing::error!(addr = %listen, result = ?ended, "listener for peers ended; retrying");
-            tokio::time::sleep(LISTEN_RETRY).await;
+            tracing::error!(addr = %listen, result = ?result, "listener for peers ended; retrying");
+            tokio::time::sleep(LISTEN_RETRY_DELAY).await;
         }
     }
 
--- a/src/transport/peers/status_broadcast.rs
+++ b/src/transport/peers/status_broadcast.rs
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 
 /// Delay after a status could not be sent to a peer.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The latest full status and the latest revision of the records.
 #[derive(Clone, Default)]
 pub(super) struct LatestStatus {
     /// Number of full statuses so far; 0 before the first one.
-    number: u64,
+    sequence: u64,
     status: Arc<PeerStatus>,
     revision: u64,
 }
@@ -25,15 +25,15 @@
 impl LatestStatus {
     /// Returns the message for a peer that last received the full status with this sequence number. Contains
     /// the full status only if it is new to that peer.
-    fn message_after(&self, number: u64) -> PeerStatus {
-        let whole = &*self.status;
-        if self.number != number {
-            return PeerStatus { revision: self.revision, ..whole.clone() };
+    fn message_after(&self, sequence: u64) -> PeerStatus {
+        let full = &*self.status;
+        if self.sequence != sequence {
+            return PeerStatus { revision: self.revision, ..full.clone() };
         }
         PeerStatus {
-            from: whole.from.clone(),
+            from: full.from.clone(),
             revision: self.revision,
-            state_reachable: whole.state_reachable,
+            state_reachable: full.state_reachable,
             ..PeerStatus::default()
         }
     }
@@ -52,37 +52,37 @@
     /// Sends a full status to all peers.
     pub fn broadcast_status(&self, status: PeerStatus) {
         self.0.send_modify(|latest| {
-            latest.number += 1;
+            latest.sequence += 1;
             latest.revision = latest.revision.max(status.revision);
             latest.status = Arc::new(status);
         });
     }
 
     /// Sends the latest revision of the records to all peers.
-    pub fn hint_revision(&self, revision: Revision) {
+    pub fn broadcast_revision(&self, revision: Revision) {
         self.0.send_modify(|latest| latest.revision = latest.revision.max(revision.0));
     }
 }
 
 /// Sends the latest status to one peer whenever it changes, until the broadcaster is dropped.
 pub(super) async fn send_statuses(peer: SocketAddr, mut client: Client, mut latest: watch::Receiver<LatestStatus>) {
-    let mut sent_number = 0;
+    let mut sent_sequence = 0;
     while latest.changed().await.is_ok() {
         let status = latest.borrow_and_update().clone();
-        if status.number == 0 {
+        if status.sequence == 0 {
             // The sender's name comes from the full status; without one, a hint would not name its sender.
             continue;
         }
-        let message = status.message_after(sent_number);
+        let message = status.message_after(sent_sequence);
         match tokio::time::timeout(MESSAGE_TIMEOUT, client.tell(message)).await {
             Ok(Ok(_)) => {
-                sent_number = status.number;
+                sent_sequence = status.sequence;
                 continue;
             }
             Ok(Err(error)) => tracing::debug!(%peer, %error, "failed to send the status to a peer"),
             Err(_) => tracing::debug!(%peer, "timed out sending the status to a peer"),
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -27,17 +27,17 @@
 const MAX_IDLE_CLIENTS: usize = 6;
 
 /// Executes the calls of roll-outs on this controller.
-pub struct ControllerSite {
+pub struct LocalController {
     events: EventSender,
     peers: PeerQueries,
     store: SocketAddr,
     idle_clients: Mutex<Vec<Client>>,
 }
 
-impl ControllerSite {
+impl LocalController {
     /// Creates the interface from the event loop's queue, the peers and the address of the store.
-    pub fn new(events: EventSender, peers: PeerQueries, store: SocketAddr) -> ControllerSite {
-        ControllerSite { events, peers, store, idle_clients: Mutex::new(vec![]) }
+    pub fn new(events: EventSender, peers: PeerQueries, store: SocketAddr) -> LocalController {
+        LocalController { events, peers, store, idle_clients: Mutex::new(vec![]) }
     }
 
     /// Locks the idle clients. The lock is held only to take or return a client, not during a call.
@@ -50,7 +50,7 @@
         let mut client = idle.unwrap_or_else(|| Client::new(self.store));
         match send_store_call(&mut client, call) {
             Ok(answer) => {
-                self.keep(client);
+                self.keep_idle(client);
                 store_answer(answer)
             }
             Err(error) => {
@@ -60,7 +60,7 @@
         }
     }
 
-    fn keep(&self, client: Client) {
+    fn keep_idle(&self, client: Client) {
         let mut idle = self.idle_clients();
         if idle.len() < MAX_IDLE_CLIENTS {
             idle.push(client);
@@ -68,7 +68,7 @@
     }
 
     /// Returns the core's response; none if the event queue is full or the core does not respond in time.
-    fn ask_core(&self, request: ClientRequest) -> Option<Response> {
+    fn request_core(&self, request: ClientRequest) -> Option<Response> {
         let (response_sender, response) = sync_channel(1);
         let event = Event::Request { request: IncomingRequest::Client(request), response_sender };
         if self.events.try_send(event).is_err() {
@@ -96,13 +96,13 @@
     }
 }
 
-impl ControllerApi for ControllerSite {
+impl ControllerApi for LocalController {
     fn call(&self, call: &Call) -> Answer {
         match call {
             Call::Submit { job, order } => {
-                submission_answer(self.ask_core(ClientRequest::Submit(Box::new(job_spec(job, order)))))
+                submission_answer(self.request_core(ClientRequest::Submit(Box::new(job_spec(job, order)))))
             }
-            Call::Withdraw { job } => cancellation_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
+            Call::Withdraw { job } => cancellation_answer(self.request_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
             Call::Reach { addr } => Answer::Reached(self.peers.can_reach(addr.clone())),
             Call::Get { key } => self.call_store(&StoreRequest::Get { key: key.clone() }),
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -16,7 +16,7 @@
 const JOBS_PATH: &str = "/v2/runs";
 
 /// Last segment of the path of a cancellation.
-const CANCEL: &str = "withdraw";
+const CANCEL_SEGMENT: &str = "withdraw";
 
 /// How a request is answered.
 pub enum Routed {
@@ -58,7 +58,7 @@
         let job = path.strip_prefix(JOBS_PATH)?.strip_prefix('/')?;
         match job.split_once('/') {
             None => Some(Endpoint::Job(job)),
-            Some((job, CANCEL)) => Some(Endpoint::Cancellation(job)),
+            Some((job, CANCEL_SEGMENT)) => Some(Endpoint::Cancellation(job)),
             Some(_) => None,
         }
     }
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -3,7 +3,7 @@
 
 use super::event_loop::EventLoop;
 use super::external_clients::{self, ExternalClients};
-use super::rollouts::ControllerSite;
+use super::rollouts::LocalController;
 use super::{http, peers, server};
 use crate::coordination::Core;
 use crate::settings::{Settings, Tuning};
@@ -16,20 +16,20 @@
 
 /// Minimum capacity of the event queue; requests are refused while it is full. The queue is enlarged to
 /// hold one event of each connection, because that many arrive at once after a pause of the process.
-const MIN_EVENT_QUEUE: usize = 1024;
+const MIN_EVENT_QUEUE_LEN: usize = 1024;
 
 /// Threads that neither serve connections nor execute calls: the event loop's, the listener's and the
 /// peers' thread, plus a reserve for threads started by libraries.
-const OTHER_THREADS: usize = 8;
+const RESERVED_THREADS: usize = 8;
 
 /// Sockets reserved for this process, besides those to and from each peer.
-const OWN_SOCKETS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 
 /// Sockets reserved for the connections to and from each peer.
 const SOCKETS_PER_PEER: usize = 4;
 
 /// Stack size of the `listen` thread.
-const LISTENER_STACK: usize = 128 * 1024;
+const LISTENER_STACK_BYTES: usize = 128 * 1024;
 
 /// Bytes per KiB, the unit of the platform's limit on the size of values.
 const BYTES_PER_KIB: f64 = 1024.0;
@@ -79,8 +79,8 @@
     let limits = Limits { threads: tuning.threads, sockets: limits.fd_limit, memory_mib: limits.ram_mb };
     let for_rollouts = rollouts.map_or(0, RolloutSettings::threads);
     let reserved = ReservedResources {
-        threads: OTHER_THREADS + external_clients::THREADS + for_rollouts,
-        sockets: OWN_SOCKETS + SOCKETS_PER_PEER * settings.peers.len() + for_rollouts,
+        threads: RESERVED_THREADS + external_clients::THREADS + for_rollouts,
+        sockets: RESERVED_SOCKETS + SOCKETS_PER_PEER * settings.peers.len() + for_rollouts,
     };
     ResourceBudget::new(limits, reserved)
 }
@@ -93,7 +93,7 @@
 /// resources.
 pub fn run(settings: Settings, tuning: Tuning, rollouts: Option<RolloutSettings>) -> Result<(), RunError> {
     let budget = resource_budget(&settings, &tuning, rollouts.as_ref())?;
-    let (events, event_queue) = sync_channel(MIN_EVENT_QUEUE.max(budget.connections));
+    let (events, event_queue) = sync_channel(MIN_EVENT_QUEUE_LEN.max(budget.connections));
     let client_listener = http::listen(settings.client_listen)
         .map_err(|source| RunError::Listen { addr: settings.client_listen, source })?;
     let external_clients = ExternalClients::start(&events, settings.services.state, settings.services.cloud)
@@ -102,15 +102,15 @@
     let peers = peers::start(settings.peer_listen, peer_addrs, events.clone(), rollouts.is_some())
         .map_err(RunError::starting("the thread for other controllers"))?;
     if let Some(rollouts) = &rollouts {
-        let site = ControllerSite::new(events.clone(), peers.queries, settings.services.state);
+        let controller = LocalController::new(events.clone(), peers.queries, settings.services.state);
         let value_bytes = (settings.cluster.state.least().value_kb * BYTES_PER_KIB) as usize;
-        tillercleat_rollout::runtime::start(rollouts, &settings.node, value_bytes, Arc::new(site))
+        tillercleat_rollout::runtime::start(rollouts, &settings.node, value_bytes, Arc::new(controller))
             .map_err(RunError::starting("roll-outs"))?;
     }
     tracing::info!(connections = budget.connections, "accepting connections");
     std::thread::Builder::new()
         .name("listen".into())
-        .stack_size(LISTENER_STACK)
+        .stack_size(LISTENER_STACK_BYTES)
         .spawn(move || server::listen(&client_listener, budget, &events))
         .map_err(RunError::starting("the listener for users and workers"))?;
     EventLoop::new(Core::new(settings, tuning), external_clients, peers.status_broadcaster).run(&event_queue);
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -19,7 +19,7 @@
 use tillercleat_connection_limits::{ConnectionAction, ConnectionId, ResourceBudget, Role};
 
 /// Stack size of each connection's thread.
-const STACK: usize = 128 * 1024;
+const STACK_BYTES: usize = 128 * 1024;
 
 /// How long the first request of a new connection may take to begin.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
@@ -37,7 +37,7 @@
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Delay after a failure to accept a connection, for instance when out of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Error text of the 503 response that refuses a connection or a user's request.
 const TOO_MANY_CONNECTIONS: &str = "too many connections";
@@ -50,7 +50,7 @@
             Ok(stream) => accept(Arc::new(stream), &registry, events),
             Err(error) => {
                 tracing::warn!(%error, "failed to accept a connection");
-                std::thread::sleep(ACCEPT_RETRY);
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
@@ -89,7 +89,7 @@
         }
         registry.closed(id);
     };
-    std::thread::Builder::new().name("connection".into()).stack_size(STACK).spawn(serve_until_closed).map(drop)
+    std::thread::Builder::new().name("connection".into()).stack_size(STACK_BYTES).spawn(serve_until_closed).map(drop)
 }
 
 /// Serves the requests of a connection in sequence until it is closed.
@@ -152,7 +152,7 @@
     fn reply(&self, head: &Head, body: &[u8]) -> Reply {
         let response = match route(&head.method, &head.path, body) {
             Routed::Immediate(response) => Some(response),
-            Routed::ForCore(request) => self.ask_core(request).map(|response| HttpResponse::from(&response)),
+            Routed::ForCore(request) => self.request_core(request).map(|response| HttpResponse::from(&response)),
         };
         match response {
             Some(response) => Reply { response, must_close: false },
@@ -161,7 +161,7 @@
     }
 
     /// Returns the core's response; none if the event queue is full or the core does not respond in time.
-    fn ask_core(&self, request: IncomingRequest) -> Option<Response> {
+    fn request_core(&self, request: IncomingRequest) -> Option<Response> {
         let event = Event::Request { request, response_sender: self.response_sender.clone() };
         if self.events.try_send(event).is_err() {
             tracing::debug!("refused a request: the event queue is full");
--- a/src/transport/tick_schedule.rs
+++ b/src/transport/tick_schedule.rs
@@ -10,11 +10,11 @@
 
 /// Minimum gap between two iterations of the event loop that counts as a pause of the process. The gap is
 /// far shorter while the process runs.
-const PROCESS_PAUSE: Duration = Duration::from_millis(500);
+const MIN_PROCESS_PAUSE: Duration = Duration::from_millis(500);
 
 /// How long the first tick after a pause is postponed. The connections' threads resume at the same time as
 /// the event loop and need this time to queue the messages from their sockets.
-const BACKLOG_TIME: Duration = Duration::from_millis(60);
+const BACKLOG_DELAY: Duration = Duration::from_millis(60);
 
 /// Maximum delay of a tick; a later tick is handled before queued events.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
@@ -22,7 +22,7 @@
 /// The time of the next tick, and whether it is postponed after a pause.
 pub struct TickSchedule {
     next_tick: Instant,
-    last_turn: Instant,
+    last_iteration: Instant,
     /// True from a pause until the first tick after it.
     reading_backlog: bool,
 }
@@ -30,7 +30,7 @@
 impl TickSchedule {
     /// Creates a schedule whose first tick is due at `now`.
     pub fn new(now: Instant) -> TickSchedule {
-        TickSchedule { next_tick: now, last_turn: now, reading_backlog: false }
+        TickSchedule { next_tick: now, last_iteration: now, reading_backlog: false }
     }
 
     /// Returns how long to wait for events before the next tick; zero if it is due.
@@ -42,7 +42,7 @@
     /// process has paused since the last iteration.
     pub fn is_tick_due(&mut self, now: Instant) -> bool {
         if self.has_paused(now) {
-            self.put_off_tick(now);
+            self.postpone_tick(now);
             return false;
         }
         self.reading_backlog = false;
@@ -56,11 +56,11 @@
 
     /// Called after each handled input. Returns true if a tick must be handled before queued events, since a
     /// steady stream of events must not delay ticks indefinitely.
-    pub fn end_turn(&mut self, now: Instant) -> bool {
+    pub fn finish_iteration(&mut self, now: Instant) -> bool {
         if self.has_paused(now) {
-            self.put_off_tick(now);
+            self.postpone_tick(now);
         }
-        self.last_turn = now;
+        self.last_iteration = now;
         let overdue = now > self.next_tick + MAX_TICK_DELAY;
         if overdue {
             self.reading_backlog = false;
@@ -70,12 +70,12 @@
     }
 
     fn has_paused(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last_turn) >= PROCESS_PAUSE && !self.reading_backlog
+        now.saturating_duration_since(self.last_iteration) >= MIN_PROCESS_PAUSE && !self.reading_backlog
     }
 
-    fn put_off_tick(&mut self, now: Instant) {
+    fn postpone_tick(&mut self, now: Instant) {
         self.reading_backlog = true;
-        self.next_tick = now + BACKLOG_TIME;
+        self.next_tick = now + BACKLOG_DELAY;
     }
 }
 
