--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the store and the cloud: a few threads, each with one connection, that carry out the core's
-//! calls and send what came of them to the event loop. Every call has a deadline. No call is ever repeated
-//! here: only the core knows whether that is safe.
+//! Clients of the store and the cloud. A few threads, each with one connection, execute the core's calls
+//! and send the results to the event loop. Every call has a deadline. Failed calls are not retried here:
+//! only the core knows whether a retry is safe.
 
 use super::events::{Event, EventSender};
 use super::http::{Client, HttpError};
@@ -15,32 +15,32 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Stack of each thread in bytes.
-const STACK: usize = 256 * 1024;
+/// Stack size of each client thread.
+const STACK_BYTES: usize = 256 * 1024;
 
-/// Deadline of a call on the store; a watch may take its own waiting time more.
+/// Deadline of a call to the store; the wait time of a watch is added to it.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Deadline of a call on the cloud.
+/// Deadline of a call to the cloud.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Calls of one pool that may wait for a thread; more are refused.
+/// Maximum number of calls of one pool that wait for a thread; further calls are refused.
 const MAX_QUEUED_CALLS: usize = 256;
 
-/// Threads for calls on the store that are neither watches nor about leases.
+/// Number of threads for calls to the store other than watches and lease calls.
 const STORE_CALL_THREADS: usize = 3;
 
-/// Threads of all pools: for watches, leases, other calls on the store, and the cloud.
+/// Number of threads of all pools: watches, leases, other calls to the store, and the cloud.
 pub const THREADS: usize = 1 + 1 + STORE_CALL_THREADS + 1;
 
-/// A call that waits for a thread.
+/// A call that waits for a thread of its pool.
 struct QueuedCall<C> {
     id: CallId,
     call: C,
 }
 
-/// Carries out one call and says what came of it.
-type CarryOut<C> = fn(&mut Client, CallId, &C) -> Input;
+/// Executes one call and returns the result as an input for the core.
+type ExecuteCall<C> = fn(&mut Client, CallId, &C) -> Input;
 
 /// Threads that share one bounded queue of calls.
 struct CallPool<C> {
@@ -53,7 +53,7 @@
         threads: usize,
         events: &EventSender,
         server: SocketAddr,
-        carry_out: CarryOut<C>,
+        execute: ExecuteCall<C>,
     ) -> io::Result<Self> {
         let (queue, calls) = sync_channel(MAX_QUEUED_CALLS);
         let calls = Arc::new(Mutex::new(calls));
@@ -61,37 +61,38 @@
             let (calls, events) = (Arc::clone(&calls), events.clone());
             std::thread::Builder::new()
                 .name(name.into())
-                .stack_size(STACK)
-                .spawn(move || serve_calls(&calls, &events, server, carry_out))?;
+                .stack_size(STACK_BYTES)
+                .spawn(move || serve_calls(&calls, &events, server, execute))?;
         }
         Ok(CallPool { queue })
     }
 
-    /// Queues a call; false if there are too many already: it will not be carried out.
+    /// Queues a call. Returns false if the queue is full; the call is not executed then.
     fn call(&self, id: CallId, call: C) -> bool {
         self.queue.try_send(QueuedCall { id, call }).is_ok()
     }
 }
 
-/// Carries out calls until the event loop is gone.
+/// Executes calls until the event loop has ended.
 fn serve_calls<C>(
     calls: &Mutex<Receiver<QueuedCall<C>>>,
     events: &EventSender,
     server: SocketAddr,
-    carry_out: CarryOut<C>,
+    execute: ExecuteCall<C>,
 ) {
     let mut client = Client::new(server);
     loop {
-        // Held while waiting, so that the pool's other threads queue up for the lock; not during the call.
+        // The lock is held while this thread waits for a call, so the pool's other threads wait for the
+        // lock. It is released before the call is executed.
         let next = calls.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(QueuedCall { id, call }) = next else { return };
-        if events.send(Event::Input(carry_out(&mut client, id, &call))).is_err() {
+        if events.send(Event::Input(execute(&mut client, id, &call))).is_err() {
             return;
         }
     }
 }
 
-/// The store and the cloud, as the event loop calls them.
+/// Sends the event loop's calls to the store and the cloud.
 pub struct ExternalClients {
     watches: CallPool<StoreRequest>,
     leases: CallPool<StoreRequest>,
@@ -100,7 +101,7 @@
 }
 
 impl ExternalClients {
-    /// Starts the threads; they connect when they are first used.
+    /// Starts the threads. Each one connects when it executes its first call.
     ///
     /// # Errors
     ///
@@ -114,8 +115,8 @@
         })
     }
 
-    /// Queues a call on the store. Watches and leases have threads of their own, so
-    /// that nothing holds them up. Returns an input if the call was refused.
+    /// Queues a call to the store. Watches and leases have their own threads, so that other calls do not
+    /// delay them. Returns an input for the core if the call was refused.
     pub fn call_store(&self, id: CallId, call: StoreRequest) -> Option<Input> {
         let pool = match call {
             StoreRequest::Watch { .. } => &self.watches,
@@ -125,7 +126,7 @@
         (!pool.call(id, call)).then_some(Input::Store(id, StoreResponse::Unavailable))
     }
 
-    /// Queues a call on the cloud. Returns an input if the call was refused.
+    /// Queues a call to the cloud. Returns an input for the core if the call was refused.
     pub fn call_cloud(&self, id: CallId, call: CloudCall) -> Option<Input> {
         (!self.cloud_calls.call(id, call)).then_some(Input::Cloud(id, CloudResponse::Failed))
     }
@@ -133,17 +134,17 @@
 
 fn call_store(client: &mut Client, id: CallId, call: &StoreRequest) -> Input {
     let answer = send_store_call(client, call).unwrap_or_else(|error| {
-        tracing::debug!(%error, "no answer from the store");
+        tracing::debug!(%error, "call to the store failed");
         StoreResponse::Unknown
     });
     Input::Store(id, answer)
 }
 
-/// Makes one call on the store.
+/// Sends one call to the store and waits for its response.
 ///
 /// # Errors
 ///
-/// If there is no answer in time; the call may be carried out all the same.
+/// If no response arrives before the deadline; the store may still execute the call.
 pub fn send_store_call(client: &mut Client, call: &StoreRequest) -> Result<StoreResponse, HttpError> {
     let (method, path, body) = call.to_http();
     let timeout = match call {
@@ -157,16 +158,16 @@
 fn call_cloud(client: &mut Client, id: CallId, call: &CloudCall) -> Input {
     let CloudRequest { method, path, body } = cloud_request(call);
     let answer = match client.call(method, &path, &body, CLOUD_TIMEOUT) {
-        Ok((status, body)) => cloud_answer(call, status, &body),
+        Ok((status, body)) => read_cloud_response(call, status, &body),
         Err(error) => {
-            tracing::debug!(%error, "no answer from the cloud");
+            tracing::debug!(%error, "call to the cloud failed");
             CloudResponse::Failed
         }
     };
     Input::Cloud(id, answer)
 }
 
-/// A call on the cloud in the form that goes over HTTP.
+/// The HTTP request for a call to the cloud.
 struct CloudRequest {
     method: &'static str,
     path: String,
@@ -196,21 +197,21 @@
     }
 }
 
-fn cloud_answer(call: &CloudCall, status: u16, body: &[u8]) -> CloudResponse {
+fn read_cloud_response(call: &CloudCall, status: u16, body: &[u8]) -> CloudResponse {
     match status {
-        200 => parse_cloud_answer(call, body).unwrap_or_else(|error| {
-            tracing::warn!(%error, "cannot read the cloud's answer");
+        200 => parse_cloud_body(call, body).unwrap_or_else(|error| {
+            tracing::warn!(%error, "failed to parse a response from the cloud");
             CloudResponse::Failed
         }),
         503 if String::from_utf8_lossy(body).contains("no capacity") => CloudResponse::NoCapacity,
         _ => {
-            tracing::debug!(status, "the cloud refused a call");
+            tracing::debug!(status, "the cloud rejected a call");
             CloudResponse::Failed
         }
     }
 }
 
-fn parse_cloud_answer(call: &CloudCall, body: &[u8]) -> Result<CloudResponse, serde_json::Error> {
+fn parse_cloud_body(call: &CloudCall, body: &[u8]) -> Result<CloudResponse, serde_json::Error> {
     match call {
         CloudCall::Catalog => serde_json::from_slice(body).map(CloudResponse::Catalog),
         CloudCall::List { .. } => serde_json::from_slice(body).map(CloudResponse::Page),
