--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -10,7 +10,7 @@
 use crate::coordination::scheduling::resources::Resources;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudCall, Core};
-use crate::protocol::cloud::{MachineType, RETURN_LIMIT};
+use crate::protocol::cloud::{MachineType, MAX_MACHINES_PER_RETURN};
 use crate::storage::records::FLEET_KEY;
 use crate::units::{MachineId, Millis};
 use foldhash::fast::FixedState;
@@ -75,7 +75,7 @@
         }
         let mut names = self.returnable_machines(busy);
         // Owners learn from the record which machines were returned: no more than it holds.
-        names.truncate(RETURN_LIMIT.min(self.fleet_record_capacity().gone));
+        names.truncate(MAX_MACHINES_PER_RETURN.min(self.fleet_record_capacity().gone));
         if !names.is_empty() && self.take_cloud_call() {
             self.fleet.returning = true;
             self.call_cloud(CloudCall::Return(names.clone()), PendingRequest::Return(names));
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -9,7 +9,7 @@
 use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudAnswer, CloudCall, Core};
-use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
+use crate::protocol::cloud::{MachineType, RentRequest, MAX_MACHINES_PER_RENT};
 use crate::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::FLEET_KEY;
 use std::collections::BTreeMap;
@@ -197,7 +197,7 @@
         zones: &ZoneCpus,
     ) -> Offer {
         let useful_cpus = useful_cpus(kind, group);
-        let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(RENT_LIMIT));
+        let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(MAX_MACHINES_PER_RENT));
         let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
         let usual_boot_s = self.fleet.provisioning_times.usual_s(&pool.kind, &pool.zone, kind.provisioning_s);
         let late_boot = (usual_boot_s - kind.provisioning_s).max(0.0) / USUAL_RENTAL_S;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -62,16 +62,16 @@
     /// True for spot machines.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// How many machines, at most [`RENT_LIMIT`].
+    /// How many machines, at most [`MAX_MACHINES_PER_RENT`].
     pub count: u32,
 }
 
 /// The most machines of one rental request.
-pub const RENT_LIMIT: u32 = 50;
+pub const MAX_MACHINES_PER_RENT: u32 = 50;
 /// The most names of one return request.
-pub const RETURN_LIMIT: usize = 100;
+pub const MAX_MACHINES_PER_RETURN: usize = 100;
 /// The most machines of one page of the list.
-pub const LIST_LIMIT: usize = 500;
+pub const MAX_MACHINES_PER_PAGE: usize = 500;
 
 /// Names of machines: those that were rented, or those to return.
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -16,4 +16,4 @@
 }
 
 /// The most bytes a request body may have.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/src/transport/external_clients.rs
+++ b/src/transport/external_clients.rs
@@ -5,7 +5,7 @@
 use super::events::{Event, EventSender};
 use super::http::{Client, HttpError};
 use crate::coordination::{CloudAnswer, CloudCall, Input};
-use crate::protocol::cloud::{MachineIds, LIST_LIMIT};
+use crate::protocol::cloud::{MachineIds, MAX_MACHINES_PER_PAGE};
 use crate::protocol::state::{StoreRequest, StoreResponse};
 use crate::units::CallId;
 use serde::Serialize;
@@ -189,7 +189,7 @@
         CloudCall::Catalog => CloudRequest::get("/catalog".into()),
         CloudCall::List { after } => {
             let from = after.as_ref().map(|machine| format!("from={machine}&")).unwrap_or_default();
-            CloudRequest::get(format!("/rentals?{from}limit={LIST_LIMIT}"))
+            CloudRequest::get(format!("/rentals?{from}limit={MAX_MACHINES_PER_PAGE}"))
         }
         CloudCall::Rent(request) => CloudRequest::post("/rentals", request),
         CloudCall::Return(names) => CloudRequest::post("/rentals/return", &MachineIds { machines: names.clone() }),
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -9,7 +9,7 @@
 use super::responses::HttpResponse;
 use super::routes::{is_from_worker, route, Routed};
 use crate::coordination::Response;
-use crate::protocol::BODY_LIMIT;
+use crate::protocol::MAX_BODY_BYTES;
 use connection_registry::ConnectionRegistry;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -103,7 +103,7 @@
     let requests = RequestHandler::new(events.clone());
     let mut idle_timeout = FIRST_REQUEST_TIMEOUT;
     loop {
-        let (head, body) = match connection.read_request(idle_timeout, MESSAGE_TIMEOUT, BODY_LIMIT) {
+        let (head, body) = match connection.read_request(idle_timeout, MESSAGE_TIMEOUT, MAX_BODY_BYTES) {
             Ok(message) => message,
             Err(error @ (HttpError::TooLarge | HttpError::Malformed(_))) => {
                 return HttpResponse::error(400, &error.to_string()).write(&mut connection, true, MESSAGE_TIMEOUT);
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -8,8 +8,13 @@
 #[test]
 fn messages_of_the_cloud_keep_their_words() {
     let machine = MachineId::new("i-000001");
-    let rent =
-        RentRequest { request_id: "r-27".into(), kind: "m8".into(), zone: "a".into(), spot: true, count: RENT_LIMIT };
+    let rent = RentRequest {
+        request_id: "r-27".into(),
+        kind: "m8".into(),
+        zone: "a".into(),
+        spot: true,
+        count: MAX_MACHINES_PER_RENT,
+    };
     let kind = MachineType {
         name: "m8".into(),
         cpus: 8.0,
@@ -41,7 +46,7 @@
         both_ways(&Catalog { types: vec![kind, least] }),
         both_ways(&MachinePage { machines, truncated: true }),
         both_ways(&bare),
-        format!("{RENT_LIMIT} {RETURN_LIMIT} {LIST_LIMIT}"),
+        format!("{MAX_MACHINES_PER_RENT} {MAX_MACHINES_PER_RETURN} {MAX_MACHINES_PER_PAGE}"),
     ];
     assert_golden("cloud.txt", &lines);
 }
