--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -178,7 +178,7 @@
         }
         match reason {
             ExitReason::Done => self.record_task_success(shard, machine),
-            ExitReason::Error => self.record_task_failure(shard, machine, &key, task.attempt),
+            ExitReason::Failed => self.record_task_failure(shard, machine, &key, task.attempt),
             _ => {}
         }
     }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -148,19 +148,19 @@
     Stopped,
     /// It failed by itself.
     #[serde(rename = "error")]
-    Error,
+    Failed,
     /// The start was refused: the machine had too few free resources.
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     /// The start was refused: the task is on this machine in another attempt.
     #[serde(rename = "in_use")]
-    Busy,
+    AlreadyPresent,
     /// The start was refused: there is no such job or task.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// A task of the same gang ended, or did not come in time.
     #[serde(rename = "peers", alias = "incomplete")]
-    Peers,
+    GangFailed,
     /// Any other reason, also one that is not known here.
     #[serde(other, rename = "other")]
     Other,
--- a/tests/simulator/workers.rs
+++ b/tests/simulator/workers.rs
@@ -152,7 +152,7 @@
             task.state = TaskState::Exited;
             self.checks.note_ended_task(now, index, &name.job);
             if faulty || self.failing_jobs.contains(&name.job) {
-                task.exit_reason = Some(ExitReason::Error);
+                task.exit_reason = Some(ExitReason::Failed);
                 continue;
             }
             task.exit_reason = Some(ExitReason::Done);
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -11,11 +11,11 @@
     let causes = [
         ExitReason::Done,
         ExitReason::Stopped,
-        ExitReason::Error,
-        ExitReason::NoRoom,
-        ExitReason::Busy,
-        ExitReason::Unknown,
-        ExitReason::Peers,
+        ExitReason::Failed,
+        ExitReason::InsufficientResources,
+        ExitReason::AlreadyPresent,
+        ExitReason::UnknownTask,
+        ExitReason::GangFailed,
         ExitReason::Other,
     ]
     .map(Some);
