--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -65,7 +65,7 @@
     }
 
     fn is_service(&self, id: &JobId) -> bool {
-        self.cache.jobs.get(id).is_some_and(|job| job.record.spec.kind == JobKind::Standing)
+        self.cache.jobs.get(id).is_some_and(|job| job.record.spec.kind == JobKind::Service)
     }
 
     /// The first record of a job all of whose dependencies were looked up.
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -55,7 +55,7 @@
     pub fn replicas(&self, jobs: &[JobId]) -> Vec<Replica> {
         let mut found = vec![];
         for (id, job) in jobs.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?))) {
-            if job.record.spec.kind != JobKind::Standing || job.record.end.is_some() {
+            if job.record.spec.kind != JobKind::Service || job.record.end.is_some() {
                 continue;
             }
             for index in 0..job.record.spec.task_count {
@@ -95,7 +95,7 @@
 
     /// Notes that an attempt of a task failed, if the task is a service's replica.
     pub(crate) fn record_replica_failure(&mut self, key: &TaskKey, attempt: Attempt) {
-        let service = self.cache.jobs.get(&key.0).is_some_and(|job| job.record.spec.kind == JobKind::Standing);
+        let service = self.cache.jobs.get(&key.0).is_some_and(|job| job.record.spec.kind == JobKind::Service);
         if service && self.estimates.failed_attempt_count() < MAX_FAILURES {
             self.estimates.record_failed_attempt(key.clone(), attempt);
         }
--- a/src/coordination/scheduling/candidate_machine.rs
+++ b/src/coordination/scheduling/candidate_machine.rs
@@ -156,7 +156,7 @@
                 }
             };
             let Some((job, run_s)) = found else { continue };
-            let ends = job.record.spec.kind != JobKind::Standing;
+            let ends = job.record.spec.kind != JobKind::Service;
             let remaining_s = ends.then(|| self.remaining_s_of_run(owned_shard, run_s, key));
             capacity.add_task(&Resources::of_task(&job.record.spec), remaining_s);
         }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -118,7 +118,7 @@
     if wait_s > 0.0 && !request.may_wait {
         return None;
     }
-    if request.job.record.spec.kind == JobKind::Standing {
+    if request.job.record.spec.kind == JobKind::Service {
         let rank = CandidateRank::FIRST_FIT;
         return Some(RankedCandidate { rank, machine_index: index, wait_s, hold_s: SERVICE_HOLD_S });
     }
--- a/src/coordination/scheduling/placement_request.rs
+++ b/src/coordination/scheduling/placement_request.rs
@@ -72,7 +72,7 @@
             shape: shapes.number(&need),
             run_s: self.estimates.run_time(job),
             quick_start,
-            may_wait: may_wait && self.tuning.wait_for_busy_machines && job.record.spec.kind != JobKind::Standing,
+            may_wait: may_wait && self.tuning.wait_for_busy_machines && job.record.spec.kind != JobKind::Service,
         }
     }
 }
--- a/src/coordination/scheduling/scheduling_cycle/evacuation.rs
+++ b/src/coordination/scheduling/scheduling_cycle/evacuation.rs
@@ -60,7 +60,7 @@
         let job = self.cache.jobs.get(&key.0)?;
         let spec = &job.record.spec;
         let remaining_s = self.remaining_s(owned_shard, job, key);
-        let ends_in_time = spec.kind != JobKind::Standing && remaining_s + COMPLETION_MARGIN_S < left_s;
+        let ends_in_time = spec.kind != JobKind::Service && remaining_s + COMPLETION_MARGIN_S < left_s;
         if ends_in_time && !machine.faulty {
             return None;
         }
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -110,6 +110,6 @@
 /// True for a service that runs with fewer replicas than it should.
 fn is_incomplete_service(job: &Job) -> bool {
     let (done, on) = job.counts();
-    let is_service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
+    let is_service = job.record.spec.kind == JobKind::Service && job.record.end.is_none();
     is_service && on > 0 && done + on < job.record.spec.task_count
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -32,7 +32,7 @@
     Array,
     /// A service: replicas that never end by themselves.
     #[serde(rename = "standing")]
-    Standing,
+    Service,
     /// Tasks that start together or not at all.
     #[serde(rename = "ensemble")]
     Gang,
--- a/src/transport/rollouts/conversions.rs
+++ b/src/transport/rollouts/conversions.rs
@@ -70,7 +70,7 @@
         id: JobId::new(&id.0),
         class: job.class.clone(),
         team: job.team.clone(),
-        kind: JobKind::Standing,
+        kind: JobKind::Service,
         priority: match job.priority {
             file::Priority::Low => Priority::Low,
             file::Priority::Normal => Priority::Normal,
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -192,7 +192,7 @@
     assert_eq!(twice.dependencies, [job_id(2), job_id(3)]);
 
     let mut cluster = SimulatedCluster::new(3, 10.0);
-    let service = JobSpec { kind: tillercleat::protocol::users::JobKind::Standing, ..job(2, 1, 0.0, "normal", &[]) };
+    let service = JobSpec { kind: tillercleat::protocol::users::JobKind::Service, ..job(2, 1, 0.0, "normal", &[]) };
     cluster.submit(4000, service);
     cluster.submit(4000, job(3, 1, 1.0, "normal", &[]));
     cluster.submit(20_000, job(4, 1, 1.0, "normal", &[4]));
--- a/tests/meetings/main.rs
+++ b/tests/meetings/main.rs
@@ -200,7 +200,7 @@
             _ => (spec.one_zone, spec.apart) = (true, true),
         }
         if number % 3 == 0 && number % 4 < 3 {
-            (spec.kind, spec.estimated_run_s, spec.task_count) = (JobKind::Standing, 0.0, 2 + number as u32 % 3);
+            (spec.kind, spec.estimated_run_s, spec.task_count) = (JobKind::Service, 0.0, 2 + number as u32 % 3);
             // Cancelled at the end; until then the rules hold for it as for any other.
             cluster.cancel(560_000, &spec.id);
         }
@@ -339,7 +339,7 @@
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 30, ..ClusterConfig::small() });
         for number in 0..8usize {
             let mut spec = job(number, 2, 0.0, None);
-            (spec.team, spec.kind) = ("blue".into(), JobKind::Standing);
+            (spec.team, spec.kind) = ("blue".into(), JobKind::Service);
             (spec.apart, spec.zone) = (number % 2 == 0, (number % 2 == 1).then(|| "b".into()));
             cluster.cancel(400_000, &spec.id);
             cluster.submit(3000 + 200 * number as u64, spec);
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -42,7 +42,7 @@
     let parsed = JobSpec::parse(submission().to_string().as_bytes()).expect("a submission");
     let dependencies = vec![JobId::new("wk-000001"), JobId::new("wk-000002")];
     assert_eq!(parsed, JobSpec { dependencies, ..job_spec() });
-    let kinds = [JobKind::Array, JobKind::Standing, JobKind::Gang];
+    let kinds = [JobKind::Array, JobKind::Service, JobKind::Gang];
     let priorities = [Priority::Low, Priority::Normal, Priority::High, Priority::Critical];
     let states = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
     let id = &job_spec().id;
