--- a/src/coordination/leader/slice_assignment.rs
+++ b/src/coordination/leader/slice_assignment.rs
@@ -189,7 +189,7 @@
             let Some(job) = self.cache.jobs.get(id) else { continue };
             let change = match &job.record.plan {
                 None => Some(self.new_plan(job, &mut pass)),
-                Some(plan) if job.record.spec.whole() => self.move_whole_job(job, plan, &mut pass),
+                Some(plan) if job.record.spec.requires_single_shard() => self.move_whole_job(job, plan, &mut pass),
                 Some(plan) => self.move_waiting_slices(job, plan, &mut pass),
             };
             let plan = change.as_ref().map(|change| &change.plan).or(job.record.plan.as_ref());
--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -315,7 +315,7 @@
         let machine = &self.machines[best.machine_index];
         placement.use_quota();
         self.reserve.task_started(machine, &need);
-        if placement.request.job.record.spec.whole() {
+        if placement.request.job.record.spec.requires_single_shard() {
             placement.occupancy.add(&machine.reported.zone, 1);
             self.rank_machines(placement);
         }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -261,7 +261,7 @@
     }
 
     /// True if all tasks must be placed together, by the owner of one shard.
-    pub fn whole(&self) -> bool {
+    pub fn requires_single_shard(&self) -> bool {
         self.one_zone || self.apart || self.kind != JobKind::Array
     }
 }
