--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -97,7 +97,7 @@
     /// A core that knows nothing yet but its settings. Limits of the store that are announced for later hold from
     /// the start, so that nothing is begun that could not be finished under them.
     pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
-        settings.cluster.state = settings.cluster.state.least();
+        settings.cluster.state = settings.cluster.state.strictest();
         let names = settings.node_names();
         let share = names.len().max(1) as f64;
         let state = &settings.cluster.state;
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -39,7 +39,7 @@
         Timing {
             ttl: Millis::secs(share(NODE_LEASE_SHARE, NODE_LEASE_S)),
             renew_every: Millis::secs(share(RENEWAL_SHARE, RENEWAL_S)),
-            worker_lease: Millis::secs(workers.longest_lease_s()),
+            worker_lease: Millis::secs(workers.max_lease_s()),
             store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
             fresh: Millis::secs((workers.lease_s * FRESH_SHARE).max(MIN_FRESH_S)),
         }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -8,7 +8,7 @@
 
 /// The clocks of two hosts may run apart by half a per mille each: the factor between the fastest and
 /// the slowest reading of one length of time.
-const CLOCK_DRIFT: f64 = 1.0 + 2.0 * 0.0005;
+const MAX_CLOCK_DRIFT_FACTOR: f64 = 1.0 + 2.0 * 0.0005;
 
 /// Added to a worker's lease for the time between its start and our reading of the clock, in seconds.
 const LEASE_MARGIN_S: f64 = 0.2;
@@ -131,8 +131,8 @@
 
 impl Workers {
     /// A worker's lease in seconds, with room for drifting clocks.
-    pub fn longest_lease_s(&self) -> f64 {
-        self.lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+    pub fn max_lease_s(&self) -> f64 {
+        self.lease_s * MAX_CLOCK_DRIFT_FACTOR + LEASE_MARGIN_S
     }
 
     /// How long an owner may go on answering workers after its last read of the
@@ -140,7 +140,7 @@
     /// cannot have heard of is due. 0 if there is no such time.
     pub fn store_isolation_limit_s(&self) -> f64 {
         let margin = (self.report_s + 0.5).min(self.cancel_s / 8.0);
-        ((self.cancel_s - margin) / CLOCK_DRIFT - self.longest_lease_s()).max(0.0)
+        ((self.cancel_s - margin) / MAX_CLOCK_DRIFT_FACTOR - self.max_lease_s()).max(0.0)
     }
 }
 
@@ -180,7 +180,7 @@
 impl StateLimits {
     /// The limits that hold before and after they change: the change comes
     /// without notice, and what was begun before it must still pass after.
-    pub fn least(&self) -> StateLimits {
+    pub fn strictest(&self) -> StateLimits {
         let next = self.next.clone().unwrap_or_default();
         let least = |now: f64, next: Option<f64>| next.map_or(now, |next| next.min(now));
         StateLimits {
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -31,7 +31,7 @@
     /// Checks the ranges of all values; of limits that will change, both the present and the next ones.
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         let cluster = &self.cluster;
-        let state = cluster.state.least();
+        let state = cluster.state.strictest();
         let positive = [
             ("cluster.workers.report_s", cluster.workers.report_s),
             ("cluster.workers.lease_s", cluster.workers.lease_s),
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -103,7 +103,7 @@
         .map_err(RunError::starting("the thread for other controllers"))?;
     if let Some(rollouts) = &rollouts {
         let site = ControllerSite::new(events.clone(), peers.queries, settings.services.state);
-        let value_bytes = (settings.cluster.state.least().value_kb * BYTES_PER_KIB) as usize;
+        let value_bytes = (settings.cluster.state.strictest().value_kb * BYTES_PER_KIB) as usize;
         tillercleat_rollout::runtime::start(rollouts, &settings.node, value_bytes, Arc::new(site))
             .map_err(RunError::starting("roll-outs"))?;
     }
