--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -132,7 +132,7 @@
 
 /// A malformed submission. A job that was accepted before stays known, whatever its repeated submission says.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Malformed {
+pub struct MalformedSubmission {
     /// The job that it names, if that can be read and is a job id.
     pub id: Option<JobId>,
     /// What is wrong with it, shortened, for its user.
@@ -197,13 +197,13 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed`] if it is no JSON object, lacks a field, or has a value of the wrong type or out of range.
-    pub fn parse(body: &[u8]) -> Result<JobSpec, Malformed> {
+    /// [`MalformedSubmission`] if it is no JSON object, lacks a field, or has a value of the wrong type or out of range.
+    pub fn parse(body: &[u8]) -> Result<JobSpec, MalformedSubmission> {
         JobSpec::read(body).map_err(|error| {
             let mut reason = error.to_string();
             reason.truncate(reason.char_indices().nth(MAX_REASON_CHARS).map_or(reason.len(), |(at, _)| at));
             let named = serde_json::from_slice::<Named>(body).ok().map(|named| named.id);
-            Malformed { id: named.filter(|id| is_valid_job_id(id.as_str())), reason }
+            MalformedSubmission { id: named.filter(|id| is_valid_job_id(id.as_str())), reason }
         })
     }
 
--- a/src/transport/routes.rs
+++ b/src/transport/routes.rs
@@ -4,7 +4,7 @@
 use super::events::IncomingRequest;
 use super::responses::HttpResponse;
 use crate::coordination::ClientRequest;
-use crate::protocol::users::{is_valid_job_id, JobSpec, Malformed};
+use crate::protocol::users::{is_valid_job_id, JobSpec, MalformedSubmission};
 use crate::protocol::workers::Heartbeat;
 use crate::units::JobId;
 
@@ -107,8 +107,8 @@
 fn submission(body: &[u8]) -> Routed {
     match JobSpec::parse(body) {
         Ok(spec) => Routed::client(ClientRequest::Submit(Box::new(spec))),
-        Err(Malformed { id: Some(id), reason }) => Routed::client(ClientRequest::Malformed { id, reason }),
-        Err(Malformed { id: None, reason }) => Routed::error(400, &reason),
+        Err(MalformedSubmission { id: Some(id), reason }) => Routed::client(ClientRequest::Malformed { id, reason }),
+        Err(MalformedSubmission { id: None, reason }) => Routed::error(400, &reason),
     }
 }
 
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -9,7 +9,7 @@
 use tillercleat::coordination::{ClientRequest, CloudAnswer, CloudCall, Core, Input, Output, Response};
 use tillercleat::protocol::cloud::Catalog;
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
-use tillercleat::protocol::users::{JobSpec, Malformed};
+use tillercleat::protocol::users::{JobSpec, MalformedSubmission};
 use tillercleat::settings::Tuning;
 use tillercleat::units::{MonotonicTime, RequestId};
 
@@ -22,7 +22,7 @@
     })
 }
 
-fn parse(fields: &Value) -> Result<JobSpec, Malformed> {
+fn parse(fields: &Value) -> Result<JobSpec, MalformedSubmission> {
     JobSpec::parse(fields.to_string().as_bytes())
 }
 
@@ -127,8 +127,8 @@
     fn submit(&mut self, body: &Value, config: &ClusterConfig) -> u16 {
         let request = match parse(body) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
-            Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
-            Err(Malformed { id: None, .. }) => return 400,
+            Err(MalformedSubmission { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
+            Err(MalformedSubmission { id: None, .. }) => return 400,
         };
         self.requests += 1;
         let id = RequestId(self.requests);
--- a/tests/simulator/probes.rs
+++ b/tests/simulator/probes.rs
@@ -6,7 +6,7 @@
 use super::SimulatedCluster;
 use serde_json::{json, Value};
 use tillercleat::coordination::{ClientRequest, Input, Response};
-use tillercleat::protocol::users::{JobSpec, Malformed};
+use tillercleat::protocol::users::{JobSpec, MalformedSubmission};
 use tillercleat::units::JobId;
 
 /// How often a probe is sent again that gets no final answer.
@@ -126,9 +126,9 @@
         }
         let request = match JobSpec::parse(probe.body.as_bytes()) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
-            Err(Malformed { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
+            Err(MalformedSubmission { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
             // Answered by the node's HTTP server.
-            Err(Malformed { id: None, .. }) => return self.check_probe_status(&probe, 400),
+            Err(MalformedSubmission { id: None, .. }) => return self.check_probe_status(&probe, 400),
         };
         let id = self.requests.new_id();
         let (to, at) = (self.process(node), self.now + self.link_delay());
