--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -180,7 +180,7 @@
         if self.was_returned_lately(&listed.machine) || self.is_returned(&listed.machine) {
             return;
         }
-        let pool = MachinePool { kind: listed.kind, zone: listed.zone, spot: listed.spot };
+        let pool = MachinePool { kind: listed.machine_type, zone: listed.zone, spot: listed.spot };
         let created_at = now - Millis::secs(listed.age_s);
         let machine = self.machines.entry(listed.machine).or_insert_with(|| RentedMachine::new(&pool, created_at));
         machine.up |= listed.state == ListedMachineState::Running;
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -19,7 +19,7 @@
     }
     let listed = |machine: &MachineId| ListedMachine {
         machine: machine.clone(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         state: ListedMachineState::Running,
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -43,7 +43,11 @@
 
 impl PendingRental {
     fn pool(&self) -> MachinePool {
-        MachinePool { kind: self.request.kind.clone(), zone: self.request.zone.clone(), spot: self.request.spot }
+        MachinePool {
+            kind: self.request.machine_type.clone(),
+            zone: self.request.zone.clone(),
+            spot: self.request.spot,
+        }
     }
 }
 
@@ -220,7 +224,13 @@
         record.rentals += 1;
         let Some(transaction) = self.fleet_transaction(&record) else { return };
         let MachinePool { kind, zone, spot } = offer.pool;
-        let request = RentRequest { request_id: format!("r-{}", record.rentals), kind, zone, spot, count: offer.count };
+        let request = RentRequest {
+            request_id: format!("r-{}", record.rentals),
+            machine_type: kind,
+            zone,
+            spot,
+            count: offer.count,
+        };
         self.store.charge_transaction(self.now, 1);
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
--- a/src/coordination/heartbeats/deferred_responses/tests.rs
+++ b/src/coordination/heartbeats/deferred_responses/tests.rs
@@ -29,7 +29,7 @@
     let heartbeat = Heartbeat {
         machine: MachineId::new("i-000001"),
         addr: String::new(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: AgentEpoch(1),
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -75,7 +75,7 @@
 fn machine_of(heartbeat: &Heartbeat, now: MonotonicTime, removed_before: bool) -> Machine {
     Machine {
         addr: heartbeat.addr.clone(),
-        kind: heartbeat.kind.clone(),
+        kind: heartbeat.machine_type.clone(),
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         agent_epoch: AgentEpoch(0),
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -37,7 +37,7 @@
         let heartbeat = Heartbeat {
             machine: self.machine.clone(),
             addr: String::new(),
-            kind: "m".into(),
+            machine_type: "m".into(),
             zone: "a".into(),
             spot: false,
             agent_epoch: AgentEpoch(1),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -55,7 +55,7 @@
     pub request_id: String,
     /// The machine type.
     #[serde(rename = "hull")]
-    pub kind: String,
+    pub machine_type: String,
     /// The availability zone.
     #[serde(rename = "berth")]
     pub zone: String,
@@ -103,7 +103,7 @@
     pub machine: MachineId,
     /// The machine type.
     #[serde(rename = "hull")]
-    pub kind: String,
+    pub machine_type: String,
     /// The availability zone.
     #[serde(rename = "berth")]
     pub zone: String,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -17,7 +17,7 @@
     pub addr: String,
     /// The machine type.
     #[serde(rename = "hull")]
-    pub kind: String,
+    pub machine_type: String,
     /// The availability zone.
     #[serde(rename = "berth")]
     pub zone: String,
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -72,7 +72,7 @@
         let listed = |worker: &&super::workers::Worker| worker.alive && self.now >= worker.rented_at + LIST_LAG_MS;
         let machines = self.workers.iter().filter(listed).map(|worker| ListedMachine {
             machine: worker.name.clone(),
-            kind: worker.kind.clone(),
+            machine_type: worker.kind.clone(),
             zone: self.config.zones[worker.zone].clone(),
             spot: worker.spot,
             state: if self.now >= worker.up_at { ListedMachineState::Running } else { ListedMachineState::Booting },
@@ -95,7 +95,7 @@
         for _ in 0..count {
             let boot_ms = MIN_BOOT_MS + self.random.below(BOOT_SPREAD_MS);
             let up_at = self.cloud.up_at(self.now, self.workers.len(), boot_ms);
-            machines.push(self.add_worker(request.kind.clone(), zone, request.spot, up_at));
+            machines.push(self.add_worker(request.machine_type.clone(), zone, request.spot, up_at));
         }
         self.cloud.rentals.insert(request.request_id, machines.clone());
         CloudAnswer::Rented(MachineIds { machines })
--- a/tests/simulator/worker_heartbeats.rs
+++ b/tests/simulator/worker_heartbeats.rs
@@ -38,7 +38,7 @@
         Heartbeat {
             machine: self.name.clone(),
             addr: "127.0.0.1:1".into(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: zone_name.into(),
             spot: self.spot,
             agent_epoch: AgentEpoch(self.agent_epoch),
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -163,7 +163,7 @@
         let heartbeat = Heartbeat {
             machine: MachineId::new(MACHINE),
             addr: "127.0.0.1:1".into(),
-            kind: "m8".into(),
+            machine_type: "m8".into(),
             zone: "a".into(),
             spot: true,
             agent_epoch: AgentEpoch(self.agent_epoch),
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -10,7 +10,7 @@
     let machine = MachineId::new("i-000001");
     let rent = RentRequest {
         request_id: "r-27".into(),
-        kind: "m8".into(),
+        machine_type: "m8".into(),
         zone: "a".into(),
         spot: true,
         count: MAX_MACHINES_PER_RENT,
@@ -30,7 +30,7 @@
     let least: MachineType = from_str(r#"{"sku":"m1","cores":1.0,"mem_gb":2.0,"hourly":0.5}"#).expect("a type");
     let listed = |state| ListedMachine {
         machine: machine.clone(),
-        kind: "m8".into(),
+        machine_type: "m8".into(),
         zone: "a".into(),
         spot: true,
         state,
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -30,7 +30,7 @@
     Heartbeat {
         machine: MachineId::new("i-000001"),
         addr: "10.1.0.2:9000".into(),
-        kind: "m8".into(),
+        machine_type: "m8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: AgentEpoch(5),
