--- a/build.rs
+++ b/build.rs
@@ -1,5 +1,5 @@
-//! Generates the messages and the gRPC service between controllers from `proto/peer.proto`. Uses protox,
-//! so that no `protoc` has to be installed.
+//! Generates the messages and the gRPC service between controllers from `proto/peer.proto`. Uses protox, so that the
+//! build does not require `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,12 @@
-//! tillercleat: a cluster scheduler that places tasks on machines likely to
-//! outlast them.
+//! tillercleat: a cluster scheduler that places tasks on machines likely to outlast them.
 //!
-//! Four layers, each of which uses only those below it, over the [`units`] and [`settings`] that all
-//! of them share:
+//! The crate has four layers, listed from top to bottom. Each layer uses only the layers below it, and all of them use
+//! [`units`] and [`settings`]:
 //!
 //! - [`transport`]: sockets, threads and clocks
-//! - [`coordination`]: the core, a state machine that takes all decisions and does no I/O
-//! - [`storage`]: the durable records and the cache of them
-//! - [`protocol`]: the messages of every interface
+//! - [`coordination`]: the core, a state machine that makes all decisions and performs no I/O
+//! - [`storage`]: the durable records and their cache
+//! - [`protocol`]: the messages of all interfaces
 
 pub mod coordination;
 pub mod protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line: reads the settings files, then runs the controller or says what is wrong with them.
+//! Command line: loads the settings files and runs the controller, or reports an error in the settings.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -7,8 +7,8 @@
 use tillercleat::transport::{self, BudgetError, Resource};
 use tillercleat_rollout::settings::{Settings as RolloutSettings, SettingsError as RolloutSettingsError};
 
-/// Exit status if the settings cannot be used; 1 is for a controller that could not start.
-const BAD_SETTINGS: u8 = 2;
+/// Exit status for invalid settings. Status 1 means that the controller could not start.
+const INVALID_SETTINGS_STATUS: u8 = 2;
 
 /// A cluster scheduler that places tasks on machines likely to outlast them.
 #[derive(Parser)]
@@ -20,57 +20,57 @@
 
 #[derive(clap::Args)]
 struct SettingsFiles {
-    /// The operators' own settings (TOML).
+    /// Operators' settings (TOML); defaults apply if absent.
     #[arg(long, value_name = "FILE")]
     tuning: Option<PathBuf>,
-    /// Turns roll-outs on, with these settings (TOML).
+    /// Settings of roll-outs (TOML); roll-outs are disabled if absent.
     #[arg(long, value_name = "FILE")]
     rollout: Option<PathBuf>,
-    /// The platform's settings file (JSON).
+    /// Platform settings (JSON).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until killed; LOG_LEVEL (error, warn, info, debug) sets what is logged.
+    /// Run the controller until it is killed; LOG_LEVEL (error, warn, info, debug) sets the log level.
     Run(SettingsFiles),
-    /// Check the settings and end.
+    /// Validate the settings and exit.
     Check(SettingsFiles),
 }
 
-/// All settings of a controller, read and checked.
+/// All settings of a controller, validated.
 struct LoadedSettings {
     platform: Settings,
     operators: Tuning,
-    /// None: roll-outs are off.
+    /// `None` if roll-outs are disabled.
     rollouts: Option<RolloutSettings>,
 }
 
-/// Why the settings cannot be used.
+/// Error while loading the settings.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
     Rollouts(#[from] RolloutSettingsError),
-    #[error("{place}: {source}")]
-    Budget { place: String, source: BudgetError },
+    #[error("{location}: {source}")]
+    Budget { location: String, source: BudgetError },
 }
 
 impl SettingsFiles {
-    /// Reads and checks all files.
+    /// Loads and validates all files, and checks that the process limits suffice.
     fn load(&self) -> Result<LoadedSettings, LoadError> {
         let operators = self.tuning.as_deref().map_or(Ok(Tuning::default()), Tuning::load)?;
         let rollouts = self.rollout.as_deref().map(RolloutSettings::load).transpose()?;
         let platform = Settings::load(&self.config)?;
         transport::resource_budget(&platform, &operators, rollouts.as_ref())
-            .map_err(|source| LoadError::Budget { place: self.place_of(source), source })?;
+            .map_err(|source| LoadError::Budget { location: self.limit_location(source), source })?;
         Ok(LoadedSettings { platform, operators, rollouts })
     }
 
-    /// The file and field of the limit that is too low.
-    fn place_of(&self, error: BudgetError) -> String {
+    /// Returns the file and field of the limit that is too low.
+    fn limit_location(&self, error: BudgetError) -> String {
         let BudgetError::LimitTooLow { resource, .. } = error;
         match (resource, &self.tuning) {
             (Resource::Sockets, _) => format!("{}: cluster.quota.fd_limit", self.config.display()),
@@ -80,10 +80,11 @@
     }
 }
 
-/// One arena, and memory given back early: the platform's memory limit is tight.
+/// Restricts the allocator to one arena and makes it return free memory early, because the platform's memory limit is
+/// low.
 fn limit_allocator_memory() {
     #[cfg(target_env = "gnu")]
-    // SAFETY: called before any thread is started; mallopt only sets numbers.
+    // SAFETY: no other thread has been started yet, and mallopt only sets numeric parameters.
     unsafe {
         libc::mallopt(libc::M_ARENA_MAX, 1);
         libc::mallopt(libc::M_MMAP_THRESHOLD, 128 * 1024);
@@ -91,8 +92,8 @@
     }
 }
 
-/// Logs to standard error. An absent or unknown LOG_LEVEL means errors only.
-fn start_logging() {
+/// Sets up logging to standard error. Logs only errors if LOG_LEVEL is absent or invalid.
+fn init_logging() {
     let level = std::env::var("LOG_LEVEL").ok().and_then(|level| level.parse().ok()).unwrap_or(tracing::Level::ERROR);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).without_time().init();
 }
@@ -103,23 +104,23 @@
             println!("{}: settings are fine", files.config.display());
             ExitCode::SUCCESS
         }
-        Err(error) => report(&error, ExitCode::from(BAD_SETTINGS)),
+        Err(error) => report_error(&error, ExitCode::from(INVALID_SETTINGS_STATUS)),
     }
 }
 
 fn run(files: &SettingsFiles) -> ExitCode {
     let settings = match files.load() {
         Ok(settings) => settings,
-        Err(error) => return report(&error, ExitCode::from(BAD_SETTINGS)),
+        Err(error) => return report_error(&error, ExitCode::from(INVALID_SETTINGS_STATUS)),
     };
     match transport::run(settings.platform, settings.operators, settings.rollouts) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => report(&error, ExitCode::FAILURE),
+        Err(error) => report_error(&error, ExitCode::FAILURE),
     }
 }
 
-/// Ends the program with one line on standard error.
-fn report(error: &dyn std::error::Error, exit_code: ExitCode) -> ExitCode {
+/// Prints the error as one line on standard error and returns the exit code.
+fn report_error(error: &dyn std::error::Error, exit_code: ExitCode) -> ExitCode {
     eprintln!("tillercleat: {error}");
     exit_code
 }
@@ -127,7 +128,7 @@
 fn main() -> ExitCode {
     limit_allocator_memory();
     let cli = Cli::parse();
-    start_logging();
+    init_logging();
     match &cli.command {
         Command::Run(files) => run(files),
         Command::Check(files) => check(files),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings files of a controller: the platform's JSON ([`Settings`]) and the operators' own TOML
-//! ([`Tuning`]). Read and checked once, before anything starts; nothing here changes while the program runs.
+//! The settings files of a controller: the platform's JSON file ([`Settings`]) and the operators' TOML file
+//! ([`Tuning`]). They are loaded and validated once at startup and do not change while the process runs.
 
 mod error;
 mod json_path;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,62 +1,62 @@
-//! Why a settings file cannot be used: one line that names the file, the field and the problem.
+//! Errors in settings files. Each is reported as one line that names the file, the field and the problem.
 
 use super::json_path::path_at;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a settings file cannot be used.
+/// Error while loading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file is missing or may not be read.
+    /// The file is missing or cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system says.
+        /// Error returned by the operating system.
         source: io::Error,
     },
-    /// The platform's file holds nothing but white space.
+    /// The platform's file is empty or contains only white space.
     #[error("{}: the file is empty, it must hold a JSON object", path.display())]
     Empty {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
     },
-    /// The platform's file is not JSON, lacks a field, or has one of a wrong type.
+    /// The platform's file is not JSON, lacks a field, or has a field of the wrong type.
     #[error("{}: {field}: {source}", path.display())]
     Json {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The field, or the object that lacks one, such as `cluster.workers`.
+        /// Path of the invalid field, or of the object that lacks a field, such as `cluster.workers`.
         field: String,
-        /// What is wrong, with line and column.
+        /// Parse error with line and column.
         source: serde_json::Error,
     },
-    /// The operators' file is not TOML, has an unknown key, or one of a wrong type.
+    /// The operators' file is not TOML, has an unknown key, or has a value of the wrong type.
     #[error("{}: line {line}, `{line_text}`: {}", path.display(), source.message())]
     Toml {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The number of the line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// The line itself.
+        /// Text of that line, trimmed.
         line_text: String,
-        /// What is wrong with it.
+        /// Parse error.
         source: Box<toml::de::Error>,
     },
     /// A value is out of range.
     #[error("{}: {field} {problem}", path.display())]
     Value {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The field's full name in that file, such as `cluster.workers.lease_s`.
+        /// Full path of the field in the file, such as `cluster.workers.lease_s`.
         field: &'static str,
-        /// What is wrong, as the rest of a sentence that begins with the field.
+        /// Predicate of the error message, whose subject is the field, such as "must be above 0".
         problem: &'static str,
     },
 }
 
 impl SettingsError {
-    /// An error in the text of a JSON file.
+    /// Returns the error for a JSON file that failed to parse.
     pub(super) fn json(path: &Path, text: &str, source: serde_json::Error) -> SettingsError {
         if text.trim().is_empty() {
             return SettingsError::Empty { path: path.into() };
@@ -65,32 +65,32 @@
         SettingsError::Json { path: path.into(), field, source }
     }
 
-    /// An error in the text of a TOML file.
+    /// Returns the error for a TOML file that failed to parse.
     pub(super) fn toml(path: &Path, text: &str, source: toml::de::Error) -> SettingsError {
         let start = source.span().map_or(0, |span| span.start);
-        let line = text.bytes().take(start).filter(|byte| *byte == b'\n').count();
-        let line_text = text.lines().nth(line).unwrap_or_default().trim().into();
-        SettingsError::Toml { path: path.into(), line: line + 1, line_text, source: Box::new(source) }
+        let line_index = text.bytes().take(start).filter(|byte| *byte == b'\n').count();
+        let line_text = text.lines().nth(line_index).unwrap_or_default().trim().into();
+        SettingsError::Toml { path: path.into(), line: line_index + 1, line_text, source: Box::new(source) }
     }
 }
 
-/// A field that is out of range, before the file is known.
+/// A field that is out of range, without the path of its file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct InvalidValue {
-    /// The field's full name in its file.
+    /// Full path of the field in its file.
     pub field: &'static str,
-    /// What is wrong, as the rest of a sentence that begins with the field.
+    /// Predicate of the error message, whose subject is the field.
     pub problem: &'static str,
 }
 
 impl InvalidValue {
-    /// The error for the file that holds the value.
+    /// Adds the path of the file that contains the field.
     pub fn in_file(self, path: &Path) -> SettingsError {
         SettingsError::Value { path: path.into(), field: self.field, problem: self.problem }
     }
 }
 
-/// Reads a whole settings file.
-pub(super) fn read(path: &Path) -> Result<String, SettingsError> {
+/// Reads a settings file into a string.
+pub(super) fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: path.into(), source })
 }
--- a/src/settings/json_path.rs
+++ b/src/settings/json_path.rs
@@ -1,20 +1,21 @@
-//! Which field of a JSON text a parse error is about. The parser says line and column only, and the
-//! platform may write its file in one line.
+//! Finds the path of the JSON field that a parse error refers to. The parser reports only line and column, which is
+//! not enough because the platform may write its file on a single line.
 
-/// An object or array that is open at some place of a text.
+/// An object or array that is not closed yet at the current position.
 enum Container {
     Object { key: Option<String> },
     Array { index: usize },
 }
 
-/// The path of the value that ends or breaks off at a line (from 1) and column (bytes, from 1), such as
-/// `known[0].address`; none at the top level. The text before that place has to be JSON.
+/// Returns the path of the value that ends or is cut off at the given position, such as `known[0].address`, or `None`
+/// at the top level. Line and column start at 1, and the column counts bytes. The text before the position must be
+/// valid JSON.
 pub fn path_at(text: &str, line: usize, column: usize) -> Option<String> {
     let before_line: usize = text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum();
     let bytes = text.as_bytes();
     let end = (before_line + column).min(bytes.len());
     let mut containers: Vec<Container> = vec![];
-    // A string that a colon would make a key.
+    // The last string read; it is a key if a colon follows.
     let mut last_string = String::new();
     let mut position = 0;
     while position < end {
@@ -34,7 +35,7 @@
                 Some(Container::Array { index }) => *index += 1,
                 None => {}
             },
-            // A bracket at the very end is the value that is wrong, not one that has begun.
+            // An opening bracket right at the end position is the invalid value itself, not an enclosing container.
             b'{' if position + 1 < end => containers.push(Container::Object { key: None }),
             b'[' if position + 1 < end => containers.push(Container::Array { index: 0 }),
             bracket @ (b'}' | b']') => close(&mut containers, bracket),
@@ -45,7 +46,8 @@
     render(&containers)
 }
 
-/// Bytes of a string up to its closing quote, whose opening one is before `bytes`.
+/// Returns the length in bytes of the string at the start of `bytes`, up to but excluding its closing quote. The opening
+/// quote precedes `bytes`.
 fn string_length(bytes: &[u8]) -> usize {
     let mut length = 0;
     while length < bytes.len() && bytes[length] != b'"' {
@@ -54,7 +56,8 @@
     length.min(bytes.len())
 }
 
-/// Closes the innermost container, unless the bracket is that of another kind: then it is the error.
+/// Removes the innermost container if the bracket matches it. A bracket that does not match is the parse error itself,
+/// and the container stays.
 fn close(containers: &mut Vec<Container>, bracket: u8) {
     let matches = match containers.last() {
         Some(Container::Object { .. }) => bracket == b'}',
@@ -66,6 +69,7 @@
     }
 }
 
+/// Formats the open containers as a path, or `None` if it would be empty.
 fn render(containers: &[Container]) -> Option<String> {
     let mut path = String::new();
     for container in containers {
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,34 +1,35 @@
-//! The ranges of settings. Called once a file is parsed; the first value out of range is reported.
+//! Checks the ranges of settings after a file was parsed. Only the first value out of range is reported.
 
 use super::error::InvalidValue;
 use super::{Settings, Tuning};
 use std::ops::RangeInclusive;
 
-/// The least operations in a transaction of the store that the program can work with.
+/// Minimum number of operations per store transaction that the controller needs.
 const MIN_TXN_OPS: usize = 4;
 
-/// The least file descriptors that the program can work with.
+/// Minimum number of file descriptors that the controller needs.
 const MIN_FD_LIMIT: usize = 32;
 
-/// The least time in seconds that an owner must be able to go on without the store: a watch that
-/// brings nothing takes a second, and its answer some of the next.
+/// Minimum time in seconds that a shard owner must be able to operate without the store: a watch without changes takes
+/// one second, and its response part of the next.
 const MIN_STORE_ISOLATION_S: f64 = 2.0;
 
-const CYCLE_INTERVAL_MS: RangeInclusive<u64> = 10..=10_000;
-const SLICE_TASKS: RangeInclusive<u32> = 1..=100;
-const THREADS: RangeInclusive<usize> = 32..=100_000;
+const CYCLE_INTERVAL_RANGE_MS: RangeInclusive<u64> = 10..=10_000;
+const SLICE_TASKS_RANGE: RangeInclusive<u32> = 1..=100;
+const THREADS_RANGE: RangeInclusive<usize> = 32..=100_000;
 
-/// An error for `field` unless its value is valid.
+/// Returns an error for `field` unless `valid` is true.
 fn require(valid: bool, field: &'static str, problem: &'static str) -> Result<(), InvalidValue> {
     valid.then_some(()).ok_or(InvalidValue { field, problem })
 }
 
+/// True if the value is finite and greater than 0.
 fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
 
 impl Settings {
-    /// Checks the ranges of all values; of limits that will change, both the present and the next ones.
+    /// Checks the ranges of all values. For limits that will change, checks the current and the announced values.
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         let cluster = &self.cluster;
         let state = cluster.state.strictest();
@@ -51,20 +52,20 @@
         require(
             cluster.workers.store_isolation_limit_s() >= MIN_STORE_ISOLATION_S,
             "cluster.workers.cancel_s",
-            "must exceed lease_s, report_s and three seconds together, or no worker could be answered",
+            "must exceed the sum of lease_s, report_s and 3 seconds, or no heartbeat could be answered",
         )
     }
 }
 
 impl Tuning {
-    /// Checks the ranges of all values.
+    /// Checks the ranges of all values that have one.
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
-        let cycle_interval_valid = CYCLE_INTERVAL_MS.contains(&self.cycle_interval_ms);
+        let cycle_interval_valid = CYCLE_INTERVAL_RANGE_MS.contains(&self.cycle_interval_ms);
         require(cycle_interval_valid, "round_ms", "must lie between 10 and 10000")?;
-        require(SLICE_TASKS.contains(&self.slice_tasks), "slice_tasks", "must lie between 1 and 100")?;
+        require(SLICE_TASKS_RANGE.contains(&self.slice_tasks), "slice_tasks", "must lie between 1 and 100")?;
         require(self.min_idle_s.is_finite() && self.min_idle_s >= 0.0, "idle_s", "must be 0 or more")?;
         require(is_positive(self.starvation_limit_s), "begin_s", "must be above 0")?;
-        require(THREADS.contains(&self.threads), "threads", "must lie between 32 and 100000")?;
+        require(THREADS_RANGE.contains(&self.threads), "threads", "must lie between 32 and 100000")?;
         require(self.max_placements_per_cycle > 0, "round_limit", "must be above 0")
     }
 }
