--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -201,8 +201,8 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedSubmission`] if the body is not a JSON object, a field is missing, or a value has the wrong type or is out of
-    /// range.
+    /// [`MalformedSubmission`] if the body is not a JSON object, a field is missing, or a value has the wrong type or is
+    /// out of range.
     pub fn parse(body: &[u8]) -> Result<JobSpec, MalformedSubmission> {
         JobSpec::parse_and_validate(body).map_err(|error| {
             let mut reason = error.to_string();
--- a/src/settings/json_path/tests.rs
+++ b/src/settings/json_path/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::settings::Settings;
 
-/// The path that the error about such a text is reported with.
+/// Returns the path that is reported for the parse error of an invalid settings text.
 fn error_path(text: &str) -> Option<String> {
     let error = serde_json::from_str::<Settings>(text).expect_err("not valid settings");
     path_at(text, error.line(), error.column())
 }
 
-/// Settings up to their cluster, which is missing.
-const START: &str = r#"{"label": "n0", "client_listen": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
+/// Beginning of valid settings, up to the `cluster` field.
+const SETTINGS_BEFORE_CLUSTER: &str = r#"{"label": "n0", "client_listen": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
     "external": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"}"#;
 
 #[test]
 fn a_missing_field_is_reported_with_the_object_that_lacks_it() {
     assert_eq!(error_path("{}"), None);
     assert_eq!(error_path(r#"{"external": {"cloud": "127.0.0.1:4"}}"#).as_deref(), Some("external"));
-    let text = format!(r#"{START}, "cluster": {{"workers": {{"report_s": 1.0}}}}}}"#);
+    let text = format!(r#"{SETTINGS_BEFORE_CLUSTER}, "cluster": {{"workers": {{"report_s": 1.0}}}}}}"#);
     assert_eq!(error_path(&text).as_deref(), Some("cluster.workers"));
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_broken_text_has_the_path_up_to_where_it_breaks() {
+fn truncated_or_invalid_json_is_reported_with_the_path_of_the_error_position() {
     assert_eq!(error_path("nonsense"), None);
     assert_eq!(error_path(r#"{"label": "n0"#).as_deref(), Some("label"));
     assert_eq!(error_path(r#"{"external": {"cloud": ]}}"#).as_deref(), Some("external.cloud"));
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Ratio between the longest and the shortest measurement of the same duration by two hosts, whose clocks may each be
-/// off by 0.05 %.
+/// Ratio between the longest and the shortest measurement of the same duration by two hosts, whose clocks may each
+/// drift by 0.05 %.
 const MAX_CLOCK_DRIFT_FACTOR: f64 = 1.0 + 2.0 * 0.0005;
 
 /// Margin added to a worker's lease for the delay between its start and this controller's reading of the clock.
@@ -157,12 +157,12 @@
     pub value_kb: f64,
     /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
-    /// Limits that take effect at an unannounced later time; `None` if the limits do not change.
+    /// Limits that take effect later, without notice; `None` if the limits do not change.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Announced future limits of the store. Limits that are absent do not change.
+/// Limits of the store that take effect later. Limits that are absent do not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextLimits {
     /// Maximum number of calls per second.
@@ -180,7 +180,7 @@
 }
 
 impl StateLimits {
-    /// Returns the lower of the current and the announced value of each limit. The change takes effect without notice,
+    /// Returns the lower of the current and the next value of each limit. The change takes effect without notice,
     /// and a request that was started before it must still be accepted afterwards.
     pub fn strictest(&self) -> StateLimits {
         let next = self.next.clone().unwrap_or_default();
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::path::Path;
 
-/// Settings of one of two controllers.
+/// Returns valid settings of one of two controllers if `cancel_s` is long enough.
 pub(crate) fn example(cancel_s: f64) -> Settings {
     let settings = serde_json::json!({
         "label": "n0", "client_listen": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
@@ -17,25 +17,25 @@
     serde_json::from_value(settings).expect("settings")
 }
 
-/// With a cancellation due hardly later than a lease ends, workers were never answered
-/// and nothing ran, without a word.
+/// If `cancel_s` is hardly longer than the lease, the controller never answers heartbeats and no task runs. Such
+/// settings used to be accepted without an error.
 #[test]
-fn a_cancellation_must_leave_time_to_answer_workers() {
-    let checked = |cancel_s: f64| {
+fn validation_rejects_a_cancel_s_that_leaves_no_time_to_answer_workers() {
+    let validate = |cancel_s: f64| {
         let settings = example(cancel_s);
         (settings.validate().is_ok(), settings.cluster.workers.store_isolation_limit_s())
     };
     for cancel_s in [9.0, 10.5, 12.0, 13.5] {
-        assert!(!checked(cancel_s).0, "{cancel_s}");
+        assert!(!validate(cancel_s).0, "{cancel_s}");
     }
     for cancel_s in [14.0, 16.0, 40.0] {
-        let (taken, store_isolation_limit_s) = checked(cancel_s);
-        assert!(taken && (store_isolation_limit_s + 10.2) * 1.0005 < cancel_s, "{cancel_s}: {store_isolation_limit_s}");
+        let (valid, store_isolation_limit_s) = validate(cancel_s);
+        assert!(valid && (store_isolation_limit_s + 10.2) * 1.0005 < cancel_s, "{cancel_s}: {store_isolation_limit_s}");
     }
 }
 
 #[test]
-fn unknown_operator_keys_are_refused() {
+fn unknown_operator_keys_are_rejected() {
     assert!(toml::from_str::<Tuning>("round_ms = 200").is_ok());
     assert!(toml::from_str::<Tuning>("rounds_ms = 200").is_err());
 }
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_value_out_of_range_is_named_as_in_the_file() {
+fn an_out_of_range_error_names_the_field_as_in_the_file() {
     let mut settings = example(40.0);
     settings.cluster.process_limits.fd_limit = 10;
     let error = settings.validate().expect_err("too few descriptors").in_file(Path::new("settings.json"));
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -29,7 +29,7 @@
 }
 
 impl Settings {
-    /// Checks the ranges of all values. For limits that will change, checks the current and the announced values.
+    /// Checks the ranges of all values. For limits that will change, checks the current and the next values.
     pub(super) fn validate(&self) -> Result<(), InvalidValue> {
         let cluster = &self.cluster;
         let state = cluster.state.strictest();
