--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -4,7 +4,7 @@
 use crate::units::MachineId;
 
 pub(crate) fn core() -> Core {
-    Core::new(crate::settings::tests::example(40.0), Tuning::default())
+    Core::new(crate::settings::tests::example_settings(40.0), Tuning::default())
 }
 
 /// The record of job wk-000002, of one task, with these fields.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -2,7 +2,7 @@
 use std::path::Path;
 
 /// Returns valid settings of one of two controllers if `cancel_s` is long enough.
-pub(crate) fn example(cancel_s: f64) -> Settings {
+pub(crate) fn example_settings(cancel_s: f64) -> Settings {
     let settings = serde_json::json!({
         "label": "n0", "client_listen": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
         "known": [{"label": "n1", "address": "127.0.0.1:3"}],
@@ -22,7 +22,7 @@
 #[test]
 fn validation_rejects_a_cancel_s_that_leaves_no_time_to_answer_workers() {
     let validate = |cancel_s: f64| {
-        let settings = example(cancel_s);
+        let settings = example_settings(cancel_s);
         (settings.validate().is_ok(), settings.cluster.workers.store_isolation_limit_s())
     };
     for cancel_s in [9.0, 10.5, 12.0, 13.5] {
@@ -69,7 +69,7 @@
 
 #[test]
 fn an_out_of_range_error_names_the_field_as_in_the_file() {
-    let mut settings = example(40.0);
+    let mut settings = example_settings(40.0);
     settings.cluster.process_limits.fd_limit = 10;
     let error = settings.validate().expect_err("too few descriptors").in_file(Path::new("settings.json"));
     assert_eq!(error.to_string(), "settings.json: cluster.quota.fd_limit must be at least 32");
