--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -192,8 +192,9 @@
 
 /// True if the text is a valid job id: the prefix followed by 1 to 40 ASCII letters and digits.
 pub fn is_valid_job_id(text: &str) -> bool {
-    text.strip_prefix(JOB_ID_PREFIX)
-        .is_some_and(|id| !id.is_empty() && id.len() <= 40 && id.bytes().all(|b| b.is_ascii_alphanumeric()))
+    text.strip_prefix(JOB_ID_PREFIX).is_some_and(|suffix| {
+        !suffix.is_empty() && suffix.len() <= 40 && suffix.bytes().all(|b| b.is_ascii_alphanumeric())
+    })
 }
 
 impl JobSpec {
@@ -201,8 +202,8 @@
     ///
     /// # Errors
     ///
-    /// [`MalformedSubmission`] if the body is not a JSON object, a field is missing, or a value has the wrong type or is
-    /// out of range.
+    /// [`MalformedSubmission`] if the body is not a JSON object, a field is missing, or a value has the wrong type
+    /// or is out of range.
     pub fn parse(body: &[u8]) -> Result<JobSpec, MalformedSubmission> {
         JobSpec::parse_and_validate(body).map_err(|error| {
             let mut reason = error.to_string();
--- a/src/settings/json_path.rs
+++ b/src/settings/json_path.rs
@@ -46,8 +46,8 @@
     render(&containers)
 }
 
-/// Returns the length in bytes of the string at the start of `bytes`, up to but excluding its closing quote. The opening
-/// quote precedes `bytes`.
+/// Returns the length in bytes of the string at the start of `bytes`, up to but excluding its closing quote. `bytes`
+/// starts after the opening quote.
 fn string_length(bytes: &[u8]) -> usize {
     let mut length = 0;
     while length < bytes.len() && bytes[length] != b'"' {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -105,8 +105,8 @@
 /// A service-level objective: a share of the jobs of a class must start or finish within a time limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// Measured time: `wait` for the time until tasks start, `finished` for the time until jobs are complete. Objectives
-    /// of other kinds are ignored.
+    /// What is measured: `wait` for the time until tasks start, `finished` for the time until jobs are complete.
+    /// Objectives of other kinds are ignored.
     pub kind: String,
     /// Job class that the objective applies to; the objective is ignored without one.
     #[serde(default)]
