--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -19,7 +19,7 @@
     }
     let listed = |machine: &MachineId| ListedMachine {
         machine: machine.clone(),
-        kind: "m".into(),
+        machine_type: "m".into(),
         zone: "a".into(),
         spot: false,
         state: ListedMachineState::Running,
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -9,7 +9,7 @@
 use crate::coordination::fleet::machine_pool::MachinePool;
 use crate::coordination::store_client::pending_requests::PendingRequest;
 use crate::coordination::{CloudCall, CloudResponse, Core};
-use crate::protocol::cloud::{MachineType, RentRequest, RENT_LIMIT};
+use crate::protocol::cloud::{MachineType, RentRequest, MAX_MACHINES_PER_RENT};
 use crate::protocol::state::{StoreRequest, StoreResponse, Transaction};
 use crate::storage::records::FLEET_KEY;
 use std::collections::BTreeMap;
@@ -45,7 +45,11 @@
 
 impl PendingRental {
     fn pool(&self) -> MachinePool {
-        MachinePool { kind: self.request.kind.clone(), zone: self.request.zone.clone(), spot: self.request.spot }
+        MachinePool {
+            kind: self.request.machine_type.clone(),
+            zone: self.request.zone.clone(),
+            spot: self.request.spot,
+        }
     }
 }
 
@@ -201,7 +205,7 @@
         zones: &ZoneCpus,
     ) -> Offer {
         let useful_cpus = useful_cpus(kind, group);
-        let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(RENT_LIMIT));
+        let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(MAX_MACHINES_PER_RENT));
         let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
         let typical_boot_s = self.fleet.provisioning_times.typical_s(&pool.kind, &pool.zone, kind.provisioning_s);
         let late_boot = (typical_boot_s - kind.provisioning_s).max(0.0) / TYPICAL_RENTAL_S;
@@ -224,7 +228,13 @@
         record.rentals += 1;
         let Some(transaction) = self.fleet_transaction(&record) else { return };
         let MachinePool { kind, zone, spot } = offer.pool;
-        let request = RentRequest { request_id: format!("r-{}", record.rentals), kind, zone, spot, count: offer.count };
+        let request = RentRequest {
+            request_id: format!("r-{}", record.rentals),
+            machine_type: kind,
+            zone,
+            spot,
+            count: offer.count,
+        };
         self.store.charge_transaction(self.now, 1);
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -76,7 +76,7 @@
 fn machine_from_heartbeat(heartbeat: &Heartbeat, now: MonotonicTime, removed_before: bool) -> Machine {
     Machine {
         addr: heartbeat.addr.clone(),
-        machine_type: heartbeat.kind.clone(),
+        machine_type: heartbeat.machine_type.clone(),
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         agent_epoch: AgentEpoch(0),
--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -66,7 +66,7 @@
     }
 
     fn is_service(&self, id: &JobId) -> bool {
-        self.cache.jobs.get(id).is_some_and(|job| job.record.spec.kind == JobKind::Standing)
+        self.cache.jobs.get(id).is_some_and(|job| job.record.spec.kind == JobKind::Service)
     }
 
     /// Returns the initial record of a job after all its dependencies were looked up.
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -57,7 +57,7 @@
     pub fn replicas(&self, jobs: &[JobId]) -> Vec<Replica> {
         let mut found = vec![];
         for (id, job) in jobs.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?))) {
-            if job.record.spec.kind != JobKind::Standing || job.record.end.is_some() {
+            if job.record.spec.kind != JobKind::Service || job.record.end.is_some() {
                 continue;
             }
             for index in 0..job.record.spec.task_count {
@@ -97,7 +97,7 @@
 
     /// Records a failed attempt of a task, if the task is a replica of a service.
     pub(crate) fn record_replica_failure(&mut self, key: &TaskKey, attempt: Attempt) {
-        let service = self.cache.jobs.get(&key.0).is_some_and(|job| job.record.spec.kind == JobKind::Standing);
+        let service = self.cache.jobs.get(&key.0).is_some_and(|job| job.record.spec.kind == JobKind::Service);
         if service && self.estimates.failed_attempt_count() < MAX_RECORDED_FAILURES {
             self.estimates.record_failed_attempt(key.clone(), attempt);
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -97,7 +97,7 @@
     /// Creates a core from its settings, without records. Announced future limits of the store apply from the start,
     /// so that no operation starts that could not be completed under them.
     pub fn new(mut settings: Settings, tuning: Tuning) -> Core {
-        settings.cluster.state = settings.cluster.state.least();
+        settings.cluster.state = settings.cluster.state.strictest();
         let names = settings.node_names();
         let controllers = names.len().max(1) as f64;
         let limits = &settings.cluster.state;
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -114,6 +114,6 @@
 /// True for a service that runs with fewer replicas than it should.
 fn is_incomplete_service(job: &Job) -> bool {
     let (done, on_machines) = job.counts();
-    let is_service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
+    let is_service = job.record.spec.kind == JobKind::Service && job.record.end.is_none();
     is_service && on_machines > 0 && done + on_machines < job.record.spec.task_count
 }
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -43,7 +43,7 @@
         Timing {
             node_lease: Millis::secs(lease_share_s(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
             renewal_interval: Millis::secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
-            worker_lease: Millis::secs(workers.longest_lease_s()),
+            worker_lease: Millis::secs(workers.max_lease_s()),
             store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
             max_record_age: Millis::secs((workers.lease_s * RECORD_AGE_LIMIT_SHARE).max(MIN_RECORD_AGE_LIMIT_S)),
         }
