--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -67,8 +67,10 @@
             machines.filter_map(|(_, machine)| self.catalog.get(&machine.kind)).map(|kind| kind.cpus).sum()
         };
         let jobs = self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id));
-        let used_cpus: f64 =
-            jobs.filter(|job| job.holds_machines()).map(|job| f64::from(job.counts().1) * job.record.spec.cpus).sum();
+        let used_cpus: f64 = jobs
+            .filter(|job| job.holds_machines())
+            .map(|job| f64::from(job.done_and_placed().1) * job.record.spec.cpus)
+            .sum();
         let desired_cpus: f64 = demand.iter().map(|group| group.cpus).sum();
         tracing::debug!(
             desired_cpus,
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -232,11 +232,11 @@
     /// What a job asks for; nothing if it fails wherever it runs, which more machines don't change.
     fn job_demand(&self, id: &JobId, job: &Job, window_s: f64) -> Option<JobDemand> {
         let spec = &job.record.spec;
-        let (done, running) = job.counts();
+        let (done, running) = job.done_and_placed();
         if running == 0 && self.fails_everywhere(id) {
             return None;
         }
-        let waiting = if job.record.end.is_some() { 0 } else { spec.task_count.saturating_sub(done + running) };
+        let waiting = if job.record.outcome.is_some() { 0 } else { spec.task_count.saturating_sub(done + running) };
         let run_s = self.estimates.run_time(job).max(1.0);
         let left_s = self.allowed_s(job) - self.age_s(job);
         let shares = CoreShares::of(spec.kind, run_s, left_s, window_s);
@@ -319,7 +319,9 @@
 
     /// False for jobs that were cancelled, that wait for others, or that fail wherever they run.
     fn keeps_machines_busy(&self, id: &JobId, job: &Job) -> bool {
-        job.record.end != Some(JobOutcome::Cancelled) && !job.record.waits() && !self.fails_everywhere(id)
+        job.record.outcome != Some(JobOutcome::Cancelled)
+            && !job.record.waits_for_dependencies()
+            && !self.fails_everywhere(id)
     }
 
     fn load_of(&self, job: &Job) -> JobLoad {
--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -58,7 +58,7 @@
         self.machines.insert(machine.clone());
         // Tasks that ran side by side and failed together count as one try.
         if self.on_several_machines() && now >= self.retry_at {
-            self.retry_at = now + Millis::secs(self.backoff_s);
+            self.retry_at = now + Millis::from_secs(self.backoff_s);
             self.backoff_s = (self.backoff_s * 2.0).min(LONGEST_BACKOFF_S);
         }
     }
@@ -145,7 +145,7 @@
             self.update_faulty_machine(shard, &name);
         }
         let cache = &self.cache;
-        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.end.is_some());
+        let ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.outcome.is_some());
         self.estimates.failures.forget(self.now, ended);
         let cancelled = |job: &JobId| cache.final_state(job) == Some(JobOutcome::Cancelled);
         for machine in self.owned_shards.values_mut().flat_map(|owned_shard| owned_shard.machines.values_mut()) {
@@ -170,7 +170,7 @@
 
     /// True if a task of the job ever succeeded: then failures are not its fault.
     fn has_succeeded(&self, job: &JobId) -> bool {
-        self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.counts().0 > 0)
+        self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.done_and_placed().0 > 0)
     }
 }
 
--- a/src/coordination/fleet/fleet_record.rs
+++ b/src/coordination/fleet/fleet_record.rs
@@ -45,7 +45,7 @@
 impl Core {
     /// How many names the record may hold, given the length of those that are known.
     pub(super) fn fleet_record_capacity(&self) -> FleetRecordCapacity {
-        let recorded = self.cache.fleet.record.iter().flat_map(|record| record.drain.iter().chain(&record.gone));
+        let recorded = self.cache.fleet.record.iter().flat_map(|record| record.draining.iter().chain(&record.returned));
         let known = self.fleet.machines().map(|(name, _)| name);
         let names = recorded.chain(known).chain(self.fleet.inventory.confirmed_returns());
         let longest = names.map(|name| name.as_str().len()).max().unwrap_or(0).max(USUAL_NAME_LENGTH);
@@ -56,8 +56,8 @@
     pub(super) fn fitted_fleet_record(&self) -> FleetRecord {
         let capacity = self.fleet_record_capacity();
         let mut record = self.cache.fleet.record.clone().unwrap_or_default();
-        record.drain.truncate(capacity.drain);
-        capacity.keep_newest(&mut record.gone);
+        record.draining.truncate(capacity.drain);
+        capacity.keep_newest(&mut record.returned);
         record
     }
 
@@ -95,11 +95,11 @@
     /// are gone.
     fn add_drains(&self, record: &mut FleetRecord, capacity: FleetRecordCapacity) {
         for name in self.fleet.inventory.unrecorded_drains() {
-            if record.drain.len() >= capacity.drain {
+            if record.draining.len() >= capacity.drain {
                 break;
             }
-            if !record.drain.contains(name) {
-                record.drain.push(name.clone());
+            if !record.draining.contains(name) {
+                record.draining.push(name.clone());
             }
         }
     }
@@ -108,14 +108,14 @@
     /// that ended otherwise.
     fn add_returns(&self, record: &mut FleetRecord, capacity: FleetRecordCapacity) {
         for name in self.fleet.inventory.confirmed_returns() {
-            record.drain.retain(|draining| draining != name);
-            if !record.gone.contains(name) {
-                record.gone.push(name.clone());
+            record.draining.retain(|draining| draining != name);
+            if !record.returned.contains(name) {
+                record.returned.push(name.clone());
             }
         }
         if self.fleet.listing.is_complete() {
-            record.drain.retain(|name| self.fleet.machine(name).is_some());
+            record.draining.retain(|name| self.fleet.machine(name).is_some());
         }
-        capacity.keep_newest(&mut record.gone);
+        capacity.keep_newest(&mut record.returned);
     }
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -136,11 +136,11 @@
 
     /// Takes over which machines the stored record names as draining and as returned.
     pub(super) fn apply_record(&mut self, record: &FleetRecord) {
-        for name in &record.gone {
+        for name in &record.returned {
             self.machines.remove(name);
         }
-        self.recorded_drains = record.drain.iter().cloned().collect();
-        self.recorded_returns = record.gone.iter().cloned().collect();
+        self.recorded_drains = record.draining.iter().cloned().collect();
+        self.recorded_returns = record.returned.iter().cloned().collect();
     }
 
     /// Adds a machine that this process rented, unless it is known.
@@ -181,7 +181,7 @@
             return;
         }
         let pool = MachinePool { kind: listed.kind, zone: listed.zone, spot: listed.spot };
-        let created_at = now - Millis::secs(listed.age_s);
+        let created_at = now - Millis::from_secs(listed.age_s);
         let machine = self.machines.entry(listed.machine).or_insert_with(|| RentedMachine::new(&pool, created_at));
         machine.up |= listed.state == ListedMachineState::Running;
         machine.failed |= listed.state == ListedMachineState::Failed;
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -75,7 +75,7 @@
             self.fleet.inventory.apply_listed(listed, self.now);
         }
         let lag_s = self.settings.cluster.cloud.list_lag_s;
-        let patience = Millis::secs(lag_s * PATIENCE_LAGS + PATIENCE_EXTRA_S);
+        let patience = Millis::from_secs(lag_s * PATIENCE_LAGS + PATIENCE_EXTRA_S);
         self.fleet.inventory.forget_unlisted(self.now, patience);
     }
 }
--- a/src/coordination/fleet/machine_pool.rs
+++ b/src/coordination/fleet/machine_pool.rs
@@ -71,7 +71,7 @@
         let refusals = self.backoffs.get(&pool).map_or(0, |backoff| backoff.refusals) + 1;
         let doublings = refusals.min(MOST_COUNTED_REFUSALS) as i32 - 1;
         let pause_s = (FIRST_BACKOFF_S * 2f64.powi(doublings)).min(LONGEST_BACKOFF_S);
-        self.backoffs.insert(pool, PoolBackoff { until: now + Millis::secs(pause_s), refusals });
+        self.backoffs.insert(pool, PoolBackoff { until: now + Millis::from_secs(pause_s), refusals });
     }
 
     /// The cloud did not answer, whatever was tried.
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -136,7 +136,7 @@
 
     /// True if the machine has been without tasks for long enough to be returned.
     fn is_idle(&self, machine: &RentedMachine) -> bool {
-        let spot_idle = Millis::secs(self.tuning.min_idle_s);
+        let spot_idle = Millis::from_secs(self.tuning.min_idle_s);
         let min_idle = if machine.spot { spot_idle } else { Millis(spot_idle.0 / ON_DEMAND_IDLE_DIVISOR) };
         machine.idle_since.is_some_and(|since| self.now.since(since) >= min_idle)
     }
@@ -145,7 +145,8 @@
     /// it is left to run empty, rather than refilled for as long as there is any work.
     fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
         let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
-        let settled = machine.up && self.now.since(machine.created_at) > Millis::secs(kind.provisioning_s + SETTLING_S);
+        let settled =
+            machine.up && self.now.since(machine.created_at) > Millis::from_secs(kind.provisioning_s + SETTLING_S);
         let margin_cpus = kind.cpus * ON_DEMAND_MARGIN;
         settled && !machine.spot && used_cpus / kind.cpus < LOW_USE && surplus.spare_cpus >= kind.cpus + margin_cpus
     }
@@ -177,7 +178,7 @@
         let Some(record) = &self.cache.fleet.record else { return vec![] };
         let lost_after = self.timing.worker_lease + self.timing.worker_lease;
         let mut names = vec![];
-        for name in record.drain.iter().filter(|name| !record.gone.contains(name)) {
+        for name in record.draining.iter().filter(|name| !record.returned.contains(name)) {
             let Some(since) = self.fleet.inventory.drain_since(name, self.now) else { continue };
             let drained_for = self.now.since(since);
             // The worker of a machine that failed receives nothing, and its lease ran out long ago.
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -65,7 +65,7 @@
         // The first notice counts: later heartbeats repeat it.
         let known_notice = machine.notice;
         let notice_s = heartbeat.termination_notice_s;
-        machine.notice = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::secs(seconds)));
+        machine.notice = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::from_secs(seconds)));
         record_reported_tasks(owned_shard, heartbeat, now);
         true
     }
--- a/src/coordination/heartbeats/handling/tests.rs
+++ b/src/coordination/heartbeats/handling/tests.rs
@@ -28,7 +28,7 @@
             .insert(shard, OwnedShard { ready: true, ..OwnedShard::new(FencingToken(9), MonotonicTime(0)) });
         let key = (JobId::new("wk-000002"), 0);
         core.adopt_slices(&key.0, Some(shard));
-        core.fleet.apply_record(&FleetRecord { drain: vec![machine.clone()], ..FleetRecord::default() });
+        core.fleet.apply_record(&FleetRecord { draining: vec![machine.clone()], ..FleetRecord::default() });
         Case { core, machine, key }
     }
 
--- a/src/coordination/heartbeats/reconciliation.rs
+++ b/src/coordination/heartbeats/reconciliation.rs
@@ -203,7 +203,7 @@
 
     /// True if the job is known and was completed or cancelled.
     fn has_job_ended(&self, job: &JobId) -> bool {
-        self.cache.jobs.get(job).is_some_and(|job| job.record.end.is_some())
+        self.cache.jobs.get(job).is_some_and(|job| job.record.outcome.is_some())
     }
 }
 
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -39,7 +39,7 @@
         let jobs = self.cache.jobs.iter();
         let archivable = jobs.filter_map(|(id, job)| Some((id, job, self.archivable_outcome(id, job)?)));
         for (id, job, end) in archivable.take(self.max_archived_at_once()) {
-            let value = match serde_json::to_value(ArchivedJob { end, tasks: job.record.spec.task_count }) {
+            let value = match serde_json::to_value(ArchivedJob { outcome: end, tasks: job.record.spec.task_count }) {
                 Ok(value) => value,
                 Err(error) => {
                     tracing::error!(job = %id, %error, "failed to serialize archived job");
@@ -57,7 +57,7 @@
 
     /// How a job ended, if it is to be archived now.
     fn archivable_outcome(&self, id: &JobId, job: &Job) -> Option<JobOutcome> {
-        let end = job.record.end.filter(|_| !self.cache.active.contains(id))?;
+        let end = job.record.outcome.filter(|_| !self.cache.active.contains(id))?;
         let archivable = self.age_s(job) >= ARCHIVE_AFTER_S
             && !self.store.is_key_busy(&job_key(id))
             && !self.dependency_graph.is_needed(id);
@@ -101,7 +101,7 @@
         let StoreResponse::Found(item) = answer else { return None };
         match serde_json::from_value::<ArchivedJob>(item.value) {
             Ok(record) => {
-                self.cache.remember_archived(id, record);
+                self.cache.cache_archived(id, record);
                 Some(record)
             }
             Err(error) => {
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -41,13 +41,13 @@
         if self.final_state(&id).is_some() {
             return self.answer_known_job(request, &id);
         }
-        if record.end.is_some() {
+        if record.outcome.is_some() {
             return self.answer_job(request, JobResponseStatus::Known, &id, Some(&record));
         }
         if tries == 0 {
             return self.refuse(request, Refusal::JobChanging);
         }
-        let record = JobRecord { end: Some(JobOutcome::Cancelled), ..record };
+        let record = JobRecord { outcome: Some(JobOutcome::Cancelled), ..record };
         let Some(change) = put_job_record(&id, &record) else {
             return self.refuse(request, Refusal::NotSerializable);
         };
--- a/src/coordination/jobs/completion.rs
+++ b/src/coordination/jobs/completion.rs
@@ -35,7 +35,7 @@
     /// Notes a job as completed if all its slices are durably done and this node owns the first.
     pub(crate) fn check_finished(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else { return };
-        if job.record.end.is_some() || job.slices().is_empty() {
+        if job.record.outcome.is_some() || job.slices().is_empty() {
             return;
         }
         let owned = job.shard_of(0).is_some_and(|shard| self.owned_shards.contains_key(&shard));
@@ -47,14 +47,14 @@
     /// Writes the ends of completed jobs, again each time until the cache shows them.
     pub(crate) fn finish_jobs(&mut self) {
         for id in self.completed_jobs.ids() {
-            let Some(job) = self.cache.jobs.get(&id).filter(|job| job.record.end.is_none()) else {
+            let Some(job) = self.cache.jobs.get(&id).filter(|job| job.record.outcome.is_none()) else {
                 self.completed_jobs.remove(&id);
                 continue;
             };
             if self.store.is_key_busy(&job_key(&id)) || !self.store.may_send(self.now) {
                 continue;
             }
-            let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
+            let record = JobRecord { outcome: Some(JobOutcome::Done), ..job.record.clone() };
             let condition = Condition { key: job_key(&id), version: job.version };
             match put_job_record(&id, &record) {
                 Some(change) => {
--- a/src/coordination/jobs/dependency_check.rs
+++ b/src/coordination/jobs/dependency_check.rs
@@ -74,8 +74,8 @@
             return self.independent_job_record(&check.spec);
         }
         JobRecord {
-            plan: Some(SlicePlan { size: 1, shards: vec![] }),
-            end: check.cancelled.then_some(JobOutcome::Cancelled),
+            plan: Some(SlicePlan { tasks_per_slice: 1, shards: vec![] }),
+            outcome: check.cancelled.then_some(JobOutcome::Cancelled),
             dependencies: Dependencies(if check.cancelled { vec![] } else { check.open.clone() }),
             ..JobRecord::new((*check.spec).clone(), self.time_of_day_ms)
         }
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -194,7 +194,7 @@
             let dependent = self.dependents.get(id).filter(|d| !d.cancelled)?;
             let own = dependent.job.own_priority;
             let effective = self.effective_priority(id).map_or(own, |inherited| inherited.join(own));
-            Some(effective.before(dependent.job.expected_ms))
+            Some(effective.due_earlier_by(dependent.job.expected_ms))
         });
         Some(priorities.reduce(EffectivePriority::join))
     }
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -33,7 +33,7 @@
         let all = |f: usize| {
             self.effective_priority(f)
                 .map_or(own(f), |effective_priority| effective_priority.join(own(f)))
-                .before(10 * f as u64)
+                .due_earlier_by(10 * f as u64)
         };
         followers.map(all).reduce(EffectivePriority::join)
     }
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -58,7 +58,7 @@
         self.dependency_lookups.ended();
         match self.take_archived(&id, answer) {
             Some(record) => {
-                self.dependency_graph.ended(&id, record.end);
+                self.dependency_graph.ended(&id, record.outcome);
                 self.dependency_release.request();
             }
             None => self.dependency_lookups.pause(self.now),
--- a/src/coordination/jobs/dependency_release.rs
+++ b/src/coordination/jobs/dependency_release.rs
@@ -93,10 +93,10 @@
     /// Takes what a job's record says into the dependency graph.
     pub(crate) fn track_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.cache.jobs.get(id) else { return };
-        if let Some(end) = job.record.end {
+        if let Some(end) = job.record.outcome {
             self.dependency_graph.ended(id, end);
             self.dependency_graph.remove(id);
-        } else if job.record.waits() {
+        } else if job.record.waits_for_dependencies() {
             let waiting = self.waiting_job(job);
             let cache = &self.cache;
             self.dependency_graph.found(id);
@@ -117,7 +117,7 @@
 
     fn waiting_job(&self, job: &Job) -> WaitingJob {
         let (record, spec) = (&job.record, &job.record.spec);
-        let due_ms = |deadline_s: f64| record.at + (deadline_s * 1000.0) as u64;
+        let due_ms = |deadline_s: f64| record.accepted_at_ms + (deadline_s * 1000.0) as u64;
         let own_priority = EffectivePriority { priority: spec.priority, due_ms: spec.deadline_s.map(due_ms) };
         let expected_s = self.estimates.run_time(job) * LAST_TASK_FACTOR + STEP_OVERHEAD_S;
         WaitingJob {
@@ -141,7 +141,7 @@
         self.rewrite_waiting_jobs(&chosen, |core, record| JobRecord {
             plan: core.first_plan(&record.spec),
             dependencies: Dependencies::default(),
-            ready: Some(core.time_of_day_ms.max(record.at)),
+            ready_at_ms: Some(core.time_of_day_ms.max(record.accepted_at_ms)),
             ..record.clone()
         });
     }
@@ -156,7 +156,7 @@
         let candidates = self.dependency_graph.cancelled().map(|id| Candidate { id, overdue: false }).collect();
         let chosen = self.choose_changeable(candidates);
         self.rewrite_waiting_jobs(&chosen, |_, record| JobRecord {
-            end: Some(JobOutcome::Cancelled),
+            outcome: Some(JobOutcome::Cancelled),
             dependencies: Dependencies::default(),
             ..record.clone()
         });
@@ -177,7 +177,7 @@
     fn is_responsible_for(&self, id: &JobId) -> bool {
         let supported = |node: &&NodeName| self.cache.nodes.get(*node).is_some_and(supports_dependencies);
         let owner = self.cache.owner(ShardId::of(id.as_str(), self.shard_count)).filter(supported);
-        let first = || self.cache.live().map(|(node, _)| node).filter(supported).min();
+        let first = || self.cache.live_nodes().map(|(node, _)| node).filter(supported).min();
         owner.or_else(first) == Some(&self.node_name)
     }
 
@@ -185,7 +185,7 @@
     fn rewrite_waiting_jobs(&mut self, jobs: &[JobId], rewrite: impl Fn(&Core, &JobRecord) -> JobRecord) {
         let mut transaction = Transaction::default();
         for id in jobs {
-            let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.waits()) else { continue };
+            let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.waits_for_dependencies()) else { continue };
             let Some(change) = put_job_record(id, &rewrite(self, &job.record)) else { continue };
             transaction.conditions.push(Condition { key: job_key(id), version: job.version });
             transaction.changes.push(change);
--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -55,7 +55,7 @@
     pub fn replicas(&self, jobs: &[JobId]) -> Vec<Replica> {
         let mut found = vec![];
         for (id, job) in jobs.iter().filter_map(|id| Some((id, self.cache.jobs.get(id)?))) {
-            if job.record.spec.kind != JobKind::Standing || job.record.end.is_some() {
+            if job.record.spec.kind != JobKind::Standing || job.record.outcome.is_some() {
                 continue;
             }
             for index in 0..job.record.spec.task_count {
@@ -104,7 +104,7 @@
     /// Forgets the failures of services that have ended.
     pub(crate) fn forget_replica_failures(&mut self) {
         let cache = &self.cache;
-        let open = |key: &TaskKey| cache.jobs.get(&key.0).is_some_and(|job| job.record.end.is_none());
+        let open = |key: &TaskKey| cache.jobs.get(&key.0).is_some_and(|job| job.record.outcome.is_none());
         self.estimates.retain_failed_attempts(open);
     }
 }
--- a/src/coordination/jobs/responses.rs
+++ b/src/coordination/jobs/responses.rs
@@ -26,8 +26,8 @@
         if self.dependency_graph.is_unresolved(id) {
             return self.refuse(request, Refusal::DependencyUnresolved);
         }
-        let outcome = record.and_then(|record| record.end).or_else(|| self.final_state(id));
-        let (done, running) = self.cache.jobs.get(id).map_or((0, 0), |job| job.counts());
+        let outcome = record.and_then(|record| record.outcome).or_else(|| self.final_state(id));
+        let (done, running) = self.cache.jobs.get(id).map_or((0, 0), |job| job.done_and_placed());
         let (state, progress) = match outcome {
             Some(JobOutcome::Done) => {
                 let all_done = |tasks| JobProgress { done: tasks, running: 0 };
--- a/src/coordination/jobs/slice_sizing.rs
+++ b/src/coordination/jobs/slice_sizing.rs
@@ -30,7 +30,7 @@
         let size = self.slice_size(spec.task_count);
         let home = ShardId::of(spec.id.as_str(), self.shard_count);
         let slices = spec.task_count.div_ceil(size) as usize;
-        (slices == 1 || spec.whole()).then(|| SlicePlan { size, shards: vec![home; slices] })
+        (slices == 1 || spec.whole()).then(|| SlicePlan { tasks_per_slice: size, shards: vec![home; slices] })
     }
 
     /// Tasks per slice. Larger jobs get larger slices, so that their tasks share writes, as far as a
--- a/src/coordination/leader/shard_capacity.rs
+++ b/src/coordination/leader/shard_capacity.rs
@@ -179,7 +179,7 @@
         for job in jobs.filter(|job| job.holds_machines()) {
             let need = Resources::of_task(&job.record.spec);
             let slices = job.slices().iter().filter(|slice| slice.has_placed_task());
-            for task in slices.filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
+            for task in slices.filter_map(|slice| slice.desired_or_durable()).flat_map(|record| &record.tasks) {
                 if let TaskRecord::Placed(_, machine) = task {
                     *used.entry(machine).or_default() += need;
                 }
--- a/src/coordination/leader/slice_assignment.rs
+++ b/src/coordination/leader/slice_assignment.rs
@@ -161,7 +161,7 @@
     fn jobs_to_assign(&self, scope: AssignmentScope) -> Vec<JobToAssign> {
         let mut jobs: Vec<JobToAssign> = vec![];
         for id in &self.cache.active {
-            let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.end.is_none()) else { continue };
+            let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.outcome.is_none()) else { continue };
             let is_waiting = || job.slices().iter().any(|slice| slice.is_reassignable());
             let in_scope = job.record.plan.is_none() || (scope == AssignmentScope::NewAndWaitingSlices && is_waiting());
             if in_scope {
@@ -210,7 +210,7 @@
             Condition { key: key.clone(), version: job.version },
         ];
         // A slice of which a task has started meanwhile must not move.
-        let version = |index: usize| job.slices().get(index).map_or(Revision(0), |slice| slice.held().version);
+        let version = |index: usize| job.slices().get(index).map_or(Revision(0), |slice| slice.durable().version);
         let unchanged = |index: &usize| Condition { key: slice_key(id, *index), version: version(*index) };
         conditions.extend(change.moved_slices.iter().map(unchanged));
         let record = JobRecord { plan: Some(change.plan), ..job.record.clone() };
@@ -222,9 +222,9 @@
     fn new_plan(&self, job: &Job, pass: &mut AssignmentPass) -> PlanChange {
         let task_count = job.record.spec.task_count;
         let size = self.slice_size(task_count);
-        let mut plan = SlicePlan { size, shards: vec![] };
+        let mut plan = SlicePlan { tasks_per_slice: size, shards: vec![] };
         for index in 0..task_count.div_ceil(size) as usize {
-            let tasks = plan.len(index, task_count);
+            let tasks = plan.slice_len(index, task_count);
             plan.shards.push(pass.assign_new_slice(&job.record, tasks));
         }
         PlanChange { plan, moved_slices: vec![] }
@@ -237,7 +237,7 @@
         for (index, &current) in plan.shards.iter().enumerate().take(MAX_SLICES) {
             let slice = job.slices().get(index).filter(|slice| slice.is_reassignable());
             let Some(slice) = slice else { continue };
-            let all = plan.len(index, job.record.spec.task_count);
+            let all = plan.slice_len(index, job.record.spec.task_count);
             let tasks = slice.record().map_or(all, |record| all - record.count_done());
             let may_move = change.moved_slices.len() < max_moved;
             if let Some(shard) = pass.reassign_slice(&job.record, tasks, current, may_move) {
@@ -258,7 +258,7 @@
         let shard = pass.reassign_whole_job(&job.record, current)?;
         let shards = vec![shard; plan.shards.len()];
         let moved_slices = (0..shards.len()).collect();
-        Some(PlanChange { plan: SlicePlan { size: plan.size, shards }, moved_slices })
+        Some(PlanChange { plan: SlicePlan { tasks_per_slice: plan.tasks_per_slice, shards }, moved_slices })
     }
 
     /// The most slices that one transaction can move: each takes a condition.
--- a/src/coordination/membership/leader_election.rs
+++ b/src/coordination/membership/leader_election.rs
@@ -21,7 +21,7 @@
             return;
         }
         // Only the first live controller by name tries, so that they don't all conflict.
-        let first = self.cache.live().map(|(node, _)| node).min();
+        let first = self.cache.live_nodes().map(|(node, _)| node).min();
         if first == Some(&self.node_name) {
             self.write_lease_holder(LEADER_KEY.into(), held.version, self.node_name.clone(), lease);
         }
--- a/src/coordination/membership/ownership.rs
+++ b/src/coordination/membership/ownership.rs
@@ -72,7 +72,7 @@
     }
 
     fn assigned_shards(&self) -> BTreeMap<ShardId, NodeName> {
-        let live: BTreeSet<&str> = self.cache.live().map(|(node, _)| node.as_str()).collect();
+        let live: BTreeSet<&str> = self.cache.live_nodes().map(|(node, _)| node.as_str()).collect();
         let assigned = assign_shards(self.shard_count, &self.settings.node_names(), &live);
         assigned.into_iter().map(|(shard, node)| (shard, NodeName::new(&node))).collect()
     }
--- a/src/coordination/membership/peer_status.rs
+++ b/src/coordination/membership/peer_status.rs
@@ -153,7 +153,7 @@
             let shard = self.shard_of(&name);
             let owned_shard = self.owned_shards.get_mut(&shard);
             if let Some(machine) = owned_shard.and_then(|owned_shard| owned_shard.machines.get_mut(&name)) {
-                machine.born = machine.born.min(self.now - Millis::secs(age.age_s));
+                machine.born = machine.born.min(self.now - Millis::from_secs(age.age_s));
             }
         }
     }
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -184,7 +184,7 @@
             return self.now.since(at.max(self.resumed_at)) > quiet;
         }
         // Not all machines have come yet; it takes two heartbeats of one to show that it receives responses.
-        let two_intervals = Millis::secs(2.0 * self.settings.cluster.workers.report_s);
+        let two_intervals = Millis::from_secs(2.0 * self.settings.cluster.workers.report_s);
         let since = state.unanswered_since.map(|at| at.max(self.resumed_at));
         let several = state.unanswered.len() >= LEAST_MACHINES;
         several && since.is_some_and(|at| self.now.since(at) > quiet + two_intervals)
@@ -196,6 +196,6 @@
     }
 
     fn has_live_peer(&self, quiet: Millis) -> bool {
-        self.cache.live().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, quiet))
+        self.cache.live_nodes().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, quiet))
     }
 }
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -72,7 +72,7 @@
         let mut queue = vec![];
         let mut any_pending_here = false;
         for (index, (id, job)) in self.cache.jobs.iter().enumerate() {
-            if job.record.end.is_some() || job.record.waits() || self.in_retry_backoff(id, job) {
+            if job.record.outcome.is_some() || job.record.waits_for_dependencies() || self.in_retry_backoff(id, job) {
                 continue;
             }
             let pending_here = job.pending_tasks() > 0;
@@ -96,7 +96,7 @@
     ) -> QueuedJob<QueueRank, QueuedJobRef<'a>> {
         let spec = &job.record.spec;
         let run_s = self.estimates.run_time(job);
-        let (done, on) = job.counts();
+        let (done, on) = job.done_and_placed();
         let tasks_left = f64::from(spec.task_count.saturating_sub(done + on)) + f64::from(on) * RUNNING_WORK_SHARE;
         QueuedJob {
             rank: QueueRank {
@@ -107,7 +107,7 @@
             time_left_s: (self.allowed_s(job) - self.age_s(job)).clamp(-MAX_TIME_LEFT_S, MAX_TIME_LEFT_S),
             run_s,
             work_cpu_s: tasks_left * spec.cpus * run_s,
-            accepted_at_ms: job.record.since(),
+            accepted_at_ms: job.record.eligible_since_ms(),
             id: job_ref,
         }
     }
@@ -124,7 +124,7 @@
     /// Seconds since a job was accepted, or since it may start if it waited for dependencies.
     /// An estimate: it compares times of day of different machines.
     pub(crate) fn age_s(&self, job: &Job) -> f64 {
-        self.time_of_day_ms.saturating_sub(job.record.since()) as f64 / 1000.0
+        self.time_of_day_ms.saturating_sub(job.record.eligible_since_ms()) as f64 / 1000.0
     }
 
     /// Seconds from then within which a job is to be complete: by its deadline, or else by the
@@ -132,10 +132,10 @@
     /// on it needs that.
     pub(crate) fn allowed_s(&self, job: &Job) -> f64 {
         let spec = &job.record.spec;
-        let since_ms = job.record.since();
+        let since_ms = job.record.eligible_since_ms();
         let seconds_after = |due_ms: u64| (due_ms as f64 - since_ms as f64) / 1000.0;
         // A deadline counts from the submission, however long the job waited.
-        let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
+        let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.accepted_at_ms));
         let own_s = deadline_s.unwrap_or_else(|| {
             let soonest_s = self.age_s(job) + SOONEST_COMPLETION_SHARE * self.estimates.run_time(job);
             let objective_s = self.objectives.finish_within_s(&job.class, soonest_s);
@@ -153,14 +153,16 @@
             return JobSet::default();
         }
         let may_be_covered = |id: &JobId, job: &Job| {
-            job.record.end.is_none()
-                && !job.record.waits()
+            job.record.outcome.is_none()
+                && !job.record.waits_for_dependencies()
                 && left.iter().any(|guarantee| guarantee.team == job.team)
                 && !self.fails_everywhere(id)
         };
         let mut jobs: Vec<(&JobId, &Job)> =
             self.cache.jobs.iter().filter(|(id, job)| may_be_covered(id, job)).collect();
-        jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
+        jobs.sort_by(|(a_id, a), (b_id, b)| {
+            (a.record.eligible_since_ms(), a_id).cmp(&(b.record.eligible_since_ms(), b_id))
+        });
         let mut covered = JobSet::default();
         for (id, job) in jobs {
             let guarantee = left.iter_mut().find(|guarantee| guarantee.team == job.team);
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -27,7 +27,7 @@
             return None;
         }
         let starving = jobs.iter().enumerate().filter(|(_, (_, job))| self.is_starving(job));
-        starving.min_by_key(|(_, (id, job))| (job.record.since(), *id)).map(|(index, _)| index)
+        starving.min_by_key(|(_, (id, job))| (job.record.eligible_since_ms(), *id)).map(|(index, _)| index)
     }
 
     /// True if nothing of the job has begun for too long. A gang never counts: it cannot begin
@@ -36,8 +36,8 @@
         // Most jobs are too young, which is known without a look at their slices.
         self.age_s(job) > self.tuning.starvation_limit_s
             && job.record.spec.kind != JobKind::Gang
-            && job.counts() == (0, 0)
-            && job.slices().iter().all(|slice| Slice::tried(slice) == 0)
+            && job.done_and_placed() == (0, 0)
+            && job.slices().iter().all(|slice| Slice::listed_tasks(slice) == 0)
     }
 
     /// The first task of a starving job, of `cpus` cores for `hold_s` seconds, got capacity in
@@ -45,7 +45,7 @@
     /// that work.
     pub(crate) fn starving_job_started(&mut self, shard: ShardId, cpus: f64, hold_s: f64, shard_cpus: f64) {
         let share_cpus = (CPU_SHARE * shard_cpus).max(MIN_SHARE_CPUS);
-        let pause = Millis::secs((cpus * hold_s / share_cpus).min(self.tuning.starvation_limit_s));
+        let pause = Millis::from_secs((cpus * hold_s / share_cpus).min(self.tuning.starvation_limit_s));
         if let Some(owned_shard) = self.owned_shards.get_mut(&shard) {
             owned_shard.next_starving_job = self.now + pause;
         }
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -81,7 +81,8 @@
     /// Where a service's replicas are, as far as the leader knows the machines.
     fn replica_zones(&self, job: &Job) -> ZoneOccupancy {
         let mut replicas = ZoneOccupancy::default();
-        for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
+        for task in job.slices().iter().filter_map(|slice| slice.desired_or_durable()).flat_map(|record| &record.tasks)
+        {
             let TaskRecord::Placed(_, name) = task else { continue };
             if let Some(machine) = self.fleet.machine(name) {
                 replicas.add(&machine.zone, 1);
@@ -109,7 +110,7 @@
 
 /// True for a service that runs with fewer replicas than it should.
 fn is_incomplete_service(job: &Job) -> bool {
-    let (done, on) = job.counts();
-    let is_service = job.record.spec.kind == JobKind::Standing && job.record.end.is_none();
+    let (done, on) = job.done_and_placed();
+    let is_service = job.record.spec.kind == JobKind::Standing && job.record.outcome.is_none();
     is_service && on > 0 && done + on < job.record.spec.task_count
 }
--- a/src/coordination/shards/job_changes.rs
+++ b/src/coordination/shards/job_changes.rs
@@ -9,11 +9,11 @@
     /// A job's record changed in the cache.
     pub(crate) fn job_changed(&mut self, id: &JobId, change: JobChange) {
         self.track_dependencies(id);
-        if let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.end.is_none()) {
+        if let Some(job) = self.cache.jobs.get(id).filter(|job| job.record.outcome.is_none()) {
             self.assign_soon |= job.record.plan.is_none();
             log_job(id, job);
             // Once a job: its record changes with each assignment of its slices.
-            if change == JobChange::First && self.needs_quick_start(&job.class) {
+            if change == JobChange::FirstSeen && self.needs_quick_start(&job.class) {
                 let spec = &job.record.spec;
                 let (class, cpus) = (spec.class.clone(), spec.cpus * f64::from(spec.task_count));
                 self.estimates.record_quick_start_job(&class, cpus);
--- a/src/coordination/shards/lease_proxy.rs
+++ b/src/coordination/shards/lease_proxy.rs
@@ -108,7 +108,7 @@
     pub(crate) fn stop_commands_of_ended_jobs(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let runs_after_end = |task: &&TaskStatus| {
             let job = self.cache.jobs.get(&task.task.job);
-            task.state != TaskState::Exited && job.is_some_and(|job| job.record.end.is_some())
+            task.state != TaskState::Exited && job.is_some_and(|job| job.record.outcome.is_some())
         };
         let tasks = heartbeat.tasks.iter().filter(runs_after_end).take(MAX_COMMANDS);
         tasks.map(|task| Command::Stop { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 }).collect()
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -76,7 +76,7 @@
 
 /// True if a transaction moves quota between shards.
 pub(crate) fn is_quota_transfer(transaction: &Transaction) -> bool {
-    let changes_quota = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Quota(_)));
+    let changes_quota = |change| matches!(RecordKey::parse(change_key(change)), Some(RecordKey::Quota(_)));
     transaction.changes.iter().any(changes_quota)
 }
 
--- a/src/coordination/shards/shard_tasks.rs
+++ b/src/coordination/shards/shard_tasks.rs
@@ -95,7 +95,7 @@
         if key.1 >= job.record.spec.task_count {
             return None;
         }
-        let (slice, offset) = job.record.plan.as_ref()?.slice_of(key.1);
+        let (slice, offset) = job.record.plan.as_ref()?.locate_task(key.1);
         let shard = job.shard_of(slice)?;
         job.slices()[slice].desired()?.tasks.get(offset)?;
         Some(TaskLocation { job, shard, slice, offset })
@@ -141,9 +141,9 @@
                 }
             }
             job.set_desired(index, Some(durable));
-        } else if job.record.end.is_none() {
-            let len = plan.map_or(0, |plan| plan.len(index, job.record.spec.task_count));
-            job.set_desired(index, Some(SliceRecord::fresh(len)));
+        } else if job.record.outcome.is_none() {
+            let len = plan.map_or(0, |plan| plan.slice_len(index, job.record.spec.task_count));
+            job.set_desired(index, Some(SliceRecord::all_pending(len)));
         }
     }
     owned_shard.dirty.entry((id.clone(), index)).or_insert(now);
--- a/src/coordination/store_client/shard_writes.rs
+++ b/src/coordination/store_client/shard_writes.rs
@@ -135,8 +135,8 @@
         let queued = owned_shard.dirty.iter().map(|((id, index), since)| {
             let job = self.cache.jobs.get(id);
             let slice = job.and_then(|job| Some((job, job.slices().get(*index)?)));
-            let urgency =
-                slice.map_or(WriteUrgency::Cleanup, |(job, slice)| WriteUrgency::of(slice, job.record.end.is_some()));
+            let urgency = slice
+                .map_or(WriteUrgency::Cleanup, |(job, slice)| WriteUrgency::of(slice, job.record.outcome.is_some()));
             let priority = job.map_or(Priority::Low, |job| job.priority());
             QueuedSlice {
                 urgency: urgency.after(self.now.since(*since)),
@@ -217,7 +217,7 @@
     fn wake_placed_machines(&mut self, shard: ShardId, transaction: &Transaction) {
         let Some(owned_shard) = self.owned_shards.get(&shard) else { return };
         for change in &transaction.changes {
-            let Some(RecordKey::Slice(id, index)) = RecordKey::read(change_key(change)) else {
+            let Some(RecordKey::Slice(id, index)) = RecordKey::parse(change_key(change)) else {
                 continue;
             };
             let Some(job) = self.cache.jobs.get(&id) else { continue };
@@ -248,7 +248,7 @@
                 self.committed(&transaction, revision);
                 self.wake_placed_machines(shard, &transaction);
                 // Other controllers need to know at once of ends of jobs only.
-                let is_job = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Job(_)));
+                let is_job = |change| matches!(RecordKey::parse(change_key(change)), Some(RecordKey::Job(_)));
                 if transaction.changes.iter().any(is_job) {
                     self.send_revision_hint(revision);
                 }
@@ -275,7 +275,7 @@
         let now = self.now;
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         for condition in &transaction.conditions {
-            if let Some(RecordKey::Slice(id, index)) = RecordKey::read(&condition.key) {
+            if let Some(RecordKey::Slice(id, index)) = RecordKey::parse(&condition.key) {
                 owned_shard.dirty.entry((id, index)).or_insert(now);
             }
         }
--- a/src/coordination/store_client/shard_writes/tests.rs
+++ b/src/coordination/store_client/shard_writes/tests.rs
@@ -3,7 +3,7 @@
 
 fn slice(held: &[TaskRecord], desired: &[TaskRecord]) -> Slice {
     let record = |tasks: &[TaskRecord]| Some(SliceRecord { tasks: tasks.to_vec() });
-    let mut slice = Slice::known(Revision(1), record(held));
+    let mut slice = Slice::from_durable(Revision(1), record(held));
     slice.set_desired(record(desired));
     slice
 }
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -68,7 +68,7 @@
             StoreResponse::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
-        let shards = transaction.changes.iter().filter_map(|c| match RecordKey::read(change_key(c)) {
+        let shards = transaction.changes.iter().filter_map(|c| match RecordKey::parse(change_key(c)) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         });
@@ -117,7 +117,7 @@
 
     /// Takes a record that was read because of a conflict.
     pub(super) fn reread_answer(&mut self, key: String, shard: Option<ShardId>, answer: StoreResponse) {
-        let quota_of = match RecordKey::read(&key) {
+        let quota_of = match RecordKey::parse(&key) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         };
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -74,7 +74,7 @@
 
     /// All records have been read, as of the first page's revision.
     fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
-        self.cache.forget_missing(&progress.seen, revision);
+        self.cache.remove_missing(&progress.seen, revision);
         self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
         // The first page is as old as when it was asked for, however long the others took.
@@ -129,7 +129,7 @@
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
-            CacheChange::JobGone(job) => self.dependency_graph.record_removed(&job),
+            CacheChange::JobRemoved(job) => self.dependency_graph.record_removed(&job),
             CacheChange::Node(node) => self.node_changed(&node),
             CacheChange::Leader | CacheChange::Nothing => {}
         }
--- a/src/coordination/store_client/write_batch.rs
+++ b/src/coordination/store_client/write_batch.rs
@@ -80,7 +80,7 @@
     /// changed by anybody else.
     fn add_conditions(&mut self, id: &JobId, job: &Job, index: usize) {
         let conditions = &mut self.transaction.conditions;
-        conditions.push(Condition { key: slice_key(id, index), version: job.slices()[index].held().version });
+        conditions.push(Condition { key: slice_key(id, index), version: job.slices()[index].durable().version });
         if self.jobs.insert(id.clone()) {
             conditions.push(Condition { key: job_key(id), version: job.version });
         }
@@ -88,7 +88,7 @@
 
     /// Ends the job with its last slice, which need not be kept.
     fn add_job_end(&mut self, id: &JobId, job: &Job, index: usize) {
-        let record = JobRecord { end: Some(JobOutcome::Done), ..job.record.clone() };
+        let record = JobRecord { outcome: Some(JobOutcome::Done), ..job.record.clone() };
         let Ok(value) = serde_json::to_value(record) else { return };
         self.bytes += JOB_RECORD_BYTES;
         self.transaction.changes.push(Change::put(job_key(id), value));
@@ -104,7 +104,7 @@
     let slice = job.slices().get(index)?;
     let desired = slice.desired()?;
     let key = slice_key(id, index);
-    if job.record.end.is_some() && !desired.has_placed_task() {
+    if job.record.outcome.is_some() && !desired.has_placed_task() {
         // Nothing of an ended job is left here: the record is not needed any more.
         return slice.record().map(|_| Change::delete(key));
     }
@@ -123,5 +123,5 @@
             slice.is_done()
         }
     };
-    job.record.end.is_none() && job.slices().iter().enumerate().all(is_done)
+    job.record.outcome.is_none() && job.slices().iter().enumerate().all(is_done)
 }
--- a/src/coordination/tests.rs
+++ b/src/coordination/tests.rs
@@ -43,8 +43,10 @@
     let task = |n: u32| records::TaskRecord::Placed(crate::units::Attempt(99), MachineId::new(&format!("i-{n:07}")));
     for tasks in [25_000, 100_000] {
         let record = records::SliceRecord { tasks: (0..core.slice_size(tasks)).map(task).collect() };
-        let plan =
-            records::SlicePlan { size, shards: vec![ShardId(1); tasks.div_ceil(core.slice_size(tasks)) as usize] };
+        let plan = records::SlicePlan {
+            tasks_per_slice: size,
+            shards: vec![ShardId(1); tasks.div_ceil(core.slice_size(tasks)) as usize],
+        };
         assert!(serde_json::to_vec(&record).unwrap().len() < 8 * 1024);
         assert!(serde_json::to_vec(&plan).unwrap().len() < 6 * 1024);
     }
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -37,11 +37,11 @@
         let workers = &settings.cluster.workers;
         let share = |share: f64, (least, most): (f64, f64)| (workers.lease_s * share).clamp(least, most);
         Timing {
-            ttl: Millis::secs(share(NODE_LEASE_SHARE, NODE_LEASE_S)),
-            renew_every: Millis::secs(share(RENEWAL_SHARE, RENEWAL_S)),
-            worker_lease: Millis::secs(workers.longest_lease_s()),
-            store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
-            fresh: Millis::secs((workers.lease_s * FRESH_SHARE).max(MIN_FRESH_S)),
+            ttl: Millis::from_secs(share(NODE_LEASE_SHARE, NODE_LEASE_S)),
+            renew_every: Millis::from_secs(share(RENEWAL_SHARE, RENEWAL_S)),
+            worker_lease: Millis::from_secs(workers.longest_lease_s()),
+            store_isolation_limit: Millis::from_secs(workers.store_isolation_limit_s()),
+            fresh: Millis::from_secs((workers.lease_s * FRESH_SHARE).max(MIN_FRESH_S)),
         }
     }
 }
--- a/src/storage/cache.rs
+++ b/src/storage/cache.rs
@@ -45,7 +45,7 @@
     /// A job's record.
     Job(JobId, JobChange),
     /// The job's record is gone: it was archived.
-    JobGone(JobId),
+    JobRemoved(JobId),
     /// The record of a job's slice.
     Slice(JobId, usize),
     /// What the leader has begun with machines.
@@ -103,7 +103,7 @@
     /// Takes the value of a key as of revision `at`, or its absence. A value
     /// that cannot be read is logged and changes nothing.
     pub fn apply(&mut self, key: &str, value: Option<Value>, at: Revision) -> CacheChange {
-        let Some(record) = RecordKey::read(key) else { return CacheChange::Nothing };
+        let Some(record) = RecordKey::parse(key) else { return CacheChange::Nothing };
         self.apply_update(record, Update { value, at }).unwrap_or_else(|error| {
             tracing::error!(key, %error, "could not read record");
             CacheChange::Nothing
@@ -113,26 +113,26 @@
     fn apply_update(&mut self, record: RecordKey, update: Update) -> Result<CacheChange, RecordError> {
         let at = update.at;
         let (is_new, change) = match record {
-            RecordKey::Leader => (self.leader.take(at, update.parse()?), CacheChange::Leader),
-            RecordKey::Catalog => (self.catalog.take(at, update.parse()?), CacheChange::Other),
-            RecordKey::Fleet => (self.fleet.take(at, update.parse()?), CacheChange::Fleet),
-            RecordKey::FeatureLevel => (self.level.take(at, update.parse()?), CacheChange::Other),
+            RecordKey::Leader => (self.leader.apply_if_newer(at, update.parse()?), CacheChange::Leader),
+            RecordKey::Catalog => (self.catalog.apply_if_newer(at, update.parse()?), CacheChange::Other),
+            RecordKey::Fleet => (self.fleet.apply_if_newer(at, update.parse()?), CacheChange::Fleet),
+            RecordKey::FeatureLevel => (self.level.apply_if_newer(at, update.parse()?), CacheChange::Other),
             RecordKey::Node(node) => {
                 let record = update.parse()?;
-                (self.nodes.entry(node.clone()).or_default().take(at, record), CacheChange::Node(node))
+                (self.nodes.entry(node.clone()).or_default().apply_if_newer(at, record), CacheChange::Node(node))
             }
             RecordKey::Owner(shard) => {
                 let record = update.parse()?;
-                (self.owners.entry(shard).or_default().take(at, record), CacheChange::Owner(shard))
+                (self.owners.entry(shard).or_default().apply_if_newer(at, record), CacheChange::Owner(shard))
             }
             RecordKey::LeaseProxy(shard, node) => {
                 let record = update.parse()?;
                 let proxy = self.lease_proxies.entry((shard, node)).or_default();
-                (proxy.take(at, record), CacheChange::LeaseProxy(shard))
+                (proxy.apply_if_newer(at, record), CacheChange::LeaseProxy(shard))
             }
             RecordKey::Quota(shard) => {
                 let record = update.parse()?;
-                (self.quotas.entry(shard).or_default().take(at, record), CacheChange::Other)
+                (self.quotas.entry(shard).or_default().apply_if_newer(at, record), CacheChange::Other)
             }
             RecordKey::Job(job) => return self.apply_job(job, update),
             RecordKey::Slice(job, index) => return self.apply_slice(job, index, update),
@@ -143,11 +143,11 @@
     fn apply_job(&mut self, job: JobId, update: Update) -> Result<CacheChange, RecordError> {
         let at = update.at;
         Ok(match update.parse()? {
-            Some(record) => match self.take_job(&job, record, at) {
+            Some(record) => match self.apply_job_record(&job, record, at) {
                 Some(change) => CacheChange::Job(job, change),
                 None => CacheChange::Nothing,
             },
-            None if self.drop_job(&job, at) => CacheChange::JobGone(job),
+            None if self.remove_job(&job, at) => CacheChange::JobRemoved(job),
             None => CacheChange::Nothing,
         })
     }
@@ -156,37 +156,37 @@
         let at = update.at;
         let known = self.jobs.get_mut(&job).filter(|known| index < known.slices().len());
         // A node's own changes come back by the watch: they need not be parsed again.
-        if known.as_ref().is_some_and(|known| at <= known.slices()[index].held().known_at) {
+        if known.as_ref().is_some_and(|known| at <= known.slices()[index].durable().known_at) {
             return Ok(CacheChange::Nothing);
         }
         let record = update.parse()?;
         let is_new = match known {
-            Some(known) => known.change_slice(index, |slice| slice.take(at, record)).unwrap_or(false),
-            None => self.slices_without_job.entry((job.clone(), index)).or_default().take(at, record),
+            Some(known) => known.change_slice(index, |slice| slice.apply_if_newer(at, record)).unwrap_or(false),
+            None => self.slices_without_job.entry((job.clone(), index)).or_default().apply_if_newer(at, record),
         };
         self.update_active(&job);
         Ok(if is_new { CacheChange::Slice(job, index) } else { CacheChange::Nothing })
     }
 
     /// What is new in a job's record; none if what is known is as new.
-    fn take_job(&mut self, id: &JobId, record: JobRecord, at: Revision) -> Option<JobChange> {
+    fn apply_job_record(&mut self, id: &JobId, record: JobRecord, at: Revision) -> Option<JobChange> {
         let names = &mut self.names;
         let early_slices = &mut self.slices_without_job;
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Job::unread(&record, names));
-        let change = job.take(record, at, |index| early_slices.remove(&(id.clone(), index)))?;
+        let change = job.apply_if_newer(record, at, |index| early_slices.remove(&(id.clone(), index)))?;
         self.update_active(id);
         Some(change)
     }
 
     /// A job's record is gone: it was archived. False if the record is newer.
-    fn drop_job(&mut self, id: &JobId, at: Revision) -> bool {
+    fn remove_job(&mut self, id: &JobId, at: Revision) -> bool {
         if self.jobs.get(id).is_none_or(|job| at <= job.version) {
             return false;
         }
         if let Some(job) = self.jobs.swap_remove(id) {
             self.active.remove(id);
-            if let Some(end) = job.record.end {
-                self.remember_archived(id, ArchivedJob { end, tasks: job.record.spec.task_count });
+            if let Some(outcome) = job.record.outcome {
+                self.cache_archived(id, ArchivedJob { outcome, tasks: job.record.spec.task_count });
             }
         }
         true
@@ -205,7 +205,7 @@
 
     /// After a read of all records as of `at` that found the keys `seen`: takes
     /// every other record that is known to be absent.
-    pub fn forget_missing(&mut self, seen: &BTreeSet<String>, at: Revision) {
+    pub fn remove_missing(&mut self, seen: &BTreeSet<String>, at: Revision) {
         let mut known: Vec<String> = vec![];
         known.extend(self.nodes.keys().map(records::node_key));
         known.extend(self.owners.keys().map(|&shard| records::owner_key(shard)));
@@ -223,7 +223,7 @@
     }
 
     /// Remembers a job that was archived, until too many others were.
-    pub fn remember_archived(&mut self, id: &JobId, record: ArchivedJob) {
+    pub fn cache_archived(&mut self, id: &JobId, record: ArchivedJob) {
         self.archived.insert(id, record);
     }
 
@@ -234,11 +234,11 @@
 
     /// How a job ended, if it is known to have.
     pub fn final_state(&self, job: &JobId) -> Option<JobOutcome> {
-        self.jobs.get(job).map_or_else(|| self.archived(job).map(|archived| archived.end), |job| job.record.end)
+        self.jobs.get(job).map_or_else(|| self.archived(job).map(|archived| archived.outcome), |job| job.record.outcome)
     }
 
     /// Nodes that hold a lease as far as is known.
-    pub fn live(&self) -> impl Iterator<Item = (&NodeName, &NodeRecord)> {
+    pub fn live_nodes(&self) -> impl Iterator<Item = (&NodeName, &NodeRecord)> {
         self.nodes.iter().filter_map(|(name, held)| Some((name, held.record.as_ref()?)))
     }
 
--- a/src/storage/cache/job.rs
+++ b/src/storage/cache/job.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobChange {
     /// The job was not known.
-    First,
+    FirstSeen,
     /// It has ended since its record was last seen.
     Ended,
     /// Anything else.
@@ -60,7 +60,7 @@
     }
 
     /// Tasks that are done and tasks that may be on machines, by the durable records.
-    pub fn counts(&self) -> (u32, u32) {
+    pub fn done_and_placed(&self) -> (u32, u32) {
         (self.counts.done, self.counts.placed)
     }
 
@@ -71,19 +71,19 @@
 
     /// True if any task is, or is desired, on a machine.
     pub fn has_placed_tasks(&self) -> bool {
-        self.slices.iter().any(|slice| slice.newest().is_some_and(|record| record.has_placed_task()))
+        self.slices.iter().any(|slice| slice.desired_or_durable().is_some_and(|record| record.has_placed_task()))
     }
 
     /// False once all tasks are known to have completed, whatever slices whose
     /// records are not deleted yet say.
     pub fn holds_machines(&self) -> bool {
-        self.record.end != Some(JobOutcome::Done)
+        self.record.outcome != Some(JobOutcome::Done)
     }
 
     /// True while the job may run, or a slice of it still has a record.
     pub(super) fn is_active(&self) -> bool {
         let has_slice_records = self.slices.iter().any(|slice| slice.record().is_some());
-        (self.record.end.is_none() && !self.record.waits()) || has_slice_records
+        (self.record.outcome.is_none() && !self.record.waits_for_dependencies()) || has_slice_records
     }
 
     /// The job's priority, or that of any job that depends on it, if higher.
@@ -110,7 +110,7 @@
 
     /// Takes a newer record; slices that came before it are taken out of
     /// `early_slice` by their index. None if what is known is as new.
-    pub(super) fn take(
+    pub(super) fn apply_if_newer(
         &mut self,
         record: JobRecord,
         at: Revision,
@@ -119,8 +119,8 @@
         if at <= self.version {
             return None;
         }
-        let change = match (self.version, self.record.end, record.end) {
-            (Revision(0), ..) => JobChange::First,
+        let change = match (self.version, self.record.outcome, record.outcome) {
+            (Revision(0), ..) => JobChange::FirstSeen,
             (_, None, Some(_)) => JobChange::Ended,
             _ => JobChange::Other,
         };
@@ -129,8 +129,8 @@
         let slice_count = self.record.plan.as_ref().map_or(0, |plan| plan.shards.len());
         self.slices.resize_with(slice_count, Slice::default);
         for (index, slice) in self.slices.iter_mut().enumerate() {
-            if let Some(held) = early_slice(index) {
-                slice.replace_held(held);
+            if let Some(durable) = early_slice(index) {
+                slice.replace_durable(durable);
             }
         }
         let none = TaskCounts::default();
--- a/src/storage/cache/job/tests.rs
+++ b/src/storage/cache/job/tests.rs
@@ -57,7 +57,7 @@
             }
             let mut counts = TaskCounts::default();
             for slice in cache.jobs[&id].slices() {
-                let mut fresh = Slice::known(revision, slice.record().cloned());
+                let mut fresh = Slice::from_durable(revision, slice.record().cloned());
                 fresh.set_desired(slice.desired().cloned());
                 prop_assert_eq!(slice.counts(), fresh.counts());
                 counts = counts.replaced(TaskCounts::default(), fresh.counts());
--- a/src/storage/cache/slice.rs
+++ b/src/storage/cache/slice.rs
@@ -21,7 +21,7 @@
     /// Tasks that are desired on a machine.
     pub(super) desired_placed: u32,
     /// Of the latter, those whose durable record does not say so yet.
-    pub(super) unwritten: u32,
+    pub(super) unwritten_starts: u32,
 }
 
 impl TaskCounts {
@@ -32,7 +32,7 @@
             placed: self.placed - old.placed + new.placed,
             pending: self.pending - old.pending + new.pending,
             desired_placed: self.desired_placed - old.desired_placed + new.desired_placed,
-            unwritten: self.unwritten - old.unwritten + new.unwritten,
+            unwritten_starts: self.unwritten_starts - old.unwritten_starts + new.unwritten_starts,
         }
     }
 }
@@ -40,7 +40,7 @@
 /// A slice of a job.
 #[derive(Debug, Clone, Default)]
 pub struct Slice {
-    held: Versioned<SliceRecord>,
+    durable: Versioned<SliceRecord>,
     /// What the shard's owner desires to be durable; none: not taken up.
     desired: Option<SliceRecord>,
     counts: TaskCounts,
@@ -48,20 +48,20 @@
 
 impl Slice {
     /// A slice whose durable record is known as of a revision.
-    pub fn known(at: Revision, record: Option<SliceRecord>) -> Slice {
+    pub fn from_durable(at: Revision, record: Option<SliceRecord>) -> Slice {
         let mut slice = Slice::default();
-        slice.take(at, record);
+        slice.apply_if_newer(at, record);
         slice
     }
 
     /// The durable record and its version.
-    pub fn held(&self) -> &Versioned<SliceRecord> {
-        &self.held
+    pub fn durable(&self) -> &Versioned<SliceRecord> {
+        &self.durable
     }
 
     /// What is durable, if anything is.
     pub fn record(&self) -> Option<&SliceRecord> {
-        self.held.record.as_ref()
+        self.durable.record.as_ref()
     }
 
     /// What the owner desires, if this node is the owner and has taken the slice up.
@@ -70,7 +70,7 @@
     }
 
     /// What is desired, or else what is durable.
-    pub fn newest(&self) -> Option<&SliceRecord> {
+    pub fn desired_or_durable(&self) -> Option<&SliceRecord> {
         self.desired().or(self.record())
     }
 
@@ -85,9 +85,9 @@
 
     /// Tasks that take room in the record: those desired on machines, and those
     /// tried before.
-    pub fn tried(&self) -> usize {
-        let is_fresh = |task: &&TaskRecord| matches!(task, TaskRecord::Done | TaskRecord::Pending(Attempt(0)));
-        self.desired.iter().flat_map(|desired| &desired.tasks).filter(|task| !is_fresh(task)).count()
+    pub fn listed_tasks(&self) -> usize {
+        let is_omitted = |task: &&TaskRecord| matches!(task, TaskRecord::Done | TaskRecord::Pending(Attempt(0)));
+        self.desired.iter().flat_map(|desired| &desired.tasks).filter(|task| !is_omitted(task)).count()
     }
 
     /// True if any task is on a machine, as is desired or else as is durable.
@@ -101,7 +101,7 @@
 
     /// True if tasks are desired on machines that the durable record does not name yet.
     pub fn has_unwritten_starts(&self) -> bool {
-        self.counts.unwritten > 0
+        self.counts.unwritten_starts > 0
     }
 
     /// True if all tasks are desired to be done.
@@ -121,17 +121,17 @@
 
     /// True if the owner has changes that are not durable yet.
     pub fn has_unwritten_changes(&self) -> bool {
-        match (&self.desired, &self.held.record) {
+        match (&self.desired, &self.durable.record) {
             (None, _) => false,
             // An untouched slice needs no record: it may still be assigned elsewhere.
             (Some(desired), None) => desired.tasks.iter().any(|task| *task != TaskRecord::Pending(Attempt(0))),
-            (Some(desired), Some(held)) => desired != held,
+            (Some(desired), Some(durable)) => desired != durable,
         }
     }
 
     /// Takes the durable record as of a revision; false if what is known is as new.
-    pub(super) fn take(&mut self, at: Revision, record: Option<SliceRecord>) -> bool {
-        let is_new = self.held.take(at, record);
+    pub(super) fn apply_if_newer(&mut self, at: Revision, record: Option<SliceRecord>) -> bool {
+        let is_new = self.durable.apply_if_newer(at, record);
         if is_new {
             self.count_durable();
         }
@@ -139,8 +139,8 @@
     }
 
     /// Replaces the durable record by one that was read before the job was.
-    pub(super) fn replace_held(&mut self, held: Versioned<SliceRecord>) {
-        self.held = held;
+    pub(super) fn replace_durable(&mut self, durable: Versioned<SliceRecord>) {
+        self.durable = durable;
         self.count_durable();
     }
 
@@ -155,44 +155,44 @@
             }
         }
         self.desired = desired;
-        self.count_unwritten();
+        self.count_unwritten_starts();
     }
 
     /// Changes what is desired of one task. Returns what was desired before, if
     /// the slice is desired at all and has such a task.
     pub fn set_task(&mut self, at: usize, to: TaskRecord) -> Option<TaskRecord> {
-        self.counts.unwritten -= u32::from(self.is_unwritten(at));
+        self.counts.unwritten_starts -= u32::from(self.is_unwritten_start(at));
         let slot = self.desired.as_mut()?.tasks.get_mut(at)?;
         self.counts.pending += u32::from(matches!(to, TaskRecord::Pending(_)));
         self.counts.desired_placed += u32::from(matches!(to, TaskRecord::Placed(..)));
         let from = std::mem::replace(slot, to);
         self.counts.pending -= u32::from(matches!(from, TaskRecord::Pending(_)));
         self.counts.desired_placed -= u32::from(matches!(from, TaskRecord::Placed(..)));
-        self.counts.unwritten += u32::from(self.is_unwritten(at));
+        self.counts.unwritten_starts += u32::from(self.is_unwritten_start(at));
         Some(from)
     }
 
     /// True if a task is desired on a machine and its durable record differs.
-    fn is_unwritten(&self, at: usize) -> bool {
+    fn is_unwritten_start(&self, at: usize) -> bool {
         let desired = self.desired.as_ref().and_then(|record| record.tasks.get(at));
-        let held = self.held.record.as_ref().and_then(|record| record.tasks.get(at));
-        matches!(desired, Some(TaskRecord::Placed(..))) && desired != held
+        let durable = self.durable.record.as_ref().and_then(|record| record.tasks.get(at));
+        matches!(desired, Some(TaskRecord::Placed(..))) && desired != durable
     }
 
-    fn count_unwritten(&mut self) {
+    fn count_unwritten_starts(&mut self) {
         let tasks = self.desired.as_ref().map_or(0, |desired| desired.tasks.len());
-        self.counts.unwritten = (0..tasks).filter(|at| self.is_unwritten(*at)).count() as u32;
+        self.counts.unwritten_starts = (0..tasks).filter(|at| self.is_unwritten_start(*at)).count() as u32;
     }
 
     fn count_durable(&mut self) {
         (self.counts.done, self.counts.placed) = (0, 0);
-        for task in self.held.record.iter().flat_map(|record| &record.tasks) {
+        for task in self.durable.record.iter().flat_map(|record| &record.tasks) {
             match task {
                 TaskRecord::Done => self.counts.done += 1,
                 TaskRecord::Placed(..) => self.counts.placed += 1,
                 TaskRecord::Pending(_) => {}
             }
         }
-        self.count_unwritten();
+        self.count_unwritten_starts();
     }
 }
--- a/src/storage/cache/versioned.rs
+++ b/src/storage/cache/versioned.rs
@@ -25,7 +25,7 @@
 impl<T> Versioned<T> {
     /// Takes the record, or its absence, as of revision `at`; false if what is
     /// known is as new.
-    pub(super) fn take(&mut self, at: Revision, record: Option<T>) -> bool {
+    pub(super) fn apply_if_newer(&mut self, at: Revision, record: Option<T>) -> bool {
         if at <= self.known_at {
             return false;
         }
--- a/src/storage/effective_priority.rs
+++ b/src/storage/effective_priority.rs
@@ -23,7 +23,7 @@
     }
 
     /// The same for a job that must be done before `takes_ms` of work can begin.
-    pub fn before(self, takes_ms: u64) -> EffectivePriority {
+    pub fn due_earlier_by(self, takes_ms: u64) -> EffectivePriority {
         EffectivePriority { due_ms: self.due_ms.map(|due| due.saturating_sub(takes_ms)), ..self }
     }
 }
--- a/src/storage/names.rs
+++ b/src/storage/names.rs
@@ -41,7 +41,7 @@
 pub struct NameInterner {
     known: HashSet<Arc<str>, FixedState>,
     /// Names left when those out of use were last dropped.
-    kept: usize,
+    kept_at_last_sweep: usize,
 }
 
 impl NameInterner {
@@ -51,9 +51,9 @@
         if let Some(known) = self.known.get(text) {
             return InternedName(known.clone());
         }
-        if self.known.len() >= 2 * self.kept.max(MIN_NAMES) {
+        if self.known.len() >= 2 * self.kept_at_last_sweep.max(MIN_NAMES) {
             self.known.retain(|name| Arc::strong_count(name) > 1);
-            self.kept = self.known.len();
+            self.kept_at_last_sweep = self.known.len();
         }
         let name: Arc<str> = Arc::from(text);
         self.known.insert(name.clone());
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -59,7 +59,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlicePlan {
     /// Tasks in each slice but the last, which may have fewer.
-    pub size: u32,
+    #[serde(rename = "size")]
+    pub tasks_per_slice: u32,
     /// The shard of each slice.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardId>,
@@ -67,18 +68,18 @@
 
 impl SlicePlan {
     /// The slice that a task of the job is in, and its place there.
-    pub fn slice_of(&self, task: u32) -> (usize, usize) {
-        ((task / self.size.max(1)) as usize, (task % self.size.max(1)) as usize)
+    pub fn locate_task(&self, task: u32) -> (usize, usize) {
+        ((task / self.tasks_per_slice.max(1)) as usize, (task % self.tasks_per_slice.max(1)) as usize)
     }
 
     /// Index in the job of a slice's first task.
     pub fn first_task(&self, slice: usize) -> u32 {
-        slice as u32 * self.size
+        slice as u32 * self.tasks_per_slice
     }
 
     /// Tasks in a slice of a job with `tasks` in all.
-    pub fn len(&self, slice: usize, tasks: u32) -> usize {
-        tasks.saturating_sub(self.first_task(slice)).min(self.size) as usize
+    pub fn slice_len(&self, slice: usize, tasks: u32) -> usize {
+        tasks.saturating_sub(self.first_task(slice)).min(self.tasks_per_slice) as usize
     }
 
     /// True if the plan has no slices: the job waits for others.
@@ -103,13 +104,15 @@
     /// What was submitted.
     pub spec: JobSpec,
     /// Time of day at acceptance in milliseconds; only ever an estimate of age.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub accepted_at_ms: u64,
     /// How it is cut into slices; none until the leader has assigned them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plan: Option<SlicePlan>,
     /// How it ended, if it has.
+    #[serde(rename = "end")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub end: Option<JobOutcome>,
+    pub outcome: Option<JobOutcome>,
     /// Jobs that have to be done before this one may start. Controllers of a
     /// version without dependencies lose them when they write a job's end, after
     /// which they have no effect; until then the plan without slices keeps the
@@ -118,24 +121,32 @@
     pub dependencies: Dependencies,
     /// Time of day in milliseconds when the last job that it depends on was
     /// seen to be done; used to order work, for nothing else.
+    #[serde(rename = "ready")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ready: Option<u64>,
+    pub ready_at_ms: Option<u64>,
 }
 
 impl JobRecord {
     /// A job accepted at this time of day in milliseconds, not assigned to any shard.
-    pub fn new(spec: JobSpec, at: u64) -> JobRecord {
-        JobRecord { spec, at, plan: None, end: None, dependencies: Dependencies::default(), ready: None }
+    pub fn new(spec: JobSpec, accepted_at_ms: u64) -> JobRecord {
+        JobRecord {
+            spec,
+            accepted_at_ms,
+            plan: None,
+            outcome: None,
+            dependencies: Dependencies::default(),
+            ready_at_ms: None,
+        }
     }
 
     /// True while the job waits for others: its plan has no slices.
-    pub fn waits(&self) -> bool {
-        self.end.is_none() && self.plan.as_ref().is_some_and(SlicePlan::is_empty)
+    pub fn waits_for_dependencies(&self) -> bool {
+        self.outcome.is_none() && self.plan.as_ref().is_some_and(SlicePlan::is_empty)
     }
 
     /// Since when the job may start, time of day in milliseconds.
-    pub fn since(&self) -> u64 {
-        self.ready.unwrap_or(self.at)
+    pub fn eligible_since_ms(&self) -> u64 {
+        self.ready_at_ms.unwrap_or(self.accepted_at_ms)
     }
 }
 
@@ -168,7 +179,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ArchivedJob {
     /// How it ended.
-    pub end: JobOutcome,
+    #[serde(rename = "end")]
+    pub outcome: JobOutcome,
     /// How many tasks it had.
     pub tasks: u32,
 }
@@ -186,11 +198,11 @@
     /// Rental requests so far; the name of the last one holds this number.
     pub rentals: u64,
     /// Machines that take no new tasks and will be returned.
-    #[serde(default)]
-    pub drain: Vec<MachineId>,
+    #[serde(rename = "drain", default)]
+    pub draining: Vec<MachineId>,
     /// Machines that were returned.
-    #[serde(default)]
-    pub gone: Vec<MachineId>,
+    #[serde(rename = "gone", default)]
+    pub returned: Vec<MachineId>,
 }
 
 /// The value that a record is stored as.
--- a/src/storage/records/compact.rs
+++ b/src/storage/records/compact.rs
@@ -45,7 +45,7 @@
 
 /// Writes tasks in the order of their indexes; none if a machine's name could
 /// not be told from the words around it.
-pub(super) fn write(tasks: &[StartedTask]) -> Option<String> {
+pub(super) fn encode(tasks: &[StartedTask]) -> Option<String> {
     let names: Vec<&str> = tasks.iter().filter_map(|task| task.machine.as_ref()).map(MachineId::as_str).collect();
     let prefix = names.first().map_or("", |name| &name[..shared_prefix_len(&names)]);
     if names.iter().any(|name| name.contains(SEPARATORS) || &name[prefix.len()..] == NO_MACHINE) {
@@ -70,8 +70,8 @@
     Some(text)
 }
 
-/// Reads what [`write`] wrote; none if the text is malformed.
-pub(super) fn read(text: &str) -> Option<Vec<StartedTask>> {
+/// Reads what [`encode`] wrote; none if the text is malformed.
+pub(super) fn decode(text: &str) -> Option<Vec<StartedTask>> {
     let mut words = text.split(' ');
     let prefix = words.next()?;
     let mut tasks = vec![];
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -78,7 +78,7 @@
 
 impl RecordKey {
     /// What the key stands for; none if it is not one of this program's.
-    pub fn read(key: &str) -> Option<RecordKey> {
+    pub fn parse(key: &str) -> Option<RecordKey> {
         match key {
             LEADER_KEY => return Some(RecordKey::Leader),
             CATALOG_KEY => return Some(RecordKey::Catalog),
--- a/src/storage/records/keys/tests.rs
+++ b/src/storage/records/keys/tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn keys_read_back() {
     let job = JobId::new("wk-000001");
-    assert_eq!(RecordKey::read(&slice_key(&job, 3)), Some(RecordKey::Slice(job.clone(), 3)));
-    assert_eq!(RecordKey::read(&job_key(&job)), Some(RecordKey::Job(job)));
-    assert_eq!(RecordKey::read(&owner_key(ShardId(2))), Some(RecordKey::Owner(ShardId(2))));
+    assert_eq!(RecordKey::parse(&slice_key(&job, 3)), Some(RecordKey::Slice(job.clone(), 3)));
+    assert_eq!(RecordKey::parse(&job_key(&job)), Some(RecordKey::Job(job)));
+    assert_eq!(RecordKey::parse(&owner_key(ShardId(2))), Some(RecordKey::Owner(ShardId(2))));
     let node = NodeName::new("n1");
-    assert_eq!(RecordKey::read(&lease_proxy_key(ShardId(2), &node)), Some(RecordKey::LeaseProxy(ShardId(2), node)));
-    assert_eq!(RecordKey::read("elsewhere"), None);
+    assert_eq!(RecordKey::parse(&lease_proxy_key(ShardId(2), &node)), Some(RecordKey::LeaseProxy(ShardId(2), node)));
+    assert_eq!(RecordKey::parse("elsewhere"), None);
 }
--- a/src/storage/records/slice.rs
+++ b/src/storage/records/slice.rs
@@ -33,7 +33,7 @@
 
 impl SliceRecord {
     /// A slice of `len` tasks that were never tried.
-    pub fn fresh(len: usize) -> Self {
+    pub fn all_pending(len: usize) -> Self {
         SliceRecord { tasks: vec![TaskRecord::Pending(Attempt(0)); len] }
     }
 
@@ -57,7 +57,7 @@
     /// that the form uses itself.
     pub fn compact(&self) -> Option<Value> {
         let plain = PackedSlice::from(self.clone());
-        let compact = compact::write(&plain.started)?;
+        let compact = compact::encode(&plain.started)?;
         let packed = PackedSlice { started: vec![], compact: Some(compact), ..plain };
         serde_json::to_value(packed).ok()
     }
@@ -108,13 +108,13 @@
         if tasks > MAX_TASKS as usize {
             return Err(RecordError::TooManyTasks(tasks));
         }
-        let mut slice = SliceRecord::fresh(tasks);
+        let mut slice = SliceRecord::all_pending(tasks);
         for (first, last) in packed.done {
             let range = slice.tasks.get_mut(first..=last);
             range.ok_or(RecordError::RangeOutOfBounds { first, last, tasks })?.fill(TaskRecord::Done);
         }
         let compact = match packed.compact {
-            Some(text) => compact::read(&text).ok_or(RecordError::CompactForm)?,
+            Some(text) => compact::decode(&text).ok_or(RecordError::CompactForm)?,
             None => vec![],
         };
         for StartedTask { index, attempt, machine } in packed.started.into_iter().chain(compact) {
--- a/src/units.rs
+++ b/src/units.rs
@@ -184,7 +184,7 @@
 
 impl Millis {
     /// A length given in seconds, rounded down to milliseconds; 0 if it is negative or not a number.
-    pub fn secs(seconds: f64) -> Self {
+    pub fn from_secs(seconds: f64) -> Self {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -62,7 +62,7 @@
         families.insert(if key.starts_with("f/") { "f".into() } else { family });
     }
     assert_eq!(families.len(), 10, "{families:?}");
-    assert!(cache.jobs.values().all(|job| !job.record.waits()));
+    assert!(cache.jobs.values().all(|job| !job.record.waits_for_dependencies()));
 }
 
 #[test]
@@ -97,7 +97,7 @@
     for text in open {
         let open: new::JobRecord = serde_json::from_str(text).expect("a record");
         let waiting = new::JobRecord {
-            plan: Some(new::SlicePlan { size: 1, shards: vec![] }),
+            plan: Some(new::SlicePlan { tasks_per_slice: 1, shards: vec![] }),
             dependencies: new::Dependencies(vec![JobId::new("wk-000001"), JobId::new("wk-abc")]),
             ..open.clone()
         };
@@ -111,11 +111,11 @@
         let read: new::JobRecord =
             serde_json::from_value(serde_json::to_value(cancelled).expect("a value")).expect("a record");
         assert_eq!(
-            (read.end, read.waits(), read.dependencies.is_empty()),
+            (read.outcome, read.waits_for_dependencies(), read.dependencies.is_empty()),
             (Some(new::JobOutcome::Cancelled), false, true)
         );
         // Once it may start it is a job like any other, also without the time of its release.
-        let ready = new::JobRecord { ready: Some(open.at + 5), ..open.clone() };
+        let ready = new::JobRecord { ready_at_ms: Some(open.accepted_at_ms + 5), ..open.clone() };
         let old: OldJob = serde_json::from_value(serde_json::to_value(ready).expect("a value"))
             .expect("what the previous version reads");
         let read: new::JobRecord =
--- a/tests/starting.rs
+++ b/tests/starting.rs
@@ -412,11 +412,14 @@
     let key = job_key(&id);
     let mut cache = StateCache::default();
     let mut apply = |value, at| cache.apply(&key, value, Revision(at));
-    assert_eq!(apply(record(None, None), 3), CacheChange::Job(id.clone(), JobChange::First));
+    assert_eq!(apply(record(None, None), 3), CacheChange::Job(id.clone(), JobChange::FirstSeen));
     assert_eq!(apply(record(None, Some([1])), 4), CacheChange::Job(id.clone(), JobChange::Other));
     assert_eq!(apply(record(None, None), 3), CacheChange::Nothing);
     assert_eq!(apply(record(Some("done"), Some([1])), 5), CacheChange::Job(id.clone(), JobChange::Ended));
     assert_eq!(apply(record(Some("done"), Some([1])), 6), CacheChange::Job(id.clone(), JobChange::Other));
     let mut later = StateCache::default();
-    assert_eq!(later.apply(&key, record(Some("done"), Some([1])), Revision(6)), CacheChange::Job(id, JobChange::First));
+    assert_eq!(
+        later.apply(&key, record(Some("done"), Some([1])), Revision(6)),
+        CacheChange::Job(id, JobChange::FirstSeen)
+    );
 }
--- a/tests/wire/records.rs
+++ b/tests/wire/records.rs
@@ -34,10 +34,10 @@
     ];
     for (key, meaning) in &keys {
         assert!(key.starts_with(ROOT) != meaning.is_none(), "{key}");
-        assert_eq!(RecordKey::read(key), *meaning, "{key}");
+        assert_eq!(RecordKey::parse(key), *meaning, "{key}");
     }
     for odd in ["", "t/", "t/n", "t/o/x", "t/a/-1", "t/s/wk-1", "t/s/wk-1/x", "t/w/2", "t/w/x/n1", "t/q/1", "o/d"] {
-        assert_eq!(RecordKey::read(odd), None, "{odd}");
+        assert_eq!(RecordKey::parse(odd), None, "{odd}");
     }
     assert_golden("keys.txt", &keys.map(|(key, _)| key));
 }
@@ -54,16 +54,21 @@
     let lease = LeaseId(7);
     let machine = |name: &str| MachineId::new(name);
     let bare = JobRecord::new(JobSpec { types: None, zone: None, deadline_s: None, ..job_spec() }, 4000);
-    let plan = Some(SlicePlan { size: 16, shards: vec![ShardId(2), ShardId(0), ShardId(1)] });
+    let plan = Some(SlicePlan { tasks_per_slice: 16, shards: vec![ShardId(2), ShardId(0), ShardId(1)] });
     let dependencies = Dependencies(vec![JobId::new("wk-000001"), JobId::new("wk-abc")]);
     let waiting = JobRecord {
-        plan: Some(SlicePlan { size: 1, shards: vec![] }),
+        plan: Some(SlicePlan { tasks_per_slice: 1, shards: vec![] }),
         dependencies: dependencies.clone(),
         ..bare.clone()
     };
-    let full =
-        JobRecord { spec: job_spec(), at: 4000, plan, end: Some(JobOutcome::Done), dependencies, ready: Some(5000) };
-    let cancelled = JobRecord { end: Some(JobOutcome::Cancelled), ..bare.clone() };
+    let full = JobRecord {
+        spec: job_spec(),
+        accepted_at_ms: 4000,
+        plan,
+        outcome: Some(JobOutcome::Done),
+        dependencies,
+        ready_at_ms: Some(5000),
+    };
     let on = |attempt, name| TaskRecord::Placed(Attempt(attempt), machine(name));
     let idle = |attempt| TaskRecord::Pending(Attempt(attempt));
     let done = TaskRecord::Done;
@@ -72,7 +77,7 @@
     let compact = slice.compact().expect("a dense form");
     assert_eq!(serde_json::from_value::<SliceRecord>(compact.clone()).expect("a slice"), slice);
     let teams = [("blue".to_string(), (0.0, 0.5).into()), ("red".to_string(), (16.0, 2.0).into())].into();
-    let fleet = FleetRecord { rentals: 27, drain: vec![machine("i-000009")], gone: vec![machine("i-000005")] };
+    let fleet = FleetRecord { rentals: 27, draining: vec![machine("i-000009")], returned: vec![machine("i-000005")] };
     let least = json!({"ref": "wk-1", "haul": "h", "crew": "c", "rig": "array", "rank": "idle", "loads": 1, "cores": 1.0,
         "mem_gb": 1.0, "kit": "k", "image_gb": 0.5, "reckon_s": 6.0});
     let least: JobRecord = serde_json::from_value(json!({"spec": least, "at": 3})).expect("a record");
@@ -85,15 +90,15 @@
         stored("t/j", &bare),
         stored("t/j", &waiting),
         stored("t/j", &full),
-        stored("t/j", &cancelled),
+        stored("t/j", &JobRecord { outcome: Some(JobOutcome::Cancelled), ..bare.clone() }),
         stored("t/j", &least),
-        stored("t/s", &SliceRecord::fresh(3)),
+        stored("t/s", &SliceRecord::all_pending(3)),
         stored("t/s", &slice),
         format!("t/s {compact}"),
         stored("t/a", &QuotaRecord { teams }),
         stored("t/f", &fleet),
-        stored("f", &ArchivedJob { end: JobOutcome::Done, tasks: 4 }),
-        stored("f", &ArchivedJob { end: JobOutcome::Cancelled, tasks: 53 }),
+        stored("f", &ArchivedJob { outcome: JobOutcome::Done, tasks: 4 }),
+        stored("f", &ArchivedJob { outcome: JobOutcome::Cancelled, tasks: 53 }),
     ];
     assert_golden("records.txt", &lines);
 }
