--- a/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
+++ b/src/coordination/scheduling/scheduling_cycle/shard_cycle.rs
@@ -242,7 +242,7 @@
     /// Places the pending tasks of one slice of the job.
     fn place_slice(&mut self, placement: &mut JobPlacement, index: usize, slice: &Slice) {
         let Some(desired) = slice.desired() else { return };
-        let mut first_attempts_left = self.max_tried_per_slice.saturating_sub(slice.listed_tasks());
+        let mut first_attempts_left = self.max_tried_per_slice.saturating_sub(slice.tried_tasks());
         let first_task = placement.request.job.record.plan.as_ref().map_or(0, |plan| plan.first_task(index));
         for (offset, task) in desired.tasks.iter().enumerate() {
             let TaskRecord::Pending(Attempt(attempts)) = *task else { continue };
--- a/src/coordination/scheduling/starvation.rs
+++ b/src/coordination/scheduling/starvation.rs
@@ -37,7 +37,7 @@
         self.age_s(job) > self.tuning.starvation_limit_s
             && job.record.spec.kind != JobKind::Gang
             && job.done_and_placed() == (0, 0)
-            && job.slices().iter().all(|slice| Slice::listed_tasks(slice) == 0)
+            && job.slices().iter().all(|slice| Slice::tried_tasks(slice) == 0)
     }
 
     /// The first task of a starving job, of `cpus` cores for `hold_s` seconds, got capacity in
--- a/src/storage/cache/archived_jobs.rs
+++ b/src/storage/cache/archived_jobs.rs
@@ -1,18 +1,18 @@
-//! Ended jobs that have no record under the root any more, as far as they were
-//! asked for lately; the oldest are forgotten.
+//! A bounded cache of archived jobs, which no longer have a record below the watched
+//! prefix. Drops the oldest entries.
 
 use crate::storage::records::ArchivedJob;
 use crate::units::JobId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many archived jobs are remembered.
-const MAX_ARCHIVED: usize = 2000;
+/// Most archived jobs that the cache holds.
+const MAX_CACHED_JOBS: usize = 2000;
 
-/// A bounded memory of archived jobs.
+/// A first-in, first-out cache of archived jobs.
 #[derive(Debug, Default)]
 pub(super) struct ArchivedJobs {
     by_id: BTreeMap<JobId, ArchivedJob>,
-    /// The same jobs, those remembered first in front.
+    /// Ids of the cached jobs, oldest entry first.
     order: VecDeque<JobId>,
 }
 
@@ -25,7 +25,7 @@
         if self.by_id.insert(id.clone(), record).is_none() {
             self.order.push_back(id.clone());
         }
-        while self.order.len() > MAX_ARCHIVED {
+        while self.order.len() > MAX_CACHED_JOBS {
             if let Some(oldest) = self.order.pop_front() {
                 self.by_id.remove(&oldest);
             }
--- a/src/storage/cache/slice.rs
+++ b/src/storage/cache/slice.rs
@@ -85,7 +85,7 @@
 
     /// Tasks that take room in the record: those desired on machines, and those
     /// tried before.
-    pub fn listed_tasks(&self) -> usize {
+    pub fn tried_tasks(&self) -> usize {
         let is_omitted = |task: &&TaskRecord| matches!(task, TaskRecord::Done | TaskRecord::Pending(Attempt(0)));
         self.desired.iter().flat_map(|desired| &desired.tasks).filter(|task| !is_omitted(task)).count()
     }
--- a/src/storage/cache/versioned.rs
+++ b/src/storage/cache/versioned.rs
@@ -1,18 +1,17 @@
-//! A record with the revisions that decide whether what is read later is newer.
+//! A cached record with the revisions that show whether a later read is newer.
 
 use crate::units::Revision;
 
-/// A record with the version it was read at. An absent record keeps the
-/// revision at which it was seen to be absent, so that an older
-/// read is recognized.
+/// A record, or its absence, with its version. The revision at which a record was
+/// seen to be absent is kept as well, so that older reads of it are ignored.
 #[derive(Debug, Clone)]
 pub struct Versioned<T> {
-    /// The record's version; zero if it is absent, as conditions of a
-    /// transaction say it.
+    /// The record's version; 0 if the record is absent, as in the conditions of a
+    /// transaction.
     pub version: Revision,
-    /// The newest revision this was known at; older reads are dropped.
+    /// Revision of the newest read; reads that are not newer are ignored.
     pub known_at: Revision,
-    /// The record, if there is one.
+    /// The record; none if it is absent.
     pub record: Option<T>,
 }
 
@@ -23,8 +22,8 @@
 }
 
 impl<T> Versioned<T> {
-    /// Takes the record, or its absence, as of revision `at`; false if what is
-    /// known is as new.
+    /// Applies a read of the record, or of its absence, as of revision `at`. Returns
+    /// false, and changes nothing, if the cached read is as new.
     pub(super) fn apply_if_newer(&mut self, at: Revision, record: Option<T>) -> bool {
         if at <= self.known_at {
             return false;
--- a/src/storage/effective_priority.rs
+++ b/src/storage/effective_priority.rs
@@ -1,19 +1,21 @@
-//! How urgent a job is for the sake of the jobs that depend on it. The graph of
-//! dependencies in `coordination` computes it; queue and writes go by it.
+//! The priority and due time that a job inherits from the jobs that depend on it.
+//! The dependency graph in `coordination` computes them; the pending queue and the
+//! writes are ordered by them.
 
 use crate::protocol::users::Priority;
 
-/// A priority, and when the job should be complete.
+/// A priority and a due time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EffectivePriority {
-    /// The highest priority of the job and those that depend on it.
+    /// The highest priority among the jobs that were combined.
     pub priority: Priority,
-    /// When it should be complete, if that matters to any: time of day in milliseconds.
+    /// Time of day in milliseconds at which the job should be complete; none if no
+    /// job has a deadline.
     pub due_ms: Option<u64>,
 }
 
 impl EffectivePriority {
-    /// The more urgent of both, in either respect.
+    /// Combines two priorities: the higher priority and the earlier due time.
     pub fn join(self, other: EffectivePriority) -> EffectivePriority {
         let due_ms = match (self.due_ms, other.due_ms) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -22,8 +24,9 @@
         EffectivePriority { priority: self.priority.max(other.priority), due_ms }
     }
 
-    /// The same for a job that must be done before `takes_ms` of work can begin.
-    pub fn due_earlier_by(self, takes_ms: u64) -> EffectivePriority {
-        EffectivePriority { due_ms: self.due_ms.map(|due| due.saturating_sub(takes_ms)), ..self }
+    /// The priority of a job that must be done before a dependent with this priority,
+    /// which takes `run_ms`, can start: the same, but due earlier by that time.
+    pub fn due_earlier_by(self, run_ms: u64) -> EffectivePriority {
+        EffectivePriority { due_ms: self.due_ms.map(|due| due.saturating_sub(run_ms)), ..self }
     }
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,7 +1,7 @@
-//! What controllers know of the durable state: the records with their stored
-//! form, and the replica of all of them in memory.
+//! The durable records with their stored form, and each controller's in-memory
+//! replica of them.
 //!
-//! This layer decides nothing and sends nothing; `coordination` does.
+//! This layer makes no decisions and does no I/O; `coordination` does both.
 
 pub mod cache;
 pub mod effective_priority;
--- a/src/storage/names.rs
+++ b/src/storage/names.rs
@@ -1,7 +1,7 @@
-//! Interned names: those that many records repeat (classes, teams, images) are
-//! kept once.
+//! Interned names: stores each name that many records repeat (classes, teams,
+//! images) once.
 //!
-//! Scheduling cycles compare names by the hundred thousand. Equal texts get the
+//! A scheduling cycle compares hundreds of thousands of names. Equal texts get the
 //! same allocation when a record is read, so that names compare by address alone.
 
 use foldhash::fast::FixedState;
@@ -9,10 +9,10 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Names below which none that are out of use are dropped.
+/// Unused names are only dropped once the interner holds twice this many.
 const MIN_NAMES: usize = 256;
 
-/// A name of a [`NameInterner`]; names of different interners must not be compared.
+/// A name from a [`NameInterner`]. Names of different interners must not be compared.
 #[derive(Debug, Clone)]
 pub struct InternedName(Arc<str>);
 
@@ -36,17 +36,18 @@
     }
 }
 
-/// All names in use.
+/// The set of interned names.
 #[derive(Debug, Default)]
 pub struct NameInterner {
     known: HashSet<Arc<str>, FixedState>,
-    /// Names left when those out of use were last dropped.
+    /// Number of names that were left when the unused ones were last dropped.
     kept_at_last_sweep: usize,
 }
 
 impl NameInterner {
-    /// The name for a text. Memory follows the names in use, not all there ever
-    /// were: users choose them.
+    /// Returns the interned name for a text. Drops unused names whenever the number
+    /// of names has doubled: users choose the names, so memory must be bounded by
+    /// those in use and not by all that were ever seen.
     pub fn intern(&mut self, text: &str) -> InternedName {
         if let Some(known) = self.known.get(text) {
             return InternedName(known.clone());
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,8 +1,8 @@
-//! The durable records, as they stand in the store.
+//! The durable records, as they are kept in the store.
 //!
-//! Plain data with its stored form: every layer above reads and writes these
-//! types. Field names and forms are part of the stored format and must not
-//! change; records of other versions are read side by side with these.
+//! Plain data types with their stored form, which all layers above read and write.
+//! The stored field names and forms must not change: controllers of different
+//! versions read each other's records.
 
 mod compact;
 mod error;
@@ -22,67 +22,69 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A controller that is alive, or that renews leases for another owner's workers,
-/// and the lease that shows it.
+/// Shows that a controller is alive, or that it renews worker leases of a shard for
+/// the shard's owner.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// The controller's lease in the store; the record ends with it.
+    /// The controller's lease in the store; the record is deleted when it expires.
     pub lease: LeaseId,
-    /// What the controller can do; older versions write nothing here.
+    /// The feature level that the controller supports; 0 if the field is absent, as
+    /// older versions do not write it.
     #[serde(default)]
     pub level: FeatureLevel,
 }
 
-/// What controllers can do; each level includes those below it. 1: jobs that
-/// depend on others.
+/// A set of features that controllers support; each level includes those below it.
+/// Level 1: jobs that depend on other jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FeatureLevel(pub u32);
 
-/// What is turned on, for good: it only rises.
+/// The feature level that is enabled in the cluster; it never decreases.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct FeatureLevelRecord {
-    /// The level that every controller supported when it was turned on.
+    /// The enabled level; every controller supported it when it was enabled.
     pub level: FeatureLevel,
 }
 
-/// Who owns a shard, or leads.
+/// The controller that owns a shard, or that is the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseHolderRecord {
-    /// The owner, or the leader.
+    /// Name of the owner or leader.
     pub node: NodeName,
-    /// The lease that keeps the key; a node has a new one after each start.
+    /// The lease that the key is bound to; a controller gets a new one at each start.
     pub lease: LeaseId,
 }
 
-/// How a job is cut: slices of `size` tasks, each assigned to a shard.
+/// How a job's tasks are split into slices, and the shard that each slice is assigned to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlicePlan {
-    /// Tasks in each slice but the last, which may have fewer.
+    /// Number of tasks in each slice except the last, which may have fewer.
     #[serde(rename = "size")]
     pub tasks_per_slice: u32,
-    /// The shard of each slice.
+    /// The shard of each slice; empty while the job waits for its dependencies.
     #[serde(rename = "parts")]
     pub shards: Vec<ShardId>,
 }
 
 impl SlicePlan {
-    /// The slice that a task of the job is in, and its place there.
+    /// Returns the index of the slice that holds a task of the job, and the task's
+    /// offset in that slice.
     pub fn locate_task(&self, task: u32) -> (usize, usize) {
         ((task / self.tasks_per_slice.max(1)) as usize, (task % self.tasks_per_slice.max(1)) as usize)
     }
 
-    /// Index in the job of a slice's first task.
+    /// Returns the index within the job of a slice's first task.
     pub fn first_task(&self, slice: usize) -> u32 {
         slice as u32 * self.tasks_per_slice
     }
 
-    /// Tasks in a slice of a job with `tasks` in all.
+    /// Returns the number of tasks in a slice of a job that has `tasks` tasks.
     pub fn slice_len(&self, slice: usize, tasks: u32) -> usize {
         tasks.saturating_sub(self.first_task(slice)).min(self.tasks_per_slice) as usize
     }
 
-    /// True if the plan has no slices: the job waits for others.
+    /// True if the plan has no slices because the job waits for its dependencies.
     pub fn is_empty(&self) -> bool {
         self.shards.is_empty()
     }
@@ -92,42 +94,44 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobOutcome {
-    /// All its tasks completed.
+    /// All tasks completed.
     Done,
-    /// It was cancelled, by a user or because a job that it depends on was.
+    /// A user cancelled the job, or a job that it depends on was cancelled.
     Cancelled,
 }
 
-/// A job from its acceptance until it is archived.
+/// An accepted job; the record exists until the job is archived.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was submitted.
+    /// The specification, as submitted.
     pub spec: JobSpec,
-    /// Time of day at acceptance in milliseconds; only ever an estimate of age.
+    /// Time of day in milliseconds when the job was accepted. The age derived from it
+    /// is only an estimate.
     #[serde(rename = "at")]
     pub accepted_at_ms: u64,
-    /// How it is cut into slices; none until the leader has assigned them.
+    /// The job's slices and their shards; none until the slices are assigned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plan: Option<SlicePlan>,
-    /// How it ended, if it has.
+    /// How the job ended; none until then.
     #[serde(rename = "end")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<JobOutcome>,
-    /// Jobs that have to be done before this one may start. Controllers of a
-    /// version without dependencies lose them when they write a job's end, after
-    /// which they have no effect; until then the plan without slices keeps the
-    /// job from starting.
+    /// Jobs that must be done before this one may start. Controllers of a version
+    /// without dependencies drop this field when they record a job's outcome; it has
+    /// no effect after that. Until then the plan without slices keeps those
+    /// controllers from starting the job.
     #[serde(rename = "awaits", default, skip_serializing_if = "Dependencies::is_empty")]
     pub dependencies: Dependencies,
-    /// Time of day in milliseconds when the last job that it depends on was
-    /// seen to be done; used to order work, for nothing else.
+    /// Time of day in milliseconds when a controller saw that the last dependency
+    /// was done; none while the job waits or if it has no dependencies. Only used to
+    /// order work.
     #[serde(rename = "ready")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready_at_ms: Option<u64>,
 }
 
 impl JobRecord {
-    /// A job accepted at this time of day in milliseconds, not assigned to any shard.
+    /// Returns the record of a newly accepted job without a plan, dependencies or outcome.
     pub fn new(spec: JobSpec, accepted_at_ms: u64) -> JobRecord {
         JobRecord {
             spec,
@@ -139,25 +143,25 @@
         }
     }
 
-    /// True while the job waits for others: its plan has no slices.
+    /// True while the job waits for its dependencies: it has a plan without slices.
     pub fn waits_for_dependencies(&self) -> bool {
         self.outcome.is_none() && self.plan.as_ref().is_some_and(SlicePlan::is_empty)
     }
 
-    /// Since when the job may start, time of day in milliseconds.
+    /// Time of day in milliseconds from which the job was allowed to start.
     pub fn eligible_since_ms(&self) -> u64 {
         self.ready_at_ms.unwrap_or(self.accepted_at_ms)
     }
 }
 
-/// The jobs that a job depends on. Stored as one text: there may be a hundred,
-/// and a job's record has to fit into one value.
+/// The jobs that a job depends on. Stored as one string of id suffixes separated by
+/// spaces: there may be a hundred, and a job's record must fit into one value.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct Dependencies(pub Vec<JobId>);
 
 impl Dependencies {
-    /// True if the job depends on no other.
+    /// True if the job has no dependencies.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -175,37 +179,37 @@
     }
 }
 
-/// What is kept of a job that ended long ago.
+/// What the store keeps of a job that ended long ago.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ArchivedJob {
-    /// How it ended.
+    /// How the job ended.
     #[serde(rename = "end")]
     pub outcome: JobOutcome,
-    /// How many tasks it had.
+    /// Number of tasks of the job.
     pub tasks: u32,
 }
 
-/// What a shard may use of each team's limit.
+/// The part of each team's limit that a shard may use.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    /// By team.
+    /// The shard's part of the limit, by name of the team.
     pub teams: BTreeMap<String, ComputeAmount>,
 }
 
-/// What the leader has begun with machines.
+/// The leader's count of rental requests, and the machines that it drains or has returned.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct FleetRecord {
-    /// Rental requests so far; the name of the last one holds this number.
+    /// Number of rental requests so far; it is part of the id of the latest request.
     pub rentals: u64,
-    /// Machines that take no new tasks and will be returned.
+    /// Machines that take no new tasks and will be returned to the cloud.
     #[serde(rename = "drain", default)]
     pub draining: Vec<MachineId>,
-    /// Machines that were returned.
+    /// Machines that were returned to the cloud.
     #[serde(rename = "gone", default)]
     pub returned: Vec<MachineId>,
 }
 
-/// The value that a record is stored as.
+/// Returns the value that a record is stored as.
 pub fn encode<T: Serialize>(record: &T) -> Value {
-    serde_json::to_value(record).expect("a record has text keys and plain fields only, which always serialize")
+    serde_json::to_value(record).expect("records have only string keys and plain fields, which always serialize")
 }
--- a/src/storage/records/compact.rs
+++ b/src/storage/records/compact.rs
@@ -1,10 +1,10 @@
-//! The compact form of a slice's started tasks: one text, of the prefix that
-//! all machines' names share and one word a task.
+//! The compact form of a slice's started tasks: one string that holds the common
+//! prefix of all machine names, and then one word per task, separated by spaces.
 //!
-//! A word is `index:attempt*rest`. The index is left out where it is one more
-//! than the last task's, the attempt where it is 1; a task on no machine has
-//! `-` for the rest of the name. An array spread over a fleet so takes some
-//! five bytes a running task, where the plain form takes twenty.
+//! A word is `index:attempt*rest`, where `rest` is the machine's name without the
+//! prefix, or `-` if the task is on no machine. The index is omitted if it is one more
+//! than that of the word before, and the attempt if it is 1. A running task of an array
+//! that is spread over a fleet takes about 5 bytes, and 20 in the plain form.
 
 use crate::units::{Attempt, MachineId};
 use serde::{Deserialize, Serialize, Serializer};
@@ -12,22 +12,22 @@
 /// Characters that separate words or the fields of a word.
 const SEPARATORS: [char; 3] = [' ', ':', '*'];
 
-/// What stands for no machine.
+/// Written in place of a name if the task is on no machine.
 const NO_MACHINE: &str = "-";
 
-/// The attempt that is not written.
+/// The attempt that a word without an attempt has.
 const DEFAULT_ATTEMPT: Attempt = Attempt(1);
 
-/// A task that was ever tried and is not done. In the plain form it is written
-/// as `[index, attempt, machine or null]`.
+/// A task with at least one attempt that is not done. Its plain form is
+/// `[index, attempt, machine or null]`.
 #[derive(Debug, PartialEq, Deserialize)]
 #[serde(from = "(usize, Attempt, Option<MachineId>)")]
 pub(super) struct StartedTask {
-    /// Place in the slice.
+    /// Index of the task in the slice.
     pub(super) index: usize,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(super) attempt: Attempt,
-    /// Where it may be running; none if it is on no machine for certain.
+    /// The machine that the task may be running on; none if it is certainly on no machine.
     pub(super) machine: Option<MachineId>,
 }
 
@@ -43,8 +43,8 @@
     }
 }
 
-/// Writes tasks in the order of their indexes; none if a machine's name could
-/// not be told from the words around it.
+/// Encodes tasks, which are in the order of their indexes. None if a machine's name
+/// has a separator, or its part after the prefix is [`NO_MACHINE`].
 pub(super) fn encode(tasks: &[StartedTask]) -> Option<String> {
     let names: Vec<&str> = tasks.iter().filter_map(|task| task.machine.as_ref()).map(MachineId::as_str).collect();
     let prefix = names.first().map_or("", |name| &name[..shared_prefix_len(&names)]);
@@ -92,7 +92,8 @@
     Some(tasks)
 }
 
-/// How many of the first bytes all names share, up to a character's boundary.
+/// Returns the length in bytes of the names' longest common prefix that ends at a
+/// character boundary.
 fn shared_prefix_len(names: &[&str]) -> usize {
     let Some(first) = names.first() else { return 0 };
     let shared_with = |other: &str| first.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
--- a/src/storage/records/error.rs
+++ b/src/storage/records/error.rs
@@ -1,32 +1,32 @@
-//! Why a stored record could not be read.
+//! Errors of reading a stored record.
 
 use crate::protocol::users::MAX_TASKS;
 
-/// What is wrong with a stored value; its reader knows the key.
+/// A stored value is invalid. The error does not name the key; the caller knows it.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The value is not of the form that its key stands for.
+    /// The value does not have the form of the record that its key belongs to.
     #[error("malformed value: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A slice names more tasks than a job may have.
-    #[error("a slice of {0} tasks, of {MAX_TASKS} at most")]
+    /// A slice has more tasks than a job may have.
+    #[error("a slice has {0} tasks, but a job may have at most {MAX_TASKS}")]
     TooManyTasks(usize),
     /// A range of tasks that are done is not within the slice.
     #[error("the range {first}..={last} is not within a slice of {tasks} tasks")]
     RangeOutOfBounds {
-        /// The range's first task.
+        /// Index of the range's first task.
         first: usize,
-        /// The range's last task.
+        /// Index of the range's last task, which belongs to the range.
         last: usize,
-        /// Tasks in the slice.
+        /// Number of tasks in the slice.
         tasks: usize,
     },
-    /// A started task is not within the slice.
+    /// The index of a started task exceeds the slice.
     #[error("task {index} is not within a slice of {tasks} tasks")]
     TaskOutOfBounds {
-        /// The task's place in the slice.
+        /// Index of the task in the slice.
         index: usize,
-        /// Tasks in the slice.
+        /// Number of tasks in the slice.
         tasks: usize,
     },
     /// The compact form of the started tasks is malformed.
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -1,17 +1,17 @@
-//! The keys of the durable records: how each is written, and what a key that
-//! was read stands for.
+//! The keys of the durable records: builds the key of each record, and parses keys
+//! that were read.
 
 use crate::units::{JobId, NodeName, ShardId};
 
-/// Every record that controllers read in full and watch is below this prefix.
+/// Prefix of all records that controllers load at startup and watch.
 pub const ROOT: &str = "t/";
-/// Who leads: a [`super::LeaseHolderRecord`].
+/// Key of the leader's [`super::LeaseHolderRecord`].
 pub const LEADER_KEY: &str = "t/l";
-/// The machine types that may be rented: a [`crate::protocol::cloud::Catalog`].
+/// Key of the machine types that may be rented, a [`crate::protocol::cloud::Catalog`].
 pub const CATALOG_KEY: &str = "t/k";
-/// What the leader has begun with machines: a [`super::FleetRecord`].
+/// Key of the [`super::FleetRecord`].
 pub const FLEET_KEY: &str = "t/f";
-/// What is turned on: a [`super::FeatureLevelRecord`].
+/// Key of the enabled feature level, a [`super::FeatureLevelRecord`].
 pub const FEATURE_LEVEL_KEY: &str = "t/v";
 
 /// Key of the [`super::NodeRecord`] by which a controller shows that it is alive.
@@ -19,7 +19,7 @@
     format!("t/n/{node}")
 }
 
-/// Key of the [`super::LeaseHolderRecord`] that makes a controller a shard's owner.
+/// Key of the [`super::LeaseHolderRecord`] that names a shard's owner.
 pub fn owner_key(shard: ShardId) -> String {
     format!("t/o/{shard}")
 }
@@ -34,14 +34,14 @@
     format!("t/j/{job}")
 }
 
-/// Key of the [`super::ArchivedJob`] that is kept of a job for ever. It is not
-/// below [`ROOT`]: start-up and memory must not grow with all jobs there ever were.
+/// Key of a job's [`super::ArchivedJob`], which is never deleted. It is not below
+/// [`ROOT`], so that startup time and memory do not grow with the number of archived jobs.
 pub fn archived_job_key(job: &JobId) -> String {
     format!("f/{job}")
 }
 
-/// Key of the [`super::NodeRecord`] of a controller that renews worker leases of a
-/// shard for its owner.
+/// Key of the [`super::NodeRecord`] of a controller that renews a shard's worker
+/// leases for the shard's owner.
 pub fn lease_proxy_key(shard: ShardId, node: &NodeName) -> String {
     format!("t/w/{shard}/{node}")
 }
@@ -51,7 +51,7 @@
     format!("t/s/{job}/{slice}")
 }
 
-/// What a key below [`ROOT`] stands for.
+/// A parsed key below [`ROOT`].
 #[derive(Debug, PartialEq)]
 pub enum RecordKey {
     /// [`LEADER_KEY`].
@@ -70,14 +70,14 @@
     Quota(ShardId),
     /// [`job_key`].
     Job(JobId),
-    /// [`slice_key`]: the job, and the slice's index in its plan.
+    /// [`slice_key`]: the job, and the slice's index in the job's plan.
     Slice(JobId, usize),
     /// [`lease_proxy_key`].
     LeaseProxy(ShardId, NodeName),
 }
 
 impl RecordKey {
-    /// What the key stands for; none if it is not one of this program's.
+    /// Parses a key; none if it is not the key of a known record below [`ROOT`].
     pub fn parse(key: &str) -> Option<RecordKey> {
         match key {
             LEADER_KEY => return Some(RecordKey::Leader),
--- a/src/storage/records/slice.rs
+++ b/src/storage/records/slice.rs
@@ -1,9 +1,9 @@
-//! The record of a slice: where each of its tasks stands, and the two forms it
-//! is stored in.
+//! The record of a slice: the state of each of its tasks, and the two forms that
+//! it is stored in.
 //!
-//! The plain form lists started tasks one by one; the compact form
+//! The plain form lists started tasks one by one. The compact form
 //! ([`super::compact`]) is for slices whose plain form would not fit into one
-//! value. Every version that is in use reads the plain form.
+//! value. All versions in use can read the plain form.
 
 use super::compact::{self, StartedTask};
 use super::error::RecordError;
@@ -12,27 +12,28 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Where one task stands.
+/// The state of one task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskRecord {
-    /// On no machine for certain, after so many attempts.
+    /// Certainly on no machine. The attempt is the number of attempts so far, 0 if the
+    /// task was never placed.
     Pending(Attempt),
-    /// Possibly on this machine until proof of the contrary.
+    /// The attempt may be running on this machine, until it is proven that it is not.
     Placed(Attempt, MachineId),
     /// Completed.
     Done,
 }
 
-/// The tasks of a slice, in the order of their indexes.
+/// The states of a slice's tasks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "PackedSlice", into = "PackedSlice")]
 pub struct SliceRecord {
-    /// Where each task stands.
+    /// The state of each task, in the order of their indexes.
     pub tasks: Vec<TaskRecord>,
 }
 
 impl SliceRecord {
-    /// A slice of `len` tasks that were never tried.
+    /// Returns a slice of `len` pending tasks without attempts.
     pub fn all_pending(len: usize) -> Self {
         SliceRecord { tasks: vec![TaskRecord::Pending(Attempt(0)); len] }
     }
@@ -47,14 +48,14 @@
         self.tasks.iter().any(|task| matches!(task, TaskRecord::Placed(..)))
     }
 
-    /// How many tasks are done.
+    /// Returns the number of tasks that are done.
     pub fn count_done(&self) -> usize {
         self.tasks.iter().filter(|task| **task == TaskRecord::Done).count()
     }
 
-    /// The compact form: for slices whose plain form does not fit into one value,
-    /// once all controllers can read it. None if a machine's name has characters
-    /// that the form uses itself.
+    /// Returns the compact stored form. To be used once all controllers can read it,
+    /// for slices whose plain form does not fit into one value. None if the name of a
+    /// machine cannot be encoded because it has a separator of that form.
     pub fn compact(&self) -> Option<Value> {
         let plain = PackedSlice::from(self.clone());
         let compact = compact::encode(&plain.started)?;
@@ -63,19 +64,19 @@
     }
 }
 
-/// The stored form. Tasks that it does not name were never tried.
+/// The stored form. Tasks that it does not list are pending without attempts.
 #[derive(Serialize, Deserialize)]
 struct PackedSlice {
-    /// Tasks in the slice.
+    /// Number of tasks in the slice.
     #[serde(rename = "n")]
     task_count: usize,
-    /// Ranges of tasks that are done, first and last.
+    /// Ranges of done tasks, as the indexes of the first and the last task.
     #[serde(rename = "d", default, skip_serializing_if = "Vec::is_empty")]
     done: Vec<(usize, usize)>,
-    /// Tasks that were tried and are not done, in the plain form.
+    /// Tasks with at least one attempt that are not done, in the plain form.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     started: Vec<StartedTask>,
-    /// The same in the compact form.
+    /// The same tasks in the compact form; only one of the two forms is written.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     compact: Option<String>,
 }
