--- a/src/storage/cache.rs
+++ b/src/storage/cache.rs
@@ -1,9 +1,9 @@
-//! The state cache: a node's replica of all durable records.
+//! The state cache: a controller's in-memory replica of all durable records.
 //!
-//! It is fed by the first read of all records, by the watch, by the node's own
-//! committed transactions and by single reads; versions decide what is newer, so
-//! that the order in which these arrive does not matter. It never sends
-//! anything: [`StateCache::apply`] says what changed, and the core acts on it.
+//! It is updated by the initial load of all records, by the watch, by the
+//! controller's own committed transactions and by single reads. Versions decide which
+//! update is newer, so updates may arrive in any order. The cache sends nothing:
+//! [`StateCache::apply`] returns what changed, and the core acts on it.
 
 mod archived_jobs;
 mod job;
@@ -29,39 +29,39 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What changed, for whoever has to act on it.
+/// What an update changed in the cache.
 #[derive(Debug, PartialEq)]
 pub enum CacheChange {
-    /// What came was known already, or could not be read.
+    /// The update was not newer than the cached record, or could not be parsed.
     Nothing,
-    /// Who leads.
+    /// The leader.
     Leader,
-    /// Who owns a shard.
+    /// The owner of a shard.
     Owner(ShardId),
-    /// Whether a controller holds a lease, or what it supports.
+    /// A controller's record: whether it holds a lease, or its feature level.
     Node(NodeName),
-    /// Who renews worker leases of a shard for its owner.
+    /// The controllers that renew a shard's worker leases for its owner.
     LeaseProxy(ShardId),
     /// A job's record.
     Job(JobId, JobChange),
-    /// The job's record is gone: it was archived.
+    /// A job's record was deleted, because the job was archived.
     JobRemoved(JobId),
     /// The record of a job's slice.
     Slice(JobId, usize),
-    /// What the leader has begun with machines.
+    /// The fleet record.
     Fleet,
-    /// A record that is read where it is needed: catalog, feature level, quotas.
+    /// The catalog, the feature level or a quota.
     Other,
 }
 
-/// What is known of a key as of a revision: its value, or that it has none.
+/// A key's value as of revision `at`; none if the key is absent.
 struct Update {
     value: Option<Value>,
     at: Revision,
 }
 
 impl Update {
-    /// The record that the value holds, or none for an absent one.
+    /// Parses the value; none if the key is absent.
     fn parse<T: DeserializeOwned>(self) -> Result<Option<T>, RecordError> {
         Ok(self.value.map(serde_json::from_value).transpose()?)
     }
@@ -70,42 +70,42 @@
 /// The replica of all records below [`records::ROOT`].
 #[derive(Debug, Default)]
 pub struct StateCache {
-    /// The revision that the records are complete up to.
+    /// The cache holds all changes up to this revision.
     pub revision: Revision,
-    /// Controllers, by name.
+    /// Controllers by name; those that hold a lease have a record.
     pub nodes: BTreeMap<NodeName, Versioned<NodeRecord>>,
-    /// Owners of shards.
+    /// Owners by shard.
     pub owners: BTreeMap<ShardId, Versioned<LeaseHolderRecord>>,
-    /// Who leads.
+    /// The leader.
     pub leader: Versioned<LeaseHolderRecord>,
     /// Machine types that may be rented.
     pub catalog: Versioned<Catalog>,
-    /// What the leader has begun with machines.
+    /// The fleet record, which the leader writes.
     pub fleet: Versioned<FleetRecord>,
-    /// The feature level that is turned on.
+    /// The enabled feature level.
     pub level: Versioned<FeatureLevelRecord>,
-    /// Quotas of shards.
+    /// Quotas by shard.
     pub quotas: BTreeMap<ShardId, Versioned<QuotaRecord>>,
-    /// Controllers that renew worker leases of a shard for its owner.
+    /// Controllers that renew a shard's worker leases for its owner.
     pub lease_proxies: BTreeMap<(ShardId, NodeName), Versioned<NodeRecord>>,
-    /// All jobs with a record; the order means nothing.
+    /// All jobs with a record, in no particular order.
     pub jobs: IndexMap<JobId, Job, FixedState>,
-    /// Jobs that may run, or that have slices whose records are to be deleted.
+    /// Jobs that may run, or that have slice records that are yet to be deleted.
     pub active: BTreeSet<JobId>,
     archived: ArchivedJobs,
-    /// Names that records repeat.
+    /// Interned classes, teams and images of jobs.
     pub names: NameInterner,
-    /// Slices that came before their job did.
+    /// Slice records that arrived before the record of their job.
     slices_without_job: BTreeMap<(JobId, usize), Versioned<SliceRecord>>,
 }
 
 impl StateCache {
-    /// Takes the value of a key as of revision `at`, or its absence. A value
-    /// that cannot be read is logged and changes nothing.
+    /// Applies the value of a key, or its absence, as of revision `at`. Logs a value
+    /// that cannot be parsed and ignores it.
     pub fn apply(&mut self, key: &str, value: Option<Value>, at: Revision) -> CacheChange {
         let Some(record) = RecordKey::parse(key) else { return CacheChange::Nothing };
         self.apply_update(record, Update { value, at }).unwrap_or_else(|error| {
-            tracing::error!(key, %error, "could not read record");
+            tracing::error!(key, %error, "failed to parse a stored record");
             CacheChange::Nothing
         })
     }
@@ -154,21 +154,23 @@
 
     fn apply_slice(&mut self, job: JobId, index: usize, update: Update) -> Result<CacheChange, RecordError> {
         let at = update.at;
-        let known = self.jobs.get_mut(&job).filter(|known| index < known.slices().len());
-        // A node's own changes come back by the watch: they need not be parsed again.
-        if known.as_ref().is_some_and(|known| at <= known.slices()[index].durable().known_at) {
+        let cached_job = self.jobs.get_mut(&job).filter(|cached_job| index < cached_job.slices().len());
+        // The watch also returns this node's own changes; they need not be parsed again.
+        if cached_job.as_ref().is_some_and(|cached_job| at <= cached_job.slices()[index].durable().known_at) {
             return Ok(CacheChange::Nothing);
         }
         let record = update.parse()?;
-        let is_new = match known {
-            Some(known) => known.change_slice(index, |slice| slice.apply_if_newer(at, record)).unwrap_or(false),
+        let is_new = match cached_job {
+            Some(cached_job) => {
+                cached_job.change_slice(index, |slice| slice.apply_if_newer(at, record)).unwrap_or(false)
+            }
             None => self.slices_without_job.entry((job.clone(), index)).or_default().apply_if_newer(at, record),
         };
         self.update_active(&job);
         Ok(if is_new { CacheChange::Slice(job, index) } else { CacheChange::Nothing })
     }
 
-    /// What is new in a job's record; none if what is known is as new.
+    /// Applies a job's record; none if the cached record is as new.
     fn apply_job_record(&mut self, id: &JobId, record: JobRecord, at: Revision) -> Option<JobChange> {
         let names = &mut self.names;
         let early_slices = &mut self.slices_without_job;
@@ -178,7 +180,8 @@
         Some(change)
     }
 
-    /// A job's record is gone: it was archived. False if the record is newer.
+    /// Removes a job whose record was deleted because it was archived. Returns false if
+    /// the job is not cached, or its record is as new as revision `at`.
     fn remove_job(&mut self, id: &JobId, at: Revision) -> bool {
         if self.jobs.get(id).is_none_or(|job| at <= job.version) {
             return false;
@@ -192,8 +195,8 @@
         true
     }
 
-    /// Keeps the list of active jobs: a job leaves it when nothing of it can
-    /// still be on a machine, and enters it when it may start.
+    /// Updates the set of active jobs. A job enters it when it may start, and leaves it
+    /// when none of its tasks can be on a machine any more.
     fn update_active(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else { return };
         if job.is_active() {
@@ -203,46 +206,48 @@
         }
     }
 
-    /// After a read of all records as of `at` that found the keys `seen`: takes
-    /// every other record that is known to be absent.
+    /// Removes records that a load of all records as of revision `at` did not find;
+    /// `seen` are the keys that it found. Never removes the catalog, the fleet record or
+    /// the feature level.
     pub fn remove_missing(&mut self, seen: &BTreeSet<String>, at: Revision) {
-        let mut known: Vec<String> = vec![];
-        known.extend(self.nodes.keys().map(records::node_key));
-        known.extend(self.owners.keys().map(|&shard| records::owner_key(shard)));
-        known.extend(self.quotas.keys().map(|&shard| records::quota_key(shard)));
-        known.extend(self.lease_proxies.keys().map(|(shard, node)| records::lease_proxy_key(*shard, node)));
-        known.push(records::LEADER_KEY.into());
+        let mut cached_keys: Vec<String> = vec![];
+        cached_keys.extend(self.nodes.keys().map(records::node_key));
+        cached_keys.extend(self.owners.keys().map(|&shard| records::owner_key(shard)));
+        cached_keys.extend(self.quotas.keys().map(|&shard| records::quota_key(shard)));
+        cached_keys.extend(self.lease_proxies.keys().map(|(shard, node)| records::lease_proxy_key(*shard, node)));
+        cached_keys.push(records::LEADER_KEY.into());
         for (id, job) in &self.jobs {
-            known.push(records::job_key(id));
+            cached_keys.push(records::job_key(id));
             let stored = job.slices().iter().enumerate().filter(|(_, slice)| slice.record().is_some());
-            known.extend(stored.map(|(index, _)| records::slice_key(id, index)));
+            cached_keys.extend(stored.map(|(index, _)| records::slice_key(id, index)));
         }
-        for key in known.iter().filter(|key| !seen.contains(*key)) {
+        for key in cached_keys.iter().filter(|key| !seen.contains(*key)) {
             self.apply(key, None, at);
         }
     }
 
-    /// Remembers a job that was archived, until too many others were.
+    /// Caches an archived job. The cache is bounded and drops the oldest entries.
     pub fn cache_archived(&mut self, id: &JobId, record: ArchivedJob) {
         self.archived.insert(id, record);
     }
 
-    /// An archived job, if it is remembered; the store may know more.
+    /// Returns an archived job; none if it is not cached, in which case the store may
+    /// still have it.
     pub fn archived(&self, job: &JobId) -> Option<ArchivedJob> {
         self.archived.get(job)
     }
 
-    /// How a job ended, if it is known to have.
+    /// Returns how a job ended; none if it has not ended or is not cached.
     pub fn final_state(&self, job: &JobId) -> Option<JobOutcome> {
         self.jobs.get(job).map_or_else(|| self.archived(job).map(|archived| archived.outcome), |job| job.record.outcome)
     }
 
-    /// Nodes that hold a lease as far as is known.
+    /// Returns the controllers that hold a lease, according to the cache.
     pub fn live_nodes(&self) -> impl Iterator<Item = (&NodeName, &NodeRecord)> {
         self.nodes.iter().filter_map(|(name, held)| Some((name, held.record.as_ref()?)))
     }
 
-    /// The node that owns a shard as far as is known.
+    /// Returns the controller that owns a shard, according to the cache.
     pub fn owner(&self, shard: ShardId) -> Option<&NodeName> {
         self.owners.get(&shard)?.record.as_ref().map(|holder| &holder.node)
     }
--- a/src/storage/cache/job.rs
+++ b/src/storage/cache/job.rs
@@ -1,4 +1,5 @@
-//! A job in the cache: its record, its slices, and the sums of their counts.
+//! A cached job: its record, its slices, and its task counts, which are the sums of
+//! the slices' counts.
 
 use super::slice::{Slice, TaskCounts};
 use super::versioned::Versioned;
@@ -11,36 +12,38 @@
 /// A job that has a record in the store.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Version of the record.
+    /// Version of the record; 0 until the first record was applied.
     pub version: Revision,
-    /// The record.
+    /// The durable record.
     pub record: JobRecord,
     slices: Vec<Slice>,
     counts: TaskCounts,
-    /// The specification's class, as the core compares it.
+    /// Interned class of the specification.
     pub class: InternedName,
-    /// The specification's team, as the core compares it.
+    /// Interned team of the specification.
     pub team: InternedName,
-    /// The specification's image, as the core compares it.
+    /// Interned image of the specification.
     pub image: InternedName,
-    /// What the jobs that depend on this one make of its priority; none if none do.
+    /// Priority and due time inherited from the jobs that depend on this one; none if
+    /// no job does.
     pub effective_priority: Option<EffectivePriority>,
 }
 
-/// What a job's newer record says that was not known before. What a node reads
-/// when it starts is no event: the job ended whenever it did, not now.
+/// How a newer job record differs from the cached one. A record that is read for the
+/// first time, as at startup, is never reported as [`JobChange::Ended`]: the job may
+/// have ended long ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobChange {
-    /// The job was not known.
+    /// The job was not in the cache.
     FirstSeen,
-    /// It has ended since its record was last seen.
+    /// The job has ended since the cached record was read.
     Ended,
-    /// Anything else.
+    /// Any other change.
     Other,
 }
 
 impl Job {
-    /// A job whose record has not been taken in yet: its version is zero.
+    /// Returns a job to which the record has yet to be applied: its version is 0.
     pub(super) fn unread(record: &JobRecord, names: &mut NameInterner) -> Job {
         Job {
             version: Revision(0),
@@ -54,62 +57,65 @@
         }
     }
 
-    /// The slices, in the order of the plan.
+    /// Returns the slices, in the order of the plan.
     pub fn slices(&self) -> &[Slice] {
         &self.slices
     }
 
-    /// Tasks that are done and tasks that may be on machines, by the durable records.
+    /// Returns the number of tasks that are done and of those that may be on machines,
+    /// according to the durable records.
     pub fn done_and_placed(&self) -> (u32, u32) {
         (self.counts.done, self.counts.placed)
     }
 
-    /// Tasks in slices that this node owns that wait for a machine.
+    /// Returns the number of desired pending tasks. Counts only slices that this node owns.
     pub fn pending_tasks(&self) -> u32 {
         self.counts.pending
     }
 
-    /// True if any task is, or is desired, on a machine.
+    /// True if any task is placed in the desired record of its slice, or in the durable
+    /// record if none is desired.
     pub fn has_placed_tasks(&self) -> bool {
         self.slices.iter().any(|slice| slice.desired_or_durable().is_some_and(|record| record.has_placed_task()))
     }
 
-    /// False once all tasks are known to have completed, whatever slices whose
-    /// records are not deleted yet say.
+    /// False once all tasks have completed according to the job's record, even if slice
+    /// records that are not deleted yet differ.
     pub fn holds_machines(&self) -> bool {
         self.record.outcome != Some(JobOutcome::Done)
     }
 
-    /// True while the job may run, or a slice of it still has a record.
+    /// True while the job may run, or while any of its slices still has a record.
     pub(super) fn is_active(&self) -> bool {
         let has_slice_records = self.slices.iter().any(|slice| slice.record().is_some());
         (self.record.outcome.is_none() && !self.record.waits_for_dependencies()) || has_slice_records
     }
 
-    /// The job's priority, or that of any job that depends on it, if higher.
+    /// Returns the highest priority among the job and the jobs that depend on it.
     pub fn priority(&self) -> Priority {
         let own = self.record.spec.priority;
         self.effective_priority.map_or(own, |effective_priority| effective_priority.priority.max(own))
     }
 
-    /// The shard that a slice is assigned to.
+    /// Returns the shard that a slice is assigned to; none if the plan has no such slice.
     pub fn shard_of(&self, slice: usize) -> Option<ShardId> {
         self.record.plan.as_ref()?.shards.get(slice).copied()
     }
 
-    /// Sets what is desired of a slice.
+    /// Sets the desired record of a slice; does nothing if there is no such slice.
     pub fn set_desired(&mut self, index: usize, desired: Option<SliceRecord>) {
         self.change_slice(index, |slice| slice.set_desired(desired));
     }
 
-    /// Changes what is desired of one task of a slice. Returns what was desired
-    /// before, if the slice is desired at all and has such a task.
-    pub fn set_task(&mut self, index: usize, at: usize, to: TaskRecord) -> Option<TaskRecord> {
-        self.change_slice(index, |slice| slice.set_task(at, to))?
+    /// Sets the desired state of the task at an offset in a slice. Returns its former desired
+    /// state; none if the slice has no desired record or no such task.
+    pub fn set_task(&mut self, index: usize, offset: usize, state: TaskRecord) -> Option<TaskRecord> {
+        self.change_slice(index, |slice| slice.set_task(offset, state))?
     }
 
-    /// Takes a newer record; slices that came before it are taken out of
-    /// `early_slice` by their index. None if what is known is as new.
+    /// Applies a record as of revision `at`, and the slice records that arrived before
+    /// it, which `early_slice` returns by index. None, and no change, if the cached
+    /// record is as new.
     pub(super) fn apply_if_newer(
         &mut self,
         record: JobRecord,
@@ -133,12 +139,13 @@
                 slice.replace_durable(durable);
             }
         }
-        let none = TaskCounts::default();
-        self.counts = self.slices.iter().fold(none, |sum, slice| sum.replaced(none, slice.counts()));
+        let zero = TaskCounts::default();
+        self.counts = self.slices.iter().fold(zero, |sum, slice| sum.replaced(zero, slice.counts()));
         Some(change)
     }
 
-    /// Changes a slice, and the sums with it: all changes of slices go through here.
+    /// Changes a slice and updates the job's counts. All changes of slices must use this
+    /// function.
     pub(super) fn change_slice<R>(&mut self, index: usize, change: impl FnOnce(&mut Slice) -> R) -> Option<R> {
         let slice = self.slices.get_mut(index)?;
         let before = slice.counts();
--- a/src/storage/records/compact.rs
+++ b/src/storage/records/compact.rs
@@ -70,7 +70,7 @@
     Some(text)
 }
 
-/// Reads what [`encode`] wrote; none if the text is malformed.
+/// Decodes the result of [`encode`]; none if the text is malformed.
 pub(super) fn decode(text: &str) -> Option<Vec<StartedTask>> {
     let mut words = text.split(' ');
     let prefix = words.next()?;
--- a/src/storage/records/keys/tests.rs
+++ b/src/storage/records/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn keys_read_back() {
+fn keys_parse_to_the_record_they_were_built_for() {
     let job = JobId::new("wk-000001");
     assert_eq!(RecordKey::parse(&slice_key(&job, 3)), Some(RecordKey::Slice(job.clone(), 3)));
     assert_eq!(RecordKey::parse(&job_key(&job)), Some(RecordKey::Job(job)));
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,5 +1,5 @@
-//! Ids, versions and times as small types of their own, so that one cannot be passed for another. Used by
-//! every layer; their serialized forms are part of the stored records and of every protocol.
+//! Newtypes for ids, versions and times, so that the compiler tells them apart. Used by all layers; their
+//! serialized forms are part of the stored records and of every protocol.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::cmp::Ordering;
@@ -24,20 +24,20 @@
     };
 }
 
-/// The bytes of a text that its [`ComparableText::prefix`] holds.
+/// Number of bytes of a text that its [`ComparableText::prefix`] holds.
 const PREFIX_BYTES: usize = 15;
 
-/// The last byte of a prefix of a longer text; no length of a short one is as large.
+/// Last byte of the prefix of a text of more than [`PREFIX_BYTES`]; greater than the length of any shorter text.
 const LONGER_THAN_PREFIX: u8 = u8::MAX;
 
-/// An immutable text that is cheap to clone, and cheap to compare, order and hash as long as it is short:
-/// heartbeats and scheduling cycles look ids up by the million, and reading a text elsewhere in memory
-/// costs far more than comparing it. The order is that of strings.
+/// An immutable string that is cheap to clone and, if it is short, cheap to compare, order and hash.
+/// Heartbeats and scheduling cycles do millions of id lookups, in which reading a string elsewhere in
+/// memory costs far more than comparing it. Has the same order as `str`.
 #[derive(Clone)]
 struct ComparableText {
     text: Arc<str>,
-    /// The first bytes, the first one in the highest place, and in the lowest place the
-    /// length or [`LONGER_THAN_PREFIX`]. Prefixes therefore have the order of their texts.
+    /// The first [`PREFIX_BYTES`] bytes in big-endian order, zero-padded, and then the length in bytes or
+    /// [`LONGER_THAN_PREFIX`] as the lowest byte. Different prefixes therefore order as their texts do.
     prefix: u128,
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// True if the prefix holds the whole text.
-    fn is_short(&self) -> bool {
+    fn fits_in_prefix(&self) -> bool {
         self.prefix as u8 != LONGER_THAN_PREFIX
     }
 }
@@ -64,7 +64,7 @@
 
 impl PartialEq for ComparableText {
     fn eq(&self, other: &Self) -> bool {
-        self.prefix == other.prefix && (self.is_short() || self.text == other.text)
+        self.prefix == other.prefix && (self.fits_in_prefix() || self.text == other.text)
     }
 }
 
@@ -73,7 +73,7 @@
 impl Ord for ComparableText {
     fn cmp(&self, other: &Self) -> Ordering {
         match self.prefix.cmp(&other.prefix) {
-            Ordering::Equal if !self.is_short() => self.text.cmp(&other.text),
+            Ordering::Equal if !self.fits_in_prefix() => self.text.cmp(&other.text),
             order => order,
         }
     }
@@ -88,13 +88,13 @@
 impl Hash for ComparableText {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.prefix.hash(state);
-        if !self.is_short() {
+        if !self.fits_in_prefix() {
             self.text.hash(state);
         }
     }
 }
 
-/// Defines an id that is a text, both in memory and when serialized. Ordered as strings are.
+/// Defines an id that is a string, both in memory and when serialized. Has the same order as `str`.
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -102,12 +102,12 @@
         pub struct $name(ComparableText);
 
         impl $name {
-            /// The id of this text, which is not checked.
+            /// Returns the id with this text, which is not validated.
             pub fn new(text: &str) -> Self {
                 Self(ComparableText::new(Arc::from(text)))
             }
 
-            /// The text.
+            /// Returns the id as a string.
             pub fn as_str(&self) -> &str {
                 &self.0.text
             }
@@ -134,61 +134,61 @@
 }
 
 numeric_id!(
-    /// A shard: a fixed share of the machines. There are as many as configured controllers, numbered from 0.
+    /// A shard of the machines and jobs. There are as many shards as configured controllers, numbered from 0.
     ShardId, u32);
 numeric_id!(
-    /// Shows a worker which controller may command it: the revision of the transaction that made the
-    /// controller the owner of the worker's shard. Only rises.
+    /// Tells a worker which controller may command it: the revision of the transaction that made the
+    /// controller the owner of the worker's shard. Increases with each new owner.
     FencingToken, u64);
 numeric_id!(
-    /// The number of a change to the store, rising; as the version of a key that of its last change, 0 for
-    /// "no such key".
+    /// The number of a change to the store; later changes have higher numbers. The version of a key is the
+    /// revision of its last change, or 0 if the key is absent.
     Revision, u64);
 numeric_id!(
-    /// The number of an attempt to run a task.
+    /// The number of an attempt to run a task: 1 for the first, 0 before it.
     Attempt, u64);
 numeric_id!(
-    /// One incarnation of a worker; a new one begins whenever its lease ran out.
+    /// The number of an incarnation of a worker. A worker begins a new one whenever its lease has expired.
     AgentEpoch, u64);
 numeric_id!(
     /// Orders the heartbeats of a worker within an agent epoch.
     HeartbeatNumber, u64);
 numeric_id!(
-    /// A lease in the store.
+    /// Id of a lease in the store.
     LeaseId, u64);
 numeric_id!(
-    /// A call that the core has made; its answer has the same id. Unique within a process.
+    /// Id of a call that the core makes; the answer has the same id. Unique within a process.
     CallId, u64);
 numeric_id!(
-    /// A request of a user or worker that awaits a response. Unique within a process.
+    /// Id of a pending request of a user or worker. Unique within a process.
     RequestId, u64);
 
 text_id!(
     /// A job's unique id, chosen by its user.
     JobId);
 text_id!(
-    /// A machine's name, which is also its worker's.
+    /// A machine's name; the worker on the machine has the same name.
     MachineId);
 text_id!(
     /// A controller's name.
     NodeName);
 
-/// A moment on this process's monotonic clock, in milliseconds since the process started. Means nothing to
-/// other processes and is never stored.
+/// A point in time on this process's monotonic clock, in milliseconds since the process started. Has no
+/// meaning in other processes and is never stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MonotonicTime(pub u64);
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// A length given in seconds, rounded down to milliseconds; 0 if it is negative or not a number.
+    /// Converts from seconds, rounded down to milliseconds. 0 if `seconds` is negative or not a number.
     pub fn from_secs(seconds: f64) -> Self {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// The length in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1000.0
     }
@@ -202,7 +202,7 @@
 }
 
 impl MonotonicTime {
-    /// Time passed since `earlier`; 0 if that lies ahead.
+    /// Returns the time elapsed since `earlier`; 0 if `earlier` is later than this time.
     pub fn since(self, earlier: MonotonicTime) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -219,19 +219,19 @@
 impl Sub<Millis> for MonotonicTime {
     type Output = MonotonicTime;
 
-    /// Not before the process started.
+    /// Saturates at 0, the start of the process.
     fn sub(self, duration: Millis) -> MonotonicTime {
         MonotonicTime(self.0.saturating_sub(duration.0))
     }
 }
 
-/// Processor cores and GPUs that tasks use, lack or may use. Stored as the pair of both.
+/// An amount of processor cores and GPUs, stored as the pair `[cpus, gpus]`.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct ComputeAmount {
-    /// Processor cores, also fractions of one.
+    /// Number of processor cores; may be fractional.
     pub cpus: f64,
-    /// GPUs, also fractions of one.
+    /// Number of GPUs; may be fractional.
     pub gpus: f64,
 }
 
@@ -247,19 +247,19 @@
     }
 }
 
-/// Parameters of the hash FNV-1a with 64 bits.
+/// Parameters of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Ends each piece of a hashed sequence; no UTF-8 text holds this byte.
-const PIECE_END: u8 = 0xff;
+/// Terminates each part of a hashed sequence. The byte does not occur in UTF-8 text.
+const PART_END: u8 = 0xff;
 
-/// A hash of a sequence of texts that is the same in every process and version: FNV-1a, whose bits are
-/// then mixed as in MurmurHash3.
-pub fn stable_hash(pieces: &[&str]) -> u64 {
+/// Returns a hash of a sequence of strings that is the same in all processes and versions: FNV-1a, followed
+/// by the finalizer of MurmurHash3.
+pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut hash = FNV_OFFSET;
-    for piece in pieces {
-        for byte in piece.bytes().chain(std::iter::once(PIECE_END)) {
+    for part in parts {
+        for byte in part.bytes().chain(std::iter::once(PART_END)) {
             hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
     }
@@ -270,14 +270,15 @@
     hash ^ (hash >> 33)
 }
 
-/// Goes into the hash that assigns names to shards. All versions have to agree on it, so it stays.
+/// Hashed with each name that is assigned to a shard. Must not change, as all versions have to agree on the
+/// shard of a name.
 const SHARD_HASH_DOMAIN: &str = "part";
 
 impl ShardId {
-    /// The shard, of so many, that the machine or job of this name belongs to for life.
-    pub fn of(name: &str, shards: u32) -> ShardId {
+    /// Returns the shard, out of `shard_count`, that the machine or job with this name always belongs to.
+    pub fn of(name: &str, shard_count: u32) -> ShardId {
         let hash = stable_hash(&[SHARD_HASH_DOMAIN, name]);
-        ShardId((hash % u64::from(shards.max(1))) as u32)
+        ShardId((hash % u64::from(shard_count.max(1))) as u32)
     }
 }
 
