--- a/src/storage/cache.rs
+++ b/src/storage/cache.rs
@@ -244,7 +244,7 @@
 
     /// Returns the controllers that hold a lease, according to the cache.
     pub fn live_nodes(&self) -> impl Iterator<Item = (&NodeName, &NodeRecord)> {
-        self.nodes.iter().filter_map(|(name, held)| Some((name, held.record.as_ref()?)))
+        self.nodes.iter().filter_map(|(name, cached)| Some((name, cached.record.as_ref()?)))
     }
 
     /// Returns the controller that owns a shard, according to the cache.
--- a/src/storage/cache/job.rs
+++ b/src/storage/cache/job.rs
@@ -144,7 +144,7 @@
         Some(change)
     }
 
-    /// Changes a slice and updates the job's counts. All changes of slices must use this
+    /// Changes a slice and updates the job's counts. All changes of cached slices must use this
     /// function.
     pub(super) fn change_slice<R>(&mut self, index: usize, change: impl FnOnce(&mut Slice) -> R) -> Option<R> {
         let slice = self.slices.get_mut(index)?;
