--- a/src/coordination/fleet/fault_attribution.rs
+++ b/src/coordination/fleet/fault_attribution.rs
@@ -58,7 +58,7 @@
         self.machines.insert(machine.clone());
         // Tasks that ran concurrently and failed together count as one attempt.
         if self.on_several_machines() && now >= self.retry_at {
-            self.retry_at = now + Millis::secs(self.backoff_s);
+            self.retry_at = now + Millis::from_secs(self.backoff_s);
             self.backoff_s = (self.backoff_s * 2.0).min(MAX_BACKOFF_S);
         }
     }
@@ -149,7 +149,7 @@
             self.update_faulty_machine(shard, &name);
         }
         let cache = &self.cache;
-        let has_ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.end.is_some());
+        let has_ended = |job: &JobId| cache.jobs.get(job).is_none_or(|job| job.record.outcome.is_some());
         self.estimates.failures.prune(self.now, has_ended);
         let cancelled = |job: &JobId| cache.final_state(job) == Some(JobOutcome::Cancelled);
         for machine in self.owned_shards.values_mut().flat_map(|owned_shard| owned_shard.machines.values_mut()) {
@@ -174,7 +174,7 @@
 
     /// True if a task of the job ever succeeded, which makes the job sound.
     fn has_succeeded(&self, job: &JobId) -> bool {
-        self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.counts().0 > 0)
+        self.cache.jobs.get(job).is_some_and(|job| !job.holds_machines() || job.done_and_placed().0 > 0)
     }
 }
 
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -77,7 +77,7 @@
             self.fleet.inventory.apply_listed(listed, self.now);
         }
         let lag_s = self.settings.cluster.cloud.list_lag_s;
-        let retention = Millis::secs(lag_s * UNLISTED_RETENTION_LAG_FACTOR + UNLISTED_RETENTION_MARGIN_S);
+        let retention = Millis::from_secs(lag_s * UNLISTED_RETENTION_LAG_FACTOR + UNLISTED_RETENTION_MARGIN_S);
         self.fleet.inventory.forget_unlisted(self.now, retention);
     }
 }
--- a/src/coordination/fleet/machine_pool.rs
+++ b/src/coordination/fleet/machine_pool.rs
@@ -71,7 +71,7 @@
         let refusals = self.backoffs.get(&pool).map_or(0, |backoff| backoff.refusals) + 1;
         let doublings = refusals.min(MAX_COUNTED_REFUSALS) as i32 - 1;
         let pause_s = (INITIAL_BACKOFF_S * 2f64.powi(doublings)).min(MAX_BACKOFF_S);
-        self.backoffs.insert(pool, PoolBackoff { until: now + Millis::secs(pause_s), refusals });
+        self.backoffs.insert(pool, PoolBackoff { until: now + Millis::from_secs(pause_s), refusals });
     }
 
     /// Records that a rental failed without a definite answer after its retries.
--- a/src/coordination/heartbeats/handling.rs
+++ b/src/coordination/heartbeats/handling.rs
@@ -66,7 +66,7 @@
         // Only the first termination notice counts, because later heartbeats repeat it.
         let known_notice = machine.termination_at;
         let notice_s = heartbeat.termination_notice_s;
-        machine.termination_at = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::secs(seconds)));
+        machine.termination_at = notice_s.map(|seconds| known_notice.unwrap_or(now + Millis::from_secs(seconds)));
         record_reported_tasks(owned_shard, heartbeat, now);
         true
     }
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -35,7 +35,7 @@
         let with_inherited = |f: usize| {
             self.inherited_priority(f)
                 .map_or(own_priority_of(f), |inherited| inherited.join(own_priority_of(f)))
-                .before(10 * f as u64)
+                .due_earlier_by(10 * f as u64)
         };
         dependents.map(with_inherited).reduce(EffectivePriority::join)
     }
--- a/src/coordination/jobs/dependency_lookup.rs
+++ b/src/coordination/jobs/dependency_lookup.rs
@@ -59,7 +59,7 @@
         self.dependency_lookups.finish();
         match self.cache_archived_job(&id, answer) {
             Some(record) => {
-                self.dependency_graph.mark_ended(&id, record.end);
+                self.dependency_graph.mark_ended(&id, record.outcome);
                 self.dependency_release.request();
             }
             None => self.dependency_lookups.pause(self.now),
--- a/src/coordination/membership/shard_release.rs
+++ b/src/coordination/membership/shard_release.rs
@@ -190,7 +190,7 @@
         }
         // No response has been confirmed since the latest acquisition: not all machines may have reported yet, and a
         // machine needs two heartbeats to show that it receives responses.
-        let two_intervals = Millis::secs(2.0 * self.settings.cluster.workers.report_s);
+        let two_intervals = Millis::from_secs(2.0 * self.settings.cluster.workers.report_s);
         let since = state.unconfirmed_since.map(|at| at.max(self.resumed_at));
         let several = state.unconfirmed.len() >= MIN_MACHINES;
         several && since.is_some_and(|at| self.now.since(at) > limit + two_intervals)
@@ -204,6 +204,6 @@
 
     /// True if a live peer was heard within the limit.
     fn has_live_peer(&self, limit: Millis) -> bool {
-        self.cache.live().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, limit))
+        self.cache.live_nodes().any(|(node, _)| *node != self.node_name && self.peer_heard_within(node, limit))
     }
 }
--- a/src/coordination/scheduling/pending_queue.rs
+++ b/src/coordination/scheduling/pending_queue.rs
@@ -74,7 +74,7 @@
         let mut queue = vec![];
         let mut any_pending_here = false;
         for (index, (id, job)) in self.cache.jobs.iter().enumerate() {
-            if job.record.end.is_some() || job.record.waits() || self.in_retry_backoff(id, job) {
+            if job.record.outcome.is_some() || job.record.waits_for_dependencies() || self.in_retry_backoff(id, job) {
                 continue;
             }
             let pending_here = job.pending_tasks() > 0;
@@ -98,7 +98,7 @@
     ) -> QueuedJob<QueueRank, QueuedJobRef<'a>> {
         let spec = &job.record.spec;
         let run_s = self.estimates.expected_run_s(job);
-        let (done, on_machines) = job.counts();
+        let (done, on_machines) = job.done_and_placed();
         let tasks_left = f64::from(spec.task_count.saturating_sub(done + on_machines))
             + f64::from(on_machines) * RUNNING_TASK_REMAINING_SHARE;
         QueuedJob {
@@ -110,7 +110,7 @@
             time_left_s: (self.allowed_s(job) - self.age_s(job)).clamp(-MAX_TIME_LEFT_S, MAX_TIME_LEFT_S),
             run_s,
             work_cpu_s: tasks_left * spec.cpus * run_s,
-            accepted_at_ms: job.record.since(),
+            accepted_at_ms: job.record.eligible_since_ms(),
             id: job_ref,
         }
     }
@@ -127,7 +127,7 @@
     /// Returns the seconds since a job was accepted or, if it waited for dependencies, since it may
     /// start. Approximate: it compares the wall clocks of different machines.
     pub(crate) fn age_s(&self, job: &Job) -> f64 {
-        self.time_of_day_ms.saturating_sub(job.record.since()) as f64 / 1000.0
+        self.time_of_day_ms.saturating_sub(job.record.eligible_since_ms()) as f64 / 1000.0
     }
 
     /// Returns the seconds, counted like [`Core::age_s`], within which a job should be complete: by
@@ -135,10 +135,10 @@
     /// Shorter if a job that depends on it is due sooner.
     pub(crate) fn allowed_s(&self, job: &Job) -> f64 {
         let spec = &job.record.spec;
-        let since_ms = job.record.since();
+        let since_ms = job.record.eligible_since_ms();
         let seconds_after = |due_ms: u64| (due_ms as f64 - since_ms as f64) / 1000.0;
         // A deadline counts from the submission, even if the job waited for dependencies.
-        let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.at));
+        let deadline_s = spec.deadline_s.map(|deadline_s| deadline_s + seconds_after(job.record.accepted_at_ms));
         let own_s = deadline_s.unwrap_or_else(|| {
             let earliest_completion_s =
                 self.age_s(job) + EARLIEST_COMPLETION_RUN_SHARE * self.estimates.expected_run_s(job);
@@ -158,14 +158,16 @@
             return JobSet::default();
         }
         let may_be_covered = |id: &JobId, job: &Job| {
-            job.record.end.is_none()
-                && !job.record.waits()
+            job.record.outcome.is_none()
+                && !job.record.waits_for_dependencies()
                 && left.iter().any(|guarantee| guarantee.team == job.team)
                 && !self.fails_everywhere(id)
         };
         let mut jobs: Vec<(&JobId, &Job)> =
             self.cache.jobs.iter().filter(|(id, job)| may_be_covered(id, job)).collect();
-        jobs.sort_by(|(a_id, a), (b_id, b)| (a.record.since(), a_id).cmp(&(b.record.since(), b_id)));
+        jobs.sort_by(|(a_id, a), (b_id, b)| {
+            (a.record.eligible_since_ms(), a_id).cmp(&(b.record.eligible_since_ms(), b_id))
+        });
         let mut covered = JobSet::default();
         for (id, job) in jobs {
             let guarantee = left.iter_mut().find(|guarantee| guarantee.team == job.team);
--- a/src/coordination/scheduling/unplaceable_services.rs
+++ b/src/coordination/scheduling/unplaceable_services.rs
@@ -85,7 +85,8 @@
     /// Counts a service's replicas by zone, as far as the leader knows their machines.
     fn replica_zones(&self, job: &Job) -> ZoneOccupancy {
         let mut replicas = ZoneOccupancy::default();
-        for task in job.slices().iter().filter_map(|slice| slice.newest()).flat_map(|record| &record.tasks) {
+        for task in job.slices().iter().filter_map(|slice| slice.desired_or_durable()).flat_map(|record| &record.tasks)
+        {
             let TaskRecord::Placed(_, name) = task else { continue };
             if let Some(machine) = self.fleet.machine(name) {
                 replicas.add(&machine.zone, 1);
@@ -113,7 +114,7 @@
 
 /// True for a service that runs with fewer replicas than it should.
 fn is_incomplete_service(job: &Job) -> bool {
-    let (done, on_machines) = job.counts();
-    let is_service = job.record.spec.kind == JobKind::Service && job.record.end.is_none();
+    let (done, on_machines) = job.done_and_placed();
+    let is_service = job.record.spec.kind == JobKind::Service && job.record.outcome.is_none();
     is_service && on_machines > 0 && done + on_machines < job.record.spec.task_count
 }
--- a/src/coordination/shards/shard_quota.rs
+++ b/src/coordination/shards/shard_quota.rs
@@ -76,7 +76,7 @@
 
 /// True if the transaction transfers quota between shards, that is, if it changes a quota record.
 pub(crate) fn is_quota_transfer(transaction: &Transaction) -> bool {
-    let changes_quota = |change| matches!(RecordKey::read(change_key(change)), Some(RecordKey::Quota(_)));
+    let changes_quota = |change| matches!(RecordKey::parse(change_key(change)), Some(RecordKey::Quota(_)));
     transaction.changes.iter().any(changes_quota)
 }
 
--- a/src/coordination/store_client/transactions.rs
+++ b/src/coordination/store_client/transactions.rs
@@ -69,7 +69,7 @@
             StoreResponse::LeaseGone => self.transaction_lease_gone(&transaction),
             _ => {}
         }
-        let shards = transaction.changes.iter().filter_map(|c| match RecordKey::read(change_key(c)) {
+        let shards = transaction.changes.iter().filter_map(|c| match RecordKey::parse(change_key(c)) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         });
@@ -119,7 +119,7 @@
 
     /// Applies a record that was read again after a conflict.
     pub(super) fn handle_reread_response(&mut self, key: String, shard: Option<ShardId>, response: StoreResponse) {
-        let quota_of = match RecordKey::read(&key) {
+        let quota_of = match RecordKey::parse(&key) {
             Some(RecordKey::Quota(shard)) => Some(shard),
             _ => None,
         };
--- a/src/coordination/store_client/watch.rs
+++ b/src/coordination/store_client/watch.rs
@@ -76,7 +76,7 @@
 
     /// Completes a read of all records, as of the first page's revision.
     fn finish_load(&mut self, progress: &LoadProgress, revision: Revision) {
-        self.cache.forget_missing(&progress.keys, revision);
+        self.cache.remove_missing(&progress.keys, revision);
         self.cache.revision = revision;
         self.store.sync = CacheSync::Loaded;
         // Counts from the request for the first page: later pages may have taken long.
@@ -131,7 +131,7 @@
             CacheChange::LeaseProxy(shard) => self.lease_proxy_changed(shard),
             CacheChange::Fleet => self.fleet_changed(),
             CacheChange::Other => self.catalog_changed(),
-            CacheChange::JobGone(job) => self.dependency_graph.mark_record_removed(&job),
+            CacheChange::JobRemoved(job) => self.dependency_graph.mark_record_removed(&job),
             CacheChange::Node(node) => self.node_changed(&node),
             CacheChange::Leader | CacheChange::Nothing => {}
         }
--- a/src/coordination/timing.rs
+++ b/src/coordination/timing.rs
@@ -41,11 +41,11 @@
         let workers = &settings.cluster.workers;
         let lease_share_s = |share: f64, (min, max): (f64, f64)| (workers.lease_s * share).clamp(min, max);
         Timing {
-            node_lease: Millis::secs(lease_share_s(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
-            renewal_interval: Millis::secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
-            worker_lease: Millis::secs(workers.max_lease_s()),
-            store_isolation_limit: Millis::secs(workers.store_isolation_limit_s()),
-            max_record_age: Millis::secs((workers.lease_s * RECORD_AGE_LIMIT_SHARE).max(MIN_RECORD_AGE_LIMIT_S)),
+            node_lease: Millis::from_secs(lease_share_s(NODE_LEASE_SHARE, NODE_LEASE_BOUNDS_S)),
+            renewal_interval: Millis::from_secs(lease_share_s(RENEWAL_INTERVAL_SHARE, RENEWAL_INTERVAL_BOUNDS_S)),
+            worker_lease: Millis::from_secs(workers.max_lease_s()),
+            store_isolation_limit: Millis::from_secs(workers.store_isolation_limit_s()),
+            max_record_age: Millis::from_secs((workers.lease_s * RECORD_AGE_LIMIT_SHARE).max(MIN_RECORD_AGE_LIMIT_S)),
         }
     }
 }
