--- a/src/coordination/jobs/slice_sizing.rs
+++ b/src/coordination/jobs/slice_sizing.rs
@@ -31,7 +31,8 @@
         let size = self.slice_size(spec.task_count);
         let home_shard = ShardId::of(spec.id.as_str(), self.shard_count);
         let slices = spec.task_count.div_ceil(size) as usize;
-        (slices == 1 || spec.requires_single_shard()).then(|| SlicePlan { tasks_per_slice: size, shards: vec![home_shard; slices] })
+        (slices == 1 || spec.requires_single_shard())
+            .then(|| SlicePlan { tasks_per_slice: size, shards: vec![home_shard; slices] })
     }
 
     /// Returns the number of tasks per slice. Larger jobs get larger slices, so that their tasks share
