--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -1,14 +1,17 @@
-//! What operators write: a roll-out, its steps and its check.
+//! The roll-out file that operators write: parsing, validation and the published JSON schema.
+//!
+//! The schema contains the doc comments of the types that derive [`JsonSchema`] and of their fields,
+//! so changing one of those comments changes the schema that is served to operators.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Steps that a roll-out may have at the most.
-pub const MOST_STEPS: usize = 32;
+/// Maximum number of steps in a roll-out.
+pub const MAX_STEPS: usize = 32;
 
-/// Replicas that a service may have at the most.
-pub const MOST_REPLICAS: u32 = 10_000;
+/// Maximum number of replicas of a service.
+pub const MAX_REPLICAS: u32 = 10_000;
 
 /// A roll-out as its operator describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -186,12 +189,12 @@
     pub deadline_s: f64,
 }
 
-/// Something wrong in a roll-out, with the field that it is about.
+/// A rule that a field of a roll-out file violates.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// Path of the field, as in `step[0].share`.
+    /// Path of the field, as in `step[0].share`; `line N` or `body` if the text can't be parsed.
     pub field: String,
-    /// The rule that the field breaks.
+    /// The violated rule, or the parser's error.
     pub why: String,
 }
 
@@ -201,39 +204,39 @@
     }
 }
 
-/// All that is wrong in a roll-out.
+/// All rules that a roll-out file violates; never empty.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(Problem::to_string).collect::<Vec<_>>().join("; "))]
 pub struct Problems(pub Vec<Problem>);
 
 impl RollOut {
-    /// Reads a TOML file's text.
+    /// Parses and validates the text of a TOML file.
     ///
     /// # Errors
     ///
-    /// All that is wrong, each with its field; a text that is no TOML or has an
-    /// unknown key gives one problem.
+    /// Returns every violated rule with its field. A text that is not TOML or has
+    /// an unknown key gives a single problem.
     pub fn from_toml(text: &str) -> Result<RollOut, Problems> {
-        let read = toml::from_str(text).map_err(|error: toml::de::Error| {
+        let parsed = toml::from_str(text).map_err(|error: toml::de::Error| {
             let why = error.message().split_whitespace().collect::<Vec<_>>().join(" ");
             let line = error.span().map_or(1, |span| text[..span.start.min(text.len())].matches('\n').count() + 1);
             Problems(vec![Problem { field: format!("line {line}"), why }])
         });
-        read.and_then(RollOut::checked)
+        parsed.and_then(RollOut::validated)
     }
 
-    /// Reads a JSON body, as [`RollOut::from_toml`].
+    /// Parses and validates a JSON body.
     ///
     /// # Errors
     ///
-    /// As there.
+    /// As for [`RollOut::from_toml`].
     pub fn from_json(body: &[u8]) -> Result<RollOut, Problems> {
         serde_json::from_slice(body)
             .map_err(|error| Problems(vec![Problem { field: "body".into(), why: error.to_string() }]))
-            .and_then(RollOut::checked)
+            .and_then(RollOut::validated)
     }
 
-    fn checked(self) -> Result<RollOut, Problems> {
+    fn validated(self) -> Result<RollOut, Problems> {
         let problems = self.problems();
         if problems.is_empty() {
             Ok(self)
@@ -242,59 +245,64 @@
         }
     }
 
-    /// Replicas of the new version after each step.
+    /// Returns the number of replicas of the new version after each step, rounded up to whole groups
+    /// and limited to the service's size.
     pub fn targets(&self) -> Vec<u32> {
         let group = self.group.max(1);
-        let of = |step: &Step| {
-            let wanted = match (step.replicas, step.share) {
+        let target = |step: &Step| {
+            let requested = match (step.replicas, step.share) {
                 (Some(count), _) => count,
                 (None, Some(share)) => (f64::from(self.replicas) * share).ceil() as u32,
                 (None, None) => 0,
             };
-            wanted.div_ceil(group).saturating_mul(group).min(self.replicas)
+            requested.div_ceil(group).saturating_mul(group).min(self.replicas)
         };
-        self.steps.iter().map(of).collect()
+        self.steps.iter().map(target).collect()
     }
 
-    /// Everything that is wrong, field by field.
+    /// Returns every violated rule with its field; empty if the roll-out is valid.
     pub fn problems(&self) -> Vec<Problem> {
-        let mut found = vec![];
-        let mut say = |field: &str, wrong: bool, why: &str| {
-            if wrong {
-                found.push(Problem { field: field.into(), why: why.into() });
+        let mut problems = vec![];
+        let mut flag = |field: &str, violated: bool, why: &str| {
+            if violated {
+                problems.push(Problem { field: field.into(), why: why.into() });
             }
         };
-        say("service", !valid_name(&self.service), "must be 1 to 60 letters, digits, '-', '_' or '.'");
-        say("version", !valid_name(&self.version), "must be 1 to 60 letters, digits, '-', '_' or '.'");
-        say("replicas", !(1..=MOST_REPLICAS).contains(&self.replicas), "must lie between 1 and 10000");
-        say("group", !(1..=self.replicas.max(1)).contains(&self.group), "must lie between 1 and replicas");
-        say(
+        flag("service", !valid_name(&self.service), "must be 1 to 60 letters, digits, '-', '_' or '.'");
+        flag("version", !valid_name(&self.version), "must be 1 to 60 letters, digits, '-', '_' or '.'");
+        flag("replicas", !(1..=MAX_REPLICAS).contains(&self.replicas), "must lie between 1 and 10000");
+        flag("group", !(1..=self.replicas.max(1)).contains(&self.group), "must lie between 1 and replicas");
+        flag(
             "max_surplus",
             self.max_surplus < self.group && self.max_unavailable < self.group,
             "this or max_unavailable must be at least a group, or nothing can be replaced",
         );
-        say("max_surplus", self.max_surplus > self.replicas.max(1), "must be at most replicas");
-        self.job.problems(&mut say);
-        self.check.problems(self.group, &mut say);
-        say("step", self.steps.is_empty(), "at least one is needed");
-        say("step", self.steps.len() > MOST_STEPS, "at most 32 are allowed");
+        flag("max_surplus", self.max_surplus > self.replicas.max(1), "must be at most replicas");
+        self.job.problems(&mut flag);
+        self.check.problems(self.group, &mut flag);
+        flag("step", self.steps.is_empty(), "at least one is needed");
+        flag("step", self.steps.len() > MAX_STEPS, "at most 32 are allowed");
         let targets = self.targets();
-        let mut before = 0;
-        for (at, (step, target)) in self.steps.iter().zip(&targets).enumerate() {
-            step.problems(at, &mut say);
-            say(&format!("step[{at}]"), *target <= before, "must bring out more replicas than the step before");
-            before = *target;
+        let mut previous_target = 0;
+        for (index, (step, target)) in self.steps.iter().zip(&targets).enumerate() {
+            step.problems(index, &mut flag);
+            flag(
+                &format!("step[{index}]"),
+                *target <= previous_target,
+                "must bring out more replicas than the step before",
+            );
+            previous_target = *target;
         }
-        let unfinished = targets.last().is_some_and(|last| *last != self.replicas);
-        say("step", unfinished, "the last one must bring out all replicas");
-        found
+        let incomplete = targets.last().is_some_and(|last| *last != self.replicas);
+        flag("step", incomplete, "the last one must bring out all replicas");
+        problems
     }
 }
 
 impl Job {
-    fn problems(&self, say: &mut impl FnMut(&str, bool, &str)) {
+    fn problems(&self, flag: &mut impl FnMut(&str, bool, &str)) {
         for (field, text) in [("job.class", &self.class), ("job.team", &self.team), ("job.image", &self.image)] {
-            say(field, text.is_empty() || text.len() > 128, "must have 1 to 128 characters");
+            flag(field, text.is_empty() || text.len() > 128, "must have 1 to 128 characters");
         }
         let amounts = [
             ("job.cpus", self.cpus),
@@ -303,56 +311,57 @@
             ("job.image_gb", self.image_gb),
         ];
         for (field, amount) in amounts {
-            say(field, !(0.0..1e9).contains(&amount), "must be 0 or more");
+            flag(field, !(0.0..1e9).contains(&amount), "must be 0 or more");
         }
-        say("job.cpus", self.cpus + self.gpus + self.mem_gb <= 0.0, "a replica must take something of its machine");
+        flag("job.cpus", self.cpus + self.gpus + self.mem_gb <= 0.0, "a replica must take something of its machine");
         let types = self.types.as_deref().unwrap_or_default();
-        say("job.types", types.len() > 64 || types.iter().any(|t| t.len() > 128), "too many or too long");
-        say("job.zone", self.zone.as_ref().is_some_and(|z| z.is_empty() || z.len() > 128), "empty or too long");
+        flag("job.types", types.len() > 64 || types.iter().any(|t| t.len() > 128), "too many or too long");
+        flag("job.zone", self.zone.as_ref().is_some_and(|z| z.is_empty() || z.len() > 128), "empty or too long");
     }
 }
 
 impl Check {
-    fn problems(&self, group: u32, say: &mut impl FnMut(&str, bool, &str)) {
-        say("check.port", self.kind != CheckKind::Up && self.port == 0, "is needed for this kind of check");
-        let token = |text: &str| !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_uppercase());
-        let others = group.clamp(1, MOST_REPLICAS) - 1;
-        let last = u32::from(self.port) + u32::from(self.port_step) * others;
-        say("check.port_step", last > u32::from(u16::MAX), "takes the group's ports beyond 65535");
-        say("check.method", !token(&self.method), "must be a method in capital letters");
-        let path =
+    fn problems(&self, group: u32, flag: &mut impl FnMut(&str, bool, &str)) {
+        flag("check.port", self.kind != CheckKind::Up && self.port == 0, "is needed for this kind of check");
+        let is_method =
+            |text: &str| !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_uppercase());
+        let last_index = group.clamp(1, MAX_REPLICAS) - 1;
+        let last_port = u32::from(self.port) + u32::from(self.port_step) * last_index;
+        flag("check.port_step", last_port > u32::from(u16::MAX), "takes the group's ports beyond 65535");
+        flag("check.method", !is_method(&self.method), "must be a method in capital letters");
+        let path_valid =
             self.path.starts_with('/') && self.path.len() <= 500 && self.path.bytes().all(|b| b.is_ascii_graphic());
-        say("check.path", !path, "must begin with '/', without spaces, at most 500 characters");
-        let statuses = !self.status.is_empty() && self.status.iter().all(|s| (200..600).contains(s));
-        say("check.status", !statuses || self.status.len() > 20, "must be 1 to 20 statuses from 200 to 599");
-        say("check.body", self.body.as_ref().is_some_and(|b| b.is_empty() || b.len() > 500), "empty or too long");
-        say("check.interval_s", !(0.05..=3600.0).contains(&self.interval_s), "must lie between 0.05 and 3600");
-        say("check.timeout_s", !(0.05..=60.0).contains(&self.timeout_s), "must lie between 0.05 and 60");
-        say("check.successes", !(1..=100).contains(&self.successes), "must lie between 1 and 100");
-        say("check.failures_allowed", self.failures_allowed > 1000, "must be at most 1000");
+        flag("check.path", !path_valid, "must begin with '/', without spaces, at most 500 characters");
+        let statuses_valid = !self.status.is_empty() && self.status.iter().all(|s| (200..600).contains(s));
+        flag("check.status", !statuses_valid || self.status.len() > 20, "must be 1 to 20 statuses from 200 to 599");
+        flag("check.body", self.body.as_ref().is_some_and(|b| b.is_empty() || b.len() > 500), "empty or too long");
+        flag("check.interval_s", !(0.05..=3600.0).contains(&self.interval_s), "must lie between 0.05 and 3600");
+        flag("check.timeout_s", !(0.05..=60.0).contains(&self.timeout_s), "must lie between 0.05 and 60");
+        flag("check.successes", !(1..=100).contains(&self.successes), "must lie between 1 and 100");
+        flag("check.failures_allowed", self.failures_allowed > 1000, "must be at most 1000");
     }
 }
 
 impl Step {
-    fn problems(&self, at: usize, say: &mut impl FnMut(&str, bool, &str)) {
-        let field = |name: &str| format!("step[{at}].{name}");
-        say(&field("replicas"), self.replicas.is_some() == self.share.is_some(), "either this or share is needed");
-        say(&field("share"), self.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)), "must be above 0 and at most 1");
-        say(&field("zone"), self.zone.as_ref().is_some_and(|z| z.is_empty() || z.len() > 128), "empty or too long");
-        say(&field("bake_s"), !(0.0..=604_800.0).contains(&self.bake_s), "must lie between 0 and a week");
-        let deadline = self.deadline_s > self.bake_s && self.deadline_s <= 1_209_600.0;
-        say(&field("deadline_s"), !deadline, "must be longer than bake_s, and at most two weeks");
+    fn problems(&self, index: usize, flag: &mut impl FnMut(&str, bool, &str)) {
+        let field = |name: &str| format!("step[{index}].{name}");
+        flag(&field("replicas"), self.replicas.is_some() == self.share.is_some(), "either this or share is needed");
+        flag(&field("share"), self.share.is_some_and(|s| !(s > 0.0 && s <= 1.0)), "must be above 0 and at most 1");
+        flag(&field("zone"), self.zone.as_ref().is_some_and(|z| z.is_empty() || z.len() > 128), "empty or too long");
+        flag(&field("bake_s"), !(0.0..=604_800.0).contains(&self.bake_s), "must lie between 0 and a week");
+        let deadline_valid = self.deadline_s > self.bake_s && self.deadline_s <= 1_209_600.0;
+        flag(&field("deadline_s"), !deadline_valid, "must be longer than bake_s, and at most two weeks");
     }
 }
 
-/// Names that may stand in a key and in a path.
+/// True if the name can be used in a store key and in a URL path.
 pub fn valid_name(name: &str) -> bool {
     (1..=60).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
         && !name.starts_with('.')
 }
 
-/// The published JSON schema of a roll-out.
+/// Returns the published JSON schema of a roll-out file.
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(RollOut).to_value()
 }
--- a/crates/rollout/src/file/tests.rs
+++ b/crates/rollout/src/file/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
     service = "routeplan"
     version = "v2"
     replicas = 10
@@ -23,45 +23,45 @@
 "#;
 
 #[test]
-fn steps_go_by_whole_groups() {
-    assert_eq!(RollOut::from_toml(GOOD).unwrap().targets(), [2, 6, 10]);
+fn step_targets_are_rounded_up_to_whole_groups() {
+    assert_eq!(RollOut::from_toml(VALID).unwrap().targets(), [2, 6, 10]);
 }
 
-/// A misspelt bound must not quietly become its default: unknown keys are
-/// refused, and every problem names its field.
+/// A misspelt bound must not silently take its default: unknown keys are
+/// rejected, and every problem names its field.
 #[test]
 fn problems_name_their_fields() {
-    let wrong = |from: &str, to: &str| {
-        assert!(GOOD.contains(from), "{from}");
-        let problems = RollOut::from_toml(&GOOD.replace(from, to)).unwrap_err();
+    let problems_after = |from: &str, to: &str| {
+        assert!(VALID.contains(from), "{from}");
+        let problems = RollOut::from_toml(&VALID.replace(from, to)).unwrap_err();
         problems.to_string()
     };
-    assert!(wrong("max_surplus = 2", "max_surpluss = 2").contains("max_surpluss"));
-    assert!(wrong("max_surplus = 2", "max_surplus = 1").contains("max_surplus: this or"));
-    assert!(wrong("port = 8080", "port = 0").contains("check.port"));
-    assert!(wrong("bake_s = 60", "bake_s = 600").contains("step[0].deadline_s"));
-    assert!(wrong("bake_s = 60", "bake_s = nan").contains("step[0].bake_s"));
-    assert!(wrong("share = 1.0", "share = 0.9\nzone = \"\"").contains("step[2].zone"));
-    assert!(wrong("share = 1.0", "replicas = 8").contains("step: the last one"));
-    assert!(wrong("share = 0.5", "share = 0.1").contains("step[1]: must bring out more"));
-    assert!(wrong("cpus = 2.0", "cpus = inf").contains("job.cpus"));
-    assert!(wrong("\"routeplan\"", "\"../x\"").contains("service"));
-    assert!(wrong("version = \"v2\"", "version = 2").starts_with("line 3"));
+    assert!(problems_after("max_surplus = 2", "max_surpluss = 2").contains("max_surpluss"));
+    assert!(problems_after("max_surplus = 2", "max_surplus = 1").contains("max_surplus: this or"));
+    assert!(problems_after("port = 8080", "port = 0").contains("check.port"));
+    assert!(problems_after("bake_s = 60", "bake_s = 600").contains("step[0].deadline_s"));
+    assert!(problems_after("bake_s = 60", "bake_s = nan").contains("step[0].bake_s"));
+    assert!(problems_after("share = 1.0", "share = 0.9\nzone = \"\"").contains("step[2].zone"));
+    assert!(problems_after("share = 1.0", "replicas = 8").contains("step: the last one"));
+    assert!(problems_after("share = 0.5", "share = 0.1").contains("step[1]: must bring out more"));
+    assert!(problems_after("cpus = 2.0", "cpus = inf").contains("job.cpus"));
+    assert!(problems_after("\"routeplan\"", "\"../x\"").contains("service"));
+    assert!(problems_after("version = \"v2\"", "version = 2").starts_with("line 3"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(14), failure_persistence: None, ..Default::default() })]
-    /// Whatever numbers stand in a file, it is refused with a reason, or its
-    /// steps rise to all replicas and something can be replaced.
+    /// For arbitrary numbers, a file is either rejected or sound: its targets rise
+    /// to all replicas, and its bounds allow at least one group to be replaced.
     #[test]
-    fn a_file_is_refused_or_sound(
+    fn an_accepted_file_is_sound(
         replicas in prop_oneof![0u32..20, any::<u32>()],
         group in prop_oneof![0u32..6, any::<u32>()],
         bounds in (0u32..8, 0u32..8),
         numbers in (any::<f64>(), any::<f64>(), any::<u16>(), any::<u16>()),
         steps in proptest::collection::vec((proptest::option::of(0u32..20), proptest::option::of(-0.5f64..1.5)), 0..5),
     ) {
-        let mut file = RollOut::from_toml(GOOD).unwrap();
+        let mut file = RollOut::from_toml(VALID).unwrap();
         (file.replicas, file.group) = (replicas, group);
         (file.max_unavailable, file.max_surplus) = bounds;
         (file.check.port, file.check.port_step) = (numbers.2, numbers.3);
@@ -80,13 +80,13 @@
     }
 
     #[test]
-    fn garbage_never_panics(text in ".{0,200}") {
+    fn parsing_arbitrary_text_never_panics(text in ".{0,200}") {
         let _ = (RollOut::from_toml(&text), RollOut::from_json(text.as_bytes()));
     }
 }
 
 #[test]
-fn the_schema_knows_every_field() {
+fn schema_contains_fields_of_every_type() {
     let text = schema().to_string();
     for field in ["service", "max_surplus", "on_failure", "failures_allowed", "bake_s", "spot"] {
         assert!(text.contains(field), "{field}");
