--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -1,5 +1,5 @@
-//! Operators' commands, taken by any controller: each is one conditional write
-//! of the service's record. Whoever drives learns of it from the record.
+//! Handles operators' requests on any controller. A command is one conditional
+//! write of the service's record; the driver learns of it by watching the record.
 
 use crate::driver::{service_key, Claim, DRIVER_KEY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
@@ -8,57 +8,58 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Tries of a command that meets other changes of its record.
-const TRIES: u32 = 6;
+/// Retries of a command whose conditional write conflicts with another change of the record.
+const MAX_CONFLICT_RETRIES: u32 = 6;
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OperatorRequest {
     /// All services, without their members.
     List,
-    /// One service by name, with its driver's observations where known.
+    /// The service of this name, with its driver's claim if there is one.
     Status(String),
     /// A command on the service of this name.
     Command(String, Command),
 }
 
-/// What an operator is told.
+/// The response to an operator's request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorResponse {
-    /// The HTTP status code.
+    /// HTTP status code.
     pub status: u16,
-    /// The JSON body.
+    /// JSON body; an object with the key `error` if the request failed.
     pub body: Value,
-    /// Seconds after which to ask again, if it may be different then.
+    /// Delay in seconds before a retry; `None` if a retry can't succeed.
     pub retry_after_s: Option<u32>,
 }
 
 impl OperatorResponse {
-    /// A final refusal, with its HTTP status and the reason.
+    /// Returns an error response that a retry will not change.
     pub fn problem(status: u16, why: &str) -> OperatorResponse {
         OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
 
-    /// Not carried out, but may be later.
-    pub fn later(why: &str) -> OperatorResponse {
+    /// Returns a 503 response: the request was not carried out and may be retried.
+    pub fn unavailable(why: &str) -> OperatorResponse {
         OperatorResponse { status: 503, body: json!({ "error": why }), retry_after_s: Some(1) }
     }
 }
 
+/// A request that waits for the answer to a call.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     request_id: RequestId,
     request: OperatorRequest,
-    tries: u32,
-    /// The record that was written, if one was.
-    written: Option<Service>,
-    /// Rows of a list so far.
+    retries: u32,
+    /// New record that the pending call writes, if it is a write.
+    new_record: Option<Service>,
+    /// Summaries of the services listed so far.
     rows: Vec<Value>,
-    /// The service's record, while its driver is asked for.
-    found: Option<Service>,
+    /// Record of the service whose status was asked for, while the driver's claim is read.
+    service: Option<Service>,
 }
 
-/// What comes of an input: calls to make, and replies.
+/// Effects of one input: calls to make, and responses to send.
 #[derive(Debug, Default)]
 pub struct HandlerOutput {
     /// Calls to make; each answer goes to [`CommandHandler::answer`].
@@ -67,75 +68,85 @@
     pub replies: Vec<(RequestId, OperatorResponse)>,
 }
 
-/// The commands of one controller's operators.
+/// State machine that handles the requests of one controller's operators.
 #[derive(Debug)]
 pub struct CommandHandler {
-    value_bytes: usize,
+    max_record_bytes: usize,
     last_call: u64,
-    waiting: BTreeMap<CallId, Waiting>,
+    pending: BTreeMap<CallId, PendingRequest>,
 }
 
 impl CommandHandler {
-    /// `value_bytes`: the most bytes of a record.
-    pub fn new(value_bytes: usize) -> CommandHandler {
-        CommandHandler { value_bytes, last_call: 0, waiting: BTreeMap::new() }
+    /// A handler that rejects commands whose record would exceed `max_record_bytes`.
+    pub fn new(max_record_bytes: usize) -> CommandHandler {
+        CommandHandler { max_record_bytes, last_call: 0, pending: BTreeMap::new() }
     }
 
-    /// Takes a request.
+    /// Starts to handle a request by reading the records that it concerns.
     pub fn handle_request(&mut self, request_id: RequestId, request: OperatorRequest) -> HandlerOutput {
         let call = match &request {
             OperatorRequest::List => Call::List { prefix: SERVICES.into(), after: None },
             OperatorRequest::Status(name) | OperatorRequest::Command(name, _) => Call::Get { key: service_key(name) },
         };
         let mut output = HandlerOutput::default();
-        let waiting = Waiting { request_id, request, tries: 0, written: None, rows: vec![], found: None };
-        self.call(call, waiting, &mut output);
+        let pending = PendingRequest { request_id, request, retries: 0, new_record: None, rows: vec![], service: None };
+        self.call(call, pending, &mut output);
         output
     }
 
-    fn call(&mut self, call: Call, waiting: Waiting, output: &mut HandlerOutput) {
+    fn call(&mut self, call: Call, pending: PendingRequest, output: &mut HandlerOutput) {
         self.last_call += 1;
         let id = CallId(self.last_call);
-        self.waiting.insert(id, waiting);
+        self.pending.insert(id, pending);
         output.calls.push((id, call));
     }
 
-    /// Takes in the answer to a call.
+    /// Handles the answer to a call; does nothing if the call is not pending.
     pub fn answer(&mut self, id: CallId, answer: Answer) -> HandlerOutput {
         let mut output = HandlerOutput::default();
-        let Some(waiting) = self.waiting.remove(&id) else { return output };
-        let request_id = waiting.request_id;
-        let reply = match (&waiting.request, waiting.written.is_some()) {
-            (_, true) => self.written(waiting, answer, &mut output),
-            (OperatorRequest::List, _) => self.listed(waiting, answer, &mut output),
-            (OperatorRequest::Status(_), _) => self.status(waiting, answer, &mut output),
-            (OperatorRequest::Command(..), _) => self.read(waiting, answer, &mut output),
+        let Some(pending) = self.pending.remove(&id) else { return output };
+        let request_id = pending.request_id;
+        let reply = match (&pending.request, pending.new_record.is_some()) {
+            (_, true) => self.handle_commit(pending, answer, &mut output),
+            (OperatorRequest::List, _) => self.handle_page(pending, answer, &mut output),
+            (OperatorRequest::Status(_), _) => self.handle_status(pending, answer, &mut output),
+            (OperatorRequest::Command(..), _) => self.apply_command(pending, answer, &mut output),
         };
         output.replies.extend(reply.map(|reply| (request_id, reply)));
         output
     }
 
-    fn listed(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let Answer::Page { items, more, .. } = answer else { return Some(unreachable()) };
+    fn handle_page(
+        &mut self,
+        mut pending: PendingRequest,
+        answer: Answer,
+        output: &mut HandlerOutput,
+    ) -> Option<OperatorResponse> {
+        let Answer::Page { items, more, .. } = answer else { return Some(state_service_unreachable()) };
         let after = items.last().map(|item| item.key.clone());
         for item in items {
             let name = item.key.strip_prefix(SERVICES).unwrap_or_default().to_string();
             if let Ok(service) = serde_json::from_value::<Service>(item.value) {
                 let mut row = summary(&name, &service);
                 row.as_object_mut().map(|row| row.remove("members"));
-                waiting.rows.push(row);
+                pending.rows.push(row);
             }
         }
         if more && after.is_some() {
-            self.call(Call::List { prefix: SERVICES.into(), after }, waiting, output);
+            self.call(Call::List { prefix: SERVICES.into(), after }, pending, output);
             return None;
         }
-        Some(OperatorResponse { status: 200, body: json!({ "services": waiting.rows }), retry_after_s: None })
+        Some(OperatorResponse { status: 200, body: json!({ "services": pending.rows }), retry_after_s: None })
     }
 
-    fn status(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let OperatorRequest::Status(name) = &waiting.request else { return None };
-        if let Some(service) = &waiting.found {
+    fn handle_status(
+        &mut self,
+        mut pending: PendingRequest,
+        answer: Answer,
+        output: &mut HandlerOutput,
+    ) -> Option<OperatorResponse> {
+        let OperatorRequest::Status(name) = &pending.request else { return None };
+        if let Some(service) = &pending.service {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
                 if let Ok(claim) = serde_json::from_value::<Claim>(item.value) {
@@ -149,18 +160,24 @@
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Err(error) => Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}"))),
                 Ok(service) => {
-                    waiting.found = Some(service);
-                    self.call(Call::Get { key: DRIVER_KEY.into() }, waiting, output);
+                    pending.service = Some(service);
+                    self.call(Call::Get { key: DRIVER_KEY.into() }, pending, output);
                     None
                 }
             },
-            _ => Some(unreachable()),
+            _ => Some(state_service_unreachable()),
         }
     }
 
-    /// The record was read: the command is applied to it and written.
-    fn read(&mut self, mut waiting: Waiting, answer: Answer, output: &mut HandlerOutput) -> Option<OperatorResponse> {
-        let OperatorRequest::Command(name, command) = &waiting.request else { return None };
+    /// Applies the command to the record that was read, and writes the new record if it has not
+    /// changed since.
+    fn apply_command(
+        &mut self,
+        mut pending: PendingRequest,
+        answer: Answer,
+        output: &mut HandlerOutput,
+    ) -> Option<OperatorResponse> {
+        let OperatorRequest::Command(name, command) = &pending.request else { return None };
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Ok(service) => (service, item.stamp),
@@ -170,42 +187,42 @@
             },
             Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Stamp(0)),
             Answer::Missing => return Some(OperatorResponse::problem(404, "no such service")),
-            _ => return Some(unreachable()),
+            _ => return Some(state_service_unreachable()),
         };
-        let next = match service.command(command, self.value_bytes) {
-            Ok(next) => next,
+        let new_record = match service.command(command, self.max_record_bytes) {
+            Ok(record) => record,
             Err(refusal) => return Some(OperatorResponse::problem(409, &refusal.to_string())),
         };
         let key = service_key(name);
-        let value = serde_json::to_value(&next).unwrap_or_default();
+        let value = serde_json::to_value(&new_record).unwrap_or_default();
         let commit = Commit { when: vec![(key.clone(), stamp)], key, value, lease: None };
-        waiting.written = Some(next);
-        self.call(Call::Commit(commit), waiting, output);
+        pending.new_record = Some(new_record);
+        self.call(Call::Commit(commit), pending, output);
         None
     }
 
-    fn written(
+    fn handle_commit(
         &mut self,
-        mut waiting: Waiting,
+        mut pending: PendingRequest,
         answer: Answer,
         output: &mut HandlerOutput,
     ) -> Option<OperatorResponse> {
-        let (OperatorRequest::Command(name, _), Some(service)) = (&waiting.request, waiting.written.take()) else {
+        let (OperatorRequest::Command(name, _), Some(service)) = (&pending.request, pending.new_record.take()) else {
             return None;
         };
         match answer {
             Answer::Committed(_) => {
                 Some(OperatorResponse { status: 200, body: summary(name, &service), retry_after_s: None })
             }
-            // Somebody changed the record meanwhile: judged anew by what it is now.
-            Answer::Conflict if waiting.tries < TRIES => {
-                waiting.tries += 1;
+            // The record has changed since it was read: apply the command to the current one.
+            Answer::Conflict if pending.retries < MAX_CONFLICT_RETRIES => {
+                pending.retries += 1;
                 let key = service_key(name);
-                self.call(Call::Get { key }, waiting, output);
+                self.call(Call::Get { key }, pending, output);
                 None
             }
-            Answer::Conflict => Some(OperatorResponse::later("the record changes all the time")),
-            Answer::Refused => Some(unreachable()),
+            Answer::Conflict => Some(OperatorResponse::unavailable("the record changes all the time")),
+            Answer::Refused => Some(state_service_unreachable()),
             _ => {
                 Some(OperatorResponse::problem(504, "it is not known whether this was carried out: ask for the status"))
             }
@@ -213,18 +230,18 @@
     }
 }
 
-fn unreachable() -> OperatorResponse {
-    OperatorResponse::later("the state service can't be reached: nothing was changed")
+fn state_service_unreachable() -> OperatorResponse {
+    OperatorResponse::unavailable("the state service can't be reached: nothing was changed")
 }
 
-/// A service as operators see it.
+/// Returns a service as it is shown to operators: its state, members, roll-out and past roll-outs.
 pub fn summary(name: &str, service: &Service) -> Value {
     let seconds = |ms: crate::units::Millis| ms.0 as f64 / 1000.0;
     let mut by_version: BTreeMap<&str, u32> = BTreeMap::new();
     for member in service.staying() {
         *by_version.entry(service.version_name(member.version)).or_default() += member.replicas;
     }
-    let rolling = service.rolling.as_ref().map(|r| {
+    let rollout = service.rolling.as_ref().map(|r| {
         let plan = r.plan();
         json!({
             "number": r.number,
@@ -261,6 +278,6 @@
         (RolloutProgress::New, _) => "done",
         (RolloutProgress::Old, _) => "reverted",
     });
-    json!({"service": name, "state": state, "versions": by_version, "rollout": rolling, "members": members,
+    json!({"service": name, "state": state, "versions": by_version, "rollout": rollout, "members": members,
         "past": service.past})
 }
--- a/crates/rollout/src/listen/tests.rs
+++ b/crates/rollout/src/listen/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn requests_find_their_way() {
+fn requests_are_routed_by_method_and_path() {
     assert_eq!(route("GET", "/v1/rollouts", b""), Routed::OperatorRequest(OperatorRequest::List));
     assert_eq!(
         route("POST", "/v1/rollouts/a/abort", b""),
         Routed::OperatorRequest(OperatorRequest::Command("a".into(), Command::Abort))
     );
     let status = |method: &str, target: &str, body: &[u8]| match route(method, target, body) {
-        Routed::Answer(reply) => reply.status,
+        Routed::Immediate(response) => response.status,
         _ => 0,
     };
     assert_eq!(status("GET", "/v1/rollouts/a/abort", b""), 405);
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -251,7 +251,7 @@
         ("POST", "/v1/rollouts", "{}"),
         ("POST", "/v1/rollouts", &file.replace("\"group\":2", "\"group\":0").replace("8080", "0")),
     ] {
-        let Routed::Answer(reply) = route(method, path, body.as_bytes()) else { panic!("{path}: no answer") };
+        let Routed::Immediate(reply) = route(method, path, body.as_bytes()) else { panic!("{path}: no answer") };
         lines.push(format!("{method} {path}: {} {}", reply.status, reply.body));
     }
     assert_golden("operators.txt", &lines);
@@ -282,7 +282,7 @@
 /// names and comments, so that changing those changes it.
 #[test]
 fn the_published_schema_stays() {
-    let Routed::Answer(reply) = route("GET", "/v1/schema", b"") else { panic!("no answer") };
+    let Routed::Immediate(reply) = route("GET", "/v1/schema", b"") else { panic!("no answer") };
     assert_eq!((reply.status, &reply.body), (200, &schema()));
     assert_golden("schema.json", &[serde_json::to_string_pretty(&reply.body).expect("json")]);
 }
