--- a/crates/rollout/src/check.rs
+++ b/crates/rollout/src/check.rs
@@ -1,4 +1,5 @@
-//! Carries out one check, by its deadline, whatever the other side does.
+//! Runs one health check against a replica. One deadline bounds the whole check,
+//! however the replica behaves.
 
 use crate::file::{Check, CheckKind};
 use crate::ports::{Probe, Verdict};
@@ -7,20 +8,21 @@
 use std::time::{Duration, Instant};
 use tillercleat_http::{Connection, HttpError};
 
-/// The most bytes of an answer that are read.
-const ANSWER_LIMIT: usize = 64 * 1024;
+/// Maximum size of a response; a larger one fails the check.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// Carries out a check. It takes its time-out at the most: connecting, sending
-/// and reading share one deadline. Redirects are not followed.
-pub fn carry_out(probe: &Probe) -> Verdict {
+/// Runs a health check. Connecting, sending and reading share one deadline, which
+/// is the check's timeout after the start. Redirects are not followed.
+pub fn run_check(probe: &Probe) -> Verdict {
     let deadline = Instant::now() + Duration::from_secs_f64(probe.check.timeout_s.clamp(0.01, 60.0));
     let addr: SocketAddr = match probe.addr.parse() {
         Ok(addr) => addr,
         Err(_) => return Verdict::Fail(format!("{:?} is no address", probe.addr)),
     };
-    let stream = match TcpStream::connect_timeout(&addr, left(deadline)) {
+    let stream = match TcpStream::connect_timeout(&addr, remaining(deadline)) {
         Ok(stream) => stream,
-        // A refusal or a reset comes from the other end.
+        // A refusal or a reset is sent by the other end, so it counts against the replica. Any other error
+        // may be caused by the network.
         Err(e) if matches!(e.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => {
             return Verdict::Fail(format!("no connection: {e}"));
         }
@@ -38,10 +40,11 @@
     }
 }
 
-fn left(deadline: Instant) -> Duration {
+fn remaining(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
 }
 
+/// Sends the request of an HTTP check, and compares the response with the expected statuses and body.
 fn check_http(
     mut connection: Connection,
     addr: SocketAddr,
@@ -52,13 +55,13 @@
         "{} {} HTTP/1.1\r\nHost: {addr}\r\nUser-Agent: tillercleat\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
         check.method, check.path
     );
-    connection.write(request.as_bytes(), left(deadline))?;
-    let (head, body) = connection.read_response_by(deadline, ANSWER_LIMIT)?;
+    connection.write(request.as_bytes(), remaining(deadline))?;
+    let (head, body) = connection.read_response_by(deadline, MAX_RESPONSE_BYTES)?;
     if !check.status.contains(&head.status) {
         return Ok(Verdict::Fail(format!("status {}", head.status)));
     }
-    let wanted = check.body.as_deref().unwrap_or_default().as_bytes();
-    if !wanted.is_empty() && !body.windows(wanted.len()).any(|piece| piece == wanted) {
+    let expected = check.body.as_deref().unwrap_or_default().as_bytes();
+    if !expected.is_empty() && !body.windows(expected.len()).any(|window| window == expected) {
         return Ok(Verdict::Fail("the body does not hold what it should".into()));
     }
     Ok(Verdict::Pass)
--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -16,7 +16,7 @@
 pub enum OperatorRequest {
     /// All services, without their members.
     List,
-    /// The service of this name, with its driver's claim if there is one.
+    /// One service by name, with the driver's claim if there is one.
     Status(String),
     /// A command on the service of this name.
     Command(String, Command),
@@ -29,12 +29,12 @@
     pub status: u16,
     /// JSON body; an object with the key `error` if the request failed.
     pub body: Value,
-    /// Delay in seconds before a retry; `None` if a retry can't succeed.
+    /// Seconds after which the client may retry; set only if the request was not carried out.
     pub retry_after_s: Option<u32>,
 }
 
 impl OperatorResponse {
-    /// Returns an error response that a retry will not change.
+    /// Returns an error response without a time for a retry.
     pub fn problem(status: u16, why: &str) -> OperatorResponse {
         OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and times, in the Prometheus text format.
+//! Metrics of roll-outs in the Prometheus text format.
 
 use crate::driver::Note;
 use crate::ports::Verdict;
@@ -13,19 +13,19 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Result {
+struct ResultLabel {
     result: &'static str,
 }
 
-/// What a controller counts of its roll-outs.
+/// Metrics that one controller keeps of its roll-outs.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    checks: Family<Result, Counter>,
-    check_times: Histogram,
-    steps: Family<Result, Counter>,
-    ends: Family<Result, Counter>,
-    writes: Counter,
+    checks: Family<ResultLabel, Counter>,
+    check_seconds: Histogram,
+    steps: Family<ResultLabel, Counter>,
+    ends: Family<ResultLabel, Counter>,
+    changes: Counter,
     driving: Gauge,
 }
 
@@ -33,50 +33,50 @@
     fn default() -> Self {
         let mut registry = Registry::with_prefix("tillercleat_rollout");
         let checks = Family::default();
-        let check_times = Histogram::new(exponential_buckets(0.001, 2.0, 16));
+        let check_seconds = Histogram::new(exponential_buckets(0.001, 2.0, 16));
         let steps = Family::default();
         let ends = Family::default();
-        let (writes, driving) = (Counter::default(), Gauge::default());
+        let (changes, driving) = (Counter::default(), Gauge::default());
         registry.register("checks", "Checks by what they found", checks.clone());
-        registry.register("check_seconds", "How long checks took", check_times.clone());
+        registry.register("check_seconds", "How long checks took", check_seconds.clone());
         registry.register("steps", "Steps that passed or failed", steps.clone());
         registry.register("ends", "Roll-outs that ended, by how", ends.clone());
-        registry.register("changes", "Decisions made durable", writes.clone());
+        registry.register("changes", "Decisions made durable", changes.clone());
         registry.register("driving", "1 while this controller drives", driving.clone());
-        Metrics { registry, checks, check_times, steps, ends, writes, driving }
+        Metrics { registry, checks, check_seconds, steps, ends, changes, driving }
     }
 }
 
 impl Metrics {
-    /// Counts a check's verdict and how long it took.
-    pub fn checked(&self, verdict: &Verdict, took: Duration) {
+    /// Records the verdict of a check and how long the check took.
+    pub fn record_check(&self, verdict: &Verdict, took: Duration) {
         let result = match verdict {
             Verdict::Pass => "passed",
             Verdict::Fail(_) => "failed",
             Verdict::Unreachable(_) => "unreachable",
         };
-        self.checks.get_or_create(&Result { result }).inc();
-        self.check_times.observe(took.as_secs_f64());
+        self.checks.get_or_create(&ResultLabel { result }).inc();
+        self.check_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts what the driver noted.
-    pub fn noted(&self, note: &Note) {
+    /// Updates the counters for a note of the driver.
+    pub fn record_note(&self, note: &Note) {
         match note {
             Note::Drives(_) => drop(self.driving.set(1)),
             Note::SteppedDown => drop(self.driving.set(0)),
             Note::Unreadable { .. } => {}
             Note::Changed { event, .. } => {
-                self.writes.inc();
+                self.changes.inc();
                 match event {
-                    Event::Passed(_) => drop(self.steps.get_or_create(&Result { result: "passed" }).inc()),
-                    Event::Failed { .. } => drop(self.steps.get_or_create(&Result { result: "failed" }).inc()),
+                    Event::Passed(_) => drop(self.steps.get_or_create(&ResultLabel { result: "passed" }).inc()),
+                    Event::Failed { .. } => drop(self.steps.get_or_create(&ResultLabel { result: "failed" }).inc()),
                     Event::Ended(progress) => {
                         let result = match progress {
                             RolloutProgress::New => "new",
                             RolloutProgress::Old => "reverted",
                             _ => "halted",
                         };
-                        self.ends.get_or_create(&Result { result }).inc();
+                        self.ends.get_or_create(&ResultLabel { result }).inc();
                     }
                     _ => {}
                 }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// All of it as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry);
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -1,5 +1,5 @@
-//! Threads around the driver and the desk: one that owns both, a few that make
-//! calls, and as many as checks may run at the same time.
+//! Threads of the roll-outs: one event loop that owns the driver and the command
+//! handler, workers that make calls, and one worker per concurrent check.
 
 use crate::check;
 use crate::commands::{CommandHandler, HandlerOutput, OperatorRequest, OperatorResponse};
@@ -8,7 +8,7 @@
 use crate::listen;
 use crate::metrics::Metrics;
 use crate::ports::{Answer, Call, Probe, Verdict};
-use crate::settings::{Settings, CALLERS};
+use crate::settings::{Settings, CALL_THREADS};
 use crate::units::{CallId, CheckId, Millis, RequestId};
 use serde_json::json;
 use std::collections::HashMap;
@@ -16,78 +16,80 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The world around roll-outs, as a controller provides it.
+/// Calls that the controller makes on behalf of the roll-outs.
 pub trait ControllerApi: Send + Sync + 'static {
-    /// Makes a call and waits for what comes of it, within bounded time.
+    /// Makes a call and returns its outcome. Must return within bounded time.
     fn call(&self, call: &Call) -> Answer;
 }
 
-/// Messages waiting for the thread that owns the state machines.
-const QUEUE: usize = 512;
+/// Capacity of the event loop's queue.
+const MAX_QUEUED_EVENTS: usize = 512;
 
-/// Calls waiting for a caller; more are refused at once.
-const MOST_CALLS: usize = 256;
+/// Capacity of each queue of calls; a call that finds its queue full is refused at once.
+const MAX_QUEUED_CALLS: usize = 256;
 
-const STACK: usize = 256 * 1024;
+const STACK_BYTES: usize = 256 * 1024;
 
-/// Whose call it is.
+/// The state machine that receives the answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Caller {
     Driver,
     CommandHandler,
 }
 
-type Job = (Caller, CallId, Call);
+type QueuedCall = (Caller, CallId, Call);
 
-/// Starts to take part in roll-outs; `value_bytes` bounds a service's record.
+/// Starts the operators' listener, the event loop and their workers. A service's record may have up to
+/// `max_record_bytes`.
 ///
 /// # Errors
 ///
-/// If the listener's address can't be had, or a thread can't be started.
+/// If the listener's address can't be bound, or a thread can't be started.
 pub fn start(
     settings: &Settings,
     node: &str,
-    value_bytes: usize,
+    max_record_bytes: usize,
     controller: Arc<dyn ControllerApi>,
 ) -> std::io::Result<()> {
-    let (events, inbox) = sync_channel(QUEUE);
+    let (events, inbox) = sync_channel(MAX_QUEUED_EVENTS);
     let metrics = Arc::new(Metrics::default());
     listen::start(settings, &events, metrics.clone())?;
-    let queue = |threads| calls(threads, &controller, &events);
-    let queues = CallQueues { watch: queue(1)?, lease: queue(1)?, other: queue(CALLERS)? };
-    let probes = checks(settings.checks, &events, &metrics)?;
+    let queue = |threads| spawn_call_workers(threads, &controller, &events);
+    let queues = CallQueues { watch: queue(1)?, lease: queue(1)?, other: queue(CALL_THREADS)? };
+    let checks = spawn_check_workers(settings.checks, &events, &metrics)?;
     let driver = Driver::new(settings.config(node));
     let event_loop = EventLoop {
         driver,
-        commands: CommandHandler::new(value_bytes),
+        commands: CommandHandler::new(max_record_bytes),
         queues,
-        probes,
+        checks,
         metrics,
         pending_requests: HashMap::new(),
         last_request: 0,
-        begin: Instant::now(),
+        started_at: Instant::now(),
     };
     spawn("rollouts", move || event_loop.run(&inbox))
 }
 
 fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
-    std::thread::Builder::new().name(name.into()).stack_size(STACK).spawn(run).map(drop)
+    std::thread::Builder::new().name(name.into()).stack_size(STACK_BYTES).spawn(run).map(drop)
 }
 
-/// Hands out what comes in to several threads, one piece to one of them.
-fn share<T: Send + 'static>(
+/// Spawns workers that take items from one shared queue, and returns the queue's sender. A worker ends when
+/// the queue is closed or `work` returns false.
+fn spawn_workers<T: Send + 'static>(
     name: &str,
     threads: usize,
-    queue: usize,
+    capacity: usize,
     work: impl Fn(T) -> bool + Clone + Send + 'static,
 ) -> std::io::Result<SyncSender<T>> {
-    let (sender, pieces) = sync_channel::<T>(queue);
-    let pieces = Arc::new(Mutex::new(pieces));
+    let (sender, items) = sync_channel::<T>(capacity);
+    let items = Arc::new(Mutex::new(items));
     for _ in 0..threads {
-        let (pieces, work) = (pieces.clone(), work.clone());
+        let (items, work) = (items.clone(), work.clone());
         spawn(name, move || loop {
-            let next = pieces.lock().unwrap_or_else(PoisonError::into_inner).recv();
-            if !next.is_ok_and(&work) {
+            let item = items.lock().unwrap_or_else(PoisonError::into_inner).recv();
+            if !item.is_ok_and(&work) {
                 return;
             }
         })?;
@@ -95,44 +97,45 @@
     Ok(sender)
 }
 
-fn calls(
+fn spawn_call_workers(
     threads: usize,
     controller: &Arc<dyn ControllerApi>,
     events: &SyncSender<Event>,
-) -> std::io::Result<SyncSender<Job>> {
+) -> std::io::Result<SyncSender<QueuedCall>> {
     let (controller, events) = (controller.clone(), events.clone());
-    share("rollout-call", threads, MOST_CALLS, move |(caller, id, call): Job| {
+    spawn_workers("rollout-call", threads, MAX_QUEUED_CALLS, move |(caller, id, call): QueuedCall| {
         let answer = Box::new((id, controller.call(&call)));
         let event = if caller == Caller::Driver { Event::Answer(answer) } else { Event::CommandAnswer(answer) };
         events.send(event).is_ok()
     })
 }
 
-fn checks(
+fn spawn_check_workers(
     threads: usize,
     events: &SyncSender<Event>,
     metrics: &Arc<Metrics>,
 ) -> std::io::Result<SyncSender<(CheckId, Probe)>> {
     let (events, metrics) = (events.clone(), metrics.clone());
-    share("rollout-check", threads, threads, move |(id, probe): (CheckId, Probe)| {
+    spawn_workers("rollout-check", threads, threads, move |(id, probe): (CheckId, Probe)| {
         let span = tracing::debug_span!("check", id = %probe.replica, addr = %probe.addr);
-        let begin = Instant::now();
-        let verdict = check::carry_out(&probe);
-        metrics.checked(&verdict, begin.elapsed());
-        span.in_scope(|| tracing::debug!(?verdict, took_s = begin.elapsed().as_secs_f64(), "finished health check"));
+        let start = Instant::now();
+        let verdict = check::run_check(&probe);
+        metrics.record_check(&verdict, start.elapsed());
+        span.in_scope(|| tracing::debug!(?verdict, took_s = start.elapsed().as_secs_f64(), "finished health check"));
         events.send(Event::Verdict(id, verdict)).is_ok()
     })
 }
 
-/// Queues for calls: watches and renewals are held up by nothing else.
+/// Queues of calls. Watches and lease calls each have a queue and a thread of their own,
+/// so that other calls don't delay them.
 struct CallQueues {
-    watch: SyncSender<Job>,
-    lease: SyncSender<Job>,
-    other: SyncSender<Job>,
+    watch: SyncSender<QueuedCall>,
+    lease: SyncSender<QueuedCall>,
+    other: SyncSender<QueuedCall>,
 }
 
 impl CallQueues {
-    /// Queues a call; what finds its queue full was not carried out.
+    /// Queues a call. Returns false if its queue is full; the call is not made then.
     fn send(&self, caller: Caller, id: CallId, call: Call) -> bool {
         let queue = match call {
             Call::Watch { .. } => &self.watch,
@@ -143,30 +146,30 @@
     }
 }
 
-/// The thread that owns the state machines.
+/// The event loop, which owns the driver and the command handler.
 struct EventLoop {
     driver: Driver,
     commands: CommandHandler,
     queues: CallQueues,
-    probes: SyncSender<(CheckId, Probe)>,
+    checks: SyncSender<(CheckId, Probe)>,
     metrics: Arc<Metrics>,
-    /// Requests of operators, and the service whose status they ask for.
+    /// Operators' requests without a response yet: where to send it, and the service of a status request.
     pending_requests: HashMap<RequestId, (SyncSender<OperatorResponse>, Option<String>)>,
     last_request: u64,
-    begin: Instant,
+    started_at: Instant,
 }
 
 impl EventLoop {
     fn run(mut self, inbox: &Receiver<Event>) {
         let tick = Duration::from_millis(Driver::TICK.0);
-        let mut next = Instant::now();
+        let mut next_tick = Instant::now();
         loop {
-            let event = inbox.recv_timeout(next.saturating_duration_since(Instant::now()));
-            let now = Millis(self.begin.elapsed().as_millis() as u64 + 1);
+            let event = inbox.recv_timeout(next_tick.saturating_duration_since(Instant::now()));
+            let now = Millis(self.started_at.elapsed().as_millis() as u64 + 1);
             match event {
                 Ok(Event::Answer(answer)) => {
                     let outputs = self.driver.answer(now, answer.0, answer.1);
-                    self.carry_out(now, outputs);
+                    self.execute(now, outputs);
                 }
                 Ok(Event::CommandAnswer(answer)) => {
                     let output = self.commands.answer(answer.0, answer.1);
@@ -174,29 +177,32 @@
                 }
                 Ok(Event::Verdict(id, verdict)) => {
                     let outputs = self.driver.verdict(now, id, verdict);
-                    self.carry_out(now, outputs);
+                    self.execute(now, outputs);
                 }
-                Ok(Event::OperatorRequest(request, to)) => {
+                Ok(Event::OperatorRequest(request, response_sender)) => {
                     self.last_request += 1;
                     let request_id = RequestId(self.last_request);
-                    let of = if let OperatorRequest::Status(name) = &request { Some(name.clone()) } else { None };
-                    self.pending_requests.insert(request_id, (to, of));
+                    let status_of =
+                        if let OperatorRequest::Status(name) = &request { Some(name.clone()) } else { None };
+                    self.pending_requests.insert(request_id, (response_sender, status_of));
                     let output = self.commands.handle_request(request_id, request);
                     self.deliver(output);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // A steady stream of events must not keep the clock from ticking.
-            if Instant::now() >= next {
-                next = Instant::now() + tick;
+            // Checked after each event, so that a steady stream of events does not delay ticks.
+            if Instant::now() >= next_tick {
+                next_tick = Instant::now() + tick;
                 let outputs = self.driver.tick(now);
-                self.carry_out(now, outputs);
+                self.execute(now, outputs);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Millis, outputs: Vec<Output>) {
+    /// Queues the driver's calls and checks, and counts and logs its notes. If its queue is full, a call is
+    /// answered as refused and a check as unreachable.
+    fn execute(&mut self, now: Millis, outputs: Vec<Output>) {
         let mut outputs: std::collections::VecDeque<Output> = outputs.into();
         while let Some(output) = outputs.pop_front() {
             match output {
@@ -206,29 +212,29 @@
                     }
                 }
                 Output::Probe(id, probe) => {
-                    if let Err(TrySendError::Full(_)) = self.probes.try_send((id, probe)) {
-                        let busy = Verdict::Unreachable("no thread was free for it".into());
-                        outputs.extend(self.driver.verdict(now, id, busy));
+                    if let Err(TrySendError::Full(_)) = self.checks.try_send((id, probe)) {
+                        let no_thread = Verdict::Unreachable("no thread was free for it".into());
+                        outputs.extend(self.driver.verdict(now, id, no_thread));
                     }
                 }
                 Output::Note(note) => {
-                    self.metrics.noted(&note);
+                    self.metrics.record_note(&note);
                     log(&note);
                 }
             }
         }
     }
 
-    /// Sends replies to the operators, and queues the calls of commands.
+    /// Sends responses to operators, and queues the command handler's calls.
     fn deliver(&mut self, output: HandlerOutput) {
         let mut outputs = vec![output];
         while let Some(output) = outputs.pop() {
-            for (request, mut reply) in output.replies {
-                if let Some((to, service)) = self.pending_requests.remove(&request) {
+            for (request_id, mut response) in output.replies {
+                if let Some((response_sender, service)) = self.pending_requests.remove(&request_id) {
                     if let Some(live) = service.and_then(|name| self.driver.service_status(&name)) {
-                        reply.body["live"] = json!(live);
+                        response.body["live"] = json!(live);
                     }
-                    let _ = to.try_send(reply);
+                    let _ = response_sender.try_send(response);
                 }
             }
             for (id, call) in output.calls {
@@ -240,7 +246,7 @@
     }
 }
 
-/// One line a change, within spans whose ids stay the same wherever it is driven.
+/// Logs one line per change. The ids of its spans are the same on every controller that drives the roll-out.
 fn log(note: &Note) {
     match note {
         Note::Drives(claim) => tracing::info!(%claim, "became leader of roll-outs"),
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -1,4 +1,4 @@
-//! The operators' settings that turn roll-outs on.
+//! The settings file that enables roll-outs on a controller.
 
 use crate::driver::Config;
 use crate::units::Millis;
@@ -6,43 +6,43 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Threads for calls that are neither watches nor renewals.
-pub const CALLERS: usize = 4;
+/// Threads for calls that are neither watches nor lease calls.
+pub const CALL_THREADS: usize = 4;
 
-/// Threads beside those for checks and connections: the owner's, the
-/// listener's, the watch's, the lease's and the callers'.
-pub const OWN_THREADS: usize = 4 + CALLERS;
+/// Threads besides those for checks and connections: one each for the event loop,
+/// the listener, watches and lease calls, and [`CALL_THREADS`] for other calls.
+pub const FIXED_THREADS: usize = 4 + CALL_THREADS;
 
-/// Why the settings can't be used.
+/// An error in reading the settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file can't be read: file and cause.
     #[error("cannot read {0}: {1}")]
     Read(String, std::io::Error),
-    /// The file is no TOML, or has unknown or missing keys.
+    /// The file is not valid TOML, or has unknown or missing keys: file and the parser's error.
     #[error("{0}: {1}")]
     Parse(String, String),
-    /// A value is out of range: file, field and rule.
+    /// A value violates a rule: file, field and rule.
     #[error("{0}: {1} {2}")]
     Value(String, &'static str, &'static str),
 }
 
-/// What a controller needs to take part in roll-outs (TOML).
+/// Settings of roll-outs on one controller, from a TOML file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where operators are listened to.
+    /// Address of the operators' listener.
     pub listen: SocketAddr,
-    /// How long the driver's lease lasts unrenewed, in seconds.
+    /// TTL of the driver's lease, in seconds.
     #[serde(default = "lease")]
     pub lease_s: f64,
-    /// Threads for checks, which is how many run at the same time.
+    /// Threads for checks, and so the maximum number of concurrent checks.
     #[serde(default = "checks")]
     pub checks: usize,
-    /// Operators' connections at the same time.
+    /// Maximum number of concurrent connections of operators.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// First digits of the ids of services' jobs; users leave them free.
+    /// First digits of the ids of services' jobs. Users must not submit jobs whose ids begin with them.
     #[serde(default = "digits")]
     pub first_digits: String,
 }
@@ -61,40 +61,40 @@
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// If it can't be read, is no TOML, has unknown keys or values out of range.
+    /// If the file can't be read, is not valid TOML, has unknown or missing keys, or a value violates a rule.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| SettingsError::Read(name.clone(), e))?;
-        let one_line = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
+        let to_one_line = |text: &str| text.split_whitespace().collect::<Vec<_>>().join(" ");
         let settings: Settings =
-            toml::from_str(&text).map_err(|e| SettingsError::Parse(name.clone(), one_line(&e.to_string())))?;
-        let wrong = |field, why| Err(SettingsError::Value(name.clone(), field, why));
+            toml::from_str(&text).map_err(|e| SettingsError::Parse(name.clone(), to_one_line(&e.to_string())))?;
+        let invalid = |field, rule| Err(SettingsError::Value(name.clone(), field, rule));
         if !(1.0..=600.0).contains(&settings.lease_s) {
-            return wrong("lease_s", "must lie between 1 and 600");
+            return invalid("lease_s", "must lie between 1 and 600");
         }
         if !(1..=256).contains(&settings.checks) {
-            return wrong("checks", "must lie between 1 and 256");
+            return invalid("checks", "must lie between 1 and 256");
         }
         if !(1..=256).contains(&settings.connections) {
-            return wrong("connections", "must lie between 1 and 256");
+            return invalid("connections", "must lie between 1 and 256");
         }
         let digits = &settings.first_digits;
         if !(1..=8).contains(&digits.len()) || !digits.bytes().all(|b| b.is_ascii_digit()) {
-            return wrong("first_digits", "must be 1 to 8 digits");
+            return invalid("first_digits", "must be 1 to 8 digits");
         }
         Ok(settings)
     }
 
-    /// Threads that roll-outs take in all.
+    /// Returns the maximum number of threads that roll-outs use.
     pub fn threads(&self) -> usize {
-        self.checks + self.connections + OWN_THREADS
+        self.checks + self.connections + FIXED_THREADS
     }
 
-    /// What the driver of this node goes by.
+    /// Returns the driver's configuration on this node.
     pub fn config(&self, node: &str) -> Config {
         Config {
             node: node.into(),
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -262,9 +262,9 @@
     // Labels of one counter are written in no fixed order: each registry gets one of each.
     let counted = |verdict: Verdict, step: Event, end: RolloutProgress| {
         let metrics = Metrics::default();
-        metrics.checked(&verdict, Duration::from_millis(3));
+        metrics.record_check(&verdict, Duration::from_millis(3));
         for event in [step, Event::Ended(end)] {
-            metrics.noted(&Note::Changed { service: "routeplan".into(), number: 5, step: 1, event });
+            metrics.record_note(&Note::Changed { service: "routeplan".into(), number: 5, step: 1, event });
         }
         metrics.text()
     };
