--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,7 +1,8 @@
-//! tillerctl: what operators ask of tillercleat, and how it is shown.
+//! tillerctl: the operators' command line of tillercleat.
 //!
-//! Exit codes: 0 done; 1 refused, halted or reverted; 2 bad input; 3 nobody
-//! could be asked, or it is not known what came of it.
+//! Exit codes: 0 done; 1 refused, or the watched roll-out did not end with the new
+//! version; 2 invalid input; 3 no controller handled the request, its outcome is
+//! unknown, or the terminal failed.
 
 mod client;
 mod screen;
@@ -19,51 +20,51 @@
 #[derive(Parser)]
 #[command(name = "tillerctl", version, about)]
 struct Cli {
-    /// Controllers' operators' listeners; the first that answers is asked.
+    /// Addresses of the controllers' operators' listeners, tried in order.
     #[arg(long, env = "TILLERCTL_SERVERS", value_delimiter = ',', default_value = "127.0.0.1:8090", global = true)]
     servers: Vec<SocketAddr>,
-    /// Print JSON as it came.
+    /// Print the JSON of the response.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Roll a service out in steps.
+enum Command {
+    /// Roll out a version of a service in steps.
     #[command(subcommand)]
-    Rollout(Rollout),
+    Rollout(RolloutCommand),
 }
 
 #[derive(Subcommand)]
-enum Rollout {
-    /// Start a roll-out as a file says.
+enum RolloutCommand {
+    /// Start the roll-out that a file describes.
     Start { file: PathBuf },
-    /// Check a file and say what is wrong with it; asks nobody.
+    /// Validate a file without contacting a controller.
     Check { file: PathBuf },
-    /// Show one service, or all.
+    /// Show one service, or all services.
     Status { service: Option<String> },
-    /// Show a roll-out as it goes, until it ends.
+    /// Follow a roll-out until it ends.
     Watch {
         service: String,
-        /// Plain lines even on a terminal.
+        /// Print lines even on a terminal.
         #[arg(long)]
         plain: bool,
     },
-    /// Hold the next step back; a failure still reverts.
+    /// Pause before the next step; a failed step still reverts.
     Pause { service: String },
-    /// Go on after a pause or a halt.
+    /// Continue after a pause or a halt.
     Resume { service: String },
-    /// Stop where it is.
+    /// Stop the roll-out without reverting it.
     Abort { service: String },
-    /// Go back to the version before.
+    /// Return to the previous version.
     Revert { service: String },
-    /// Print the JSON schema of roll-outs.
+    /// Print the JSON schema of roll-out files.
     Schema,
 }
 
-/// Why a command failed, with its exit code.
+/// Failure of a command; determines the exit code.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error("{0}")]
@@ -77,7 +78,7 @@
 }
 
 impl Failure {
-    fn code(&self) -> u8 {
+    fn exit_code(&self) -> u8 {
         match self {
             Failure::Refused(_) => 1,
             Failure::Input(_) => 2,
@@ -86,7 +87,7 @@
     }
 }
 
-fn load(path: &Path) -> Result<RollOut, Failure> {
+fn load_rollout(path: &Path) -> Result<RollOut, Failure> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| Failure::Input(format!("cannot read {name}: {e}")))?;
     RollOut::from_toml(&text).map_err(|problems| {
@@ -95,8 +96,8 @@
     })
 }
 
-/// The body of a good answer.
-fn good(answer: (u16, Value)) -> Result<Value, Failure> {
+/// Returns the body of a successful response, or the failure that the response describes.
+fn success_body(answer: (u16, Value)) -> Result<Value, Failure> {
     let (status, body) = answer;
     if status < 300 {
         return Ok(body);
@@ -111,57 +112,60 @@
     }
     Err(match status {
         400 => Failure::Input(text),
-        503 | 504 => Failure::Client(ClientError::Unsure(text)),
+        503 | 504 => Failure::Client(ClientError::Unconfirmed(text)),
         _ => Failure::Refused(text),
     })
 }
 
-fn command(client: &mut Client, service: &str, verb: &str) -> Result<Value, Failure> {
-    good(client.call("POST", &format!("/v1/rollouts/{service}/{verb}"), b"")?)
+fn send_command(client: &mut Client, service: &str, verb: &str) -> Result<Value, Failure> {
+    success_body(client.call("POST", &format!("/v1/rollouts/{service}/{verb}"), b"")?)
 }
 
+/// Runs the command; returns whether it succeeded.
 fn run(cli: &Cli) -> Result<bool, Failure> {
-    let What::Rollout(what) = &cli.what;
+    let Command::Rollout(command) = &cli.command;
     let mut client = Client::new(&cli.servers);
-    let body = match what {
-        Rollout::Schema => {
+    let body = match command {
+        RolloutCommand::Schema => {
             println!("{:#}", tillercleat_rollout::file::schema());
             return Ok(true);
         }
-        Rollout::Check { file } => {
-            load(file)?;
+        RolloutCommand::Check { file } => {
+            load_rollout(file)?;
             println!("{}: fine", file.display());
             return Ok(true);
         }
-        Rollout::Start { file } => {
-            let body = serde_json::to_vec(&load(file)?).map_err(|e| Failure::Input(e.to_string()))?;
-            good(client.call("POST", "/v1/rollouts", &body)?)?
+        RolloutCommand::Start { file } => {
+            let body = serde_json::to_vec(&load_rollout(file)?).map_err(|e| Failure::Input(e.to_string()))?;
+            success_body(client.call("POST", "/v1/rollouts", &body)?)?
         }
-        Rollout::Status { service: None } => good(client.call("GET", "/v1/rollouts", b"")?)?,
-        Rollout::Status { service: Some(service) } => client.status(service).map_err(Failure::from).and_then(good)?,
-        Rollout::Watch { service, plain } => return watch(&mut client, service, *plain, cli.json),
-        Rollout::Pause { service } => command(&mut client, service, "pause")?,
-        Rollout::Resume { service } => command(&mut client, service, "resume")?,
-        Rollout::Abort { service } => command(&mut client, service, "abort")?,
-        Rollout::Revert { service } => command(&mut client, service, "revert")?,
+        RolloutCommand::Status { service: None } => success_body(client.call("GET", "/v1/rollouts", b"")?)?,
+        RolloutCommand::Status { service: Some(service) } => {
+            client.status(service).map_err(Failure::from).and_then(success_body)?
+        }
+        RolloutCommand::Watch { service, plain } => return watch(&mut client, service, *plain, cli.json),
+        RolloutCommand::Pause { service } => send_command(&mut client, service, "pause")?,
+        RolloutCommand::Resume { service } => send_command(&mut client, service, "resume")?,
+        RolloutCommand::Abort { service } => send_command(&mut client, service, "abort")?,
+        RolloutCommand::Revert { service } => send_command(&mut client, service, "revert")?,
     };
     if cli.json {
         println!("{body}");
     } else {
-        print!("{}", table::show(&body));
+        print!("{}", table::render(&body));
     }
     Ok(true)
 }
 
-/// Follows a roll-out until it ends; true if it ended with the new version.
+/// Follows a roll-out until it ends; returns whether it ended with the new version.
 fn watch(client: &mut Client, service: &str, plain: bool, json: bool) -> Result<bool, Failure> {
     use std::io::IsTerminal;
-    let end = if plain || json || !std::io::stdout().is_terminal() {
-        screen::lines(client, service, json)?
+    let end_state = if plain || json || !std::io::stdout().is_terminal() {
+        screen::print_changes(client, service, json)?
     } else {
-        screen::live(client, service)?
+        screen::show(client, service)?
     };
-    Ok(end == "done")
+    Ok(end_state == "done")
 }
 
 fn main() -> ExitCode {
@@ -171,7 +175,7 @@
         Ok(false) => ExitCode::from(1),
         Err(failure) => {
             eprintln!("tillerctl: {failure}");
-            ExitCode::from(failure.code())
+            ExitCode::from(failure.exit_code())
         }
     }
 }
--- a/crates/ctl/src/screen.rs
+++ b/crates/ctl/src/screen.rs
@@ -1,7 +1,7 @@
-//! A roll-out as it goes: a screen on a terminal, lines elsewhere.
+//! Follows a roll-out: as a full screen on a terminal, or as printed lines.
 
 use crate::client::Client;
-use crate::{good, table, Failure};
+use crate::{success_body, table, Failure};
 use crossterm::event::{self, Event, KeyCode, KeyModifiers};
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Modifier, Style};
@@ -10,26 +10,27 @@
 use serde_json::Value;
 use std::time::Duration;
 
-const EVERY: Duration = Duration::from_millis(1000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Questions in a row without an answer before a watch gives up.
-const PATIENCE: u32 = 30;
+/// Number of failed polls in a row after which the next one ends the watch.
+const MAX_FAILED_POLLS: u32 = 30;
 
-/// The state in which a roll-out has ended, if it has.
-fn ended(body: &Value) -> Option<String> {
+/// Returns the state if it is final, which is also the case if there is no roll-out.
+fn final_state(body: &Value) -> Option<String> {
     let state = body["state"].as_str().unwrap_or("none");
     matches!(state, "done" | "reverted" | "halted" | "none").then(|| state.to_string())
 }
 
-/// Asks until there is an answer, through restarts of controllers.
-fn ask(client: &mut Client, service: &str, misses: &mut u32) -> Result<Option<Value>, Failure> {
-    match client.status(service).map_err(Failure::from).and_then(good) {
+/// Asks once for the status of a service. Reports a failed poll and returns `None`, so that the watch survives
+/// restarts of controllers, unless too many polls in a row have failed.
+fn poll_status(client: &mut Client, service: &str, failed_polls: &mut u32) -> Result<Option<Value>, Failure> {
+    match client.status(service).map_err(Failure::from).and_then(success_body) {
         Ok(body) => {
-            *misses = 0;
+            *failed_polls = 0;
             Ok(Some(body))
         }
-        Err(Failure::Client(error)) if *misses < PATIENCE => {
-            *misses += 1;
+        Err(Failure::Client(error)) if *failed_polls < MAX_FAILED_POLLS => {
+            *failed_polls += 1;
             eprintln!("tillerctl: {error}");
             Ok(None)
         }
@@ -37,21 +38,21 @@
     }
 }
 
-/// Prints a line whenever something changes; the state it ended in.
-pub fn lines(client: &mut Client, service: &str, json: bool) -> Result<String, Failure> {
-    let (mut misses, mut before) = (0, String::new());
+/// Prints a line for each change until the roll-out ends; returns its final state.
+pub fn print_changes(client: &mut Client, service: &str, json: bool) -> Result<String, Failure> {
+    let (mut failed_polls, mut previous_line) = (0, String::new());
     loop {
-        if let Some(body) = ask(client, service, &mut misses)? {
+        if let Some(body) = poll_status(client, service, &mut failed_polls)? {
             let line = if json { body.to_string() } else { table::headline(&body) };
-            if line != before {
+            if line != previous_line {
                 println!("{line}");
-                before = line;
+                previous_line = line;
             }
-            if let Some(end) = ended(&body) {
-                return Ok(end);
+            if let Some(state) = final_state(&body) {
+                return Ok(state);
             }
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -61,47 +62,51 @@
             .split(frame.area());
     let title = Block::bordered().title("roll-out");
     frame.render_widget(Paragraph::new(table::headline(body)).wrap(Wrap { trim: true }).block(title), areas[0]);
-    let rolling = &body["rollout"];
-    let baked = body["live"]["baked_s"].as_f64().or(rolling["baked_s"].as_f64()).unwrap_or(0.0);
-    let bake = rolling["bake_s"].as_f64().unwrap_or(0.0);
-    let share = if bake > 0.0 { (baked / bake).clamp(0.0, 1.0) } else { 0.0 };
-    let title = format!("step {} of {}: {baked:.0} of {bake:.0} s well", rolling["step"], rolling["steps"]);
-    frame.render_widget(Gauge::default().block(Block::bordered().title(title)).ratio(share), areas[1]);
+    let rollout = &body["rollout"];
+    let baked = body["live"]["baked_s"].as_f64().or(rollout["baked_s"].as_f64()).unwrap_or(0.0);
+    let bake = rollout["bake_s"].as_f64().unwrap_or(0.0);
+    let baked_ratio = if bake > 0.0 { (baked / bake).clamp(0.0, 1.0) } else { 0.0 };
+    let title = format!("step {} of {}: {baked:.0} of {bake:.0} s well", rollout["step"], rollout["steps"]);
+    frame.render_widget(Gauge::default().block(Block::bordered().title(title)).ratio(baked_ratio), areas[1]);
     let rows = table::replica_rows(body);
     let style = |row: &Vec<String>| {
         let failed = row.last().is_some_and(|last| last.starts_with("failed"));
         Style::default().fg(if failed { Color::Red } else { Color::Reset })
     };
-    let count = rows.first().map_or(1, Vec::len);
-    let widths = (0..count).map(|at| {
-        let width = rows.iter().filter_map(|row| row.get(at)).map(|cell| cell.chars().count()).max();
-        if at + 1 == count {
+    let columns = rows.first().map_or(1, Vec::len);
+    let widths = (0..columns).map(|column| {
+        let width = rows.iter().filter_map(|row| row.get(column)).map(|cell| cell.chars().count()).max();
+        if column + 1 == columns {
             Constraint::Min(10)
         } else {
             Constraint::Length(width.unwrap_or(5) as u16)
         }
     });
     let body_rows = rows.iter().skip(1).map(|row| Row::new(row.clone()).style(style(row)));
-    let head = Row::new(rows.first().cloned().unwrap_or_default()).style(Style::default().add_modifier(Modifier::BOLD));
-    let table = Table::new(body_rows, widths).header(head).block(Block::bordered().title("replicas"));
+    let header =
+        Row::new(rows.first().cloned().unwrap_or_default()).style(Style::default().add_modifier(Modifier::BOLD));
+    let table = Table::new(body_rows, widths).header(header).block(Block::bordered().title("replicas"));
     frame.render_widget(table, areas[2]);
     frame.render_widget(Paragraph::new("q: leave"), areas[3]);
 }
 
-/// Shows a screen until the roll-out ends or somebody leaves it; the state then.
-pub fn live(client: &mut Client, service: &str) -> Result<String, Failure> {
-    let mut misses = 0;
-    // A mistake in the name is said before the screen is taken.
-    let mut body = good(client.status(service)?)?;
+/// Shows the roll-out on the whole terminal until it ends or the operator leaves the screen.
+/// Returns the final state, or `left`.
+pub fn show(client: &mut Client, service: &str) -> Result<String, Failure> {
+    let mut failed_polls = 0;
+    // The first request reports an unknown service before the screen replaces the terminal's contents.
+    let mut body = success_body(client.status(service)?)?;
     let mut terminal = ratatui::try_init()?;
-    let end = loop {
+    let result = loop {
         if let Err(error) = terminal.draw(|frame| draw(frame, &body)) {
             break Err(error.into());
         }
-        if let Some(end) = ended(&body) {
-            break Ok(end);
+        if let Some(state) = final_state(&body) {
+            break Ok(state);
         }
-        match event::poll(EVERY).and_then(|there| if there { event::read().map(Some) } else { Ok(None) }) {
+        match event::poll(POLL_INTERVAL)
+            .and_then(|available| if available { event::read().map(Some) } else { Ok(None) })
+        {
             Err(error) => break Err(error.into()),
             Ok(Some(Event::Key(key))) => {
                 let interrupted = key.code == KeyCode::Char('c') && key.modifiers.contains(KeyModifiers::CONTROL);
@@ -111,18 +116,18 @@
             }
             Ok(_) => {}
         }
-        match client.status(service).map_err(Failure::from).and_then(good) {
+        match client.status(service).map_err(Failure::from).and_then(success_body) {
             Ok(answer) => {
-                misses = 0;
+                failed_polls = 0;
                 body = answer;
             }
-            Err(Failure::Client(_)) if misses < PATIENCE => misses += 1,
+            Err(Failure::Client(_)) if failed_polls < MAX_FAILED_POLLS => failed_polls += 1,
             Err(failure) => break Err(failure),
         }
     };
     ratatui::restore();
     println!("{}", table::headline(&body));
-    end
+    result
 }
 
 #[cfg(test)]
--- a/crates/ctl/src/screen/tests.rs
+++ b/crates/ctl/src/screen/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn a_screen_shows_steps_and_checks() {
+fn screen_shows_step_progress_and_failed_checks() {
     let body = json!({"service": "s", "state": "rolling",
         "rollout": {"from": "v1", "to": "v2", "step": 2, "steps": 3, "way": "baking", "bake_s": 6.0},
         "live": {"baked_s": 3.0, "spent_s": 4.0, "replicas": [
@@ -14,9 +14,9 @@
         let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
         terminal.draw(|frame| draw(frame, &body)).unwrap();
         if width == 140 {
-            let shown = terminal.backend().to_string();
-            assert!(shown.contains("step 2 of 3: 3 of 6 s well"), "{shown}");
-            assert!(shown.contains("failed: status 500 (0.4 s ago)"), "{shown}");
+            let screen = terminal.backend().to_string();
+            assert!(screen.contains("step 2 of 3: 3 of 6 s well"), "{screen}");
+            assert!(screen.contains("failed: status 500 (0.4 s ago)"), "{screen}");
         }
     }
 }
