--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -35,7 +35,7 @@
 
 impl OperatorResponse {
     /// Returns an error response without a time for a retry.
-    pub fn problem(status: u16, why: &str) -> OperatorResponse {
+    pub fn error(status: u16, why: &str) -> OperatorResponse {
         OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
 
@@ -64,8 +64,8 @@
 pub struct HandlerOutput {
     /// Calls to make; each answer goes to [`CommandHandler::answer`].
     pub calls: Vec<(CallId, Call)>,
-    /// Responses to requests taken earlier, each sent once.
-    pub replies: Vec<(RequestId, OperatorResponse)>,
+    /// Responses to requests handled by this or an earlier input, each sent once.
+    pub responses: Vec<(RequestId, OperatorResponse)>,
 }
 
 /// State machine that handles the requests of one controller's operators.
@@ -106,13 +106,13 @@
         let mut output = HandlerOutput::default();
         let Some(pending) = self.pending.remove(&id) else { return output };
         let request_id = pending.request_id;
-        let reply = match (&pending.request, pending.new_record.is_some()) {
+        let response = match (&pending.request, pending.new_record.is_some()) {
             (_, true) => self.handle_commit(pending, answer, &mut output),
             (OperatorRequest::List, _) => self.handle_page(pending, answer, &mut output),
             (OperatorRequest::Status(_), _) => self.handle_status(pending, answer, &mut output),
             (OperatorRequest::Command(..), _) => self.apply_command(pending, answer, &mut output),
         };
-        output.replies.extend(reply.map(|reply| (request_id, reply)));
+        output.responses.extend(response.map(|response| (request_id, response)));
         output
     }
 
@@ -156,9 +156,9 @@
             return Some(OperatorResponse { status: 200, body, retry_after_s: None });
         }
         match answer {
-            Answer::Missing => Some(OperatorResponse::problem(404, "no such service")),
+            Answer::Missing => Some(OperatorResponse::error(404, "no such service")),
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
-                Err(error) => Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}"))),
+                Err(error) => Some(OperatorResponse::error(500, &format!("the record can't be read: {error}"))),
                 Ok(service) => {
                     pending.service = Some(service);
                     self.call(Call::Get { key: DRIVER_KEY.into() }, pending, output);
@@ -181,17 +181,15 @@
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Ok(service) => (service, item.stamp),
-                Err(error) => {
-                    return Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}")))
-                }
+                Err(error) => return Some(OperatorResponse::error(500, &format!("the record can't be read: {error}"))),
             },
             Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Stamp(0)),
-            Answer::Missing => return Some(OperatorResponse::problem(404, "no such service")),
+            Answer::Missing => return Some(OperatorResponse::error(404, "no such service")),
             _ => return Some(state_service_unreachable()),
         };
         let new_record = match service.command(command, self.max_record_bytes) {
             Ok(record) => record,
-            Err(refusal) => return Some(OperatorResponse::problem(409, &refusal.to_string())),
+            Err(refusal) => return Some(OperatorResponse::error(409, &refusal.to_string())),
         };
         let key = service_key(name);
         let value = serde_json::to_value(&new_record).unwrap_or_default();
@@ -223,9 +221,7 @@
             }
             Answer::Conflict => Some(OperatorResponse::unavailable("the record changes all the time")),
             Answer::Refused => Some(state_service_unreachable()),
-            _ => {
-                Some(OperatorResponse::problem(504, "it is not known whether this was carried out: ask for the status"))
-            }
+            _ => Some(OperatorResponse::error(504, "it is not known whether this was carried out: ask for the status")),
         }
     }
 }
--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -38,7 +38,7 @@
 /// Routes a request by its method and path; validates the roll-out that a `POST` brings.
 pub fn route(method: &str, target: &str, body: &[u8]) -> Routed {
     let path = target.split('?').next().unwrap_or("");
-    let not_found = || Routed::Immediate(OperatorResponse::problem(404, "no such path"));
+    let not_found = || Routed::Immediate(OperatorResponse::error(404, "no such path"));
     let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
     let (allowed_method, routed) = match segments.as_slice() {
         ["metrics"] => ("GET", Routed::Metrics),
@@ -76,7 +76,7 @@
     if method == allowed_method {
         routed
     } else {
-        Routed::Immediate(OperatorResponse::problem(405, "method not allowed"))
+        Routed::Immediate(OperatorResponse::error(405, "method not allowed"))
     }
 }
 
@@ -129,7 +129,7 @@
                     Some(OperatorResponse::unavailable("overloaded"))
                 };
                 response.unwrap_or_else(|| {
-                    OperatorResponse::problem(504, "no answer in time: it is not known whether this was carried out")
+                    OperatorResponse::error(504, "no answer in time: it is not known whether this was carried out")
                 })
             }
         };
@@ -166,12 +166,12 @@
                 let _ = write_response(&mut Connection::new(stream), (503, "application/json", body), Some(1), true);
                 continue;
             }
-            let (open_in_thread, events, metrics) = (open_connections.clone(), events.clone(), metrics.clone());
+            let (open_counter, events, metrics) = (open_connections.clone(), events.clone(), metrics.clone());
             let thread = std::thread::Builder::new().name("operator".into()).stack_size(STACK_BYTES).spawn(move || {
                 if let Err(error) = serve_connection(stream, &events, &metrics) {
                     tracing::debug!(%error, "closed operator connection");
                 }
-                open_in_thread.fetch_sub(1, Ordering::SeqCst);
+                open_counter.fetch_sub(1, Ordering::SeqCst);
             });
             if thread.is_err() {
                 open_connections.fetch_sub(1, Ordering::SeqCst);
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -229,7 +229,7 @@
     fn deliver(&mut self, output: HandlerOutput) {
         let mut outputs = vec![output];
         while let Some(output) = outputs.pop() {
-            for (request_id, mut response) in output.replies {
+            for (request_id, mut response) in output.responses {
                 if let Some((response_sender, service)) = self.pending_requests.remove(&request_id) {
                     if let Some(live) = service.and_then(|name| self.driver.service_status(&name)) {
                         response.body["live"] = json!(live);
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -168,7 +168,7 @@
         let mut commands = CommandHandler::new(64 * 1024);
         let mut output = commands.handle_request(RequestId(1), OperatorRequest::Command(name.into(), command));
         loop {
-            if let Some((_, reply)) = output.replies.pop() {
+            if let Some((_, reply)) = output.responses.pop() {
                 return reply;
             }
             let (id, call) = output.calls.pop().expect("a call or a reply");
