--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -9,7 +9,7 @@
 mod leadership;
 mod tracked;
 
-use crate::file::valid_name;
+use crate::file::is_valid_name;
 use crate::ports::{Answer, Call, Probe};
 use crate::reconcile::Event;
 use crate::record::Service;
@@ -271,7 +271,7 @@
 
     /// Takes a record that is durable as of `stamp`, unless a newer one is known.
     fn adopt(&mut self, key: &str, value: Option<serde_json::Value>, stamp: Stamp) {
-        let Some(name) = key.strip_prefix(SERVICES).filter(|name| valid_name(name)) else { return };
+        let Some(name) = key.strip_prefix(SERVICES).filter(|name| is_valid_name(name)) else { return };
         let Some(value) = value else {
             self.services.remove(name);
             return;
--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -268,8 +268,8 @@
                 problems.push(Problem { field: field.into(), why: why.into() });
             }
         };
-        flag("service", !valid_name(&self.service), "must be 1 to 60 letters, digits, '-', '_' or '.'");
-        flag("version", !valid_name(&self.version), "must be 1 to 60 letters, digits, '-', '_' or '.'");
+        flag("service", !is_valid_name(&self.service), "must be 1 to 60 letters, digits, '-', '_' or '.'");
+        flag("version", !is_valid_name(&self.version), "must be 1 to 60 letters, digits, '-', '_' or '.'");
         flag("replicas", !(1..=MAX_REPLICAS).contains(&self.replicas), "must lie between 1 and 10000");
         flag("group", !(1..=self.replicas.max(1)).contains(&self.group), "must lie between 1 and replicas");
         flag(
@@ -355,7 +355,7 @@
 }
 
 /// True if the name can be used in a store key and in a URL path.
-pub fn valid_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     (1..=60).contains(&name.len())
         && name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
         && !name.starts_with('.')
--- a/crates/rollout/src/listen.rs
+++ b/crates/rollout/src/listen.rs
@@ -3,7 +3,7 @@
 
 use crate::commands::{OperatorRequest, OperatorResponse};
 use crate::events::Event;
-use crate::file::{schema, valid_name, Problems, RollOut};
+use crate::file::{is_valid_name, schema, Problems, RollOut};
 use crate::metrics::Metrics;
 use crate::record::Command;
 use crate::settings::Settings;
@@ -59,7 +59,7 @@
             };
         }
         ["v1", "rollouts"] => ("GET", Routed::OperatorRequest(OperatorRequest::List)),
-        ["v1", "rollouts", name, ..] if !valid_name(name) => return not_found(),
+        ["v1", "rollouts", name, ..] if !is_valid_name(name) => return not_found(),
         ["v1", "rollouts", name] => ("GET", Routed::OperatorRequest(OperatorRequest::Status((*name).into()))),
         ["v1", "rollouts", name, verb] => {
             let command = match *verb {
