--- a/crates/ctl/src/screen.rs
+++ b/crates/ctl/src/screen.rs
@@ -12,7 +12,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Number of failed polls in a row after which the next one ends the watch.
+/// Number of consecutive failed polls that a watch tolerates.
 const MAX_FAILED_POLLS: u32 = 30;
 
 /// Returns the state if it is final, which is also the case if there is no roll-out.
--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Retries of a command whose conditional write conflicts with another change of the record.
+/// Maximum number of retries of a command whose conditional write conflicts with another change of the record.
 const MAX_CONFLICT_RETRIES: u32 = 6;
 
 /// A request of an operator.
@@ -34,7 +34,7 @@
 }
 
 impl OperatorResponse {
-    /// Returns an error response without a time for a retry.
+    /// Returns an error response that does not ask the client to retry.
     pub fn error(status: u16, why: &str) -> OperatorResponse {
         OperatorResponse { status, body: json!({ "error": why }), retry_after_s: None }
     }
