--- a/crates/connection-limits/src/connection_limiter.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -127,8 +127,8 @@
     /// least the budget's share and at most three quarters of all.
     pub fn reserved_for_workers(&self, now: Millis) -> usize {
         let needed = self.worker_peak.decayed(now).max(self.connections.workers() as f64);
-        let most = (self.budget.connections as f64 * MAX_WORKER_SHARE) as usize;
-        ((needed * PEAK_MARGIN) as usize).max(self.budget.workers).min(most)
+        let most = (self.budget.max_connections as f64 * MAX_WORKER_SHARE) as usize;
+        ((needed * PEAK_MARGIN) as usize).max(self.budget.min_reserved_for_workers).min(most)
     }
 
     /// A connection has arrived.
@@ -140,7 +140,7 @@
         if let Some(id) = evict {
             self.connections.update(id, |state| State::Closing(state.role()), now);
         }
-        if self.connections.len() >= self.budget.connections {
+        if self.connections.len() >= self.budget.max_connections {
             // The evicted one makes room for the next that arrives.
             return Admission { admitted: Err(RefusalReason::Full), evict };
         }
@@ -157,14 +157,14 @@
         };
         let required = |silent: Option<ConnectionId>| silent.map(Some).ok_or(RefusalReason::TooManyUnidentified);
         // One address must not take the places of all others.
-        let most_from_address = (self.budget.unidentified / 2).max(1);
+        let most_from_address = (self.budget.max_unidentified / 2).max(1);
         if self.connections.unidentified_from(from) >= most_from_address {
             return required(silent(self.connections.longest_unidentified_from(from)));
         }
-        if self.connections.unidentified() >= self.budget.unidentified {
+        if self.connections.unidentified() >= self.budget.max_unidentified {
             return required(silent(self.connections.longest_unidentified()));
         }
-        if self.connections.len() >= self.budget.crowded {
+        if self.connections.len() >= self.budget.eviction_threshold {
             return Ok(silent(self.connections.longest_unidentified()).or(self.connections.longest_idle_user()));
         }
         Ok(None)
@@ -186,7 +186,7 @@
     }
 
     fn user_request_started(&mut self, id: ConnectionId, now: Millis) -> ConnectionAction {
-        let most_users = self.budget.connections - self.reserved_for_workers(now);
+        let most_users = self.budget.max_connections - self.reserved_for_workers(now);
         if self.connections.users() > most_users {
             self.connections.update(id, |state| State::Closing(state.role()), now);
             return ConnectionAction::Refuse(RefusalReason::ReservedForWorkers);
@@ -199,7 +199,7 @@
 
     /// With three quarters of all connections open, those of users are not kept between requests.
     fn is_nearly_full(&self) -> bool {
-        self.connections.len() * 4 > self.budget.connections * 3
+        self.connections.len() * 4 > self.budget.max_connections * 3
     }
 
     /// The request was answered, and the connection stays.
--- a/crates/connection-limits/src/connection_limiter/tests.rs
+++ b/crates/connection-limits/src/connection_limiter/tests.rs
@@ -70,7 +70,7 @@
                         }
                         Err(RefusalReason::TooManyUnidentified) => {
                             let silent = open.values().filter(|c| c.0.is_none() && !c.3).count();
-                            prop_assert!(silent >= resource_budget().unidentified / 2);
+                            prop_assert!(silent >= resource_budget().max_unidentified / 2);
                         }
                         Err(RefusalReason::ReservedForWorkers) => prop_assert!(false, "no request of a user has arrived"),
                     }
@@ -93,7 +93,7 @@
                     if !open[&id].3 {
                         open.insert(id, (Some(by), true, now, false));
                         let held = users + usize::from(by == Role::User && one.0.is_none());
-                        prop_assert!(by == Role::Worker || held <= resource_budget().connections - resource_budget().workers);
+                        prop_assert!(by == Role::Worker || held <= resource_budget().max_connections - resource_budget().min_reserved_for_workers);
                     }
                 }
                 Step::Answer(n) => {
@@ -111,7 +111,7 @@
                 Step::Wait(ms) => now = Millis(now.0 + ms),
             }
             prop_assert_eq!(connection_limiter.open(), open.len());
-            prop_assert!(connection_limiter.open() <= resource_budget().connections);
+            prop_assert!(connection_limiter.open() <= resource_budget().max_connections);
         }
     }
 }
@@ -121,7 +121,7 @@
 fn a_flood_of_connections_from_one_address_leaves_room_for_others() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
     let flood = (0..1000).filter(|_| connection_limiter.admit(address(1), Millis(10)).admitted.is_ok()).count();
-    assert_eq!(flood, resource_budget().unidentified / 2);
+    assert_eq!(flood, resource_budget().max_unidentified / 2);
     let worker = connection_limiter.admit(address(2), Millis(11)).admitted.unwrap();
     assert_eq!(connection_limiter.request_started(worker, Role::Worker, Millis(12)), ConnectionAction::KeepOpen);
     // Silent for long enough, each is closed for the next.
@@ -143,5 +143,5 @@
     assert_eq!(connection_limiter.reserved_for_workers(Millis(0)), 25);
     ids.into_iter().for_each(|id| connection_limiter.closed(id));
     assert_eq!(connection_limiter.reserved_for_workers(Millis(1000)), 24);
-    assert_eq!(connection_limiter.reserved_for_workers(Millis(600_000)), resource_budget().workers);
+    assert_eq!(connection_limiter.reserved_for_workers(Millis(600_000)), resource_budget().min_reserved_for_workers);
 }
--- a/crates/connection-limits/src/resource_budget.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -38,13 +38,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
     /// The most that may be open or closing at the same time.
-    pub connections: usize,
+    pub max_connections: usize,
     /// From so many on, one is closed for each that arrives.
-    pub crowded: usize,
+    pub eviction_threshold: usize,
     /// The most that may not have made a request yet.
-    pub unidentified: usize,
+    pub max_unidentified: usize,
     /// The least number that is kept for workers.
-    pub workers: usize,
+    pub min_reserved_for_workers: usize,
 }
 
 /// A resource whose limit counts.
@@ -94,13 +94,13 @@
         let threads = remaining(Resource::Threads, limits.threads, reserved.threads)?;
         let sockets = remaining(Resource::Sockets, limits.sockets, reserved.sockets)?;
         let memory = (limits.memory_mib.max(0.0) * 1024.0 * MEMORY_SHARE / CONNECTION_KIB as f64) as usize;
-        let connections = threads.min(sockets).min(memory.max(MIN_CONNECTIONS));
+        let max_connections = threads.min(sockets).min(memory.max(MIN_CONNECTIONS));
         Ok(ResourceBudget {
-            connections,
+            max_connections,
             // The difference is for those that are to be closed and have not ended yet.
-            crowded: connections - (connections / 16).max(2),
-            unidentified: (connections / 4).max(2),
-            workers: connections / 4,
+            eviction_threshold: max_connections - (max_connections / 16).max(2),
+            max_unidentified: (max_connections / 4).max(2),
+            min_reserved_for_workers: max_connections / 4,
         })
     }
 }
--- a/crates/connection-limits/src/resource_budget/tests.rs
+++ b/crates/connection-limits/src/resource_budget/tests.rs
@@ -6,9 +6,12 @@
 fn threads_limit_connections_too() {
     let limits = Limits { threads: 1800, sockets: 2382, memory_mib: 188.0 };
     let resource_budget = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap();
-    assert_eq!(resource_budget.connections, 1784);
+    assert_eq!(resource_budget.max_connections, 1784);
     let small = Limits { memory_mib: 28.0, ..limits };
-    assert_eq!(ResourceBudget::new(small, ReservedResources { threads: 16, sockets: 40 }).unwrap().connections, 298);
+    assert_eq!(
+        ResourceBudget::new(small, ReservedResources { threads: 16, sockets: 40 }).unwrap().max_connections,
+        298
+    );
 }
 
 #[test]
--- a/src/transport/runtime.rs
+++ b/src/transport/runtime.rs
@@ -93,7 +93,7 @@
 /// too little.
 pub fn run(settings: Settings, tuning: Tuning, rollouts: Option<RolloutSettings>) -> Result<(), RunError> {
     let budget = resource_budget(&settings, &tuning, rollouts.as_ref())?;
-    let (events, event_queue) = sync_channel(MIN_EVENT_QUEUE.max(budget.connections));
+    let (events, event_queue) = sync_channel(MIN_EVENT_QUEUE.max(budget.max_connections));
     let client_listener = http::listen(settings.client_listen)
         .map_err(|source| RunError::Listen { addr: settings.client_listen, source })?;
     let external_clients = ExternalClients::start(&events, settings.services.state, settings.services.cloud)
@@ -107,7 +107,7 @@
         tillercleat_rollout::runtime::start(rollouts, &settings.node, value_bytes, Arc::new(site))
             .map_err(RunError::starting("roll-outs"))?;
     }
-    tracing::info!(connections = budget.connections, "accepting connections");
+    tracing::info!(connections = budget.max_connections, "accepting connections");
     std::thread::Builder::new()
         .name("listen".into())
         .stack_size(LISTENER_STACK)
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -13,7 +13,12 @@
             let _ = answer.send(Response::Healthy);
         }
     });
-    let registry = ConnectionRegistry::new(ResourceBudget { connections: 4, crowded: 2, unidentified: 8, workers: 1 });
+    let registry = ConnectionRegistry::new(ResourceBudget {
+        max_connections: 4,
+        eviction_threshold: 2,
+        max_unidentified: 8,
+        min_reserved_for_workers: 1,
+    });
     let stream = Arc::new(stream);
     // Others are there already.
     let others: Vec<_> = (0..3).map(|_| registry.admit(&stream)).collect();
