--- a/crates/connection-limits/src/connection_limiter.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -1,5 +1,6 @@
-//! The state machine that keeps connections within their budget. Called by the listener for each connection
-//! that arrives and by each connection's thread; it never does I/O and never closes a connection itself.
+//! State machine that keeps connections within the budget. The listener calls it for each accepted
+//! connection, and each connection's thread reports its requests. It does no I/O: the caller closes
+//! the connections that it selects.
 
 mod connection_table;
 mod worker_peak;
@@ -9,69 +10,69 @@
 use std::net::IpAddr;
 use worker_peak::WorkerPeak;
 
-/// A connection that has been silent for so long after its arrival may be closed for another, in
-/// milliseconds: clients that mean to ask something do so at once.
+/// Time after its arrival before a silent connection may be closed to admit another. Clients normally
+/// send their first request immediately.
 const UNIDENTIFIED_GRACE_MS: u64 = 500;
 
-/// Places kept for workers, as a multiple of their latest peak: they come back all at once.
-const PEAK_MARGIN: f64 = 1.25;
+/// Connections reserved for workers, as a multiple of their recent peak: workers reconnect all at once.
+const PEAK_MARGIN_FACTOR: f64 = 1.25;
 
-/// The largest share of all connections that is kept for workers.
+/// Upper bound on the share of all connections that is reserved for workers.
 const MAX_WORKER_SHARE: f64 = 0.75;
 
-/// A moment in milliseconds since any fixed one.
+/// Time in milliseconds since a fixed origin that the caller chooses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Milliseconds since an earlier moment; 0 if that lies ahead.
+    /// Returns the milliseconds elapsed since `earlier`, or 0 if `earlier` is in the future.
     fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// One connection for as long as it lives; never used again.
+/// Identifies a connection. Ids are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Who makes requests over a connection.
+/// Kind of client that makes requests over a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// A user or a health check.
     User,
-    /// The agent of a machine.
+    /// The agent on a machine.
     Worker,
 }
 
-/// Why a connection is not accepted, or a request not served.
+/// Reason to refuse a connection or a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The budget is used up, and no connection may be closed for this one.
+    /// All connections of the budget are in use. One may be closing, but it counts until it has ended.
     Full,
     /// Too many connections have not made a request yet.
     TooManyUnidentified,
-    /// Users hold all connections but those that are kept for workers.
+    /// Users hold all connections except those reserved for workers.
     ReservedForWorkers,
 }
 
-/// What becomes of a connection that has arrived.
+/// Decision about a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Admission {
-    /// Its id if it is admitted; if not, it is to be answered at once that there
-    /// is no room, and closed.
+    /// Id of the admitted connection. If it is refused, the caller responds immediately that the
+    /// server is full and closes the connection.
     pub admitted: Result<ConnectionId, RefusalReason>,
-    /// Another connection that is to be closed now.
+    /// Another connection that the caller must close now.
     pub evict: Option<ConnectionId>,
 }
 
-/// What becomes of a connection when a request has arrived on it.
+/// Decision about a connection on which a request has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// Serve the request and wait for the next.
+    /// Serve the request and wait for the next one.
     KeepOpen,
-    /// Serve the request and close.
+    /// Serve the request, then close the connection.
     CloseAfter,
-    /// Answer at once that there is no room, and close.
+    /// Respond immediately that the server is full, then close the connection.
     Refuse(RefusalReason),
 }
 
@@ -79,16 +80,16 @@
 enum State {
     /// Has not made a request yet.
     Unidentified,
-    /// Its request is being served.
+    /// A request is being served.
     Busy(Role),
     /// Between requests.
     Idle(Role),
-    /// Is to be closed, and counts until it is.
+    /// Selected to be closed. Counts against the budget until it has ended.
     Closing(Option<Role>),
 }
 
 impl State {
-    /// Who is behind the connection, as far as it is known.
+    /// Returns the role of the client, or `None` if it has not made a request.
     fn role(self) -> Option<Role> {
         match self {
             State::Unidentified => None,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Decides which connections are open.
+/// Decides which connections may stay open.
 #[derive(Debug)]
 pub struct ConnectionLimiter {
     budget: ResourceBudget,
@@ -108,7 +109,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter without connections.
+    /// Creates a limiter without connections.
     pub fn new(budget: ResourceBudget) -> ConnectionLimiter {
         ConnectionLimiter {
             budget,
@@ -118,20 +119,20 @@
         }
     }
 
-    /// Connections that are open or closing; never more than the budget.
+    /// Returns the number of connections that are open or closing; at most `max_connections` of the budget.
     pub fn open(&self) -> usize {
         self.connections.len()
     }
 
-    /// Connections kept for workers now: what they needed of late and a margin, at
-    /// least the budget's share and at most three quarters of all.
+    /// Returns the number of connections reserved for workers at `now`: their decayed recent peak plus a
+    /// margin, at least the budget's minimum and at most `MAX_WORKER_SHARE` of all connections.
     pub fn reserved_for_workers(&self, now: Millis) -> usize {
         let needed = self.worker_peak.decayed(now).max(self.connections.workers() as f64);
-        let most = (self.budget.max_connections as f64 * MAX_WORKER_SHARE) as usize;
-        ((needed * PEAK_MARGIN) as usize).max(self.budget.min_reserved_for_workers).min(most)
+        let max_reserved = (self.budget.max_connections as f64 * MAX_WORKER_SHARE) as usize;
+        ((needed * PEAK_MARGIN_FACTOR) as usize).max(self.budget.min_reserved_for_workers).min(max_reserved)
     }
 
-    /// A connection has arrived.
+    /// Decides about a new connection from this address.
     pub fn admit(&mut self, from: IpAddr, now: Millis) -> Admission {
         let evict = match self.connection_to_evict(from, now) {
             Ok(evict) => evict,
@@ -141,7 +142,7 @@
             self.connections.update(id, |state| State::Closing(state.role()), now);
         }
         if self.connections.len() >= self.budget.max_connections {
-            // The evicted one makes room for the next that arrives.
+            // The evicted connection still counts, so only a later connection can take its place.
             return Admission { admitted: Err(RefusalReason::Full), evict };
         }
         self.last_id += 1;
@@ -150,27 +151,28 @@
         Admission { admitted: Ok(id), evict }
     }
 
-    /// Which connection is to be closed for one that arrives from this address, if any must be.
+    /// Selects the connection to close, if any, in order to admit one from this address. Fails if too many
+    /// connections are unidentified and none of them is past its grace period.
     fn connection_to_evict(&self, from: IpAddr, now: Millis) -> Result<Option<ConnectionId>, RefusalReason> {
-        let silent = |longest: Option<(Millis, ConnectionId)>| {
-            longest.filter(|(since, _)| now.since(*since) >= UNIDENTIFIED_GRACE_MS).map(|(_, id)| id)
+        let past_grace = |oldest: Option<(Millis, ConnectionId)>| {
+            oldest.filter(|(since, _)| now.since(*since) >= UNIDENTIFIED_GRACE_MS).map(|(_, id)| id)
         };
-        let required = |silent: Option<ConnectionId>| silent.map(Some).ok_or(RefusalReason::TooManyUnidentified);
-        // One address must not take the places of all others.
-        let most_from_address = (self.budget.max_unidentified / 2).max(1);
-        if self.connections.unidentified_from(from) >= most_from_address {
-            return required(silent(self.connections.longest_unidentified_from(from)));
+        let required = |evict: Option<ConnectionId>| evict.map(Some).ok_or(RefusalReason::TooManyUnidentified);
+        // A single address may not use up the limit for all others.
+        let max_from_address = (self.budget.max_unidentified / 2).max(1);
+        if self.connections.unidentified_from(from) >= max_from_address {
+            return required(past_grace(self.connections.oldest_unidentified_from(from)));
         }
         if self.connections.unidentified() >= self.budget.max_unidentified {
-            return required(silent(self.connections.longest_unidentified()));
+            return required(past_grace(self.connections.oldest_unidentified()));
         }
         if self.connections.len() >= self.budget.eviction_threshold {
-            return Ok(silent(self.connections.longest_unidentified()).or(self.connections.longest_idle_user()));
+            return Ok(past_grace(self.connections.oldest_unidentified()).or(self.connections.longest_idle_user()));
         }
         Ok(None)
     }
 
-    /// A whole request has arrived.
+    /// Decides about a connection on which a complete request has arrived.
     pub fn request_started(&mut self, id: ConnectionId, role: Role, now: Millis) -> ConnectionAction {
         if self.connections.state(id).is_none_or(|state| matches!(state, State::Closing(_))) {
             return ConnectionAction::CloseAfter;
@@ -186,8 +188,8 @@
     }
 
     fn user_request_started(&mut self, id: ConnectionId, now: Millis) -> ConnectionAction {
-        let most_users = self.budget.max_connections - self.reserved_for_workers(now);
-        if self.connections.users() > most_users {
+        let max_users = self.budget.max_connections - self.reserved_for_workers(now);
+        if self.connections.users() > max_users {
             self.connections.update(id, |state| State::Closing(state.role()), now);
             return ConnectionAction::Refuse(RefusalReason::ReservedForWorkers);
         }
@@ -197,19 +199,20 @@
         ConnectionAction::KeepOpen
     }
 
-    /// With three quarters of all connections open, those of users are not kept between requests.
+    /// True if more than three quarters of all connections are open. User connections are then closed after
+    /// each response.
     fn is_nearly_full(&self) -> bool {
         self.connections.len() * 4 > self.budget.max_connections * 3
     }
 
-    /// The request was answered, and the connection stays.
+    /// Records that the response was sent and the connection stays open.
     pub fn response_sent(&mut self, id: ConnectionId, now: Millis) {
         if let Some(State::Busy(role)) = self.connections.state(id) {
             self.connections.update(id, |_| State::Idle(role), now);
         }
     }
 
-    /// The connection has ended, and its thread with it.
+    /// Records that the connection and its thread have ended.
     pub fn closed(&mut self, id: ConnectionId) {
         self.connections.remove(id);
     }
--- a/crates/connection-limits/src/connection_limiter/connection_table.rs
+++ b/crates/connection-limits/src/connection_limiter/connection_table.rs
@@ -1,17 +1,17 @@
-//! The open connections and the orders in which the limiter asks for them. Its indexes always agree with
-//! the connections' states: both change only together, in `insert`, `update` and `remove`.
+//! Table of open connections, with the indexes and counts that the limiter queries. Connection states and
+//! indexes change only together, in `insert`, `update` and `remove`, so they always agree.
 
 use super::{ConnectionId, Millis, Role, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-/// Connections by the moment since when they have been in their state.
+/// Connections ordered by the time at which they entered their current state.
 type BySince = BTreeSet<(Millis, ConnectionId)>;
 
-/// One connection.
 #[derive(Debug, Clone, Copy)]
 struct Connection {
     state: State,
+    /// When the connection entered `state`.
     since: Millis,
     from: IpAddr,
 }
@@ -21,7 +21,7 @@
 pub struct ConnectionTable {
     connections: BTreeMap<ConnectionId, Connection>,
     unidentified: BySince,
-    /// The same by where they come from; no set is empty.
+    /// The entries of `unidentified`, grouped by remote address. Contains no empty sets.
     unidentified_by_address: BTreeMap<IpAddr, BySince>,
     idle_users: BySince,
     users: usize,
@@ -29,59 +29,59 @@
 }
 
 impl ConnectionTable {
-    /// All connections.
+    /// Returns the number of connections in any state.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Connections of users.
+    /// Returns the number of user connections, including those that are closing.
     pub fn users(&self) -> usize {
         self.users
     }
 
-    /// Connections of workers.
+    /// Returns the number of worker connections, including those that are closing.
     pub fn workers(&self) -> usize {
         self.workers
     }
 
-    /// Connections that have not made a request yet.
+    /// Returns the number of connections that have not made a request yet.
     pub fn unidentified(&self) -> usize {
         self.unidentified.len()
     }
 
-    /// Of these, those from one address.
+    /// Returns the number of unidentified connections from one address.
     pub fn unidentified_from(&self, from: IpAddr) -> usize {
         self.unidentified_by_address.get(&from).map_or(0, BTreeSet::len)
     }
 
-    /// The connection that has been without a request for longest, and since when.
-    pub fn longest_unidentified(&self) -> Option<(Millis, ConnectionId)> {
+    /// Returns the unidentified connection that has been open longest, and when it was accepted.
+    pub fn oldest_unidentified(&self) -> Option<(Millis, ConnectionId)> {
         self.unidentified.first().copied()
     }
 
-    /// The same among those from one address.
-    pub fn longest_unidentified_from(&self, from: IpAddr) -> Option<(Millis, ConnectionId)> {
+    /// Returns the unidentified connection from one address that has been open longest, and when it was accepted.
+    pub fn oldest_unidentified_from(&self, from: IpAddr) -> Option<(Millis, ConnectionId)> {
         self.unidentified_by_address.get(&from)?.first().copied()
     }
 
-    /// The user's connection that has been idle for longest.
+    /// Returns the user connection that has been idle longest.
     pub fn longest_idle_user(&self) -> Option<ConnectionId> {
         self.idle_users.first().map(|(_, id)| *id)
     }
 
-    /// The state of a connection; none if it has ended.
+    /// Returns the state of a connection, or `None` if it has ended.
     pub fn state(&self, id: ConnectionId) -> Option<State> {
         self.connections.get(&id).map(|connection| connection.state)
     }
 
-    /// Adds a connection that has made no request.
+    /// Adds a newly accepted connection as unidentified.
     pub fn insert(&mut self, id: ConnectionId, from: IpAddr, now: Millis) {
         let connection = Connection { state: State::Unidentified, since: now, from };
         self.connections.insert(id, connection);
         self.index(id, connection);
     }
 
-    /// Changes the state of a connection, if it has not ended.
+    /// Replaces the state of a connection by `next` of that state. Does nothing if the connection has ended.
     pub fn update(&mut self, id: ConnectionId, next: impl FnOnce(State) -> State, now: Millis) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let before = *connection;
@@ -91,7 +91,7 @@
         self.index(id, after);
     }
 
-    /// Removes a connection that has ended; does nothing if that is known already.
+    /// Removes a connection that has ended. Does nothing if it was removed before.
     pub fn remove(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.remove(&id) {
             self.unindex(id, connection);
--- a/crates/connection-limits/src/connection_limiter/tests.rs
+++ b/crates/connection-limits/src/connection_limiter/tests.rs
@@ -14,21 +14,21 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Arrive(u8),
-    Ask(usize, Role),
-    Answer(usize),
-    End(usize),
-    Wait(u64),
+    Connect(u8),
+    Request(usize, Role),
+    Respond(usize),
+    Close(usize),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let role = prop_oneof![Just(Role::User), Just(Role::Worker)];
     prop_oneof![
-        4 => (0u8..6).prop_map(Step::Arrive),
-        4 => (0usize..64, role).prop_map(|(pick, role)| Step::Ask(pick, role)),
-        3 => (0usize..64).prop_map(Step::Answer),
-        2 => (0usize..64).prop_map(Step::End),
-        1 => (0u64..1500).prop_map(Step::Wait),
+        4 => (0u8..6).prop_map(Step::Connect),
+        4 => (0usize..64, role).prop_map(|(pick, role)| Step::Request(pick, role)),
+        3 => (0usize..64).prop_map(Step::Respond),
+        2 => (0usize..64).prop_map(Step::Close),
+        1 => (0u64..1500).prop_map(Step::Advance),
     ]
 }
 
@@ -39,76 +39,82 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// The budget holds whatever comes; a worker's connection is never
-    /// closed or refused, and none is refused for lack of room while a user's
-    /// or a silent unidentified one could be closed instead.
+    /// For any sequence of events: the budget holds, worker connections are never evicted or refused,
+    /// and no connection is refused as `Full` while an idle user or a silent unidentified connection
+    /// could be evicted instead.
     #[test]
-    fn the_budget_holds_and_users_go_before_workers(steps in proptest::collection::vec(step(), 1..400)) {
+    fn the_budget_holds_and_workers_are_never_evicted_or_refused(steps in proptest::collection::vec(step(), 1..400)) {
         let mut connection_limiter = ConnectionLimiter::new(resource_budget());
         let mut now = Millis(0);
-        // What the model knows of each: who made requests, whether one is being
-        // served, since when, and whether it is to be closed.
+        // Model state of each open connection: its role once known, whether it is busy, the time of its
+        // last state change, and whether it was selected to be closed.
         let mut open: BTreeMap<ConnectionId, (Option<Role>, bool, Millis, bool)> = BTreeMap::new();
         for step in steps {
             let pick = |n: usize| open.keys().nth(n % open.len().max(1)).copied();
             match step {
-                Step::Arrive(from) => {
-                    let arrival = connection_limiter.admit(address(from), now);
-                    if let Some(id) = arrival.evict {
-                        let one = open.get_mut(&id).expect("a connection that is open");
-                        prop_assert!(one.0 != Some(Role::Worker) && !one.1 && !one.3, "{one:?} evicted");
-                        one.3 = true;
+                Step::Connect(from) => {
+                    let admission = connection_limiter.admit(address(from), now);
+                    if let Some(id) = admission.evict {
+                        let connection = open.get_mut(&id).expect("the evicted connection is open");
+                        prop_assert!(
+                            connection.0 != Some(Role::Worker) && !connection.1 && !connection.3,
+                            "{connection:?} evicted"
+                        );
+                        connection.3 = true;
                     }
-                    match arrival.admitted {
+                    match admission.admitted {
                         Ok(id) => prop_assert!(open.insert(id, (None, false, now, false)).is_none()),
                         Err(RefusalReason::Full) => {
-                            let may_be_closed = |c: &&(Option<Role>, bool, Millis, bool)| {
-                                let quiet = now.0 - c.2.0 >= UNIDENTIFIED_GRACE_MS;
-                                !c.3 && (c.0.is_none() && quiet || c.0 == Some(Role::User) && !c.1)
+                            let may_be_evicted = |c: &&(Option<Role>, bool, Millis, bool)| {
+                                let past_grace = now.0 - c.2.0 >= UNIDENTIFIED_GRACE_MS;
+                                !c.3 && (c.0.is_none() && past_grace || c.0 == Some(Role::User) && !c.1)
                             };
-                            prop_assert!(arrival.evict.is_some() || !open.values().any(|c| may_be_closed(&c)));
+                            prop_assert!(admission.evict.is_some() || !open.values().any(|c| may_be_evicted(&c)));
                         }
                         Err(RefusalReason::TooManyUnidentified) => {
                             let silent = open.values().filter(|c| c.0.is_none() && !c.3).count();
                             prop_assert!(silent >= resource_budget().max_unidentified / 2);
                         }
-                        Err(RefusalReason::ReservedForWorkers) => prop_assert!(false, "no request of a user has arrived"),
+                        Err(RefusalReason::ReservedForWorkers) => prop_assert!(false, "no user request has arrived"),
                     }
                 }
-                Step::Ask(n, by) => {
+                Step::Request(n, role) => {
                     let Some(id) = pick(n) else { continue };
-                    let one = open[&id];
-                    if one.1 || one.0.is_some_and(|role| role != by) {
+                    let connection = open[&id];
+                    if connection.1 || connection.0.is_some_and(|known| known != role) {
                         continue;
                     }
                     let users = open.values().filter(|c| c.0 == Some(Role::User)).count();
-                    match connection_limiter.request_started(id, by, now) {
+                    match connection_limiter.request_started(id, role, now) {
                         ConnectionAction::Refuse(_) => {
-                            prop_assert_eq!(by, Role::User);
-                            open.insert(id, (Some(by), true, now, true));
+                            prop_assert_eq!(role, Role::User);
+                            open.insert(id, (Some(role), true, now, true));
                         }
-                        ConnectionAction::CloseAfter => prop_assert!(one.3 || by == Role::User),
+                        ConnectionAction::CloseAfter => prop_assert!(connection.3 || role == Role::User),
                         ConnectionAction::KeepOpen => {}
                     }
                     if !open[&id].3 {
-                        open.insert(id, (Some(by), true, now, false));
-                        let held = users + usize::from(by == Role::User && one.0.is_none());
-                        prop_assert!(by == Role::Worker || held <= resource_budget().max_connections - resource_budget().min_reserved_for_workers);
+                        open.insert(id, (Some(role), true, now, false));
+                        let held = users + usize::from(role == Role::User && connection.0.is_none());
+                        prop_assert!(
+                            role == Role::Worker
+                                || held <= resource_budget().max_connections - resource_budget().min_reserved_for_workers
+                        );
                     }
                 }
-                Step::Answer(n) => {
+                Step::Respond(n) => {
                     let Some(id) = pick(n) else { continue };
                     connection_limiter.response_sent(id, now);
-                    if let Some(one) = open.get_mut(&id).filter(|c| c.1 && !c.3) {
-                        *one = (one.0, false, now, false);
+                    if let Some(connection) = open.get_mut(&id).filter(|c| c.1 && !c.3) {
+                        *connection = (connection.0, false, now, false);
                     }
                 }
-                Step::End(n) => {
+                Step::Close(n) => {
                     let Some(id) = pick(n) else { continue };
                     connection_limiter.closed(id);
                     open.remove(&id);
                 }
-                Step::Wait(ms) => now = Millis(now.0 + ms),
+                Step::Advance(ms) => now = Millis(now.0 + ms),
             }
             prop_assert_eq!(connection_limiter.open(), open.len());
             prop_assert!(connection_limiter.open() <= resource_budget().max_connections);
@@ -116,7 +122,7 @@
     }
 }
 
-/// Half-open connections took every thread, and workers found none.
+/// Regression test: half-open connections occupied all threads, and workers could not connect.
 #[test]
 fn a_flood_of_connections_from_one_address_leaves_room_for_others() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
@@ -124,15 +130,15 @@
     assert_eq!(flood, resource_budget().max_unidentified / 2);
     let worker = connection_limiter.admit(address(2), Millis(11)).admitted.unwrap();
     assert_eq!(connection_limiter.request_started(worker, Role::Worker, Millis(12)), ConnectionAction::KeepOpen);
-    // Silent for long enough, each is closed for the next.
-    let later = connection_limiter.admit(address(1), Millis(600));
-    assert!(later.admitted.is_ok() && later.evict.is_some());
+    // Past the grace period, the oldest silent connection is evicted for each new connection.
+    let admission = connection_limiter.admit(address(1), Millis(600));
+    assert!(admission.admitted.is_ok() && admission.evict.is_some());
 }
 
-/// Workers that lost their shard's owner come back all at once: users must not have
-/// taken their places meanwhile.
+/// Workers whose shard owner failed reconnect all at once, so users must not take up their connections
+/// in the meantime.
 #[test]
-fn the_recent_peak_of_workers_stays_reserved_for_them() {
+fn connections_of_the_recent_worker_peak_stay_reserved() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
     let mut ids = vec![];
     for n in 0..20u8 {
--- a/crates/connection-limits/src/lib.rs
+++ b/crates/connection-limits/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which connections a process accepts, refuses and closes.
+//! Connection limits of a process: which connections to accept, refuse and close.
 //!
-//! A process has so many threads, sockets and so much memory, and all connections
-//! share them. [`ResourceBudget`] derives one budget from the limits; [`ConnectionLimiter`]
-//! keeps to it, as a state machine without sockets, threads or clocks: the caller says what
-//! happens to connections and when, and learns which to accept and which to close.
+//! All connections share the limited threads, sockets and memory of the process.
+//! [`ResourceBudget`] derives the number of connections from these limits, and [`ConnectionLimiter`]
+//! enforces it. The limiter is a state machine without sockets, threads or clocks: the caller reports
+//! each connection event with its time, and the limiter returns which connections to accept and close.
 //!
-//! Users are refused first and workers last. A connection does not say who is
-//! behind it before its first request, so unidentified connections have a share of their own,
-//! in which the one that has been silent for longest is closed for the next.
+//! Users are refused before workers. The role of a client is unknown until its first request, so
+//! unidentified connections have their own limit: when it is reached, the one that has been silent
+//! longest is closed to admit the next.
 
 mod connection_limiter;
 mod resource_budget;
--- a/crates/connection-limits/src/resource_budget.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -1,58 +1,58 @@
-//! One budget of connections, derived from the limits of threads, sockets and memory. A pure computation,
-//! made once at start and by `tillercleat check`.
+//! Derives the connection budget from the limits on threads, sockets and memory. Computed once at startup
+//! and by `tillercleat check`.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Memory that one connection takes, in KiB: the touched part of its
-/// thread's stack, its buffers, and what the kernel keeps for it.
+/// Memory per connection: the touched pages of its thread's stack, its buffers, and kernel
+/// memory.
 const CONNECTION_KIB: u64 = 48;
 
-/// Share of the memory that connections may take in all.
-const MEMORY_SHARE: f64 = 0.5;
+/// Share of the memory limit that all connections together may use.
+const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// With fewer connections a process is of no use.
+/// Minimum number of connections; with fewer the process cannot do useful work.
 const MIN_CONNECTIONS: usize = 8;
 
-/// What the process may have in all.
+/// Resource limits of the whole process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Threads, every one of them counted.
+    /// Number of threads, including those that do not serve connections.
     pub threads: usize,
-    /// Sockets and other descriptors.
+    /// Number of sockets and other file descriptors.
     pub sockets: usize,
     /// Memory in MiB.
     pub memory_mib: f64,
 }
 
-/// What the process needs for itself, before it accepts a connection.
+/// Resources that the process needs in addition to those of its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReservedResources {
-    /// Threads that do not serve connections.
+    /// Number of threads that do not serve connections.
     pub threads: usize,
-    /// Sockets and other descriptors that are not connections.
+    /// Number of sockets and other file descriptors that are not connections.
     pub sockets: usize,
 }
 
-/// Connections that users and workers may have, in all and in part.
+/// Limits on the connections of users and workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// The most that may be open or closing at the same time.
+    /// Maximum number of connections that are open or closing at the same time.
     pub max_connections: usize,
-    /// From so many on, one is closed for each that arrives.
+    /// Number of connections from which on the limiter closes one for each new connection.
     pub eviction_threshold: usize,
-    /// The most that may not have made a request yet.
+    /// Maximum number of connections that have not made a request yet.
     pub max_unidentified: usize,
-    /// The least number that is kept for workers.
+    /// Minimum number of connections reserved for workers.
     pub min_reserved_for_workers: usize,
 }
 
-/// A resource whose limit counts.
+/// Resource whose limit can be too low for the process to work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resource {
     /// Threads of the process.
     Threads,
-    /// Sockets and other descriptors.
+    /// Sockets and other file descriptors.
     Sockets,
 }
 
@@ -65,27 +65,26 @@
     }
 }
 
-/// Why no budget can be made.
+/// Reason why the limits allow no budget.
 #[derive(Debug, Clone, Copy, Error, PartialEq, Eq)]
 pub enum BudgetError {
-    /// The limit named leaves too little beside the process's own needs.
+    /// The limit leaves fewer than `MIN_CONNECTIONS` after the process's own needs.
     #[error(
         "the limit of {limit} {resource} is too low: the process needs {reserved} itself and at least \
          {MIN_CONNECTIONS} for connections"
     )]
     LimitTooLow {
-        /// What there is too little of.
+        /// Resource that is scarce.
         resource: Resource,
-        /// The limit.
+        /// Configured limit on the resource.
         limit: usize,
-        /// What the process needs for itself.
+        /// Amount that the process needs for itself.
         reserved: usize,
     },
 }
 
 impl ResourceBudget {
-    /// The budget under these limits: each limit allows so many connections,
-    /// and the scarcest resource decides.
+    /// Computes the budget under these limits. The scarcest resource determines the number of connections.
     ///
     /// # Errors
     ///
@@ -93,11 +92,11 @@
     pub fn new(limits: Limits, reserved: ReservedResources) -> Result<ResourceBudget, BudgetError> {
         let threads = remaining(Resource::Threads, limits.threads, reserved.threads)?;
         let sockets = remaining(Resource::Sockets, limits.sockets, reserved.sockets)?;
-        let memory = (limits.memory_mib.max(0.0) * 1024.0 * MEMORY_SHARE / CONNECTION_KIB as f64) as usize;
+        let memory = (limits.memory_mib.max(0.0) * 1024.0 * MAX_MEMORY_SHARE / CONNECTION_KIB as f64) as usize;
         let max_connections = threads.min(sockets).min(memory.max(MIN_CONNECTIONS));
         Ok(ResourceBudget {
             max_connections,
-            // The difference is for those that are to be closed and have not ended yet.
+            // Leaves room for evicted connections that have not ended yet.
             eviction_threshold: max_connections - (max_connections / 16).max(2),
             max_unidentified: (max_connections / 4).max(2),
             min_reserved_for_workers: max_connections / 4,
@@ -105,7 +104,7 @@
     }
 }
 
-/// What is left of a resource for connections.
+/// Returns the amount of a resource that is left for connections.
 fn remaining(resource: Resource, limit: usize, reserved: usize) -> Result<usize, BudgetError> {
     let remaining = limit.saturating_sub(reserved);
     if remaining < MIN_CONNECTIONS {
--- a/crates/connection-limits/src/resource_budget/tests.rs
+++ b/crates/connection-limits/src/resource_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Sockets and memory allowed 2,005 connections, a thread each, where a
-/// process may have 2,000 threads.
+/// Guards against a budget that ignores the thread limit: sockets and memory allowed 2,005 connections,
+/// each with its own thread, in a process limited to 2,000 threads.
 #[test]
-fn threads_limit_connections_too() {
+fn thread_limit_caps_the_number_of_connections() {
     let limits = Limits { threads: 1800, sockets: 2382, memory_mib: 188.0 };
     let resource_budget = ResourceBudget::new(limits, ReservedResources { threads: 16, sockets: 40 }).unwrap();
     assert_eq!(resource_budget.max_connections, 1784);
