--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,91 +1,97 @@
-//! One connection of either side: reads and writes whole messages, each by a deadline.
+//! Client or server side of a connection. Reads whole messages by a deadline, and writes bytes with a timeout.
 
-use crate::head::{parse_request_head, parse_response_head, Head, ParsedHead, HEAD_LIMIT};
+use crate::head::{parse_request_head, parse_response_head, Head, ParsedHead, MAX_HEAD_BYTES};
 use crate::{HttpError, MalformedMessage};
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes read from the socket at once.
-const READ_BYTES: usize = 4096;
+/// Maximum number of bytes per read from the socket.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// Ends each chunk of a body.
-const CHUNK_END: &[u8] = b"\r\n";
+/// Terminator of each chunk of a body.
+const CHUNK_TERMINATOR: &[u8] = b"\r\n";
 
-/// A connection with what was read but not used yet.
+/// Connection with a buffer of received bytes that are not parsed yet.
 pub struct Connection {
     stream: Arc<TcpStream>,
     buffer: Vec<u8>,
-    /// The time-outs that are set on the socket.
+    /// Timeouts currently set on the socket.
     read_timeout: Option<Duration>,
     write_timeout: Option<Duration>,
 }
 
-/// True if the time-out set on a socket is good enough for the time that is left: no shorter, and not
-/// much longer. Setting it anew for every message costs a system call each.
-fn is_close_enough(set: Option<Duration>, left: Duration) -> bool {
-    set.is_some_and(|set| set >= left && set <= left + left / 16 + Duration::from_millis(2))
+/// True if the timeout set on a socket is at least the remaining time and at most slightly longer, so that
+/// it can stay. Setting it for every message would cost a system call each.
+fn can_keep_timeout(set: Option<Duration>, remaining: Duration) -> bool {
+    set.is_some_and(|set| set >= remaining && set <= remaining + remaining / 16 + Duration::from_millis(2))
 }
 
 impl Connection {
-    /// A connection over an open socket.
+    /// Creates a connection over an open socket.
     pub fn new(stream: impl Into<Arc<TcpStream>>) -> Self {
         let stream = stream.into();
-        // Without it messages are only slower; a socket that has failed says so at the first read.
+        // An error can be ignored: without the option messages are only slower, and the first read on a failed
+        // socket returns the error.
         stream.set_nodelay(true).ok();
         Connection { stream, buffer: Vec::new(), read_timeout: None, write_timeout: None }
     }
 
-    /// Reads one request. It may take `idle` to begin, and `whole` to arrive once it
-    /// has; its body may have `limit` bytes.
+    /// Reads one request. Its first byte must arrive within `idle_timeout`, and the rest within
+    /// `message_timeout` after that. The body may have up to `max_body_bytes`.
     ///
     /// # Errors
     ///
-    /// If the time is over, the other side closes, or what arrives is not HTTP or
-    /// too large. Nothing more can be read from the connection then.
+    /// If a timeout expires, the peer closes the connection, or the message is not valid HTTP or too large.
+    /// After an error nothing more can be read from the connection.
     pub fn read_request(
         &mut self,
-        idle: Duration,
-        whole: Duration,
-        limit: usize,
+        idle_timeout: Duration,
+        message_timeout: Duration,
+        max_body_bytes: usize,
     ) -> Result<(Head, Vec<u8>), HttpError> {
-        let deadline = self.await_message(idle, whole)?;
+        let deadline = self.wait_for_message(idle_timeout, message_timeout)?;
         let head = self.read_head(parse_request_head, deadline)?;
-        let body = self.read_body(&head, Some(0), deadline, limit)?;
+        let body = self.read_body(&head, Some(0), deadline, max_body_bytes)?;
         Ok((head, body))
     }
 
-    /// Reads one response, which has to say its length. It may take `timeout` to begin, and
-    /// as long to arrive once it has; its body may have `limit` bytes.
+    /// Reads one response, whose body must have a `Content-Length` or be chunked unless the status is 204.
+    /// Its first byte must arrive within `timeout`, and the rest within `timeout` after that. The body may
+    /// have up to `max_body_bytes`.
     ///
     /// # Errors
     ///
     /// As [`Connection::read_request`].
-    pub(crate) fn read_response(&mut self, timeout: Duration, limit: usize) -> Result<(Head, Vec<u8>), HttpError> {
-        let deadline = self.await_message(timeout, timeout)?;
+    pub(crate) fn read_response(
+        &mut self,
+        timeout: Duration,
+        max_body_bytes: usize,
+    ) -> Result<(Head, Vec<u8>), HttpError> {
+        let deadline = self.wait_for_message(timeout, timeout)?;
         let head = self.read_head(parse_response_head, deadline)?;
         let default_length = (head.status == 204).then_some(0);
-        let body = self.read_body(&head, default_length, deadline, limit)?;
+        let body = self.read_body(&head, default_length, deadline, max_body_bytes)?;
         Ok((head, body))
     }
 
-    /// Reads one response by `deadline`, however slowly its bytes come. Without
-    /// a length it goes on until the other side closes.
+    /// Reads one response by `deadline`, which limits the time for the whole response. A body without a
+    /// `Content-Length` ends when the peer closes the connection.
     ///
     /// # Errors
     ///
     /// As [`Connection::read_request`].
-    pub fn read_response_by(&mut self, deadline: Instant, limit: usize) -> Result<(Head, Vec<u8>), HttpError> {
+    pub fn read_response_by(&mut self, deadline: Instant, max_body_bytes: usize) -> Result<(Head, Vec<u8>), HttpError> {
         let head = self.read_head(parse_response_head, deadline)?;
         if head.chunked {
-            let body = self.read_chunks(deadline, limit)?;
+            let body = self.read_chunks(deadline, max_body_bytes)?;
             return Ok((head, body));
         }
         let has_no_body = head.status == 204 || head.status == 304;
-        let expected = if has_no_body { Some(0) } else { head.length };
+        let expected = if has_no_body { Some(0) } else { head.content_length };
         while expected.is_none_or(|length| self.buffer.len() < length) {
-            if expected.unwrap_or(0).max(self.buffer.len()) > limit {
+            if expected.unwrap_or(0).max(self.buffer.len()) > max_body_bytes {
                 return Err(HttpError::TooLarge);
             }
             match self.fill(deadline) {
@@ -94,19 +100,19 @@
             }
         }
         let length = expected.unwrap_or(self.buffer.len());
-        if length > limit {
+        if length > max_body_bytes {
             return Err(HttpError::TooLarge);
         }
         Ok((head, self.buffer.drain(..length).collect()))
     }
 
-    /// Writes all of `bytes`; each piece may take `timeout`.
+    /// Writes all of `bytes`. `timeout` applies to each write to the socket, not to the total.
     ///
     /// # Errors
     ///
-    /// If the other side takes nothing for that long, or is gone.
+    /// If the peer accepts no bytes for `timeout`, or has closed the connection.
     pub fn write(&mut self, bytes: &[u8], timeout: Duration) -> Result<(), HttpError> {
-        if !is_close_enough(self.write_timeout, timeout) {
+        if !can_keep_timeout(self.write_timeout, timeout) {
             self.stream.set_write_timeout(Some(timeout))?;
             self.write_timeout = Some(timeout);
         }
@@ -114,30 +120,30 @@
         Ok(())
     }
 
-    /// Waits until a message has begun; returns the deadline for all of it.
-    fn await_message(&mut self, idle: Duration, whole: Duration) -> Result<Instant, HttpError> {
+    /// Waits for the first byte of a message and returns the deadline for the whole message.
+    fn wait_for_message(&mut self, idle_timeout: Duration, message_timeout: Duration) -> Result<Instant, HttpError> {
         if self.buffer.is_empty() {
-            self.fill(Instant::now() + idle)?;
+            self.fill(Instant::now() + idle_timeout)?;
         }
-        Ok(Instant::now() + whole)
+        Ok(Instant::now() + message_timeout)
     }
 
-    /// Reads more by `deadline`.
+    /// Reads more bytes into the buffer by `deadline`.
     fn fill(&mut self, deadline: Instant) -> Result<(), HttpError> {
-        let left = deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(io::Error::from(io::ErrorKind::TimedOut).into());
         }
-        if !is_close_enough(self.read_timeout, left) {
-            let timeout = Some(left.max(Duration::from_millis(1)));
+        if !can_keep_timeout(self.read_timeout, remaining) {
+            let timeout = Some(remaining.max(Duration::from_millis(1)));
             self.stream.set_read_timeout(timeout)?;
             self.read_timeout = timeout;
         }
-        let mut piece = [0u8; READ_BYTES];
-        match (&*self.stream).read(&mut piece) {
+        let mut received = [0u8; READ_BUFFER_BYTES];
+        match (&*self.stream).read(&mut received) {
             Ok(0) => Err(HttpError::Closed),
             Ok(length) => {
-                self.buffer.extend_from_slice(&piece[..length]);
+                self.buffer.extend_from_slice(&received[..length]);
                 Ok(())
             }
             Err(error) if error.kind() == io::ErrorKind::Interrupted => Ok(()),
@@ -147,37 +153,38 @@
 
     fn read_head(&mut self, parse: fn(&[u8]) -> ParsedHead, deadline: Instant) -> Result<Head, HttpError> {
         loop {
-            if let Some((head, used)) = parse(&self.buffer)? {
-                self.buffer.drain(..used);
+            if let Some((head, head_len)) = parse(&self.buffer)? {
+                self.buffer.drain(..head_len);
                 return Ok(head);
             }
             self.fill(deadline)?;
         }
     }
 
-    /// Reads the body after this head; one that says no length has the default one, if there is one.
+    /// Reads the body that follows this head. `default_length` applies if the head gives no length; without
+    /// either the message is malformed.
     fn read_body(
         &mut self,
         head: &Head,
         default_length: Option<usize>,
         deadline: Instant,
-        limit: usize,
+        max_body_bytes: usize,
     ) -> Result<Vec<u8>, HttpError> {
         let body = if head.chunked {
-            self.read_chunks(deadline, limit)?
+            self.read_chunks(deadline, max_body_bytes)?
         } else {
-            let length = head.length.or(default_length).ok_or(MalformedMessage::NoLength)?;
-            self.read_exactly(length, deadline, limit)?
+            let length = head.content_length.or(default_length).ok_or(MalformedMessage::NoLength)?;
+            self.read_exactly(length, deadline, max_body_bytes)?
         };
         if self.buffer.is_empty() {
-            // Idle connections hold no memory.
+            // Frees the buffer so that idle connections hold no memory.
             self.buffer = Vec::new();
         }
         Ok(body)
     }
 
-    fn read_exactly(&mut self, length: usize, deadline: Instant, limit: usize) -> Result<Vec<u8>, HttpError> {
-        if length > limit {
+    fn read_exactly(&mut self, length: usize, deadline: Instant, max_body_bytes: usize) -> Result<Vec<u8>, HttpError> {
+        if length > max_body_bytes {
             return Err(HttpError::TooLarge);
         }
         while self.buffer.len() < length {
@@ -186,14 +193,14 @@
         Ok(self.buffer.drain(..length).collect())
     }
 
-    fn read_chunks(&mut self, deadline: Instant, limit: usize) -> Result<Vec<u8>, HttpError> {
+    fn read_chunks(&mut self, deadline: Instant, max_body_bytes: usize) -> Result<Vec<u8>, HttpError> {
         let mut body = vec![];
         loop {
-            let (start, size) = self.read_chunk_size(deadline, limit)?;
-            if size > limit || body.len() + size > limit {
+            let (start, size) = self.read_chunk_size(deadline, max_body_bytes)?;
+            if size > max_body_bytes || body.len() + size > max_body_bytes {
                 return Err(HttpError::TooLarge);
             }
-            let end = start + size + CHUNK_END.len();
+            let end = start + size + CHUNK_TERMINATOR.len();
             while self.buffer.len() < end {
                 self.fill(deadline)?;
             }
@@ -205,12 +212,14 @@
         }
     }
 
-    /// Where the next chunk begins in the buffer, and its bytes; 0 for the last one.
-    fn read_chunk_size(&mut self, deadline: Instant, limit: usize) -> Result<(usize, usize), HttpError> {
+    /// Returns the offset of the next chunk's data in the buffer and its size in bytes; the last chunk has size 0.
+    fn read_chunk_size(&mut self, deadline: Instant, max_body_bytes: usize) -> Result<(usize, usize), HttpError> {
         let (start, size) = loop {
             match httparse::parse_chunk_size(&self.buffer) {
-                Ok(httparse::Status::Complete(found)) => break found,
-                Ok(httparse::Status::Partial) if self.buffer.len() < HEAD_LIMIT + limit => self.fill(deadline)?,
+                Ok(httparse::Status::Complete(chunk)) => break chunk,
+                Ok(httparse::Status::Partial) if self.buffer.len() < MAX_HEAD_BYTES + max_body_bytes => {
+                    self.fill(deadline)?
+                }
                 _ => return Err(MalformedMessage::Chunk.into()),
             }
         };
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,75 +1,75 @@
-//! Parses the head of a message: its first line and its headers. Pure functions.
+//! Parses the head of an HTTP message: its start line and headers.
 
 use crate::{HttpError, MalformedMessage};
 use httparse::Status;
 
-/// The most bytes of a head.
-pub(crate) const HEAD_LIMIT: usize = 16 * 1024;
+/// Maximum size of a head that is still incomplete.
+pub(crate) const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 48;
 
-/// A message's head as far as it matters here.
+/// Parsed head of a request or response. Headers that do not affect framing are discarded.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
-    /// Of a request; empty in a response.
+    /// Method of a request; empty in a response.
     pub method: String,
-    /// Target of a request, with its query; empty in a response.
+    /// Target of a request, including the query string; empty in a response.
     pub path: String,
-    /// Of a response; 0 in a request.
+    /// Status code of a response; 0 in a request.
     pub status: u16,
-    /// Bytes of the body, if the head says so.
-    pub length: Option<usize>,
-    /// The body comes in chunks, whatever `length` says.
+    /// Value of `Content-Length` in bytes, if the header is present.
+    pub content_length: Option<usize>,
+    /// True if the body uses the chunked transfer encoding, which overrides `content_length`.
     pub chunked: bool,
-    /// The other side closes the connection after this message.
+    /// True if the peer closes the connection after this message.
     pub close: bool,
 }
 
-/// A head and its length in bytes; none if it is not whole yet.
+/// Parsed head and its size in bytes, or `None` if more bytes are needed.
 pub(crate) type ParsedHead = Result<Option<(Head, usize)>, HttpError>;
 
-/// Reads a request's head from the front of `bytes`.
+/// Parses the head of a request at the start of `bytes`.
 pub(crate) fn parse_request_head(bytes: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    let Status::Complete(used) = parsed.parse(bytes).map_err(malformed)? else { return incomplete(bytes) };
+    let Status::Complete(head_len) = parsed.parse(bytes).map_err(malformed)? else { return incomplete(bytes) };
     let method = parsed.method.unwrap_or("").to_string();
     let path = parsed.path.unwrap_or("").to_string();
     let head = Head { method, path, ..Head::default() };
-    Ok(Some((head.with_headers(parsed.version, parsed.headers)?, used)))
+    Ok(Some((head.with_headers(parsed.version, parsed.headers)?, head_len)))
 }
 
-/// Reads a response's head from the front of `bytes`.
+/// Parses the head of a response at the start of `bytes`.
 pub(crate) fn parse_response_head(bytes: &[u8]) -> ParsedHead {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let Status::Complete(used) = parsed.parse(bytes).map_err(malformed)? else { return incomplete(bytes) };
+    let Status::Complete(head_len) = parsed.parse(bytes).map_err(malformed)? else { return incomplete(bytes) };
     let head = Head { status: parsed.code.unwrap_or(0), ..Head::default() };
-    Ok(Some((head.with_headers(parsed.version, parsed.headers)?, used)))
+    Ok(Some((head.with_headers(parsed.version, parsed.headers)?, head_len)))
 }
 
 fn malformed(error: httparse::Error) -> HttpError {
     MalformedMessage::Head(error).into()
 }
 
-/// More bytes are needed, unless there are too many already.
+/// Result for an incomplete head: more bytes are needed, unless the maximum is exceeded.
 fn incomplete(bytes: &[u8]) -> ParsedHead {
-    if bytes.len() > HEAD_LIMIT {
+    if bytes.len() > MAX_HEAD_BYTES {
         return Err(HttpError::TooLarge);
     }
     Ok(None)
 }
 
 impl Head {
-    /// Adds what the version and the headers say of the body and the connection.
+    /// Sets the fields that depend on the HTTP version and the headers.
     fn with_headers(mut self, version: Option<u8>, headers: &[httparse::Header]) -> Result<Head, HttpError> {
-        // HTTP/1.0 closes after every message.
+        // HTTP/1.0 closes the connection after every message by default.
         self.close = version == Some(0);
         for header in headers {
             let value = std::str::from_utf8(header.value).unwrap_or("").trim();
             if header.name.eq_ignore_ascii_case("content-length") {
-                self.set_length(value)?;
+                self.set_content_length(value)?;
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 self.chunked = value.to_ascii_lowercase().contains("chunked");
             } else if header.name.eq_ignore_ascii_case("connection") {
@@ -79,12 +79,12 @@
         Ok(self)
     }
 
-    fn set_length(&mut self, value: &str) -> Result<(), MalformedMessage> {
-        let length = value.parse().map_err(|_| MalformedMessage::ContentLength)?;
-        if self.length.is_some_and(|earlier| earlier != length) {
+    fn set_content_length(&mut self, value: &str) -> Result<(), MalformedMessage> {
+        let content_length = value.parse().map_err(|_| MalformedMessage::ContentLength)?;
+        if self.content_length.is_some_and(|earlier| earlier != content_length) {
             return Err(MalformedMessage::ConflictingContentLengths);
         }
-        self.length = Some(length);
+        self.content_length = Some(content_length);
         Ok(())
     }
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 over blocking sockets, for both sides, with a deadline on every read
-//! and a bound on every size. Used by the controllers, by roll-outs and by `tillerctl`; it knows nothing of
-//! what the messages say.
+//! HTTP/1.1 client and server connections over blocking sockets, with a deadline on every read and a
+//! limit on every size. Used by the controllers, by roll-outs and by `tillerctl`. Message bodies are
+//! opaque bytes.
 
 mod client;
 mod connection;
@@ -14,36 +14,36 @@
 
 use std::io;
 
-/// Why a message could not be read or written.
+/// Error while reading or writing a message.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The socket failed, or the deadline has passed.
+    /// The socket failed, or the deadline passed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What arrived is not HTTP.
+    /// The received bytes are not valid HTTP.
     #[error("not HTTP: {0}")]
     Malformed(#[from] MalformedMessage),
     /// The head or the body is larger than allowed.
     #[error("too large")]
     TooLarge,
-    /// The other side closed the connection.
+    /// The peer closed the connection.
     #[error("closed")]
     Closed,
 }
 
-/// What is wrong with a message that is not HTTP.
+/// Reason why a received message is not valid HTTP.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedMessage {
     /// The head can't be parsed.
     #[error("{0}")]
     Head(#[from] httparse::Error),
-    /// The content length is not a number.
+    /// The value of `Content-Length` is not a number.
     #[error("content-length")]
     ContentLength,
-    /// Two content lengths differ: the message could be read in two ways.
+    /// Two `Content-Length` headers differ, so the end of the message is ambiguous.
     #[error("content-length twice")]
     ConflictingContentLengths,
-    /// A response that must have a body says neither how long it is nor that it comes in chunks.
+    /// A response that must have a body has neither a `Content-Length` nor a chunked encoding.
     #[error("no length")]
     NoLength,
     /// The size of a chunk can't be parsed.
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -4,25 +4,25 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// How long to wait for an address that is still in use.
-const IN_USE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time to wait for an address that is still in use.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause between two attempts.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Pause between two attempts to bind the address.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens on an address. A process that is restarted within a fraction of a second may
-/// find it in use by its previous run, which the system is still cleaning up; ending for
-/// that reason would make it end over and over.
+/// Listens on an address, and retries for up to five seconds while the address is in use. After a restart
+/// within a fraction of a second, the operating system may still hold the socket of the previous
+/// process; exiting immediately would cause a restart loop.
 ///
 /// # Errors
 ///
-/// If the address can't be had, or is still in use after some seconds.
+/// If the address cannot be bound, or is still in use after five seconds.
 pub fn listen(addr: SocketAddr) -> io::Result<TcpListener> {
-    let deadline = Instant::now() + IN_USE_TIMEOUT;
+    let deadline = Instant::now() + ADDRESS_IN_USE_TIMEOUT;
     loop {
         match TcpListener::bind(addr) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
-                std::thread::sleep(RETRY_PAUSE);
+                std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
         }
