--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -52,14 +52,14 @@
         6 => (40 + random / 8 % 80, 2.0, 45.0 + (random / 16 % 60) as f64, "normal"),
         _ => (20 + random / 8 % 40, 4.0, 60.0 + (random / 16 % 60) as f64, "idle"),
     };
-    let text = serde_json::json!({
+    let spec = serde_json::json!({
         "ref": format!("wk-{number:06}"), "haul": format!("class-{}", random % 8),
         "crew": if number % 2 == 0 { "red" } else { "blue" }, "rig": "array", "rank": priority, "loads": tasks,
         "cores": cpus, "gpus": 0.0, "mem_gb": cpus * 3.0, "kit": format!("img-{}", random % 16), "image_gb": 0.7,
         "hulls": null, "berth": null, "one_zone": false, "apart": false, "driftwood": true,
         "reckon_s": run_s, "mark_s": 0.0, "stow_s": 0.0, "tide_s": run_s * 3.0 + 10.0
     });
-    simulator::fixtures::job_spec(text)
+    simulator::fixtures::job_spec(spec)
 }
 
 /// Costs by kind of input, and totals of one run.
--- a/crates/connection-limits/src/connection_limiter.rs
+++ b/crates/connection-limits/src/connection_limiter.rs
@@ -47,7 +47,7 @@
 /// Reason to refuse a connection or a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// All connections of the budget are in use. One may be closing, but it counts until it has ended.
+    /// The budget is used up. A connection that is evicted for this one counts until it has ended.
     Full,
     /// Too many connections have not made a request yet.
     TooManyUnidentified,
--- a/crates/connection-limits/src/connection_limiter/tests.rs
+++ b/crates/connection-limits/src/connection_limiter/tests.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// Regression test: half-open connections occupied all threads, and workers could not connect.
+/// Guards against half-open connections that occupy all threads, so that workers cannot connect.
 #[test]
 fn a_flood_of_connections_from_one_address_leaves_room_for_others() {
     let mut connection_limiter = ConnectionLimiter::new(resource_budget());
--- a/crates/connection-limits/src/resource_budget.rs
+++ b/crates/connection-limits/src/resource_budget.rs
@@ -4,8 +4,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Memory per connection: the touched pages of its thread's stack, its buffers, and kernel
-/// memory.
+/// Memory per connection: the touched pages of its thread's stack, its buffers, and kernel memory.
 const CONNECTION_KIB: u64 = 48;
 
 /// Share of the memory limit that all connections together may use.
