--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -14,7 +14,12 @@
             let _ = sender.send(Response::Healthy);
         }
     });
-    let registry = ConnectionRegistry::new(ResourceBudget { connections: 4, crowded: 2, unidentified: 8, workers: 1 });
+    let registry = ConnectionRegistry::new(ResourceBudget {
+        max_connections: 4,
+        eviction_threshold: 2,
+        max_unidentified: 8,
+        min_reserved_for_workers: 1,
+    });
     let stream = Arc::new(stream);
     // Three other connections of workers are already open.
     let other_connections: Vec<_> = (0..3).map(|_| registry.admit(&stream)).collect();
