--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Answers to submissions that are not valid, can never run, or repeat a job that is known.
+//! Responses to submissions that are malformed, that can never run, or that repeat a known job.
 
 #[allow(dead_code)]
 mod simulator;
@@ -13,7 +13,7 @@
 use tillercleat::settings::Tuning;
 use tillercleat::units::{MonotonicTime, RequestId};
 
-fn valid(number: usize) -> Value {
+fn job_fields(number: usize) -> Value {
     json!({
         "ref": format!("wk-{number:06}"), "haul": "work", "crew": "blue", "rig": "array", "rank": "normal", "loads": 2,
         "cores": 1.0, "gpus": 0.0, "mem_gb": 2.0, "kit": "img", "image_gb": 0.5, "hulls": null, "berth": null,
@@ -26,10 +26,11 @@
     JobSpec::parse(fields.to_string().as_bytes())
 }
 
-/// Everything but what may be null; a missing `gpus` or `one_zone` passed for a default.
+/// All fields but the nullable ones are required. A missing `gpus` or `one_zone` used to get a
+/// default value.
 #[test]
 fn fields_that_may_not_be_null_may_not_be_missing() {
-    let all = valid(1);
+    let all = job_fields(1);
     assert!(parse(&all).is_ok());
     for (name, value) in all.as_object().expect("fields") {
         let mut fields = all.clone();
@@ -42,19 +43,21 @@
     }
 }
 
-/// Bodies that are no submission at all, and the job id where one can be read.
+/// Malformed bodies are rejected, and the rejection names the job if its id can be read.
 #[test]
 fn malformed_bodies_are_rejected_with_their_job_id_if_readable() {
-    let whole = valid(1).to_string();
-    let named = |body: &str| JobSpec::parse(body.as_bytes()).expect_err(body).id.map(|id| id.to_string());
-    let twice = whole.replacen('{', r#"{"cores":1.0,"#, 1);
-    let deep = whole.replacen("null", &format!("{}{}", "[".repeat(5000), "]".repeat(5000)), 1);
-    for body in ["", "nonsense", "[]", "7", "[[[", "null", &whole[..whole.len() - 1], &format!("{whole}x")] {
-        assert_eq!(named(body), None, "{body:.80}");
+    let valid_body = job_fields(1).to_string();
+    let rejected_id = |body: &str| JobSpec::parse(body.as_bytes()).expect_err(body).id.map(|id| id.to_string());
+    let duplicate_cores = valid_body.replacen('{', r#"{"cores":1.0,"#, 1);
+    let deeply_nested = valid_body.replacen("null", &format!("{}{}", "[".repeat(5000), "]".repeat(5000)), 1);
+    for body in
+        ["", "nonsense", "[]", "7", "[[[", "null", &valid_body[..valid_body.len() - 1], &format!("{valid_body}x")]
+    {
+        assert_eq!(rejected_id(body), None, "{body:.80}");
     }
-    assert_eq!(named(&whole.replacen('{', r#"{"ref":"wk-000002","#, 1)), None, "two names");
-    assert_eq!(named(&whole.replace("wk-000001", "../x")), None);
-    assert_eq!(named(&deep).as_deref(), Some("wk-000001"), "nested too deeply");
+    assert_eq!(rejected_id(&valid_body.replacen('{', r#"{"ref":"wk-000002","#, 1)), None, "two ids");
+    assert_eq!(rejected_id(&valid_body.replace("wk-000001", "../x")), None);
+    assert_eq!(rejected_id(&deeply_nested).as_deref(), Some("wk-000001"), "nested too deeply");
     let invalid = [
         ("loads", json!(0)),
         ("loads", json!(100_001)),
@@ -70,20 +73,20 @@
         ("awaits", json!([5])),
     ];
     for (name, value) in invalid {
-        let mut fields = valid(1);
+        let mut fields = job_fields(1);
         fields[name] = value.clone();
-        assert_eq!(named(&fields.to_string()).as_deref(), Some("wk-000001"), "{name}: {value}");
+        assert_eq!(rejected_id(&fields.to_string()).as_deref(), Some("wk-000001"), "{name}: {value}");
     }
-    assert_eq!(named(&twice).as_deref(), Some("wk-000001"), "cores given twice");
+    assert_eq!(rejected_id(&duplicate_cores).as_deref(), Some("wk-000001"), "cores given twice");
 }
 
-/// One controller that has read the records and the catalog, and its store.
+/// A controller that has read the records and the catalog, with its simulated store.
 struct Node {
     core: Core,
     store: SimulatedStore,
-    /// The store answers.
+    /// If false, the store answers requests with `Unavailable`.
     store_reachable: bool,
-    /// Its watch brings what others wrote.
+    /// If false, watch requests get no answer: the node does not see the writes of other nodes.
     watch_open: bool,
     now: u64,
     requests: u64,
@@ -98,7 +101,8 @@
         node
     }
 
-    /// Feeds an input and all that follows from it; returns the answers to users.
+    /// Handles an input and the answers to all store and cloud requests that result. Returns the
+    /// responses to users.
     fn step(&mut self, input: Input, config: &ClusterConfig) -> Vec<(RequestId, Response)> {
         self.now += 50;
         let mut next = vec![input];
@@ -123,7 +127,7 @@
         responses
     }
 
-    /// The status that the answer to this body has.
+    /// Submits a job and returns the HTTP status of the response.
     fn submit(&mut self, body: &Value, config: &ClusterConfig) -> u16 {
         let request = match parse(body) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
@@ -133,7 +137,7 @@
         self.requests += 1;
         let id = RequestId(self.requests);
         let mut responses = self.step(Input::ClientRequest(id, request), config);
-        // An answer that needs a read of the store takes a few ticks.
+        // A response that needs a read of the store takes a few ticks.
         (0..8).for_each(|_| responses.extend(self.step(Input::Tick, config)));
         let response = responses.into_iter().find(|(answered, _)| *answered == id).expect("an answer").1;
         match response {
@@ -144,12 +148,12 @@
     }
 }
 
-fn without(mut fields: Value, name: &str) -> Value {
+fn without_field(mut fields: Value, name: &str) -> Value {
     fields.as_object_mut().expect("fields").remove(name);
     fields
 }
 
-fn with(mut fields: Value, change: &Value) -> Value {
+fn with_fields(mut fields: Value, change: &Value) -> Value {
     for (name, value) in change.as_object().expect("fields") {
         fields[name] = value.clone();
     }
@@ -159,28 +163,33 @@
 /// A repeated submission of a job that another node accepted got 422 or 400 from a node whose
 /// records lagged behind.
 #[test]
-fn a_repeated_submission_of_a_known_job_gets_200_whatever_it_says() {
+fn repeated_submissions_of_known_jobs_get_200_even_if_invalid() {
     let config = ClusterConfig::small();
-    // What an earlier version accepted, written behind this node's back.
-    let record = json!({"spec": without(valid(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
-    let archive_ended_jobs = json!({"end": "done", "tasks": 2});
-    let lagging = || {
+    // A record that an earlier version accepted; the node has not seen it.
+    let record = json!({"spec": without_field(job_fields(7), "gpus"), "at": 5, "plan": {"size": 16, "parts": [0]}});
+    let archived_job = json!({"end": "done", "tasks": 2});
+    let lagging_node = || {
         let mut node = Node::new(&config);
         node.watch_open = false;
         node.store.revision += 2;
         let revision = node.store.revision;
         node.store.insert_unseen("t/j/wk-000007", record.clone(), revision - 1);
-        node.store.insert_unseen("f/wk-000008", archive_ended_jobs.clone(), revision);
+        node.store.insert_unseen("f/wk-000008", archived_job.clone(), revision);
         node
     };
-    let bodies =
-        |number| [without(valid(number), "gpus"), with(valid(number), &json!({"mem_gb": 4000.0})), valid(number)];
-    let mut node = lagging();
+    let bodies = |number| {
+        [
+            without_field(job_fields(number), "gpus"),
+            with_fields(job_fields(number), &json!({"mem_gb": 4000.0})),
+            job_fields(number),
+        ]
+    };
+    let mut node = lagging_node();
     for body in bodies(7).iter().chain(&bodies(8)) {
-        node = lagging();
+        node = lagging_node();
         assert_eq!(node.submit(body, &config), 200, "{body}");
     }
-    // What was never accepted is rejected, but not before the store was asked.
+    // A job that was never accepted is rejected, but only after a read of the store.
     let rejected = [(0, 400), (1, 422)];
     for (at, status) in rejected {
         assert_eq!(node.submit(&bodies(9)[at], &config), status);
@@ -188,13 +197,14 @@
     node.store_reachable = false;
     for (at, _) in rejected {
         assert_eq!(node.submit(&bodies(9)[at], &config), 503);
-        assert_eq!(node.submit(&bodies(8)[at], &config), 200, "an ended job is known without asking");
+        assert_eq!(node.submit(&bodies(8)[at], &config), 200, "an archived job is known without a read");
     }
 }
 
-/// All that a task needs must come together, and all replicas of a service at once.
+/// One machine type in one zone must meet all requirements of a task, and all replicas of a
+/// service must fit at the same time.
 #[test]
-fn jobs_that_can_never_run_are_rejected_at_once() {
+fn jobs_that_can_never_run_are_rejected_on_submission() {
     let mut config = ClusterConfig { teams: json!([{"name": "blue", "cpus_max": 10.0}]), ..ClusterConfig::small() };
     let mut large = config.machine_types[0].clone();
     (large.name, large.gpus, large.mem_gb, large.zones, large.cpus) = ("g2".into(), 2.0, 16.0, vec!["b".into()], 16.0);
@@ -225,14 +235,16 @@
         (json!({"apart": true, "berth": "a", "loads": 1}), 201),
         (json!({"apart": true, "gpus": 1.0, "loads": 2}), 422),
     ];
-    let all =
-        cases.into_iter().chain(services.into_iter().map(|(change, status)| (with(service.clone(), &change), status)));
+    let all = cases
+        .into_iter()
+        .chain(services.into_iter().map(|(change, status)| (with_fields(service.clone(), &change), status)));
     for (number, (change, status)) in all.enumerate() {
-        assert_eq!(node.submit(&with(valid(number), &change), &config), status, "{change}");
+        assert_eq!(node.submit(&with_fields(job_fields(number), &change), &config), status, "{change}");
     }
 }
 
-fn change() -> impl Strategy<Value = Value> {
+/// Generates field values that replace those of a valid job.
+fn job_changes() -> impl Strategy<Value = Value> {
     let zone = prop_oneof![Just(Value::Null), Just(json!("a")), Just(json!("b"))];
     let needs = (0.5f64..12.0, prop_oneof![4 => Just(0.0), 1 => Just(1.0)], 0.5f64..48.0, 1u32..9);
     (needs, zone, any::<(bool, bool, bool)>(), 0u8..4).prop_map(
@@ -245,15 +257,15 @@
     )
 }
 
-/// Whether a job can run on machines of 8 cores and 32 GB in two zones, written from PROTOCOL.
+/// True if a job can run on machines of 8 cores and 32 GB in two zones, by the rules of PROTOCOL.
 fn can_run(fields: &Value) -> bool {
     let number = |name: &str| fields[name].as_f64().expect("a number");
     let service = fields["rig"] == "standing";
-    let at_once = if service { number("loads") } else { 1.0 };
+    let concurrent_tasks = if service { number("loads") } else { 1.0 };
     let fits = number("cores") <= 8.0 && number("gpus") <= 0.0 && number("mem_gb") <= 32.0;
-    let within = fields["crew"] != "red" || number("cores") * at_once <= 24.0;
-    let bound = fields["one_zone"] == true || !fields["berth"].is_null();
-    fits && within && !(fields["apart"] == true && bound && at_once > 1.0)
+    let within_quota = fields["crew"] != "red" || number("cores") * concurrent_tasks <= 24.0;
+    let single_zone = fields["one_zone"] == true || !fields["berth"].is_null();
+    fits && within_quota && !(fields["apart"] == true && single_zone && concurrent_tasks > 1.0)
 }
 
 proptest! {
@@ -263,13 +275,13 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// What is accepted runs, and what can't run is rejected.
+    /// Accepted jobs start all of their tasks; jobs that can never run get 422.
     #[test]
     fn accepted_jobs_run_and_impossible_ones_are_rejected(
-        seed in 1u64..1_000_000, changes in proptest::collection::vec(change(), 6..14),
+        seed in 1u64..1_000_000, changes in proptest::collection::vec(job_changes(), 6..14),
     ) {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 40, ..ClusterConfig::small() });
-        let all: Vec<Value> = changes.iter().enumerate().map(|(n, change)| with(valid(n), change)).collect();
+        let all: Vec<Value> = changes.iter().enumerate().map(|(n, change)| with_fields(job_fields(n), change)).collect();
         for (number, fields) in all.iter().enumerate() {
             let spec = parse(fields).expect("a valid job");
             if fields["rig"] == "standing" {
