--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -1,5 +1,5 @@
-//! Startup of one controller under every order of the store's answers: late, refused, lost, and
-//! lost though the request was carried out.
+//! Startup of one controller while the store's answers are reordered, delayed, refused or lost;
+//! a request whose answer is lost may have been carried out.
 
 #[allow(dead_code)]
 mod simulator;
@@ -21,13 +21,14 @@
 
 const MACHINE: &str = "i-000001";
 
-/// What happens next, to one of the requests that are on their way or beside them.
+/// One step of a generated run. Waits are in milliseconds; an index selects one of the store
+/// requests in flight, modulo their number.
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
     Answer(usize),
     Refuse(usize),
-    /// No answer comes, whether the request was carried out or not.
+    /// The answer is lost; `carried_out` tells whether the store carried out the request.
     LoseAnswer {
         pick: usize,
         carried_out: bool,
@@ -37,7 +38,7 @@
     Heartbeat,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         5 => (1u64..300).prop_map(Step::Wait),
         8 => (0usize..16).prop_map(Step::Answer),
@@ -49,7 +50,8 @@
     ]
 }
 
-/// One controller of three, alone, with the store and one worker. Times are in milliseconds.
+/// The only live controller of a cluster of three, with the store and one worker. Times are in
+/// milliseconds.
 struct TestBed {
     config: ClusterConfig,
     store: SimulatedStore,
@@ -62,7 +64,7 @@
     heartbeat_number: u64,
     token: FencingToken,
     agent_epoch: u64,
-    /// Since when the worker's lease counts.
+    /// Start of the worker's lease.
     lease_from: u64,
     /// When the worker sent its last heartbeat.
     heartbeat_sent_at: u64,
@@ -81,7 +83,7 @@
 }
 
 impl TestBed {
-    fn with_heartbeats_every(heartbeat_ms: u64) -> TestBed {
+    fn with_heartbeat_interval(heartbeat_ms: u64) -> TestBed {
         let config = ClusterConfig { heartbeat_ms, lease_ms: 20_000, ..ClusterConfig::small() };
         let core = Core::new(simulator::settings(&config, 0, 20.0), Tuning::default());
         let (store, responses) = (SimulatedStore::default(), vec![]);
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The process ends and another starts; transactions in flight are still carried out.
+    /// Replaces the controller by a new process; the store still carries out transactions in flight.
     fn restart(&mut self) {
         for (_, call) in std::mem::take(&mut self.in_flight) {
             if matches!(call, StoreRequest::Transaction(_)) {
@@ -116,8 +118,8 @@
     }
 
     fn handle_input(&mut self, input: Input) {
-        let steady = MonotonicTime(self.now - self.started_at + 1);
-        for output in self.core.handle(steady, self.now, input) {
+        let monotonic_now = MonotonicTime(self.now - self.started_at + 1);
+        for output in self.core.handle(monotonic_now, self.now, input) {
             match output {
                 Output::Store(id, call) => self.in_flight.push_back((id, call)),
                 Output::Response(request, response) => self.responses.push((request, response)),
@@ -145,9 +147,9 @@
         RequestId(self.requests)
     }
 
-    fn heartbeat(&mut self) {
+    fn send_heartbeat(&mut self) {
         if self.now > self.lease_from + self.config.lease_ms {
-            // The lease expired, and with it all that ran.
+            // The lease has expired: the worker's task ends and a new agent epoch starts.
             self.running = None;
             self.agent_epoch += 1;
             self.lease_from = self.now;
@@ -177,15 +179,16 @@
         self.handle_input(Input::Heartbeat(RequestId(self.requests), heartbeat));
     }
 
-    fn wait(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms;
         self.handle_input(Input::Tick);
     }
 
-    /// Lets time pass with every request answered in order.
+    /// Advances time in steps of 50 ms; each step answers the requests in flight in order, up to
+    /// the first watch.
     fn run_for(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
-            self.wait(50);
+            self.advance(50);
             while let Some((id, call)) = self.in_flight.pop_front() {
                 let watch = matches!(call, StoreRequest::Watch { .. });
                 let answer = self.store.execute(self.now, call);
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Checks the answers against what is durable, and executes commands. Returns their status.
+    /// Checks the controller's responses against the durable records and executes the commands.
+    /// Returns the HTTP status of each response.
     fn take_responses(&mut self) -> Vec<(RequestId, u16)> {
         let mut statuses = vec![];
         for (request, response) in std::mem::take(&mut self.responses) {
@@ -220,10 +224,11 @@
                 Response::Commands { token, commands } => {
                     let shard = ShardId::of(MACHINE, 3);
                     let owner = self.record(&owner_key(shard));
-                    // Its own key, or one that it cannot yet know to be deleted.
+                    // The token is the version of the current owner key, or of an earlier one whose
+                    // deletion the controller cannot know of yet.
                     assert!(
                         owner.is_none_or(|(_, version)| version >= token.0),
-                        "commands under a token that no owner has"
+                        "commands with a token that no owner has"
                     );
                     if token >= self.token && self.now <= self.heartbeat_sent_at + 4000 {
                         self.token = token;
@@ -243,49 +248,55 @@
                 let (record, _) = self.record(&slice_key(&task.job, 0)).expect("a durable slice before a start");
                 let slice: SliceRecord = serde_json::from_value(record).expect("a slice");
                 let on = TaskRecord::Placed(attempt, MachineId::new(MACHINE));
-                assert_eq!(slice.tasks[task.index as usize], on, "a start that is not durable");
-                assert!(self.running.as_ref().is_none_or(|(running, _)| *running != task), "{task:?} twice");
+                assert_eq!(slice.tasks[task.index as usize], on, "the start is not durable");
+                assert!(
+                    self.running.as_ref().is_none_or(|(running, _)| *running != task),
+                    "{task:?} was started twice"
+                );
                 if self.running.is_none() {
                     self.running = Some((task, attempt));
                 }
             }
             Command::Stop { task, .. } => {
-                assert!(self.running.as_ref().is_none_or(|(running, _)| *running != task), "{task:?} is stopped");
+                assert!(
+                    self.running.as_ref().is_none_or(|(running, _)| *running != task),
+                    "{task:?} was stopped while running"
+                );
             }
             Command::Forget { .. } => {}
         }
     }
 
-    /// Answers one of the requests in flight as `how` says.
-    fn answer(&mut self, pick: usize, how: impl FnOnce(&mut SimulatedStore, u64, StoreRequest) -> StoreResponse) {
+    /// Removes one of the requests in flight and answers it with the result of `respond`.
+    fn answer(&mut self, pick: usize, respond: impl FnOnce(&mut SimulatedStore, u64, StoreRequest) -> StoreResponse) {
         if self.in_flight.is_empty() {
             return;
         }
         let at = pick % self.in_flight.len();
         let Some((id, call)) = self.in_flight.remove(at) else { return };
-        let answer = how(&mut self.store, self.now, call);
+        let answer = respond(&mut self.store, self.now, call);
         self.handle_input(Input::Store(id, answer));
     }
 }
 
-/// A core that came free stood idle until its worker's next heartbeat, up to `report_s`, though
-/// the record of its next task was written in a tenth of a second.
+/// A freed core stayed idle until its worker's next heartbeat, up to `report_s`, although the
+/// record of its next task was written within 0.1 s.
 #[test]
 fn a_start_command_is_sent_with_the_deferred_response() {
-    let mut bed = TestBed::with_heartbeats_every(2500);
+    let mut bed = TestBed::with_heartbeat_interval(2500);
     bed.run_for(5000);
-    // The answer to the first heartbeat shows the token, the second heartbeat that the worker saw it.
+    // The response to the first heartbeat carries the token; the second heartbeat acknowledges it.
     for _ in 0..2 {
-        bed.heartbeat();
+        bed.send_heartbeat();
         bed.run_for(2500);
     }
     assert!(bed.token > FencingToken(0) && bed.running.is_none());
-    bed.heartbeat();
+    bed.send_heartbeat();
     let heartbeats = bed.heartbeat_number;
     bed.take_responses();
-    // A job that is assigned to the shard of the machine at once.
-    let here = |n: &u32| ShardId::of(job(*n).id.as_str(), 3) == ShardId::of(MACHINE, 3);
-    let number = (1..).find(here).expect("a job of the shard");
+    // A job whose id hashes to the shard of the machine.
+    let in_machine_shard = |n: &u32| ShardId::of(job(*n).id.as_str(), 3) == ShardId::of(MACHINE, 3);
+    let number = (1..).find(in_machine_shard).expect("a job of the shard");
     bed.send_request(ClientRequest::Submit(Box::new(job(number))));
     bed.run_for(700);
     assert!(bed.running.is_some(), "the start was not sent with the deferred response");
@@ -295,20 +306,20 @@
 /// Two deferred responses to the same worker would start a task twice.
 #[test]
 fn a_newer_heartbeat_replaces_a_deferred_one() {
-    let mut bed = TestBed::with_heartbeats_every(2500);
+    let mut bed = TestBed::with_heartbeat_interval(2500);
     bed.run_for(5000);
     for _ in 0..2 {
-        bed.heartbeat();
+        bed.send_heartbeat();
         bed.run_for(2500);
     }
-    bed.heartbeat();
+    bed.send_heartbeat();
     let older = RequestId(bed.requests);
-    assert!(bed.responses.is_empty(), "an answer was given at once: {:?}", bed.responses);
-    bed.heartbeat();
-    let empty = |(request, response): &(RequestId, Response)| {
+    assert!(bed.responses.is_empty(), "the response was not deferred: {:?}", bed.responses);
+    bed.send_heartbeat();
+    let is_empty_response = |(request, response): &(RequestId, Response)| {
         *request == older && matches!(response, Response::Commands { commands, .. } if commands.is_empty())
     };
-    assert!(bed.responses.len() == 1 && bed.responses.iter().all(empty), "{:?}", bed.responses);
+    assert!(bed.responses.len() == 1 && bed.responses.iter().all(is_empty_response), "{:?}", bed.responses);
     bed.run_for(2000);
     assert!(bed.responses.is_empty() && bed.in_flight.len() < 20);
 }
@@ -320,30 +331,30 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// Whatever comes in whatever order, nothing is reported or started that is not durable, an
-    /// accepted job is never unknown, what runs goes on, and the node serves once answers come
-    /// again.
+    /// In any order of events and store answers, the node reports jobs as accepted and starts tasks
+    /// only when their records are durable, never reports an accepted job as unknown, does not stop
+    /// running tasks, and serves requests once the store answers again.
     #[test]
-    fn startup_succeeds_whatever_the_order_of_store_answers(
-        steps in proptest::collection::vec(step(), 0..120),
-        again in proptest::collection::vec(step(), 0..80),
+    fn startup_succeeds_for_any_order_of_store_answers(
+        first_run in proptest::collection::vec(any_step(), 0..120),
+        second_run in proptest::collection::vec(any_step(), 0..80),
         heartbeat_ms in prop_oneof![Just(1000u64), Just(2500)],
     ) {
-        let mut bed = TestBed::with_heartbeats_every(heartbeat_ms);
+        let mut bed = TestBed::with_heartbeat_interval(heartbeat_ms);
         bed.run_for(5000);
         bed.send_request(ClientRequest::Submit(Box::new(job(1))));
         bed.run_for(400);
-        // A worker that has seen the token gets the start.
+        // The worker gets the start command once it has acknowledged the token.
         for _ in 0..8 {
-            bed.heartbeat();
+            bed.send_heartbeat();
             bed.run_for(500);
         }
-        prop_assert!(bed.running.is_some(), "nothing runs before the restarts");
-        for steps in [steps, again] {
+        prop_assert!(bed.running.is_some(), "no task runs before the restarts");
+        for run in [first_run, second_run] {
             bed.restart();
-            for step in steps {
+            for step in run {
                 match step {
-                    Step::Wait(ms) => bed.wait(ms),
+                    Step::Wait(ms) => bed.advance(ms),
                     Step::Answer(pick) => bed.answer(pick, |service, now, call| service.execute(now, call)),
                     Step::Refuse(pick) => bed.answer(pick, |_, _, _| StoreResponse::Unavailable),
                     Step::LoseAnswer { pick, carried_out } => bed.answer(pick, |service, now, call| {
@@ -359,22 +370,22 @@
                             prop_assert!(answered != request || status != 404, "forgotten");
                         }
                     }
-                    Step::Heartbeat => bed.heartbeat(),
+                    Step::Heartbeat => bed.send_heartbeat(),
                 }
                 bed.take_responses();
             }
         }
         for _ in 0..60 {
             bed.run_for(500);
-            bed.heartbeat();
+            bed.send_heartbeat();
         }
         bed.take_responses();
-        let up = bed.send_request(ClientRequest::Health);
-        prop_assert!(bed.take_responses().contains(&(up, 200)), "not healthy after 30 s of answers");
-        let asked = bed.send_request(ClientRequest::Submit(Box::new(job(3))));
+        let health_check = bed.send_request(ClientRequest::Health);
+        prop_assert!(bed.take_responses().contains(&(health_check, 200)), "not healthy after 30 s of answers");
+        let submission = bed.send_request(ClientRequest::Submit(Box::new(job(3))));
         let mut accepted = None;
         for _ in 0..20 {
-            bed.wait(20);
+            bed.advance(20);
             while let Some((id, call)) = bed.in_flight.pop_front() {
                 let answer = bed.store.execute(bed.now, call);
                 bed.handle_input(Input::Store(id, answer));
@@ -382,21 +393,21 @@
                     break;
                 }
             }
-            accepted = accepted.or(bed.take_responses().into_iter().find(|(r, _)| *r == asked));
+            accepted = accepted.or(bed.take_responses().into_iter().find(|(r, _)| *r == submission));
             if accepted.is_some() {
                 break;
             }
         }
-        prop_assert_eq!(accepted, Some((asked, 201)));
-        bed.heartbeat();
+        prop_assert_eq!(accepted, Some((submission, 201)));
+        bed.send_heartbeat();
         let token = bed.token;
         bed.take_responses();
-        prop_assert!(bed.token >= token && bed.token > FencingToken(0), "nobody owns the worker");
+        prop_assert!(bed.token >= token && bed.token > FencingToken(0), "no controller owns the worker");
     }
 }
 
-/// Each process logged and counted the ends of all jobs that it read at its startup, and each
-/// assignment of a job's slices counted the job once more.
+/// Each process logged and counted the ends of all jobs that it read at startup, and counted a job
+/// again whenever its slices were assigned.
 #[test]
 fn records_read_at_startup_are_not_reported_as_changes() {
     use tillercleat::storage::cache::{CacheChange, JobChange, StateCache};
