--- a/tests/lost_messages.rs
+++ b/tests/lost_messages.rs
@@ -1,5 +1,5 @@
-//! Every accepted job runs or stays known: when answers don't reach machines, when duplicated
-//! heartbeats arrive late, and when a controller is isolated with its workers.
+//! Every accepted job runs or stays known while messages are lost: answers that do not reach
+//! machines, duplicated heartbeats that arrive late, controllers isolated with their workers.
 
 #[allow(dead_code)]
 mod simulator;
@@ -23,11 +23,12 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// A job each `every` milliseconds until `until`; some are cancelled.
-fn submit_jobs(cluster: &mut SimulatedCluster, every: u64, until: u64, tasks: u32) {
-    for number in 0..until / every {
+/// Submits a job every `interval_ms` until `until_ms` and cancels some of them. Each job has
+/// between 1 and 2 × `tasks` tasks.
+fn submit_jobs(cluster: &mut SimulatedCluster, interval_ms: u64, until_ms: u64, tasks: u32) {
+    for number in 0..until_ms / interval_ms {
         let spec = job(number, 1 + (tasks + number as u32 * 37) % (2 * tasks));
-        let (at, id) = (3000 + number * every, spec.id.clone());
+        let (at, id) = (3000 + number * interval_ms, spec.id.clone());
         cluster.submit(at, spec);
         if number % 17 == 5 {
             cluster.cancel(at + 8000, &id);
@@ -35,28 +36,29 @@
     }
 }
 
-/// Lost messages, for much less and much more than the times that the rules depend on: answers
-/// that are dropped after 4 s, a worker's lease of 10 s, a store isolation limit of some 28 s.
-fn lost_messages() -> impl Strategy<Value = Vec<Fault>> {
-    let long = || prop_oneof![300u64..4000, 6000u64..14_000, 20_000u64..70_000];
+/// Generates losses of messages that last much shorter and much longer than the times that the
+/// rules depend on: answers are dropped after 4 s, a worker's lease is 10 s, the store isolation
+/// limit is about 28 s.
+fn lost_message_faults() -> impl Strategy<Value = Vec<Fault>> {
+    let duration_ms = || prop_oneof![300u64..4000, 6000u64..14_000, 20_000u64..70_000];
     let node = 0usize..3;
     prop_oneof![
-        3 => (1usize..5, long()).prop_map(|(every_nth, for_ms)| vec![Fault::DownlinkLost { every_nth, for_ms }]),
-        2 => (node.clone(), long()).prop_map(|(node, for_ms)| vec![Fault::ControllerAnswersLost { node, for_ms }]),
+        3 => (1usize..5, duration_ms()).prop_map(|(every_nth, for_ms)| vec![Fault::DownlinkLost { every_nth, for_ms }]),
+        2 => (node.clone(), duration_ms()).prop_map(|(node, for_ms)| vec![Fault::ControllerAnswersLost { node, for_ms }]),
         2 => (10_000u64..60_000, prop_oneof![500u64..5000, 8000u64..30_000])
             .prop_map(|(for_ms, max_delay_ms)| vec![Fault::DuplicatedHeartbeats { share: 100, for_ms, max_delay_ms }]),
-        2 => (node.clone(), 1usize..3, long()).prop_map(|(first, count, for_ms)| {
+        2 => (node.clone(), 1usize..3, duration_ms()).prop_map(|(first, count, for_ms)| {
             (0..count).map(|n| Fault::ControllerIsolated { node: (first + n) % 3, for_ms: for_ms + 700 * n as u64 }).collect()
         }),
     ]
 }
 
-/// Faults that meet them.
+/// Generates a fault of another kind that coincides with lost messages.
 fn other_fault() -> impl Strategy<Value = Fault> {
     let node = 0usize..3;
-    let back = prop_oneof![Just(50u64), Just(300), 2000u64..8000];
+    let restart_delay_ms = prop_oneof![Just(50u64), Just(300), 2000u64..8000];
     prop_oneof![
-        3 => (node.clone(), back).prop_map(|(node, restart_after)| Fault::Crash { node, restart_after }),
+        3 => (node.clone(), restart_delay_ms).prop_map(|(node, restart_after)| Fault::Crash { node, restart_after }),
         1 => (1000u64..15_000).prop_map(|for_ms| Fault::StoreOutage { node: None, for_ms }),
         1 => (1000u64..20_000).prop_map(|for_ms| Fault::PeerLinksCut { for_ms }),
         1 => (node.clone(), 0usize..3, 1000u64..30_000, any::<bool>())
@@ -75,9 +77,9 @@
         ..Default::default()
     })]
     #[test]
-    fn no_accepted_job_is_forgotten_whatever_is_lost(
+    fn accepted_jobs_run_or_stay_known_when_messages_are_lost(
         seed in 1u64..1_000_000,
-        lost in proptest::collection::vec((15_000u64..60_000, lost_messages()), 1..4),
+        lost in proptest::collection::vec((15_000u64..60_000, lost_message_faults()), 1..4),
         others in proptest::collection::vec((15_000u64..80_000, other_fault()), 0..4),
     ) {
         let mut cluster = SimulatedCluster::new(seed, 10.0);
@@ -93,27 +95,27 @@
     }
 }
 
-/// A third of the machines get no answers any more, for good. What was on them runs elsewhere,
-/// and they are returned; the others are not.
+/// A third of the machines permanently stop receiving answers. Their tasks run elsewhere and these
+/// machines are returned; the others are kept.
 #[test]
 fn machines_without_downlink_are_replaced_and_returned() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
     submit_jobs(&mut cluster, 1500, 120_000, 8);
     cluster.inject_fault(30_000, Fault::DownlinkLost { every_nth: 3, for_ms: 10_000_000 });
     cluster.run(200_000);
-    assert_eq!(cluster.machines_without_downlink(), 0, "machines without downlink are still paid for");
+    assert_eq!(cluster.machines_without_downlink(), 0, "machines without downlink are still rented");
     assert!(
         cluster.undelivered_starts() < 400,
         "{} starts sent to machines without downlink",
         cluster.undelivered_starts()
     );
-    // Nothing is urgent: few machines are enough.
+    // No job is urgent: few machines are enough.
     cluster.run(900_000);
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// A controller whose answers alone are lost releases its shards before its workers have lost
-/// their leases, and their tasks, time and again.
+/// A controller that loses nothing but its answers releases its shards before its workers
+/// repeatedly lose their leases and tasks.
 #[test]
 fn an_owner_whose_answers_are_lost_releases_its_shards() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
@@ -130,9 +132,10 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Duplicated heartbeats of machines that are lost revive nothing and delay nothing.
+/// Late duplicates of heartbeats neither make lost machines count as alive nor delay their jobs by
+/// 12 s or more.
 #[test]
-fn late_duplicated_heartbeats_revive_no_machine() {
+fn late_duplicated_heartbeats_do_not_revive_lost_machines() {
     let last_completion = |duplicated: bool| {
         let mut cluster = SimulatedCluster::new(9, 10.0);
         submit_jobs(&mut cluster, 1500, 36_000, 8);
@@ -153,7 +156,7 @@
     assert!(with < without + 12_000, "{with} ms with duplicates, {without} without");
 }
 
-/// All of these faults at one and a half times the operators' size.
+/// All of these faults in a cluster 1.5 times as large as the operators'.
 #[test]
 fn lost_and_duplicated_messages_at_1130_machines_break_no_rule() {
     let mut cluster = SimulatedCluster::with_config(11, ClusterConfig::fleet(7, 3, 1130));
