--- a/tests/coinciding_faults/main.rs
+++ b/tests/coinciding_faults/main.rs
@@ -1,5 +1,5 @@
-//! Two or more faults at the same time. The simulated cluster checks the rules, not the
-//! controllers. `MEETING_CASES` asks for more cases than are run by default.
+//! Two or more faults at the same time; the simulated cluster checks the rules independently of
+//! the controllers. `MEETING_CASES` overrides the default number of cases of each property test.
 
 mod scenarios;
 #[allow(dead_code)]
@@ -16,10 +16,10 @@
 use simulator::{ClusterConfig, Fault, SimulatedCluster};
 use tillercleat::protocol::users::{JobKind, JobSpec};
 
-fn cases(default: u32) -> ProptestConfig {
-    let asked = std::env::var("MEETING_CASES").ok().and_then(|text| text.parse().ok());
+fn config(default_cases: u32) -> ProptestConfig {
+    let requested = std::env::var("MEETING_CASES").ok().and_then(|text| text.parse().ok());
     ProptestConfig {
-        cases: asked.unwrap_or(default),
+        cases: requested.unwrap_or(default_cases),
         rng_seed: proptest::test_runner::RngSeed::Fixed(34),
         failure_persistence: None,
         max_shrink_iters: 60,
@@ -38,7 +38,7 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// Times of workers as operators set them (milliseconds).
+/// The operators' settings for workers, in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Timing {
     heartbeat_ms: u64,
@@ -56,81 +56,77 @@
     ]
 }
 
-/// A small cluster with these times.
+/// Creates a small cluster with these worker settings.
 fn small_cluster(seed: u64, timing: Timing) -> SimulatedCluster {
     let Timing { heartbeat_ms, lease_ms, cancel_ms } = timing;
     SimulatedCluster::with_config(seed, ClusterConfig { heartbeat_ms, lease_ms, cancel_ms, ..ClusterConfig::small() })
 }
 
-/// Injects a scenario's faults, from `at` on.
+/// Injects the faults of a scenario that starts at `at`.
 fn inject(cluster: &mut SimulatedCluster, at: u64, scenario: Scenario) {
     for (after, fault) in scenario {
         cluster.inject_fault(at + after, fault);
     }
 }
 
-/// The store refuses one node alone while others confirm cancellations; then it is out for all.
-/// Times are in milliseconds.
+/// An outage of the store for one node, while others confirm cancellations, and then an outage for
+/// all nodes. Times are in milliseconds.
 #[derive(Debug, Clone)]
 struct TwoOutages {
     at: u64,
     node: usize,
-    refused_for: u64,
-    /// From the refusal to the outage.
-    outage_after: u64,
-    outage_for: u64,
-    /// How late the node's last transactions before the refusal are carried out, if they get lost.
-    late: Option<u64>,
-    /// A crash in between: after what time, and of which node.
+    node_outage_ms: u64,
+    /// From the start of the node's outage to the start of the outage for all.
+    all_outage_after_ms: u64,
+    all_outage_ms: u64,
+    /// Delay after which the store carries out the node's last transactions before its outage; their
+    /// answers are lost. None if the transactions are not affected.
+    commit_delay_ms: Option<u64>,
+    /// A crash: its time after the start of the node's outage, and the index of the crashing node.
     crash: Option<(u64, usize)>,
 }
 
 fn two_outages() -> impl Strategy<Value = TwoOutages> {
-    let outage_after = prop_oneof![0u64..400, 400u64..12_000];
+    let all_outage_after_ms = prop_oneof![0u64..400, 400u64..12_000];
     let crash = proptest::option::of((0u64..20_000, 0usize..3));
     (
         0u64..15_000,
         0usize..3,
         2000u64..30_000,
-        outage_after,
+        all_outage_after_ms,
         30_000u64..75_000,
         proptest::option::of(2000u64..12_000),
         crash,
     )
-        .prop_map(|(at, node, refused_for, outage_after, outage_for, late, crash)| TwoOutages {
-            at,
-            node,
-            refused_for,
-            outage_after,
-            outage_for,
-            late,
-            crash,
+        .prop_map(|(at, node, node_outage_ms, all_outage_after_ms, all_outage_ms, commit_delay_ms, crash)| {
+            TwoOutages { at, node, node_outage_ms, all_outage_after_ms, all_outage_ms, commit_delay_ms, crash }
         })
 }
 
 impl TwoOutages {
-    /// Injects them from a time on; returns when they are over.
+    /// Injects the faults at their times after `from`. Returns the end of the outage for all.
     fn inject(&self, cluster: &mut SimulatedCluster, from: u64) -> u64 {
         let at = from + self.at;
-        if let Some(late) = self.late {
+        if let Some(commit_delay_ms) = self.commit_delay_ms {
             cluster.inject_fault(
                 at.saturating_sub(600),
-                Fault::StoreAnswersLost { node: self.node, for_ms: 600, carried_out_after: late },
+                Fault::StoreAnswersLost { node: self.node, for_ms: 600, carried_out_after: commit_delay_ms },
             );
         }
-        cluster.inject_fault(at, Fault::StoreOutage { node: Some(self.node), for_ms: self.refused_for });
-        cluster.inject_fault(at + self.outage_after, Fault::StoreOutage { node: None, for_ms: self.outage_for });
+        cluster.inject_fault(at, Fault::StoreOutage { node: Some(self.node), for_ms: self.node_outage_ms });
+        cluster
+            .inject_fault(at + self.all_outage_after_ms, Fault::StoreOutage { node: None, for_ms: self.all_outage_ms });
         if let Some((after, node)) = self.crash {
             cluster.inject_fault(at + after, Fault::Crash { node, restart_after: 300 });
         }
-        at + self.outage_after + self.outage_for
+        at + self.all_outage_after_ms + self.all_outage_ms
     }
 }
 
 proptest! {
-    #![proptest_config(cases(40))]
-    /// Tasks of cancelled jobs end in time though their owner can't read of the cancellation, and
-    /// no other rule is broken.
+    #![proptest_config(config(40))]
+    /// Tasks of cancelled jobs end in time although their owner can't read the cancellation, and no
+    /// other rule is broken.
     #[test]
     fn tasks_cancelled_while_the_store_refuses_their_owner_end_in_time(
         seed in 1u64..1_000_000, timing in timing(), outages in proptest::collection::vec(two_outages(), 1..3),
@@ -156,11 +152,11 @@
     }
 }
 
-/// Long tasks run for longer than a lease and the time until it counts as expired (seconds).
+/// Run time of long tasks: longer than a lease and the time until it counts as expired.
 const LONG_RUN_S: f64 = 50.0;
 
-/// Jobs of two or three tasks, each as large as a machine, that end far apart; long ones; chains;
-/// and cancellations all along.
+/// Submits jobs of two or three tasks that each fill a machine and end far apart, long jobs, and
+/// dependent jobs, and cancels jobs throughout.
 fn submit_jobs(cluster: &mut SimulatedCluster, long_run_s: f64) {
     for number in 0..26usize {
         let (tasks, run_s) = [(2, 6.0), (3, 14.0), (7, long_run_s), (20, 8.0)][number % 4];
@@ -170,14 +166,14 @@
         }
         let (at, id) = (3000 + number as u64 * 2400, spec.id.clone());
         cluster.submit(at, spec);
-        // Many jobs of the team with a limit are cancelled: others take their quota at once.
+        // Many jobs of the team with a limit are cancelled: others use their quota at once.
         if number % 3 == 1 {
             cluster.cancel(at + 2500 + 400 * number as u64, &id);
         }
     }
 }
 
-/// What is wrong at the end of a run with these scenarios, each from its time on.
+/// Runs a cluster with these scenarios, each given with its start time. Returns the problems found.
 fn problems_after(seed: u64, timing: Timing, long_run_s: f64, scenarios: Vec<(u64, Scenario)>) -> Vec<String> {
     let mut cluster = small_cluster(seed, timing);
     submit_jobs(&mut cluster, long_run_s);
@@ -188,7 +184,8 @@
     cluster.problems()
 }
 
-/// Jobs bound to a zone, in one zone or spread over them, arrays and services.
+/// Submits arrays and services that are bound to a given zone, confined to any one zone, or spread
+/// over the zones.
 fn submit_zone_jobs(cluster: &mut SimulatedCluster) {
     for number in 100..118usize {
         let mut spec = job(number, 2 + number as u32 % 7, [9.0, 30.0][number % 2], None);
@@ -201,7 +198,7 @@
         }
         if number % 3 == 0 && number % 4 < 3 {
             (spec.kind, spec.estimated_run_s, spec.task_count) = (JobKind::Standing, 0.0, 2 + number as u32 % 3);
-            // Cancelled at the end; until then the rules hold for it as for any other.
+            // The service is cancelled at the end; until then the rules apply to it as to any other job.
             cluster.cancel(560_000, &spec.id);
         }
         cluster.submit(3000 + (number as u64 - 100) * 2500, spec);
@@ -209,11 +206,11 @@
 }
 
 proptest! {
-    #![proptest_config(cases(20))]
-    /// Jobs bound to a zone or spread go on once it has machines again, and no task is placed
-    /// wrongly beside the tasks that remain.
+    #![proptest_config(config(20))]
+    /// Jobs bound to a zone or spread over zones go on once their zones have machines again, and no
+    /// task is misplaced relative to the tasks that remain.
     #[test]
-    fn jobs_bound_to_zones_go_on_when_zones_lose_machines(
+    fn zone_bound_jobs_go_on_after_zones_lose_machines(
         seed in 1u64..1_000_000, at in 8000u64..60_000, losses in zones_lose_machines(),
         other in proptest::option::of((0u64..30_000, prop_oneof![isolated_zones(), machines_without_uplink(), ten_leader_crashes()])),
     ) {
@@ -227,7 +224,7 @@
         prop_assert_eq!(cluster.problems(), [""; 0]);
     }
 
-    /// More work than room, urgent and not, while all links and the store are slow: nothing
+    /// Urgent and other work exceeds the capacity while all links and the store are slow: no job
     /// starves, and no machine is rented twice.
     #[test]
     fn overload_over_slow_links_starves_no_job(
@@ -247,11 +244,11 @@
     }
 }
 
-/// A test of one scenario.
+/// Defines a property test of one scenario.
 macro_rules! scenario_test {
     ($name:ident, $scenario:ident) => {
         proptest! {
-            #![proptest_config(cases(14))]
+            #![proptest_config(config(14))]
             #[test]
             fn $name(seed in 1u64..1_000_000, timing in timing(), at in 8000u64..60_000, scenario in $scenario()) {
                 prop_assert_eq!(problems_after(seed, timing, LONG_RUN_S, vec![(at, scenario)]), [""; 0]);
@@ -260,13 +257,13 @@
     };
 }
 
-scenario_test!(late_transactions_undo_nothing_newer, late_transactions);
+scenario_test!(late_transactions_do_not_undo_newer_ones, late_transactions);
 scenario_test!(tasks_that_end_far_apart_count_once_under_crashes, controller_crashes);
 scenario_test!(crashes_while_machines_are_unreachable_break_no_rule, unreachable_machines);
 scenario_test!(an_isolated_controller_gives_no_stale_answers, isolated_controller);
 scenario_test!(heartbeats_of_earlier_epochs_are_ignored, duplicated_heartbeats);
 scenario_test!(a_slow_store_breaks_no_rule, slow_store);
-scenario_test!(delayed_answers_start_no_task_again, delayed_answers);
+scenario_test!(delayed_answers_start_no_task_twice, delayed_answers);
 scenario_test!(crashes_during_shard_handovers_break_no_rule, crashes_during_handover);
 scenario_test!(jobs_cancelled_at_completion_break_no_rule, cancellations_at_completion);
 scenario_test!(machines_without_uplink_break_no_rule, machines_without_uplink);
@@ -279,7 +276,7 @@
 scenario_test!(all_controllers_down_for_longer_than_a_lease_break_no_rule, all_controllers_down);
 
 proptest! {
-    #![proptest_config(cases(30))]
+    #![proptest_config(config(30))]
     #[test]
     fn two_or_three_scenarios_at_once_break_no_rule(
         seed in 1u64..1_000_000,
@@ -296,18 +293,18 @@
     }
 }
 
-/// A node came back and crashed again while its shard was handed over to it, and the transaction
-/// got no answer: whoever still owned the shard started nothing of it any more, for as long as
-/// that node stayed away.
+/// A node restarted and crashed again while its shard was handed over to it, and the transaction
+/// got no answer. The node that still owned the shard started none of its tasks until the crashed
+/// node returned.
 #[test]
-fn a_shard_whose_handover_got_no_answer_is_served() {
+fn a_shard_whose_handover_got_no_answer_keeps_starting_tasks() {
     let mut cluster = SimulatedCluster::new(3, 10.0);
     cluster.inject_fault(20_000, Fault::Crash { node: 0, restart_after: 8000 });
     cluster.inject_fault(28_100, Fault::Crash { node: 0, restart_after: 600_000 });
     for node in [1, 2] {
         cluster.inject_fault(29_500, Fault::StoreAnswersLost { node, for_ms: 300, carried_out_after: 0 });
     }
-    // Nothing else is written when the shard is handed back.
+    // No other record is written when the shard is handed back.
     for number in 0..36 {
         let at = if number < 12 { 3000 + 10 * number } else { 34_000 + 800 * number };
         cluster.submit(at, job(number as usize, 6, 9.0, None));
@@ -317,8 +314,8 @@
     assert!(cluster.longest_wait() < 75_000, "a job waited {} ms", cluster.longest_wait());
 }
 
-/// Quota was given away while a record still named the task that used it; the next owner started
-/// that task, and the team had more than its limit.
+/// A shard gave quota away while a record still held the task that used it. The shard's next owner
+/// started that task, and the team exceeded its limit.
 #[test]
 fn a_team_keeps_its_limit_when_its_shard_changes_owner_during_a_quota_transfer() {
     for (seed, slow) in [(498_749, 19_460), (494_853, 34_516)] {
@@ -331,10 +328,10 @@
     }
 }
 
-/// Replicas of a spread service waited for ever for a machine in the other zone: all machines
-/// there belonged to other shards, and the service could not move while some of it ran.
+/// Replicas of a service spread over zones never started: all machines in the other zone belonged
+/// to other shards, and the service could not move while some of its replicas ran.
 #[test]
-fn a_spread_service_gets_room_in_its_shard_after_a_zone_is_lost() {
+fn a_spread_service_gets_machines_in_its_shard_after_a_zone_is_lost() {
     for seed in 1..7 {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 30, ..ClusterConfig::small() });
         for number in 0..8usize {
--- a/tests/coinciding_faults/scenarios.rs
+++ b/tests/coinciding_faults/scenarios.rs
@@ -1,27 +1,28 @@
-//! Scenarios of the operators' pages: faults that meet, each at a time that is drawn.
+//! Generators of the scenarios that the operators ask for: coinciding faults at random times.
 
 use super::simulator::{CrashPoint, Fault};
 use proptest::prelude::*;
 
-/// Faults, and after what time each strikes (milliseconds).
+/// Faults, each with its delay from the start of the scenario in milliseconds.
 pub type Scenario = Vec<(u64, Fault)>;
 
-/// Any node.
+/// Index of any of the three controllers.
 fn node() -> impl Strategy<Value = usize> {
     0usize..3
 }
 
-/// After what time a node is started again: at once, or after a while (milliseconds).
+/// Delay until a crashed node restarts, in milliseconds.
 fn restart_after() -> impl Strategy<Value = u64> {
     prop_oneof![Just(50u64), 100u64..1000, 2000u64..9000]
 }
 
-/// Crashes of nodes as faults: when, which node, and when it is started again.
+/// Converts crashes, each given as time, node and restart delay, to faults.
 fn node_crashes(crashes: Vec<(u64, usize, u64)>) -> impl Iterator<Item = (u64, Fault)> {
     crashes.into_iter().map(|(at, node, restart_after)| (at, Fault::Crash { node, restart_after }))
 }
 
-/// Transactions carried out after newer ones of the same controller, some of which crash.
+/// The store carries out transactions after newer ones of the same controller; some controllers
+/// crash.
 pub fn late_transactions() -> impl Strategy<Value = Scenario> {
     let crashes = proptest::collection::vec((0u64..40_000, node(), restart_after()), 0..3);
     (10u64..80, 8000u64..60_000, crashes, proptest::option::of((node(), 3000u64..20_000))).prop_map(
@@ -40,7 +41,7 @@
         .prop_map(|crashes| node_crashes(crashes).collect())
 }
 
-/// A node crashes while machines can't be reached or don't get its successor's answers.
+/// Nodes crash while machines are unreachable or do not receive the answers of the next owner.
 pub fn unreachable_machines() -> impl Strategy<Value = Scenario> {
     let lost = prop_oneof![
         (0usize..2, 8000u64..60_000, any::<bool>()).prop_map(|(zone, for_ms, hold)| (0..3usize)
@@ -55,7 +56,7 @@
     })
 }
 
-/// A node loses the store and its peers, not its workers and users.
+/// A node loses its connections to the store and its peers, but not to its workers and users.
 pub fn isolated_controller() -> impl Strategy<Value = Scenario> {
     (node(), 2000u64..70_000, proptest::option::of((0u64..40_000, 30_000u64..60_000))).prop_map(
         |(node, for_ms, outage)| {
@@ -66,7 +67,8 @@
     )
 }
 
-/// Duplicated heartbeats of earlier epochs and attempts, also at owners that have just started.
+/// Duplicated heartbeats of earlier epochs and attempts arrive, also at owners that have just
+/// started.
 pub fn duplicated_heartbeats() -> impl Strategy<Value = Scenario> {
     let crashes = proptest::collection::vec((0u64..50_000, node(), restart_after()), 0..3);
     (20u64..100, 20_000u64..60_000, 4000u64..40_000, 1usize..5, 5000u64..25_000, crashes).prop_map(
@@ -79,7 +81,7 @@
     )
 }
 
-/// The store is slow, and refuses one node, then all.
+/// The store is slow and fails for one node, then for all.
 pub fn slow_store() -> impl Strategy<Value = Scenario> {
     (300u64..6000, 8000u64..50_000, node(), 0u64..20_000, proptest::option::of(5000u64..60_000)).prop_map(
         |(max_delay_ms, for_ms, node, at, outage)| {
@@ -91,7 +93,7 @@
     )
 }
 
-/// Answers are delayed, and machines hang and go on.
+/// Answers are delayed, and machines hang and recover.
 pub fn delayed_answers() -> impl Strategy<Value = Scenario> {
     let hangs = proptest::collection::vec((0u64..40_000, 0usize..20, 1000u64..14_000), 1..6);
     (1usize..4, 10_000u64..50_000, 1000u64..8000, hangs).prop_map(|(every_nth, for_ms, max_delay_ms, hangs)| {
@@ -113,15 +115,16 @@
         for (at, node, point, restart_after, late) in planned {
             scenario.push((at, Fault::CrashAt { node, point, restart_after, late }));
         }
-        if let Some((at, soon, later)) = all {
-            let back = [soon, later, later + 3000];
-            scenario.extend((0..3).map(|node| (at, Fault::Crash { node, restart_after: back[node] })));
+        if let Some((at, early_ms, late_ms)) = all {
+            let restart_delays_by_node = [early_ms, late_ms, late_ms + 3000];
+            scenario
+                .extend((0..3).map(|node| (at, Fault::Crash { node, restart_after: restart_delays_by_node[node] })));
         }
         scenario
     })
 }
 
-/// Jobs are cancelled, asked about and submitted again as they end; probe requests beside.
+/// Jobs are cancelled, queried and submitted again as they end; some runs add probe requests.
 pub fn cancellations_at_completion() -> impl Strategy<Value = Scenario> {
     (30u64..100, 20_000u64..60_000, any::<bool>()).prop_map(|(share, for_ms, probes)| {
         let mut scenario = vec![(0, Fault::CancelAtCompletion { share, for_ms })];
@@ -130,7 +133,8 @@
     })
 }
 
-/// Machines reach no controller: some, all, or a zone's; jobs are cancelled and nodes crash.
+/// Some machines, all machines or those of a zone reach no controller, while jobs are cancelled and
+/// nodes crash.
 pub fn machines_without_uplink() -> impl Strategy<Value = Scenario> {
     let crashes = proptest::collection::vec((0u64..30_000, node(), restart_after()), 0..3);
     let cancelled = proptest::option::of((0u64..20_000, 1usize..6, prop_oneof![Just(0u64), 500u64..20_000]));
@@ -147,14 +151,16 @@
 /// Jobs are cancelled at once and their machines hang, for longer than a lease or than a cancelled
 /// task may run, while answers are delayed.
 pub fn hung_machines() -> impl Strategy<Value = Scenario> {
-    let again = proptest::option::of((1000u64..30_000, 1usize..8, 1000u64..70_000));
-    let held = proptest::option::of((1usize..3, 5000u64..40_000, 1000u64..8000));
+    let second_cancellation = proptest::option::of((1000u64..30_000, 1usize..8, 1000u64..70_000));
+    let delayed = proptest::option::of((1usize..3, 5000u64..40_000, 1000u64..8000));
     let crashes = proptest::collection::vec((0u64..20_000, node(), restart_after()), 0..3);
-    (1usize..9, prop_oneof![500u64..9000, 9000u64..70_000], again, held, crashes).prop_map(
-        |(count, hang_ms, again, held, crashes)| {
+    (1usize..9, prop_oneof![500u64..9000, 9000u64..70_000], second_cancellation, delayed, crashes).prop_map(
+        |(count, hang_ms, second_cancellation, delayed, crashes)| {
             let mut scenario = vec![(0, Fault::CancelRunningJobs { count, hang_ms })];
-            scenario.extend(again.map(|(at, count, hang_ms)| (at, Fault::CancelRunningJobs { count, hang_ms })));
-            scenario.extend(held.map(|(every_nth, for_ms, max_delay_ms)| {
+            scenario.extend(
+                second_cancellation.map(|(at, count, hang_ms)| (at, Fault::CancelRunningJobs { count, hang_ms })),
+            );
+            scenario.extend(delayed.map(|(every_nth, for_ms, max_delay_ms)| {
                 (0, Fault::DelayedAnswers { every_nth, for_ms, max_delay_ms })
             }));
             scenario.extend(node_crashes(crashes));
@@ -163,8 +169,8 @@
     )
 }
 
-/// Jobs are cancelled at the moment when the store refuses one node alone; about a second later it
-/// is out for all, for longer than a cancelled task may run.
+/// Jobs are cancelled at the moment when the store fails for one node; about a second later it
+/// fails for all nodes, for longer than a cancelled task may run.
 pub fn cancelled_between_outages() -> impl Strategy<Value = Scenario> {
     (node(), 3000u64..20_000, 700u64..1800, 42_000u64..70_000, 3usize..12, prop_oneof![Just(0u64), 500u64..30_000])
         .prop_map(|(node, refused, after, outage, count, hang_ms)| {
@@ -176,8 +182,7 @@
         })
 }
 
-/// Heartbeats are delayed until another owner and leader have acted, and then arrive there or
-/// elsewhere.
+/// Heartbeats are delayed until another owner and leader have acted, and then arrive at any node.
 pub fn delayed_heartbeats() -> impl Strategy<Value = Scenario> {
     let crashes = proptest::collection::vec((0u64..30_000, node(), restart_after()), 1..5);
     (5u64..60, 10_000u64..50_000, 3000u64..60_000, crashes, any::<bool>()).prop_map(
@@ -190,8 +195,8 @@
     )
 }
 
-/// The leader and an owner crash, some machines can't be reached, and jobs of a team at its limit
-/// are cancelled meanwhile.
+/// The leader and an owner crash and some machines are unreachable, while jobs of a team at its
+/// limit are cancelled.
 pub fn team_at_its_limit() -> impl Strategy<Value = Scenario> {
     let lost = prop_oneof![
         (1usize..4, 5000u64..40_000).prop_map(|(every_nth, for_ms)| Fault::UplinkLost {
@@ -233,7 +238,7 @@
     )
 }
 
-/// Ten leaders crash in two minutes, also during an outage.
+/// The leader crashes ten times in two minutes, in some runs also during a store outage.
 pub fn ten_leader_crashes() -> impl Strategy<Value = Scenario> {
     let crashes = proptest::collection::vec((0u64..120_000, restart_after()), 10);
     (crashes, proptest::option::of((0u64..100_000, 5000u64..50_000))).prop_map(|(crashes, outage)| {
@@ -244,22 +249,23 @@
     })
 }
 
-/// All controllers are down for longer than a lease; they come back together, one by one, or one
-/// alone.
+/// All controllers are down, in most runs for longer than a lease, and restart together, one by one, or
+/// one long before the others.
 pub fn all_controllers_down() -> impl Strategy<Value = Scenario> {
-    let apart = prop_oneof![Just([0u64, 0, 0]), Just([0, 4000, 9000]), Just([0, 90_000, 91_000]), Just([300, 0, 700])];
-    (5000u64..45_000, apart, 0usize..3, proptest::option::of((1usize..6, 500u64..30_000))).prop_map(
-        |(down, apart, turn, cancelled)| {
+    let restart_offsets =
+        prop_oneof![Just([0u64, 0, 0]), Just([0, 4000, 9000]), Just([0, 90_000, 91_000]), Just([300, 0, 700])];
+    (5000u64..45_000, restart_offsets, 0usize..3, proptest::option::of((1usize..6, 500u64..30_000))).prop_map(
+        |(outage_ms, restart_offsets, rotation, cancelled)| {
             let mut scenario = vec![];
             scenario.extend(cancelled.map(|(count, hang_ms)| (0, Fault::CancelRunningJobs { count, hang_ms })));
-            let restart_after = |node: usize| down + apart[(node + turn) % 3];
+            let restart_after = |node: usize| outage_ms + restart_offsets[(node + rotation) % 3];
             scenario.extend((0..3).map(|node| (600, Fault::Crash { node, restart_after: restart_after(node) })));
             scenario
         },
     )
 }
 
-/// Zones lose machines, all or some, also while nodes crash.
+/// Zones lose all or some of their machines, in some runs while nodes crash.
 pub fn zones_lose_machines() -> impl Strategy<Value = Scenario> {
     let losses = proptest::collection::vec((0u64..40_000, 0usize..2, 1usize..4), 1..4);
     (losses, proptest::collection::vec((0u64..40_000, node(), restart_after()), 0..3)).prop_map(|(losses, crashes)| {
@@ -270,12 +276,12 @@
     })
 }
 
-/// All that is sent takes longer, and the store is slow.
+/// All messages are delayed; in some runs the store is slow as well.
 pub fn slow_links() -> impl Strategy<Value = Scenario> {
     (50u64..2500, 20_000u64..80_000, proptest::option::of((100u64..1400, 10_000u64..60_000))).prop_map(
-        |(max_delay_ms, for_ms, state)| {
+        |(max_delay_ms, for_ms, store)| {
             let mut scenario = vec![(0, Fault::SlowLinks { for_ms, max_delay_ms })];
-            scenario.extend(state.map(|(max_delay_ms, for_ms)| (2000, Fault::SlowStore { for_ms, max_delay_ms })));
+            scenario.extend(store.map(|(max_delay_ms, for_ms)| (2000, Fault::SlowStore { for_ms, max_delay_ms })));
             scenario
         },
     )
