--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -20,7 +20,7 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// Two dozen jobs of all forms over the first minute, some cancelled.
+/// Submits 24 jobs of all forms within the first minute and cancels some of them.
 fn submit_jobs(cluster: &mut SimulatedCluster) {
     let forms = ["plain", "plain", "pinned", "one_zone", "apart", "owned", "plain", "standing"];
     for number in 0..24 {
@@ -40,8 +40,13 @@
         (node.clone(), 500u64..9000).prop_map(|(node, restart_after)| Fault::Crash { node, restart_after }),
         (proptest::option::of(node.clone()), 2000u64..45_000)
             .prop_map(|(node, for_ms)| Fault::StoreOutage { node, for_ms }),
-        (node.clone(), 1000u64..12_000, prop_oneof![Just(0u64), 500u64..20_000])
-            .prop_map(|(node, for_ms, late)| Fault::StoreAnswersLost { node, for_ms, carried_out_after: late }),
+        (node.clone(), 1000u64..12_000, prop_oneof![Just(0u64), 500u64..20_000]).prop_map(
+            |(node, for_ms, commit_delay_ms)| Fault::StoreAnswersLost {
+                node,
+                for_ms,
+                carried_out_after: commit_delay_ms
+            }
+        ),
         (node, 0usize..3, 1000u64..60_000, any::<bool>()).prop_map(|(node, zone, for_ms, hold)| Fault::LinkCut {
             node,
             zone,
@@ -52,9 +57,9 @@
         (0usize..50, 500u64..30_000).prop_map(|(pick, for_ms)| Fault::MachineHangs { pick, for_ms }),
         (1000u64..40_000).prop_map(|for_ms| Fault::PeerLinksCut { for_ms }),
         (0usize..3, 500u64..35_000).prop_map(|(node, for_ms)| Fault::ControllerPaused { node, for_ms }),
-        (2u64..20, 0usize..5, 5000u64..60_000).prop_map(|(times, never_each, for_ms)| Fault::SlowProvisioning {
-            factor: times,
-            every_nth_never: never_each,
+        (2u64..20, 0usize..5, 5000u64..60_000).prop_map(|(slowdown, failing_nth, for_ms)| Fault::SlowProvisioning {
+            factor: slowdown,
+            every_nth_never: failing_nth,
             for_ms
         }),
         (0usize..50).prop_map(|pick| Fault::MachineFaulty { pick }),
@@ -65,7 +70,7 @@
 fn all_jobs_run_without_faults() {
     let mut cluster = SimulatedCluster::new(1, 10.0);
     submit_jobs(&mut cluster);
-    // Nothing is urgent here: the jobs may take their time on few machines.
+    // No job is urgent: few machines are enough.
     cluster.run(420_000);
     assert_eq!(cluster.problems(), [""; 0]);
     assert!(cluster.statistics.starts > 200, "only {} starts", cluster.statistics.starts);
@@ -93,10 +98,10 @@
     }
 }
 
-/// Workers cut off from their owner lost all tasks after a lease, though a node that they could
-/// reach was able to renew their leases for it.
+/// Workers that could not reach their owner lost all tasks when their leases expired, although
+/// they could reach a node that was able to renew their leases for the owner.
 #[test]
-fn a_lease_proxy_keeps_workers_cut_off_from_their_owner() {
+fn a_lease_proxy_keeps_the_tasks_of_workers_that_cannot_reach_their_owner() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
     submit_jobs(&mut cluster);
     cluster.inject_fault(30_000, Fault::PeerLinksCut { for_ms: 25_000 });
@@ -109,8 +114,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// A controller that lost its workers alone went on renewing its own lease, the others redirected
-/// its workers back to it, and all of their tasks were killed.
+/// A controller that no longer reached its workers, but reached all else, kept renewing its own
+/// lease. The other controllers redirected its workers back to it, and all of their tasks were killed.
 #[test]
 fn an_owner_that_no_worker_reaches_releases_its_shards_in_time() {
     let mut cluster = SimulatedCluster::new(5, 10.0);
@@ -124,15 +129,15 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Jobs enough to keep all machines for the time of a test.
-fn submit_steadily(cluster: &mut SimulatedCluster, until: u64) {
-    for number in 0..(until / 6000) as usize {
+/// Submits jobs until `until_ms`, enough to keep all machines in use.
+fn submit_steadily(cluster: &mut SimulatedCluster, until_ms: u64) {
+    for number in 0..(until_ms / 6000) as usize {
         cluster.submit(3000 + number as u64 * 6000, job(500 + number, 40, 1.0, 10.0, "plain"));
     }
 }
 
-/// A controller paused past its lease, and one that nobody could reach for a minute: others serve
-/// its workers, nothing runs twice, and what it sends late changes nothing.
+/// Controllers are paused, some for longer than their lease, and one is unreachable for a minute:
+/// others serve its workers, no task runs twice, and messages that it sends late have no effect.
 #[test]
 fn a_paused_or_unreachable_controller_breaks_no_rule() {
     let mut cluster = SimulatedCluster::new(3, 10.0);
@@ -146,11 +151,11 @@
     }
     cluster.run(420_000);
     assert_eq!(cluster.problems(), [""; 0]);
-    assert_eq!(cluster.expired_worker_leases(), 0, "its workers' tasks were not kept");
+    assert_eq!(cluster.expired_worker_leases(), 0, "its workers' tasks were lost");
 }
 
-/// While provisioning was slow, each machine was given up and rented again, and all of them were
-/// paid for when they came up.
+/// While provisioning was slow, the controllers gave up each machine and rented another one, and all
+/// of them were paid for once they started.
 #[test]
 fn slowly_provisioned_machines_are_not_rented_again() {
     let mut cluster = SimulatedCluster::new(4, 10.0);
@@ -161,7 +166,7 @@
     assert!(cluster.rented_machines() <= 24, "{} machines for a fleet of 14", cluster.rented_machines());
 }
 
-/// Two jobs that always fail made every healthy machine look faulty.
+/// Two jobs that always failed made every healthy machine count as faulty.
 #[test]
 fn failing_jobs_are_retried_rarely_and_no_machine_is_returned_for_them() {
     let mut cluster = SimulatedCluster::new(6, 10.0);
@@ -192,7 +197,7 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// The other way round: sound jobs on faulty machines.
+/// Faulty machines are detected when jobs that do not fail elsewhere fail on them.
 #[test]
 fn faulty_machines_are_returned_and_their_jobs_run() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
@@ -206,8 +211,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// A job waited for ever while the only machine that it might use was one that it had failed on:
-/// that counted as room, so that no other was rented.
+/// A job never started again if the only machine that it may use was one that it had failed on:
+/// that machine counted as free capacity, so no other was rented.
 #[test]
 fn a_failed_job_is_retried_on_the_only_machine() {
     let mut cluster = SimulatedCluster::with_config(10, ClusterConfig { machines: 1, ..ClusterConfig::small() });
@@ -223,8 +228,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Each poll cost a read of its job, which kept submissions from being accepted; each tiny job
-/// cost four writes at once.
+/// Each poll read its job from the store, which kept submissions from being accepted; each tiny job
+/// caused four writes at once.
 #[test]
 fn many_small_jobs_and_polls_stay_within_the_store_limits() {
     let mut cluster = SimulatedCluster::new(8, 10.0);
@@ -241,7 +246,7 @@
         "{} requests were answered 503",
         cluster.statistics.unavailable_answers
     );
-    // What the settings allow in each second, with a burst of one second.
+    // The settings' limit per second, plus a burst of one second's worth.
     let busiest = |seconds: &std::collections::BTreeMap<u64, usize>| seconds.values().copied().max().unwrap_or(0);
     assert!(busiest(&cluster.store.changes_by_second) <= 400, "{} writes", busiest(&cluster.store.changes_by_second));
     assert!(
@@ -253,7 +258,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// The records of all jobs ever submitted were read at every start and kept by every node.
+/// Without archiving, every node read the records of all jobs ever submitted at each start and kept
+/// them in memory.
 #[test]
 fn jobs_that_ended_long_ago_are_archived_and_still_known() {
     let mut cluster = SimulatedCluster::new(9, 10.0);
@@ -265,14 +271,14 @@
         let text = job(number, 3 + (number as u32 * 7) % 30, 1.0, 4.0, "plain");
         cluster.submit(610_000, text);
     }
-    // Users go on polling all the while.
+    // Users keep polling meanwhile.
     cluster.run(640_000);
     assert!(cluster.violations.is_empty(), "{:?}", cluster.violations);
     assert_eq!(cluster.count_keys("t/j/"), 0, "a repeated submission created a job again");
 }
 
-/// The checks can fail: controllers that take leases to be shorter than they are start tasks of
-/// unreachable machines again too early.
+/// Verifies that the checks can fail: controllers that assume shorter leases than the workers have
+/// restart tasks of unreachable machines too early.
 #[test]
 fn a_task_that_runs_twice_is_detected() {
     let detected = (1..=8).any(|seed| {
@@ -287,12 +293,13 @@
     assert!(detected);
 }
 
-/// Each shard had less of a team's limit left than a task takes, and kept it: no task of the team
-/// ever started, or cores of its limit went unused while its jobs waited.
+/// Each shard had less of a team's limit left than a task needs, and kept it: no task of the team
+/// started, or part of its limit stayed unused while its jobs waited.
 #[test]
 fn quota_that_no_shard_can_use_alone_is_transferred() {
-    // One task at a time, and two; with one where two may run the latter takes 448 s.
-    for (limit, within) in [(4.0, 700_000), (10.0, 380_000)] {
+    // The limits allow one and two tasks at a time. If only one runs under the second limit, the
+    // jobs take 448 s.
+    for (limit, max_completion_ms) in [(4.0, 700_000), (10.0, 380_000)] {
         let teams = serde_json::json!([{"name": "red", "cpus_max": limit}, {"name": "blue", "cpus_max": 0.0}]);
         let mut cluster = SimulatedCluster::with_config(4, ClusterConfig { teams, ..ClusterConfig::small() });
         for number in (0..24).step_by(2) {
@@ -300,12 +307,12 @@
         }
         cluster.run(900_000);
         assert_eq!(cluster.problems(), [""; 0], "{limit}");
-        assert!(cluster.last_completion() < within, "{limit}: {} ms", cluster.last_completion());
+        assert!(cluster.last_completion() < max_completion_ms, "{limit}: {} ms", cluster.last_completion());
     }
 }
 
 /// Jobs of the lowest priority started only when jobs of higher priority no longer filled the
-/// fleet: after five minutes on a recorded day, where the largest have to start within four.
+/// fleet: after five minutes in a recorded day, although the largest have to start within four.
 #[test]
 fn low_priority_jobs_start_while_higher_priority_ones_fill_the_fleet() {
     let mut cluster = SimulatedCluster::with_config(21, ClusterConfig { machines: 6, ..ClusterConfig::small() });
