--- a/tests/coinciding_faults/scenarios.rs
+++ b/tests/coinciding_faults/scenarios.rs
@@ -103,7 +103,8 @@
     })
 }
 
-/// Shards are handed over and back, all controllers crash, and one returns within a second.
+/// Controllers crash while shards are handed over and back; in some runs all controllers crash and
+/// one restarts within a second.
 pub fn crashes_during_handover() -> impl Strategy<Value = Scenario> {
     let point = proptest::sample::select(CrashPoint::ALL.to_vec());
     let planned = proptest::collection::vec(
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -52,7 +52,7 @@
         1 => (1000u64..25_000).prop_map(|for_ms| Fault::StoreOutage { node: None, for_ms }),
         1 => (node.clone(), 1000u64..15_000).prop_map(|(node, for_ms)| Fault::StoreOutage { node: Some(node), for_ms }),
         2 => (node.clone(), 1000u64..12_000, prop_oneof![Just(0u64), 500u64..20_000])
-            .prop_map(|(node, for_ms, commit_delay_ms)| Fault::StoreAnswersLost { node, for_ms, carried_out_after: commit_delay_ms }),
+            .prop_map(|(node, for_ms, delay_ms)| Fault::StoreAnswersLost { node, for_ms, carried_out_after: delay_ms }),
         1 => (node.clone(), 500u64..25_000).prop_map(|(node, for_ms)| Fault::ControllerPaused { node, for_ms }),
         1 => (1000u64..20_000).prop_map(|for_ms| Fault::PeerLinksCut { for_ms }),
         1 => (node, 1000u64..20_000).prop_map(|(node, for_ms)| Fault::ControllerIsolated { node, for_ms }),
--- a/tests/lost_messages.rs
+++ b/tests/lost_messages.rs
@@ -40,14 +40,14 @@
 /// rules depend on: answers are dropped after 4 s, a worker's lease is 10 s, the store isolation
 /// limit is about 28 s.
 fn lost_message_faults() -> impl Strategy<Value = Vec<Fault>> {
-    let duration_ms = || prop_oneof![300u64..4000, 6000u64..14_000, 20_000u64..70_000];
+    let duration = || prop_oneof![300u64..4000, 6000u64..14_000, 20_000u64..70_000];
     let node = 0usize..3;
     prop_oneof![
-        3 => (1usize..5, duration_ms()).prop_map(|(every_nth, for_ms)| vec![Fault::DownlinkLost { every_nth, for_ms }]),
-        2 => (node.clone(), duration_ms()).prop_map(|(node, for_ms)| vec![Fault::ControllerAnswersLost { node, for_ms }]),
+        3 => (1usize..5, duration()).prop_map(|(every_nth, for_ms)| vec![Fault::DownlinkLost { every_nth, for_ms }]),
+        2 => (node.clone(), duration()).prop_map(|(node, for_ms)| vec![Fault::ControllerAnswersLost { node, for_ms }]),
         2 => (10_000u64..60_000, prop_oneof![500u64..5000, 8000u64..30_000])
             .prop_map(|(for_ms, max_delay_ms)| vec![Fault::DuplicatedHeartbeats { share: 100, for_ms, max_delay_ms }]),
-        2 => (node.clone(), 1usize..3, duration_ms()).prop_map(|(first, count, for_ms)| {
+        2 => (node.clone(), 1usize..3, duration()).prop_map(|(first, count, for_ms)| {
             (0..count).map(|n| Fault::ControllerIsolated { node: (first + n) % 3, for_ms: for_ms + 700 * n as u64 }).collect()
         }),
     ]
@@ -114,8 +114,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// A controller that loses nothing but its answers releases its shards before its workers
-/// repeatedly lose their leases and tasks.
+/// A controller whose answers are lost, while it still receives all messages, releases its shards
+/// before its workers repeatedly lose their leases and tasks.
 #[test]
 fn an_owner_whose_answers_are_lost_releases_its_shards() {
     let mut cluster = SimulatedCluster::new(7, 10.0);
--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -208,8 +208,9 @@
         }
     }
 
-    /// Checks the controller's responses against the durable records and executes the commands.
-    /// Returns the HTTP status of each response.
+    /// Checks the controller's responses against the durable records and executes commands that the
+    /// worker accepts: those with a current token that arrive in time. Returns the HTTP status of each
+    /// response.
     fn take_responses(&mut self) -> Vec<(RequestId, u16)> {
         let mut statuses = vec![];
         for (request, response) in std::mem::take(&mut self.responses) {
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -281,7 +281,8 @@
         seed in 1u64..1_000_000, changes in proptest::collection::vec(job_changes(), 6..14),
     ) {
         let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig { machines: 40, ..ClusterConfig::small() });
-        let all: Vec<Value> = changes.iter().enumerate().map(|(n, change)| with_fields(job_fields(n), change)).collect();
+        let all: Vec<Value> =
+            changes.iter().enumerate().map(|(n, change)| with_fields(job_fields(n), change)).collect();
         for (number, fields) in all.iter().enumerate() {
             let spec = parse(fields).expect("a valid job");
             if fields["rig"] == "standing" {
