--- a/crates/rollout/benches/exposure.rs
+++ b/crates/rollout/benches/exposure.rs
@@ -53,8 +53,10 @@
 fn run(way: Way, seed: u64) -> Run {
     let mut world = World::new(seed, 2);
     world.start(&file("v1", ""));
-    assert!(world
-        .run(HOUR, |w| w.service(NAME).and_then(|s| s.rolling).is_some_and(|r| r.progress == RolloutProgress::New)));
+    assert!(world.run(HOUR, |w| w
+        .service(NAME)
+        .and_then(|s| s.rollout)
+        .is_some_and(|r| r.progress == RolloutProgress::Completed)));
     let after = world.random(20_000);
     let manner = match seed % 3 {
         0 => RolloutStrategy::FailsAfter(after),
@@ -111,8 +113,8 @@
         let mut world = World::new(7, 1);
         let all_done = |w: &World, number: u64| {
             (0..count).all(|n| {
-                let rolling = w.service(&format!("s{n}")).and_then(|s| s.rolling);
-                rolling.is_some_and(|r| r.number == number && r.progress == RolloutProgress::New)
+                let rolling = w.service(&format!("s{n}")).and_then(|s| s.rollout);
+                rolling.is_some_and(|r| r.number == number && r.progress == RolloutProgress::Completed)
             })
         };
         for number in 1..=2 {
--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -1,10 +1,10 @@
 //! Operators' commands, taken by any controller: each is one conditional write
 //! of the service's record. Whoever drives learns of it from the record.
 
-use crate::driver::{service_key, Claim, DRIVER_KEY, SERVICES};
+use crate::driver::{service_key, LeaderLease, DRIVER_KEY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
-use crate::record::{Command, Direction, RolloutProgress, Service};
-use crate::units::{CallId, RequestId, Stamp};
+use crate::record::{Command, Phase, RolloutProgress, Service};
+use crate::units::{CallId, RequestId, Revision};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -138,7 +138,7 @@
         if let Some(service) = &waiting.found {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
-                if let Ok(claim) = serde_json::from_value::<Claim>(item.value) {
+                if let Ok(claim) = serde_json::from_value::<LeaderLease>(item.value) {
                     body["driver"] = json!({ "node": claim.node, "listen": claim.listen });
                 }
             }
@@ -163,12 +163,12 @@
         let OperatorRequest::Command(name, command) = &waiting.request else { return None };
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
-                Ok(service) => (service, item.stamp),
+                Ok(service) => (service, item.revision),
                 Err(error) => {
                     return Some(OperatorResponse::problem(500, &format!("the record can't be read: {error}")))
                 }
             },
-            Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Stamp(0)),
+            Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Revision(0)),
             Answer::Missing => return Some(OperatorResponse::problem(404, "no such service")),
             _ => return Some(unreachable()),
         };
@@ -178,7 +178,7 @@
         };
         let key = service_key(name);
         let value = serde_json::to_value(&next).unwrap_or_default();
-        let commit = Commit { when: vec![(key.clone(), stamp)], key, value, lease: None };
+        let commit = Commit { conditions: vec![(key.clone(), stamp)], key, value, lease: None };
         waiting.written = Some(next);
         self.call(Call::Commit(commit), waiting, output);
         None
@@ -221,17 +221,17 @@
 pub fn summary(name: &str, service: &Service) -> Value {
     let seconds = |ms: crate::units::Millis| ms.0 as f64 / 1000.0;
     let mut by_version: BTreeMap<&str, u32> = BTreeMap::new();
-    for member in service.staying() {
+    for member in service.active_members() {
         *by_version.entry(service.version_name(member.version)).or_default() += member.replicas;
     }
-    let rolling = service.rolling.as_ref().map(|r| {
+    let rolling = service.rollout.as_ref().map(|r| {
         let plan = r.plan();
         json!({
             "number": r.number,
             "to": service.version_name(r.to),
             "from": service.base.filter(|b| *b != r.to).map(|b| service.version_name(b)),
             "course": r.progress,
-            "way": match r.direction { Direction::Raising => "raising", Direction::Baking => "baking", Direction::Reverting => "reverting" },
+            "way": match r.phase { Phase::ScalingUp => "raising", Phase::Baking => "baking", Phase::Reverting => "reverting" },
             "step": r.step + 1,
             "steps": r.steps.len(),
             "target": plan.map(|p| p.target),
@@ -253,13 +253,13 @@
                 "step": m.step + 1, "zone": m.zone, "retiring": m.retiring})
         })
         .collect();
-    let state = service.rolling.as_ref().map_or("none", |r| match (r.progress, r.direction) {
-        (RolloutProgress::Going, Direction::Reverting) => "reverting",
-        (RolloutProgress::Going, _) => "rolling",
+    let state = service.rollout.as_ref().map_or("none", |r| match (r.progress, r.phase) {
+        (RolloutProgress::InProgress, Phase::Reverting) => "reverting",
+        (RolloutProgress::InProgress, _) => "rolling",
         (RolloutProgress::Paused, _) => "paused",
         (RolloutProgress::Halted, _) => "halted",
-        (RolloutProgress::New, _) => "done",
-        (RolloutProgress::Old, _) => "reverted",
+        (RolloutProgress::Completed, _) => "done",
+        (RolloutProgress::Reverted, _) => "reverted",
     });
     json!({"service": name, "state": state, "versions": by_version, "rollout": rolling, "members": members,
         "past": service.past})
--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -13,12 +13,12 @@
 use crate::ports::{Answer, Call, Probe};
 use crate::reconcile::Event;
 use crate::record::Service;
-use crate::units::{CallId, CheckId, JobId, LeaseId, Millis, ReplicaKey, Stamp};
-use checks::UnderWay;
+use crate::units::{CallId, CheckId, JobId, LeaseId, Millis, ReplicaKey, Revision};
+use checks::RunningCheck;
 use leadership::Leadership;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use tracked::Tracked;
+use tracked::TrackedService;
 pub use tracked::{ReplicaStatus, ServiceStatus};
 
 /// Everything that roll-outs keep in the state service begins with this.
@@ -34,11 +34,11 @@
 }
 
 /// Pause after a call that was refused or got no answer.
-const BACK_OFF: Millis = Millis(1000);
+const RETRY_DELAY: Millis = Millis(1000);
 
 /// The most time that one tick may stand for: what passed while the process
 /// stood still was checked by nobody.
-const MOST_PER_TICK: Millis = Millis(1000);
+const MAX_TIME_PER_TICK: Millis = Millis(1000);
 
 /// What the driver needs to know of its node.
 #[derive(Debug, Clone, PartialEq)]
@@ -57,7 +57,7 @@
 
 /// The driver's claim, as others read it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
+pub struct LeaderLease {
     /// Name of the controller that drives.
     pub node: String,
     /// Where the driver's operators' listener is.
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
     /// This node begins to drive, with this claim.
-    Drives(Stamp),
+    BecameLeader(Revision),
     /// This node no longer drives.
     SteppedDown,
     /// A service's record changed as decided here.
@@ -106,18 +106,18 @@
 
 /// What an answer is about.
 #[derive(Debug, Clone)]
-enum Pending {
-    ReadClaim,
-    Grant,
-    Claim,
-    Renew(Millis),
-    Load,
+enum PendingCall {
+    ReadLease,
+    GrantLease,
+    WriteLease,
+    RenewLease(Millis),
+    LoadServices,
     Watch,
     /// Reads one service again.
-    Reread(String),
+    RereadRecord(String),
     /// Reads the claim again.
-    Verify,
-    Write {
+    VerifyLease,
+    WriteRecord {
         service: String,
         next: Box<Service>,
         events: Vec<Event>,
@@ -144,25 +144,25 @@
 pub struct Driver {
     config: Config,
     now: Millis,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     last_call: u64,
-    calls: BTreeMap<CallId, Pending>,
+    calls: BTreeMap<CallId, PendingCall>,
     leadership: Leadership,
     /// The lease last granted in this life.
-    granted: Option<LeaseId>,
+    granted_lease: Option<LeaseId>,
     /// The claim that ours is to take the place of.
-    claims_over: Stamp,
+    replaced_revision: Revision,
     /// Ids given in this life: together with the claim, none is given twice.
     ids: u64,
-    services: BTreeMap<String, Tracked>,
+    services: BTreeMap<String, TrackedService>,
     /// Jobs of services that are worked on.
     service_of: BTreeMap<JobId, String>,
     /// When the state service last answered.
-    state_at: Millis,
+    store_answered_at: Millis,
     next_poll: Millis,
     polling: bool,
     last_check: u64,
-    under_way: BTreeMap<CheckId, UnderWay>,
+    running_checks: BTreeMap<CheckId, RunningCheck>,
 }
 
 impl Driver {
@@ -171,20 +171,20 @@
         Driver {
             config,
             now: Millis(0),
-            out: vec![],
+            outputs: vec![],
             last_call: 0,
             calls: BTreeMap::new(),
             leadership: Leadership::default(),
-            granted: None,
-            claims_over: Stamp(0),
+            granted_lease: None,
+            replaced_revision: Revision(0),
             ids: 0,
             services: BTreeMap::new(),
             service_of: BTreeMap::new(),
-            state_at: Millis(0),
+            store_answered_at: Millis(0),
             next_poll: Millis(0),
             polling: false,
             last_check: 0,
-            under_way: BTreeMap::new(),
+            running_checks: BTreeMap::new(),
         }
     }
 
@@ -195,19 +195,20 @@
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = self.now.max(now);
         self.update_leadership();
-        if self.drives() {
+        if self.is_leader() {
             self.watch();
             self.poll();
-            let names: Vec<String> = self.services.iter().filter(|(_, t)| t.works()).map(|(n, _)| n.clone()).collect();
+            let names: Vec<String> =
+                self.services.iter().filter(|(_, t)| t.needs_work()).map(|(n, _)| n.clone()).collect();
             for name in &names {
                 self.retry_reads(name);
-                self.pass_time(name);
+                self.add_elapsed_time(name);
                 self.sync_jobs(name);
                 self.reconcile(name);
             }
             self.begin_checks(&names);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Takes in the answer to a call.
@@ -216,80 +217,80 @@
         let Some(pending) = self.calls.remove(&id) else { return vec![] };
         let of_state = matches!(
             pending,
-            Pending::ReadClaim
-                | Pending::Claim
-                | Pending::Renew(_)
-                | Pending::Load
-                | Pending::Reread(_)
-                | Pending::Write { .. }
+            PendingCall::ReadLease
+                | PendingCall::WriteLease
+                | PendingCall::RenewLease(_)
+                | PendingCall::LoadServices
+                | PendingCall::RereadRecord(_)
+                | PendingCall::WriteRecord { .. }
         );
         if of_state && !matches!(answer, Answer::Refused | Answer::Unknown) {
-            self.state_at = self.now;
+            self.store_answered_at = self.now;
         }
         match pending {
-            Pending::ReadClaim
-            | Pending::Grant
-            | Pending::Claim
-            | Pending::Renew(_)
-            | Pending::Load
-            | Pending::Watch => {
+            PendingCall::ReadLease
+            | PendingCall::GrantLease
+            | PendingCall::WriteLease
+            | PendingCall::RenewLease(_)
+            | PendingCall::LoadServices
+            | PendingCall::Watch => {
                 self.leadership_answer(pending, answer);
             }
-            Pending::Reread(name) => self.reread(&name, answer),
-            Pending::Verify => self.verified(&answer),
-            Pending::Write { service, next, events } => self.written(&service, *next, events, answer),
-            Pending::Submit { service, job } => self.submitted(&service, &job, answer),
-            Pending::Withdraw { service, job } => self.withdrawn(&service, &job, answer),
-            Pending::Replicas(asked) => self.polled(asked, answer),
-            Pending::Reach { service, replica, attempt, why } => {
-                self.second_opinion(&service, &replica, attempt, why, &answer);
+            PendingCall::RereadRecord(name) => self.reread_answer(&name, answer),
+            PendingCall::VerifyLease => self.lease_verified(&answer),
+            PendingCall::WriteRecord { service, next, events } => self.write_answer(&service, *next, events, answer),
+            PendingCall::Submit { service, job } => self.submit_answer(&service, &job, answer),
+            PendingCall::Withdraw { service, job } => self.withdraw_answer(&service, &job, answer),
+            PendingCall::Replicas(asked) => self.replicas_answer(asked, answer),
+            PendingCall::Reach { service, replica, attempt, why } => {
+                self.reachability_answer(&service, &replica, attempt, why, &answer);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// True if this node drives, as far as it knows.
-    pub fn drives(&self) -> bool {
-        matches!(self.leadership, Leadership::Driving { .. })
+    pub fn is_leader(&self) -> bool {
+        matches!(self.leadership, Leadership::Leading { .. })
     }
 
     /// What is seen of a service's replicas, if this node drives.
     pub fn service_status(&self, service: &str) -> Option<ServiceStatus> {
-        self.services.get(service).filter(|_| self.drives()).map(|t| t.service_status(self.now))
+        self.services.get(service).filter(|_| self.is_leader()).map(|t| t.service_status(self.now))
     }
 
-    fn call(&mut self, call: Call, pending: Pending) {
+    fn call(&mut self, call: Call, pending: PendingCall) {
         self.last_call += 1;
         let id = CallId(self.last_call);
         self.calls.insert(id, pending);
-        self.out.push(Output::Call(id, call));
+        self.outputs.push(Output::Call(id, call));
     }
 
     fn note(&mut self, note: Note) {
-        self.out.push(Output::Note(note));
+        self.outputs.push(Output::Note(note));
     }
 
     /// Takes a record that is durable as of `stamp`, unless a newer one is known.
-    fn adopt(&mut self, key: &str, value: Option<serde_json::Value>, stamp: Stamp) {
+    fn apply_value(&mut self, key: &str, value: Option<serde_json::Value>, revision: Revision) {
         let Some(name) = key.strip_prefix(SERVICES).filter(|name| valid_name(name)) else { return };
         let Some(value) = value else {
             self.services.remove(name);
             return;
         };
         match serde_json::from_value::<Service>(value) {
-            Ok(record) => self.take(name, record, stamp),
+            Ok(record) => self.apply_record(name, record, revision),
             Err(error) => self.note(Note::Unreadable { service: name.into(), why: error.to_string() }),
         }
     }
 
-    fn take(&mut self, name: &str, record: Service, stamp: Stamp) {
+    fn apply_record(&mut self, name: &str, record: Service, revision: Revision) {
         let now = self.now;
-        let tracked = self.services.entry(name.to_string()).or_insert_with(|| Tracked::new(now));
-        if stamp < tracked.stamp {
+        let tracked = self.services.entry(name.to_string()).or_insert_with(|| TrackedService::new(now));
+        if revision < tracked.revision {
             return;
         }
-        tracked.take(record, stamp);
-        if tracked.works() {
+        tracked.apply_record(record, revision);
+        if tracked.needs_work() {
             for member in &tracked.record.members {
                 self.service_of.entry(member.job.clone()).or_insert_with(|| name.to_string());
             }
--- a/crates/rollout/src/driver/checks.rs
+++ b/crates/rollout/src/driver/checks.rs
@@ -1,14 +1,14 @@
 //! Which checks run when. A service whose checks hang takes a share of the
 //! slots, never all of them, and nobody waits for a slot longer than others.
 
-use super::{Driver, Output, Pending};
+use super::{Driver, Output, PendingCall};
 use crate::file::Check;
 use crate::ports::{Answer, Call, Probe, Verdict};
 use crate::units::{CheckId, Millis, ReplicaKey};
 use std::collections::BTreeMap;
 
 /// A check that takes at least this share of its time-out is slow.
-const SLOW: f64 = 0.8;
+const SLOW_CHECK_RATIO: f64 = 0.8;
 
 /// A check that could begin now.
 struct DueCheck {
@@ -22,12 +22,12 @@
 
 /// A check that was begun.
 #[derive(Debug)]
-pub(super) struct UnderWay {
+pub(super) struct RunningCheck {
     service: String,
     replica: ReplicaKey,
     attempt: u64,
     addr: String,
-    begun: Millis,
+    started_at: Millis,
     slow: bool,
 }
 
@@ -35,7 +35,7 @@
     /// Begins the checks that are due, as far as there are slots.
     pub(super) fn begin_checks(&mut self, names: &[String]) {
         let slots = self.config.checks.max(1);
-        let mut free = slots.saturating_sub(self.under_way.len());
+        let mut free = slots.saturating_sub(self.running_checks.len());
         if free == 0 {
             return;
         }
@@ -44,12 +44,12 @@
         let slow_slots = (slots / 2).max(1);
         // Nor may one that begins to hang take all of them before that is known,
         // be it the only one now: another may come.
-        let most_each = (slots / names.len().max(2)).max(1);
+        let max_per_service = (slots / names.len().max(2)).max(1);
         let mut busy: BTreeMap<String, usize> = BTreeMap::new();
-        for under_way in self.under_way.values() {
-            *busy.entry(under_way.service.clone()).or_default() += 1;
+        for running_checks in self.running_checks.values() {
+            *busy.entry(running_checks.service.clone()).or_default() += 1;
         }
-        let mut slow_busy = self.under_way.values().filter(|u| u.slow).count();
+        let mut slow_busy = self.running_checks.values().filter(|u| u.slow).count();
         for DueCheck { service, replica, attempt, probe, slow } in due {
             if free == 0 {
                 break;
@@ -57,11 +57,11 @@
             if slow && slow_busy >= slow_slots && slots > 1 {
                 continue;
             }
-            let its_busy = busy.entry(service.clone()).or_default();
-            if *its_busy >= most_each {
+            let service_busy = busy.entry(service.clone()).or_default();
+            if *service_busy >= max_per_service {
                 continue;
             }
-            *its_busy += 1;
+            *service_busy += 1;
             slow_busy += usize::from(slow);
             free -= 1;
             self.begin_check(DueCheck { service, replica, attempt, probe, slow });
@@ -76,7 +76,7 @@
             let Some(tracked) = self.services.get_mut(name) else { continue };
             for member in tracked.record.members.iter().filter(|m| !m.retiring) {
                 let Some(version) = tracked.record.versions.get(&member.version) else { continue };
-                for (due_at, replica, attempt, probe) in tracked.health.due(now, member, &version.check) {
+                for (due_at, replica, attempt, probe) in tracked.health.due_checks(now, member, &version.check) {
                     let check = DueCheck { service: name.clone(), replica, attempt, probe, slow: tracked.slow };
                     due.push((due_at, check));
                 }
@@ -91,43 +91,44 @@
         let DueCheck { service, replica, attempt, probe, slow } = due;
         let now = self.now;
         if let Some(tracked) = self.services.get_mut(&service) {
-            tracked.health.begun(now, &replica, &probe.check);
+            tracked.health.check_started(now, &replica, &probe.check);
         }
         self.last_check += 1;
         let id = CheckId(self.last_check);
         let addr = probe.addr.clone();
-        self.under_way.insert(id, UnderWay { service, replica, attempt, addr, begun: now, slow });
-        self.out.push(Output::Probe(id, probe));
+        self.running_checks.insert(id, RunningCheck { service, replica, attempt, addr, started_at: now, slow });
+        self.outputs.push(Output::Probe(id, probe));
     }
 
     /// Takes in what a check found.
     pub fn verdict(&mut self, now: Millis, id: CheckId, verdict: Verdict) -> Vec<Output> {
         self.now = self.now.max(now);
-        let Some(UnderWay { service, replica, attempt, addr, begun, .. }) = self.under_way.remove(&id) else {
+        let Some(RunningCheck { service, replica, attempt, addr, started_at, .. }) = self.running_checks.remove(&id)
+        else {
             return vec![];
         };
         let Some(check) = self.check_of(&service, &replica) else { return vec![] };
         if let Some(tracked) = self.services.get_mut(&service) {
-            let took = self.now.since(begun).0 as f64 / 1000.0;
-            tracked.slow = verdict != Verdict::Pass && took >= SLOW * check.timeout_s;
+            let took = self.now.since(started_at).0 as f64 / 1000.0;
+            tracked.slow = verdict != Verdict::Pass && took >= SLOW_CHECK_RATIO * check.timeout_s;
         }
         match verdict {
             Verdict::Unreachable(why) => {
-                let pending = Pending::Reach { service, replica, attempt, why };
+                let pending = PendingCall::Reach { service, replica, attempt, why };
                 self.call(Call::Reach { addr }, pending);
             }
             verdict => {
                 if let Some(tracked) = self.services.get_mut(&service) {
-                    tracked.health.got_through(self.now, &replica);
+                    tracked.health.record_contact(self.now, &replica);
                 }
-                self.judge(&service, &replica, attempt, verdict, &check);
+                self.record_verdict(&service, &replica, attempt, verdict, &check);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// Tells a replica that nobody reaches from one that only we can't reach.
-    pub(super) fn second_opinion(
+    pub(super) fn reachability_answer(
         &mut self,
         service: &str,
         replica: &ReplicaKey,
@@ -147,13 +148,13 @@
             None if we_reach(self) => Verdict::Fail(format!("{why}, while other replicas are reached")),
             None => Verdict::Unreachable(format!("{why}, nor is any other replica reached from here")),
         };
-        self.judge(service, replica, attempt, verdict, &check);
+        self.record_verdict(service, replica, attempt, verdict, &check);
     }
 
-    fn judge(&mut self, service: &str, replica: &ReplicaKey, attempt: u64, verdict: Verdict, check: &Check) {
+    fn record_verdict(&mut self, service: &str, replica: &ReplicaKey, attempt: u64, verdict: Verdict, check: &Check) {
         let now = self.now;
         if let Some(tracked) = self.services.get_mut(service) {
-            tracked.health.verdict(now, replica, attempt, verdict, check);
+            tracked.health.record_verdict(now, replica, attempt, verdict, check);
         }
     }
 
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -1,49 +1,50 @@
 //! From records to writes and jobs: what is decided is written, and what is
 //! durable is carried out, as often as it takes.
 
-use super::tracked::JobWork;
-use super::{service_key, Driver, Note, Pending, BACK_OFF, DRIVER_KEY, MOST_PER_TICK};
-use crate::ports::{Answer, Call, Commit, JobFate, Order};
+use super::tracked::JobProgress;
+use super::{service_key, Driver, Note, PendingCall, DRIVER_KEY, MAX_TIME_PER_TICK, RETRY_DELAY};
+use crate::ports::{Answer, Call, Commit, JobStatus, JobSubmission};
 use crate::reconcile::{reconcile, Event, MemberStatus, Observations};
-use crate::record::{Direction, RolloutProgress, Service};
+use crate::record::{Phase, RolloutProgress, Service};
 use crate::units::{JobId, Millis};
 
 /// Submissions and withdrawals under way at the same time, over all services.
-const MOST_JOB_CALLS: usize = 8;
+const MAX_JOB_CALLS: usize = 8;
 
 /// Writes of records under way at the same time.
-const MOST_WRITES: usize = 4;
+const MAX_WRITES: usize = 4;
 
 /// Pause between two questions about replicas.
-const POLL_EVERY: Millis = Millis(1000);
+const POLL_INTERVAL: Millis = Millis(1000);
 
 /// Jobs asked about at once.
-const MOST_POLLED: usize = 2000;
+const MAX_POLLED_JOBS: usize = 2000;
 
 /// How lately the state service must have answered for a step's time to count.
-const STATE_LATELY: Millis = Millis(5000);
+const MAX_STORE_SILENCE: Millis = Millis(5000);
 
 impl Driver {
     /// Lets time pass for a service: a step's own time only while it could go
     /// on, its bake only while all of its replicas are well.
-    pub(super) fn pass_time(&mut self, name: &str) {
+    pub(super) fn add_elapsed_time(&mut self, name: &str) {
         let now = self.now;
-        let reached = now.since(self.state_at) <= STATE_LATELY;
+        let reached = now.since(self.store_answered_at) <= MAX_STORE_SILENCE;
         let Some(tracked) = self.services.get_mut(name) else { return };
-        let passed = Millis(now.since(tracked.last_tick).0.min(MOST_PER_TICK.0));
+        let passed = Millis(now.since(tracked.last_tick).0.min(MAX_TIME_PER_TICK.0));
         tracked.last_tick = now;
-        let Some(rolling) = tracked.record.rolling.as_ref().filter(|r| r.progress == RolloutProgress::Going) else {
+        let Some(rollout) = tracked.record.rollout.as_ref().filter(|r| r.progress == RolloutProgress::InProgress)
+        else {
             return;
         };
         if reached {
-            tracked.passed.spent = tracked.passed.spent + passed;
+            tracked.elapsed.spent = tracked.elapsed.spent + passed;
         }
-        if rolling.direction == Direction::Baking {
+        if rollout.phase == Phase::Baking {
             let seen = tracked.member_statuses(now);
-            let new = tracked.record.staying().filter(|m| m.version == rolling.to);
-            let well = |job: &JobId| seen.get(job).map_or(0, |s| s.well);
+            let new = tracked.record.active_members().filter(|m| m.version == rollout.to);
+            let well = |job: &JobId| seen.get(job).map_or(0, |s| s.healthy);
             if new.into_iter().all(|m| well(&m.job) >= m.replicas) {
-                tracked.passed.baked = tracked.passed.baked + passed;
+                tracked.elapsed.baked = tracked.elapsed.baked + passed;
             }
         }
     }
@@ -51,70 +52,70 @@
     /// Decides on the service's next record, and has it written.
     pub(super) fn reconcile(&mut self, name: &str) {
         let now = self.now;
-        let writes = self.calls.values().filter(|p| matches!(p, Pending::Write { .. })).count();
-        let Some(claim) = self.claim() else { return };
+        let writes = self.calls.values().filter(|p| matches!(p, PendingCall::WriteRecord { .. })).count();
+        let Some(lease_revision) = self.lease_revision() else { return };
         let Some(tracked) = self.services.get_mut(name) else { return };
-        if tracked.busy || now < tracked.next_write || writes >= MOST_WRITES {
+        if tracked.busy || now < tracked.next_write || writes >= MAX_WRITES {
             return;
         }
         let seen = tracked.member_statuses(now);
         let of = |job: &JobId| seen.get(job).cloned().unwrap_or_else(MemberStatus::default);
         let (digits, mut ids) = (&self.config.first_digits, self.ids);
-        let mut fresh = || {
+        let mut new_job_id = || {
             ids += 1;
-            JobId(format!("wk-{digits}{:012}{ids:06}", claim.0))
+            JobId(format!("wk-{digits}{:012}{ids:06}", lease_revision.0))
         };
-        let observations = Observations { member_status: &of, passed: tracked.passed };
-        let Some((next, events)) = reconcile(&tracked.record, &observations, &mut fresh) else { return };
+        let observations = Observations { member_status: &of, elapsed: tracked.elapsed };
+        let Some((next, events)) = reconcile(&tracked.record, &observations, &mut new_job_id) else { return };
         self.ids = ids;
         let Ok(value) = serde_json::to_value(&next) else { return };
         tracked.busy = true;
         let key = service_key(name);
-        let when = vec![(DRIVER_KEY.to_string(), claim), (key.clone(), tracked.stamp)];
-        let commit = Commit { when, key, value, lease: None };
-        let pending = Pending::Write { service: name.into(), next: Box::new(next), events };
+        let conditions = vec![(DRIVER_KEY.to_string(), lease_revision), (key.clone(), tracked.revision)];
+        let commit = Commit { conditions, key, value, lease: None };
+        let pending = PendingCall::WriteRecord { service: name.into(), next: Box::new(next), events };
         self.call(Call::Commit(commit), pending);
     }
 
-    pub(super) fn written(&mut self, name: &str, next: Service, events: Vec<Event>, answer: Answer) {
+    pub(super) fn write_answer(&mut self, name: &str, next: Service, events: Vec<Event>, answer: Answer) {
         let now = self.now;
         match answer {
-            Answer::Committed(stamp) => {
-                let rolling = next.rolling.as_ref().map_or((0, 0), |r| (r.number, r.step));
+            Answer::Committed(revision) => {
+                let rollout = next.rollout.as_ref().map_or((0, 0), |r| (r.number, r.step));
                 if let Some(tracked) = self.services.get_mut(name) {
                     tracked.busy = false;
                 }
-                self.take(name, next, stamp);
+                self.apply_record(name, next, revision);
                 for event in events {
                     let service = name.to_string();
-                    self.note(Note::Changed { service, number: rolling.0, step: rolling.1, event });
+                    self.note(Note::Changed { service, number: rollout.0, step: rollout.1, event });
                 }
             }
             Answer::Refused => {
                 if let Some(tracked) = self.services.get_mut(name) {
                     tracked.busy = false;
-                    tracked.next_write = now + BACK_OFF;
+                    tracked.next_write = now + RETRY_DELAY;
                 }
             }
             // The record or the claim has changed, or it is not known whether
             // the write was carried out: nothing is done before both are read.
             _ => {
                 let key = service_key(name);
-                self.call(Call::Get { key }, Pending::Reread(name.into()));
-                self.verify_claim();
+                self.call(Call::Get { key }, PendingCall::RereadRecord(name.into()));
+                self.verify_lease();
             }
         }
     }
 
-    pub(super) fn reread(&mut self, name: &str, answer: Answer) {
+    pub(super) fn reread_answer(&mut self, name: &str, answer: Answer) {
         let now = self.now;
         match answer {
             Answer::Found(item) => {
                 if let Some(tracked) = self.services.get_mut(name) {
                     tracked.busy = false;
-                    tracked.next_write = now + Millis(BACK_OFF.0 / 4);
+                    tracked.next_write = now + Millis(RETRY_DELAY.0 / 4);
                 }
-                self.adopt(&item.key, Some(item.value), item.stamp);
+                self.apply_value(&item.key, Some(item.value), item.revision);
             }
             Answer::Missing => {
                 self.services.remove(name);
@@ -122,7 +123,7 @@
             _ => {
                 // Asked again with the next tick that may.
                 if let Some(tracked) = self.services.get_mut(name) {
-                    tracked.next_write = now + BACK_OFF;
+                    tracked.next_write = now + RETRY_DELAY;
                     tracked.reread = true;
                 }
             }
@@ -132,8 +133,8 @@
     /// Carries out what the durable record says of each member.
     pub(super) fn sync_jobs(&mut self, name: &str) {
         let now = self.now;
-        let job_calls = |p: &&Pending| matches!(p, Pending::Submit { .. } | Pending::Withdraw { .. });
-        let mut room = MOST_JOB_CALLS.saturating_sub(self.calls.values().filter(job_calls).count());
+        let job_calls = |p: &&PendingCall| matches!(p, PendingCall::Submit { .. } | PendingCall::Withdraw { .. });
+        let mut room = MAX_JOB_CALLS.saturating_sub(self.calls.values().filter(job_calls).count());
         let Some(tracked) = self.services.get_mut(name) else { return };
         let mut calls = vec![];
         // Those that must go come before those that come.
@@ -149,12 +150,13 @@
             }
             let (service, job) = (name.to_string(), member.job.clone());
             if member.retiring && !work.submit_first {
-                calls.push((Call::Withdraw { job: job.clone() }, Pending::Withdraw { service, job }));
+                calls.push((Call::Withdraw { job: job.clone() }, PendingCall::Withdraw { service, job }));
             } else if !work.accepted && work.fault.is_none() {
                 let Some(version) = tracked.record.versions.get(&member.version) else { continue };
-                let order = Order { job: version.job.clone(), replicas: member.replicas, zone: member.zone.clone() };
-                let call = Call::Submit { job: job.clone(), order: Box::new(order) };
-                calls.push((call, Pending::Submit { service, job }));
+                let submission =
+                    JobSubmission { job: version.job.clone(), replicas: member.replicas, zone: member.zone.clone() };
+                let call = Call::Submit { job: job.clone(), submission: Box::new(submission) };
+                calls.push((call, PendingCall::Submit { service, job }));
             } else {
                 continue;
             }
@@ -167,36 +169,36 @@
     }
 
     /// What was noted of a job's call, if its member is still there.
-    fn work(&mut self, service: &str, job: &JobId) -> Option<&mut JobWork> {
-        let next = self.now + BACK_OFF;
+    fn work(&mut self, service: &str, job: &JobId) -> Option<&mut JobProgress> {
+        let next = self.now + RETRY_DELAY;
         let work = self.services.get_mut(service)?.jobs.get_mut(job)?;
         work.busy = false;
         work.next = next;
         Some(work)
     }
 
-    pub(super) fn submitted(&mut self, service: &str, job: &JobId, answer: Answer) {
+    pub(super) fn submit_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
         let Some(work) = self.work(service, job) else { return };
         work.submit_first = work.submit_first && matches!(answer, Answer::Refused | Answer::Unknown);
         match answer {
-            Answer::Job(JobFate::Known) => work.accepted = true,
-            Answer::Job(JobFate::Over) => work.fault = Some("the job was withdrawn by somebody else".into()),
+            Answer::Job(JobStatus::Accepted) => work.accepted = true,
+            Answer::Job(JobStatus::Ended) => work.fault = Some("the job was withdrawn by somebody else".into()),
             Answer::Unacceptable(why) => work.fault = Some(format!("the platform refuses it: {why}")),
             _ => return,
         }
         work.next = now;
     }
 
-    pub(super) fn withdrawn(&mut self, service: &str, job: &JobId, answer: Answer) {
+    pub(super) fn withdraw_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
         let Some(work) = self.work(service, job) else { return };
         match answer {
-            Answer::Job(JobFate::Over) => work.withdrawn = true,
+            Answer::Job(JobStatus::Ended) => work.withdrawn = true,
             // Never submitted, or its submission is still on its way and could
             // bring the job to life later: known and withdrawn, it can't. What
             // the platform will never take needs no such care.
-            Answer::Job(JobFate::Unknown) => {
+            Answer::Job(JobStatus::Unknown) => {
                 work.withdrawn = work.fault.is_some();
                 work.submit_first = !work.withdrawn;
                 work.next = now;
@@ -210,18 +212,18 @@
         if self.polling || self.now < self.next_poll {
             return;
         }
-        let working = self.services.values().filter(|t| t.works());
+        let working = self.services.values().filter(|t| t.needs_work());
         let jobs: Vec<JobId> =
-            working.flat_map(|t| t.record.staying().map(|m| m.job.clone())).take(MOST_POLLED).collect();
+            working.flat_map(|t| t.record.active_members().map(|m| m.job.clone())).take(MAX_POLLED_JOBS).collect();
         if jobs.is_empty() {
             return;
         }
         self.polling = true;
-        self.next_poll = self.now + POLL_EVERY;
-        self.call(Call::Replicas { jobs }, Pending::Replicas(self.now));
+        self.next_poll = self.now + POLL_INTERVAL;
+        self.call(Call::Replicas { jobs }, PendingCall::Replicas(self.now));
     }
 
-    pub(super) fn polled(&mut self, asked: Millis, answer: Answer) {
+    pub(super) fn replicas_answer(&mut self, asked: Millis, answer: Answer) {
         self.polling = false;
         let Answer::Replicas(replicas) = answer else { return };
         let now = self.now;
@@ -236,27 +238,27 @@
                 tracked.health.observe(now, asked, seen, &version.check);
             }
         }
-        for tracked in self.services.values_mut().filter(|t| t.works()) {
+        for tracked in self.services.values_mut().filter(|t| t.needs_work()) {
             let versions = &tracked.record.versions;
             let members = tracked.record.members.iter();
-            tracked.health.find_shared(members.filter_map(|m| Some((m, &versions.get(&m.version)?.check))));
+            tracked.health.update_shared_addrs(members.filter_map(|m| Some((m, &versions.get(&m.version)?.check))));
         }
     }
 
-    fn verify_claim(&mut self) {
-        if !self.calls.values().any(|p| matches!(p, Pending::Verify)) {
-            self.call(Call::Get { key: DRIVER_KEY.into() }, Pending::Verify);
+    fn verify_lease(&mut self) {
+        if !self.calls.values().any(|p| matches!(p, PendingCall::VerifyLease)) {
+            self.call(Call::Get { key: DRIVER_KEY.into() }, PendingCall::VerifyLease);
         }
     }
 
     /// Resigns if the claim is somebody else's.
-    pub(super) fn verified(&mut self, answer: &Answer) {
+    pub(super) fn lease_verified(&mut self, answer: &Answer) {
         let ours = match answer {
-            Answer::Found(item) => Some(item.stamp) == self.claim(),
+            Answer::Found(item) => Some(item.revision) == self.lease_revision(),
             Answer::Missing => false,
             _ => true,
         };
-        if self.drives() && !ours {
+        if self.is_leader() && !ours {
             self.step_down();
         }
     }
@@ -266,6 +268,6 @@
         let now = self.now;
         let Some(tracked) = self.services.get_mut(name).filter(|t| t.reread && now >= t.next_write) else { return };
         tracked.reread = false;
-        self.call(Call::Get { key: service_key(name) }, Pending::Reread(name.into()));
+        self.call(Call::Get { key: service_key(name) }, PendingCall::RereadRecord(name.into()));
     }
 }
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -2,16 +2,16 @@
 
 use crate::file::Check;
 use crate::health::Health;
-use crate::ports::{Standing, Verdict};
-use crate::reconcile::{MemberStatus, Passed};
-use crate::record::{Direction, Member, RolloutProgress, Service};
-use crate::units::{JobId, Millis, Stamp};
+use crate::ports::{ReplicaState, Verdict};
+use crate::reconcile::{ElapsedTime, MemberStatus};
+use crate::record::{Member, Phase, RolloutProgress, Service};
+use crate::units::{JobId, Millis, Revision};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// What was done about a member's job in this reign.
 #[derive(Debug, Default)]
-pub(super) struct JobWork {
+pub(super) struct JobProgress {
     /// The platform knows the job.
     pub accepted: bool,
     /// It will never run again.
@@ -25,18 +25,18 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Tracked {
-    pub stamp: Stamp,
+pub(super) struct TrackedService {
+    pub revision: Revision,
     pub record: Service,
     pub health: Health,
-    pub passed: Passed,
+    pub elapsed: ElapsedTime,
     pub last_tick: Millis,
     /// A write or a read of the record is under way.
     pub busy: bool,
     /// It must be read again before anything is written.
     pub reread: bool,
     pub next_write: Millis,
-    pub jobs: BTreeMap<JobId, JobWork>,
+    pub jobs: BTreeMap<JobId, JobProgress>,
     /// Its last check took nearly all of its time.
     pub slow: bool,
 }
@@ -51,7 +51,8 @@
     /// Name of the version that it runs.
     pub version: String,
     /// Its life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub state: &'static str,
     /// Address of its machine without a port; empty if unknown.
     pub host: String,
     /// Zone of its machine; empty if unknown.
@@ -78,13 +79,13 @@
     pub replicas: Vec<ReplicaStatus>,
 }
 
-impl Tracked {
-    pub fn new(now: Millis) -> Tracked {
-        Tracked {
-            stamp: Stamp(0),
+impl TrackedService {
+    pub fn new(now: Millis) -> TrackedService {
+        TrackedService {
+            revision: Revision(0),
             record: Service::default(),
             health: Health::default(),
-            passed: Passed::default(),
+            elapsed: ElapsedTime::default(),
             last_tick: now,
             busy: false,
             reread: false,
@@ -95,12 +96,12 @@
     }
 
     /// True if there may be anything to do about it.
-    pub fn works(&self) -> bool {
+    pub fn needs_work(&self) -> bool {
         let over = self
             .record
-            .rolling
+            .rollout
             .as_ref()
-            .is_none_or(|r| matches!(r.progress, RolloutProgress::New | RolloutProgress::Old));
+            .is_none_or(|r| matches!(r.progress, RolloutProgress::Completed | RolloutProgress::Reverted));
         !over || self.record.members.iter().any(|m| m.retiring)
     }
 
@@ -110,25 +111,26 @@
 
     /// Takes a durable record. Time seen but not durable yet is kept as long as
     /// the same step goes on.
-    pub fn take(&mut self, record: Service, stamp: Stamp) {
-        let key = |s: &Service| s.rolling.as_ref().map(|r| (r.number, r.step, r.direction == Direction::Reverting));
-        let direction = |s: &Service| s.rolling.as_ref().map(|r| r.direction);
+    pub fn apply_record(&mut self, record: Service, revision: Revision) {
+        let key = |s: &Service| s.rollout.as_ref().map(|r| (r.number, r.step, r.phase == Phase::Reverting));
+        let direction = |s: &Service| s.rollout.as_ref().map(|r| r.phase);
         let same_step = key(&self.record) == key(&record);
-        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
+        let halted = |s: &Service| s.rollout.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
         let again = halted(&self.record) && !halted(&record);
-        let durable = record.rolling.as_ref().map_or(Passed::default(), |r| Passed { spent: r.spent, baked: r.baked });
+        let durable =
+            record.rollout.as_ref().map_or(ElapsedTime::default(), |r| ElapsedTime { spent: r.spent, baked: r.baked });
         if !same_step || again {
-            self.health.begin_step();
-            self.passed = durable;
+            self.health.reset_step();
+            self.elapsed = durable;
         } else {
-            self.passed.spent = self.passed.spent.max(durable.spent);
+            self.elapsed.spent = self.elapsed.spent.max(durable.spent);
             let went_on = direction(&self.record) == direction(&record);
-            self.passed.baked = if went_on { self.passed.baked.max(durable.baked) } else { durable.baked };
+            self.elapsed.baked = if went_on { self.elapsed.baked.max(durable.baked) } else { durable.baked };
         }
-        self.stamp = stamp;
+        self.revision = revision;
         self.record = record;
         let members = &self.record.members;
-        self.health.keep(|job| members.iter().any(|m| m.job == *job));
+        self.health.retain(|job| members.iter().any(|m| m.job == *job));
         self.jobs.retain(|job, _| members.iter().any(|m| m.job == *job));
     }
 
@@ -139,12 +141,13 @@
     /// What is seen of each member.
     pub fn member_statuses(&self, now: Millis) -> BTreeMap<JobId, MemberStatus> {
         let of = |member: &Member| {
-            let mut seen = self.check(member).map(|check| self.health.member(now, member, check)).unwrap_or_default();
+            let mut seen =
+                self.check(member).map(|check| self.health.member_status(now, member, check)).unwrap_or_default();
             if let Some(work) = self.jobs.get(&member.job) {
                 seen.withdrawn = work.withdrawn;
                 if work.fault.is_some() {
                     seen.fault.clone_from(&work.fault);
-                    seen.lost = member.replicas;
+                    seen.unavailable = member.replicas;
                 }
             }
             (member.job.clone(), seen)
@@ -158,18 +161,18 @@
             member.map_or_else(String::new, |m| self.record.version_name(m.version).to_string())
         };
         let replicas = self.health.replicas().map(|((job, index), replica)| {
-            let seen = replica.seen.as_ref();
+            let seen = replica.observed.as_ref();
             ReplicaStatus {
                 job: job.clone(),
                 index: *index,
                 version: version(job),
-                standing: standing_word(seen.map(|s| s.standing)),
+                state: state_name(seen.map(|s| s.state)),
                 host: seen.map(|s| s.host.clone()).unwrap_or_default(),
                 zone: seen.map(|s| s.zone.clone()).unwrap_or_default(),
                 ready: replica.ready,
-                passes: replica.passes,
-                failures: replica.failures,
-                last: replica.last.as_ref().map(|(at, verdict)| {
+                passes: replica.consecutive_passes,
+                failures: replica.step_failures,
+                last: replica.last_verdict.as_ref().map(|(at, verdict)| {
                     let text = match verdict {
                         Verdict::Pass => "passed".to_string(),
                         Verdict::Fail(why) => format!("failed: {why}"),
@@ -180,20 +183,20 @@
             }
         });
         ServiceStatus {
-            spent_s: self.passed.spent.0 as f64 / 1000.0,
-            baked_s: self.passed.baked.0 as f64 / 1000.0,
+            spent_s: self.elapsed.spent.0 as f64 / 1000.0,
+            baked_s: self.elapsed.baked.0 as f64 / 1000.0,
             replicas: replicas.collect(),
         }
     }
 }
 
-fn standing_word(standing: Option<Standing>) -> &'static str {
-    match standing {
+fn state_name(state: Option<ReplicaState>) -> &'static str {
+    match state {
         None => "unknown",
-        Some(Standing::Waiting) => "waiting",
-        Some(Standing::Placed) => "starting",
-        Some(Standing::Running) => "running",
-        Some(Standing::Leaving) => "leaving",
-        Some(Standing::Ended) => "ended",
+        Some(ReplicaState::Pending) => "waiting",
+        Some(ReplicaState::Starting) => "starting",
+        Some(ReplicaState::Running) => "running",
+        Some(ReplicaState::Terminating) => "leaving",
+        Some(ReplicaState::Ended) => "ended",
     }
 }
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -62,18 +62,18 @@
     /// Counts what the driver noted.
     pub fn noted(&self, note: &Note) {
         match note {
-            Note::Drives(_) => drop(self.driving.set(1)),
+            Note::BecameLeader(_) => drop(self.driving.set(1)),
             Note::SteppedDown => drop(self.driving.set(0)),
             Note::Unreadable { .. } => {}
             Note::Changed { event, .. } => {
                 self.writes.inc();
                 match event {
-                    Event::Passed(_) => drop(self.steps.get_or_create(&Result { result: "passed" }).inc()),
-                    Event::Failed { .. } => drop(self.steps.get_or_create(&Result { result: "failed" }).inc()),
+                    Event::StepPassed(_) => drop(self.steps.get_or_create(&Result { result: "passed" }).inc()),
+                    Event::StepFailed { .. } => drop(self.steps.get_or_create(&Result { result: "failed" }).inc()),
                     Event::Ended(progress) => {
                         let result = match progress {
-                            RolloutProgress::New => "new",
-                            RolloutProgress::Old => "reverted",
+                            RolloutProgress::Completed => "new",
+                            RolloutProgress::Reverted => "reverted",
                             _ => "halted",
                         };
                         self.ends.get_or_create(&Result { result }).inc();
--- a/crates/rollout/src/ports.rs
+++ b/crates/rollout/src/ports.rs
@@ -2,7 +2,7 @@
 //! terms that a host translates.
 
 use crate::file::{Check, Job};
-use crate::units::{JobId, LeaseId, Millis, ReplicaKey, Stamp};
+use crate::units::{JobId, LeaseId, Millis, ReplicaKey, Revision};
 use serde_json::Value;
 
 /// A call that may take long, fail, or be carried out late.
@@ -37,7 +37,7 @@
         /// Prefix of the keys.
         prefix: String,
         /// Only changes after this revision are of interest.
-        after: Stamp,
+        after: Revision,
         /// How long to wait for a change.
         wait: Millis,
     },
@@ -46,7 +46,7 @@
         /// Id under which the job is submitted; submitting it again changes nothing.
         job: JobId,
         /// What to submit.
-        order: Box<Order>,
+        submission: Box<JobSubmission>,
     },
     /// Withdraws a job for good.
     Withdraw {
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Commit {
     /// Keys with the versions that they must have; 0: there must be none.
-    pub when: Vec<(String, Stamp)>,
+    pub conditions: Vec<(String, Revision)>,
     /// The key to write.
     pub key: String,
     /// Its new value.
@@ -80,7 +80,7 @@
 
 /// A standing job to be submitted.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Order {
+pub struct JobSubmission {
     /// What each replica runs and takes of its machine.
     pub job: Job,
     /// Number of replicas.
@@ -97,16 +97,16 @@
     /// Its value.
     pub value: Value,
     /// Revision of its last change.
-    pub stamp: Stamp,
+    pub revision: Revision,
 }
 
 /// What became of a job that was submitted or withdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobFate {
+pub enum JobStatus {
     /// It was accepted, now or earlier.
-    Known,
+    Accepted,
     /// It was withdrawn or is over: none of its replicas will run again.
-    Over,
+    Ended,
     /// The platform has no record of it.
     Unknown,
 }
@@ -125,10 +125,10 @@
         /// Whether there are more keys after these.
         more: bool,
         /// Revision of the store as of this page.
-        revision: Stamp,
+        revision: Revision,
     },
     /// The write is durable, at this revision.
-    Committed(Stamp),
+    Committed(Revision),
     /// A condition did not hold: nothing was written.
     Conflict,
     /// The lease that was granted.
@@ -140,18 +140,18 @@
     /// Keys with their new values, or none if deleted.
     Changes {
         /// Revision up to which the changes are complete.
-        revision: Stamp,
+        revision: Revision,
         /// Each key, its new value and the revision of its change.
-        changed: Vec<(String, Option<Value>, Stamp)>,
+        changed: Vec<(String, Option<Value>, Revision)>,
     },
     /// The watch begins too long ago: read the keys again.
     TooOld,
     /// What became of a job that was submitted or withdrawn.
-    Job(JobFate),
+    Job(JobStatus),
     /// The platform will never take this.
     Unacceptable(String),
     /// The replicas that are known, of those asked about.
-    Replicas(Vec<ReplicaSeen>),
+    Replicas(Vec<ObservedReplica>),
     /// Whether any other controller reaches the address; none: nobody said.
     Reached(Option<bool>),
     /// Not carried out.
@@ -162,36 +162,36 @@
 
 /// Where a replica stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum ReplicaState {
     /// On no machine.
-    Waiting,
+    Pending,
     /// On a machine that does not run it yet.
-    Placed,
+    Starting,
     /// On a machine that runs it.
     Running,
     /// Being stopped, or on a machine about to be taken away.
-    Leaving,
+    Terminating,
     /// Ended by itself, for good.
     Ended,
 }
 
 /// How an owner sees a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReplicaSeen {
+pub struct ObservedReplica {
     /// Which replica.
     pub replica: ReplicaKey,
     /// Number of its current attempt; a restart begins a new one.
     pub attempt: u64,
     /// Its life-cycle state.
-    pub standing: Standing,
+    pub state: ReplicaState,
     /// The machine's address without a port; empty if not known.
     pub host: String,
     /// Zone of its machine; empty if not known.
     pub zone: String,
     /// The last attempt that failed by its own doing; 0: none known.
-    pub error: u64,
+    pub failed_attempt: u64,
     /// How long ago its machine reported, as of the answer.
-    pub age: Millis,
+    pub heartbeat_age: Millis,
     /// Of two answers, that with the higher token counts.
     pub token: u64,
 }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -2,12 +2,12 @@
 //! conditional write.
 
 use crate::file::{Check, Job, OnFailure, RollOut};
-use crate::units::{JobId, Millis, VersionNo};
+use crate::units::{JobId, Millis, VersionNumber};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Roll-outs that are remembered after they ended.
-const REMEMBERED: usize = 5;
+const MAX_PAST_ROLLOUTS: usize = 5;
 
 /// Bytes that a member takes of its service's record, about.
 const MEMBER_BYTES: usize = 110;
@@ -34,7 +34,7 @@
     pub job: JobId,
     /// Version that the replicas run.
     #[serde(rename = "v")]
-    pub version: VersionNo,
+    pub version: VersionNumber,
     /// Number of replicas.
     #[serde(rename = "n")]
     pub replicas: u32,
@@ -66,9 +66,10 @@
 /// Which way a roll-out goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Direction {
+pub enum Phase {
     /// To the new version; the step's replicas are being brought out.
-    Raising,
+    #[serde(rename = "raising")]
+    ScalingUp,
     /// To the new version; the step's replicas must stay well.
     Baking,
     /// To the version before.
@@ -80,15 +81,18 @@
 #[serde(rename_all = "lowercase")]
 pub enum RolloutProgress {
     /// The driver takes it further.
-    Going,
+    #[serde(rename = "going")]
+    InProgress,
     /// By an operator: no step goes on, but a failure still counts.
     Paused,
     /// Stopped where it was, for the reason noted.
     Halted,
     /// All replicas have the new version.
-    New,
+    #[serde(rename = "new")]
+    Completed,
     /// All replicas have the version before.
-    Old,
+    #[serde(rename = "old")]
+    Reverted,
 }
 
 /// A roll-out, from its start to its end and beyond.
@@ -97,7 +101,7 @@
     /// Counts the service's roll-outs from 1.
     pub number: u64,
     /// The version to roll out.
-    pub to: VersionNo,
+    pub to: VersionNumber,
     /// The steps, in order.
     pub steps: Vec<StepPlan>,
     /// What a failed step leads to.
@@ -107,12 +111,13 @@
     /// Never more replicas than this are on the books.
     pub ceiling: u32,
     /// Replicas of other versions at the start.
-    pub from: u32,
+    #[serde(rename = "from")]
+    pub initial_replicas: u32,
     /// The current step, counted from 0.
     pub step: u32,
     /// Which way it goes.
     #[serde(rename = "way")]
-    pub direction: Direction,
+    pub phase: Phase,
     /// Whether it goes on.
     #[serde(rename = "course")]
     pub progress: RolloutProgress,
@@ -128,24 +133,24 @@
 impl Rollout {
     /// A roll-out at the start of its first step. `from` counts the replicas of
     /// other versions; `ceiling` bounds the replicas of all versions.
-    fn begin(file: &RollOut, number: u64, to: VersionNo, from: u32, ceiling: u32) -> Rollout {
+    fn begin(file: &RollOut, number: u64, to: VersionNumber, initial_replicas: u32, ceiling: u32) -> Rollout {
         let steps = file.steps.iter().zip(file.targets()).map(|(step, target)| StepPlan {
             target,
             zone: step.zone.clone(),
-            bake: Millis::secs(step.bake_s),
-            deadline: Millis::secs(step.deadline_s),
+            bake: Millis::from_secs(step.bake_s),
+            deadline: Millis::from_secs(step.deadline_s),
         });
         Rollout {
             number,
             to,
             steps: steps.collect(),
             on_failure: file.on_failure,
-            floor: from.min(file.replicas).saturating_sub(file.max_unavailable),
+            floor: initial_replicas.min(file.replicas).saturating_sub(file.max_unavailable),
             ceiling,
-            from,
+            initial_replicas,
             step: 0,
-            direction: Direction::Raising,
-            progress: RolloutProgress::Going,
+            phase: Phase::ScalingUp,
+            progress: RolloutProgress::InProgress,
             spent: Millis(0),
             baked: Millis(0),
             reason: None,
@@ -154,7 +159,7 @@
 
     /// True while replicas may come or go.
     pub fn active(&self) -> bool {
-        matches!(self.progress, RolloutProgress::Going | RolloutProgress::Paused)
+        matches!(self.progress, RolloutProgress::InProgress | RolloutProgress::Paused)
     }
 
     /// The plan of the current step.
@@ -163,8 +168,8 @@
     }
 
     /// Begins whatever comes next: its time counts from nothing.
-    pub(crate) fn begin_phase(&mut self, direction: Direction) {
-        self.direction = direction;
+    pub(crate) fn begin_phase(&mut self, phase: Phase) {
+        self.phase = phase;
         self.spent = Millis(0);
         self.baked = Millis(0);
     }
@@ -190,19 +195,19 @@
 pub struct Service {
     /// The version that all replicas last had.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub base: Option<VersionNo>,
+    pub base: Option<VersionNumber>,
     /// Versions that members or the roll-out refer to.
-    pub versions: BTreeMap<VersionNo, Version>,
+    pub versions: BTreeMap<VersionNumber, Version>,
     /// The jobs of the service, retiring ones included.
     pub members: Vec<Member>,
     /// The current or last roll-out.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rolling: Option<Rollout>,
+    #[serde(rename = "rolling", default, skip_serializing_if = "Option::is_none")]
+    pub rollout: Option<Rollout>,
     /// Earlier roll-outs, oldest first; the last few are kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub past: Vec<Outcome>,
     /// The newest version and roll-out there ever were.
-    pub last_version: VersionNo,
+    pub last_version: VersionNumber,
     /// The highest roll-out number given so far.
     pub last_number: u64,
 }
@@ -239,7 +244,7 @@
     },
     /// There is nothing that the command could be about.
     #[error("{0}")]
-    Nothing(&'static str),
+    Conflict(&'static str),
     /// The service's record would not fit into one value.
     #[error("the service would need {members} jobs and has room for {room}: use a larger group")]
     TooLarge {
@@ -252,17 +257,17 @@
 
 impl Service {
     /// Members that are to stay.
-    pub fn staying(&self) -> impl Iterator<Item = &Member> {
+    pub fn active_members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| !m.retiring)
     }
 
     /// Replicas on the books, those to be withdrawn included.
-    pub fn on_books(&self) -> u32 {
+    pub fn recorded_replicas(&self) -> u32 {
         self.members.iter().map(|m| m.replicas).sum()
     }
 
     /// Name of a version; `?` if it isn't known any more.
-    pub fn version_name(&self, version: VersionNo) -> &str {
+    pub fn version_name(&self, version: VersionNumber) -> &str {
         self.versions.get(&version).map_or("?", |v| &v.name)
     }
 
@@ -277,39 +282,40 @@
             next.start(file, value_bytes)?;
             return Ok(next);
         }
-        let Some(rolling) = next.rolling.as_mut() else { return Err(Refusal::Nothing("no roll-out was ever started")) };
-        match (command, rolling.progress) {
-            (_, RolloutProgress::New) => {
-                return Err(Refusal::Nothing("the roll-out is over: start one to another version"))
+        let Some(rollout) = next.rollout.as_mut() else {
+            return Err(Refusal::Conflict("no roll-out was ever started"));
+        };
+        match (command, rollout.progress) {
+            (_, RolloutProgress::Completed) => {
+                return Err(Refusal::Conflict("the roll-out is over: start one to another version"))
             }
-            (_, RolloutProgress::Old) => return Err(Refusal::Nothing("the roll-out was reverted")),
-            (Command::Pause, RolloutProgress::Going) => rolling.progress = RolloutProgress::Paused,
-            (Command::Pause, _) => return Err(Refusal::Nothing("the roll-out does not go on as it is")),
-            (Command::Resume, RolloutProgress::Paused) => rolling.progress = RolloutProgress::Going,
+            (_, RolloutProgress::Reverted) => return Err(Refusal::Conflict("the roll-out was reverted")),
+            (Command::Pause, RolloutProgress::InProgress) => rollout.progress = RolloutProgress::Paused,
+            (Command::Pause, _) => return Err(Refusal::Conflict("the roll-out does not go on as it is")),
+            (Command::Resume, RolloutProgress::Paused) => rollout.progress = RolloutProgress::InProgress,
             (Command::Resume, RolloutProgress::Halted) => {
-                let direction =
-                    if rolling.direction == Direction::Reverting { Direction::Reverting } else { Direction::Raising };
-                rolling.begin_phase(direction);
-                rolling.progress = RolloutProgress::Going;
-                rolling.reason = None;
+                let phase = if rollout.phase == Phase::Reverting { Phase::Reverting } else { Phase::ScalingUp };
+                rollout.begin_phase(phase);
+                rollout.progress = RolloutProgress::InProgress;
+                rollout.reason = None;
             }
-            (Command::Resume, _) => return Err(Refusal::Nothing("the roll-out goes on already")),
+            (Command::Resume, _) => return Err(Refusal::Conflict("the roll-out goes on already")),
             (Command::Abort, RolloutProgress::Halted) => {
-                return Err(Refusal::Nothing("the roll-out is halted already"))
+                return Err(Refusal::Conflict("the roll-out is halted already"))
             }
             (Command::Abort, _) => {
-                rolling.progress = RolloutProgress::Halted;
-                rolling.reason = Some("aborted by an operator".into());
+                rollout.progress = RolloutProgress::Halted;
+                rollout.reason = Some("aborted by an operator".into());
             }
             (Command::Revert, _)
-                if rolling.direction == Direction::Reverting && rolling.progress == RolloutProgress::Going =>
+                if rollout.phase == Phase::Reverting && rollout.progress == RolloutProgress::InProgress =>
             {
-                return Err(Refusal::Nothing("the roll-out is being reverted already"));
+                return Err(Refusal::Conflict("the roll-out is being reverted already"));
             }
             (Command::Revert, _) => {
-                rolling.begin_phase(Direction::Reverting);
-                rolling.progress = RolloutProgress::Going;
-                rolling.reason = Some("reverted by an operator".into());
+                rollout.begin_phase(Phase::Reverting);
+                rollout.progress = RolloutProgress::InProgress;
+                rollout.reason = Some("reverted by an operator".into());
             }
             (Command::Start(_), _) => unreachable!("handled above"),
         }
@@ -317,27 +323,29 @@
     }
 
     fn start(&mut self, file: &RollOut, value_bytes: usize) -> Result<(), Refusal> {
-        if let Some(rolling) = self.rolling.as_ref().filter(|r| r.active()) {
+        if let Some(rollout) = self.rollout.as_ref().filter(|r| r.active()) {
             return Err(Refusal::RolloutActive {
-                number: rolling.number,
-                version: self.version_name(rolling.to).to_string(),
-                step: rolling.step + 1,
-                steps: rolling.steps.len(),
+                number: rollout.number,
+                version: self.version_name(rollout.to).to_string(),
+                step: rollout.step + 1,
+                steps: rollout.steps.len(),
             });
         }
-        if self.staying().next().is_some() && self.staying().all(|m| self.version_name(m.version) == file.version) {
-            return Err(Refusal::Nothing("all replicas have this version already"));
+        if self.active_members().next().is_some()
+            && self.active_members().all(|m| self.version_name(m.version) == file.version)
+        {
+            return Err(Refusal::Conflict("all replicas have this version already"));
         }
-        let from: u32 = self.staying().map(|m| m.replicas).sum();
-        let ceiling = from.max(file.replicas) + file.max_surplus;
-        self.fits(file, ceiling, value_bytes)?;
-        self.close();
+        let initial_replicas: u32 = self.active_members().map(|m| m.replicas).sum();
+        let ceiling = initial_replicas.max(file.replicas) + file.max_surplus;
+        self.check_size(file, ceiling, value_bytes)?;
+        self.archive_rollout();
         if self.base.is_none() {
             self.base = self.most_common_version();
         }
         self.last_version.0 += 1;
         self.last_number += 1;
-        self.rolling = Some(Rollout::begin(file, self.last_number, self.last_version, from, ceiling));
+        self.rollout = Some(Rollout::begin(file, self.last_number, self.last_version, initial_replicas, ceiling));
         let version = Version {
             name: file.version.clone(),
             replicas: file.replicas,
@@ -346,24 +354,25 @@
             check: file.check.clone(),
         };
         self.versions.insert(self.last_version, version);
-        self.prune();
+        self.prune_versions();
         Ok(())
     }
 
     /// The version that most replicas have: what a revert returns to as long as
     /// no roll-out has ever succeeded.
-    fn most_common_version(&self) -> Option<VersionNo> {
-        let count = |v: VersionNo| self.staying().filter(|m| m.version == v).map(|m| m.replicas).sum::<u32>();
+    fn most_common_version(&self) -> Option<VersionNumber> {
+        let count =
+            |v: VersionNumber| self.active_members().filter(|m| m.version == v).map(|m| m.replicas).sum::<u32>();
         let counted = self.versions.keys().map(|version| (count(*version), *version));
         counted.filter(|(replicas, _)| *replicas > 0).max().map(|(_, version)| version)
     }
 
     /// Whether the record stays one value with as many members as there may be.
-    fn fits(&self, file: &RollOut, ceiling: u32, value_bytes: usize) -> Result<(), Refusal> {
+    fn check_size(&self, file: &RollOut, ceiling: u32, value_bytes: usize) -> Result<(), Refusal> {
         let fixed = serde_json::to_vec(&(&self.versions, &self.past, file)).map_or(0, |text| text.len()) + 512;
         let room = (value_bytes * 9 / 10).saturating_sub(fixed) / MEMBER_BYTES;
-        let least_group = self.versions.values().map(|v| v.group).chain([file.group]).min().unwrap_or(1).max(1);
-        let members = ceiling.div_ceil(least_group) as usize + 1;
+        let smallest_group = self.versions.values().map(|v| v.group).chain([file.group]).min().unwrap_or(1).max(1);
+        let members = ceiling.div_ceil(smallest_group) as usize + 1;
         if members > room {
             return Err(Refusal::TooLarge { members, room });
         }
@@ -371,28 +380,28 @@
     }
 
     /// Puts the last roll-out among those that are remembered.
-    fn close(&mut self) {
-        if let Some(rolling) = self.rolling.take() {
-            let version = self.version_name(rolling.to).to_string();
+    fn archive_rollout(&mut self) {
+        if let Some(rollout) = self.rollout.take() {
+            let version = self.version_name(rollout.to).to_string();
             self.past.push(Outcome {
-                number: rolling.number,
+                number: rollout.number,
                 version,
-                progress: rolling.progress,
-                reason: rolling.reason,
+                progress: rollout.progress,
+                reason: rollout.reason,
             });
-            let extra = self.past.len().saturating_sub(REMEMBERED);
+            let extra = self.past.len().saturating_sub(MAX_PAST_ROLLOUTS);
             self.past.drain(..extra);
         }
     }
 
     /// Drops versions that nothing refers to any more.
-    pub(crate) fn prune(&mut self) {
-        let needed: Vec<VersionNo> = self
+    pub(crate) fn prune_versions(&mut self) {
+        let needed: Vec<VersionNumber> = self
             .members
             .iter()
             .map(|m| m.version)
             .chain(self.base)
-            .chain(self.rolling.as_ref().map(|r| r.to))
+            .chain(self.rollout.as_ref().map(|r| r.to))
             .collect();
         self.versions.retain(|version, _| needed.contains(version));
     }
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -243,7 +243,7 @@
 /// One line a change, within spans whose ids stay the same wherever it is driven.
 fn log(note: &Note) {
     match note {
-        Note::Drives(claim) => tracing::info!(%claim, "became leader of roll-outs"),
+        Note::BecameLeader(claim) => tracing::info!(%claim, "became leader of roll-outs"),
         Note::SteppedDown => tracing::info!("lost leadership of roll-outs"),
         Note::Unreadable { service, why } => tracing::error!(%service, error = %why, "failed to read service record"),
         Note::Changed { service, number, step, event } => {
--- a/crates/rollout/src/settings.rs
+++ b/crates/rollout/src/settings.rs
@@ -99,7 +99,7 @@
         Config {
             node: node.into(),
             listen: self.listen.to_string(),
-            ttl: Millis::secs(self.lease_s),
+            ttl: Millis::from_secs(self.lease_s),
             checks: self.checks,
             first_digits: self.first_digits.clone(),
         }
--- a/crates/rollout/src/units.rs
+++ b/crates/rollout/src/units.rs
@@ -20,13 +20,13 @@
 
 number!(
     /// A revision of the state service; 0 stands for "no such key".
-    Stamp, u64);
+    Revision, u64);
 number!(
     /// A lease of the state service.
     LeaseId, u64);
 number!(
     /// Counts a service's versions from 1.
-    VersionNo, u32);
+    VersionNumber, u32);
 number!(
     /// Matches an answer to a call.
     CallId, u64);
@@ -58,7 +58,7 @@
 
 impl Millis {
     /// From seconds; what is negative or no number counts as nothing.
-    pub fn secs(seconds: f64) -> Millis {
+    pub fn from_secs(seconds: f64) -> Millis {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
 
--- a/crates/rollout/tests/explore.rs
+++ b/crates/rollout/tests/explore.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use tillercleat_rollout::file::RollOut;
-use tillercleat_rollout::reconcile::{reconcile, MemberStatus, Observations, Passed};
-use tillercleat_rollout::record::{Command, Direction, Member, Rollout, RolloutProgress, Service};
+use tillercleat_rollout::reconcile::{reconcile, ElapsedTime, MemberStatus, Observations};
+use tillercleat_rollout::record::{Command, Member, Phase, Rollout, RolloutProgress, Service};
 use tillercleat_rollout::units::{JobId, Millis};
 
 /// How a member fares. `Fresh`: nothing is known.
@@ -21,12 +21,12 @@
 struct World {
     service: Service,
     fares: BTreeMap<JobId, Fare>,
-    passed: Passed,
+    passed: ElapsedTime,
     commanded: bool,
     ids: u32,
 }
 
-type Key = (Vec<Member>, Option<Rollout>, BTreeMap<JobId, Fare>, Passed, bool);
+type Key = (Vec<Member>, Option<Rollout>, BTreeMap<JobId, Fare>, ElapsedTime, bool);
 
 const BAKE: Millis = Millis(4000);
 const DEADLINE: Millis = Millis(10_000);
@@ -46,7 +46,7 @@
 impl World {
     fn key(&self) -> Key {
         let service = &self.service;
-        (service.members.clone(), service.rolling.clone(), self.fares.clone(), self.passed, self.commanded)
+        (service.members.clone(), service.rollout.clone(), self.fares.clone(), self.passed, self.commanded)
     }
 
     fn fare(&self, job: &JobId) -> Fare {
@@ -54,24 +54,24 @@
     }
 
     fn ready(&self) -> u32 {
-        self.service.staying().filter(|m| self.fare(&m.job) == Fare::Ready).map(|m| m.replicas).sum()
+        self.service.active_members().filter(|m| self.fare(&m.job) == Fare::Ready).map(|m| m.replicas).sum()
     }
 
     fn seen(&self, job: &JobId) -> MemberStatus {
         let is = |fare| u32::from(self.fare(job) == fare);
         MemberStatus {
             ready: is(Fare::Ready),
-            well: is(Fare::Ready),
-            lost: is(Fare::Lost) + is(Fare::Bad),
+            healthy: is(Fare::Ready),
+            unavailable: is(Fare::Lost) + is(Fare::Bad),
             unplaced: is(Fare::Lost),
             unreachable: 0,
             fault: (self.fare(job) == Fare::Bad).then(|| "bad".into()),
-            withdrawn: !self.service.staying().any(|m| m.job == *job) && self.fare(job) == Fare::Lost,
+            withdrawn: !self.service.active_members().any(|m| m.job == *job) && self.fare(job) == Fare::Lost,
         }
     }
 
     fn rolling(&self) -> &Rollout {
-        self.service.rolling.as_ref().expect("a roll-out")
+        self.service.rollout.as_ref().expect("a roll-out")
     }
 
     fn decided(&self) -> Option<World> {
@@ -83,14 +83,14 @@
         };
         let seen = |job: &JobId| self.seen(job);
         let (service, _) =
-            reconcile(&self.service, &Observations { member_status: &seen, passed: self.passed }, &mut fresh)?;
+            reconcile(&self.service, &Observations { member_status: &seen, elapsed: self.passed }, &mut fresh)?;
         next.ids = ids;
-        let before = (self.rolling().step, self.rolling().direction == Direction::Reverting);
+        let before = (self.rolling().step, self.rolling().phase == Phase::Reverting);
         next.service = service;
-        let after = (next.rolling().step, next.rolling().direction == Direction::Reverting);
+        let after = (next.rolling().step, next.rolling().phase == Phase::Reverting);
         if before != after {
-            next.passed = Passed::default();
-        } else if self.rolling().direction != next.rolling().direction {
+            next.passed = ElapsedTime::default();
+        } else if self.rolling().phase != next.rolling().phase {
             next.passed.baked = Millis(0);
         }
         next.fares.retain(|job, _| next.service.members.iter().any(|m| m.job == *job));
@@ -115,9 +115,10 @@
                 found.push(next);
             }
         }
-        if rolling.progress == RolloutProgress::Going {
-            let well = self.service.staying().all(|m| m.version != rolling.to || self.fare(&m.job) == Fare::Ready);
-            if rolling.direction == Direction::Baking && well && self.passed.baked < BAKE {
+        if rolling.progress == RolloutProgress::InProgress {
+            let well =
+                self.service.active_members().all(|m| m.version != rolling.to || self.fare(&m.job) == Fare::Ready);
+            if rolling.phase == Phase::Baking && well && self.passed.baked < BAKE {
                 let mut next = self.clone();
                 next.passed.baked = BAKE;
                 found.push(next);
@@ -135,8 +136,8 @@
         if !self.commanded {
             for command in [Command::Pause, Command::Abort, Command::Revert] {
                 if let Ok(service) = self.service.command(&command, 64 * 1024) {
-                    let turned = service.rolling.as_ref().is_some_and(|r| r.direction != rolling.direction);
-                    let passed = if turned { Passed::default() } else { self.passed };
+                    let turned = service.rollout.as_ref().is_some_and(|r| r.phase != rolling.phase);
+                    let passed = if turned { ElapsedTime::default() } else { self.passed };
                     found.push(World { service, commanded: true, passed, ..self.clone() });
                 }
             }
@@ -148,33 +149,33 @@
 /// What must hold whenever one state follows another.
 fn check(from: &World, to: &World) {
     let (before, after) = (from.rolling(), to.rolling());
-    assert!(to.service.on_books() <= after.ceiling, "too many on the books: {to:?}");
-    let let_go = from.service.staying().count() > to.service.staying().count();
+    assert!(to.service.recorded_replicas() <= after.ceiling, "too many on the books: {to:?}");
+    let let_go = from.service.active_members().count() > to.service.active_members().count();
     if let_go {
         let (had, have) = (from.ready(), to.ready());
         assert!(have >= after.floor.min(had), "{had} to {have} ready, bound {}: {from:?} to {to:?}", after.floor);
     }
     for member in from.service.members.iter().filter(|m| m.retiring) {
-        let came_back = to.service.staying().any(|m| m.job == member.job);
+        let came_back = to.service.active_members().any(|m| m.job == member.job);
         assert!(!came_back, "{member:?} came back");
     }
     if after.step != before.step {
         assert_eq!(after.step, before.step + 1, "a step was skipped or begun twice");
         assert!(
-            before.direction == Direction::Baking && before.progress == RolloutProgress::Going,
+            before.phase == Phase::Baking && before.progress == RolloutProgress::InProgress,
             "{before:?} to {after:?}"
         );
-        let mut new = from.service.staying().filter(|m| m.version == before.to);
+        let mut new = from.service.active_members().filter(|m| m.version == before.to);
         assert!(new.all(|m| from.fare(&m.job) == Fare::Ready), "a step passed with replicas not well");
         assert!(from.passed.baked >= BAKE, "a step passed before its time");
     }
-    if before.direction == Direction::Reverting {
-        assert_eq!(after.direction, Direction::Reverting, "a roll-out that turned back went on");
+    if before.phase == Phase::Reverting {
+        assert_eq!(after.phase, Phase::Reverting, "a roll-out that turned back went on");
     }
-    if matches!(after.progress, RolloutProgress::New) {
-        assert!(to.service.staying().all(|m| m.version == after.to) && after.reason.is_none());
+    if matches!(after.progress, RolloutProgress::Completed) {
+        assert!(to.service.active_members().all(|m| m.version == after.to) && after.reason.is_none());
     }
-    if matches!(after.progress, RolloutProgress::Halted | RolloutProgress::Old) {
+    if matches!(after.progress, RolloutProgress::Halted | RolloutProgress::Reverted) {
         assert!(after.reason.is_some(), "ended without a reason: {after:?}");
     }
 }
@@ -219,7 +220,7 @@
 fn settled(unavailable: u32, surplus: u32) -> World {
     let start = Command::Start(Box::new(file("v1", unavailable, surplus, &[3], "halt")));
     let service = Service::default().command(&start, 64 * 1024).expect("starts");
-    let mut world = World { service, fares: BTreeMap::new(), passed: Passed::default(), commanded: true, ids: 0 };
+    let mut world = World { service, fares: BTreeMap::new(), passed: ElapsedTime::default(), commanded: true, ids: 0 };
     for _ in 0..20 {
         if let Some(next) = world.decided() {
             world = next;
@@ -229,7 +230,7 @@
         }
         world.passed.baked = BAKE;
     }
-    assert_eq!(world.rolling().progress, RolloutProgress::New);
+    assert_eq!(world.rolling().progress, RolloutProgress::Completed);
     world
 }
 
@@ -240,15 +241,15 @@
             let mut world = settled(unavailable, surplus);
             let start = Command::Start(Box::new(file("v2", unavailable, surplus, steps, on_failure)));
             world.service = world.service.command(&start, 64 * 1024).expect("starts");
-            world.passed = Passed::default();
+            world.passed = ElapsedTime::default();
             world.commanded = false;
             let (states, ends) = explore(world, true);
             assert!(states > 500, "{states} states only");
             assert!(
-                ends.contains_key(&RolloutProgress::New) && ends.contains_key(&RolloutProgress::Halted),
+                ends.contains_key(&RolloutProgress::Completed) && ends.contains_key(&RolloutProgress::Halted),
                 "{ends:?}"
             );
-            assert!(ends.contains_key(&RolloutProgress::Old), "{ends:?}");
+            assert!(ends.contains_key(&RolloutProgress::Reverted), "{ends:?}");
         }
     }
 }
@@ -258,7 +259,10 @@
 fn a_first_roll_out_ends_with_all_or_nothing() {
     let start = Command::Start(Box::new(file("v1", 0, 1, &[1, 3], "revert")));
     let service = Service::default().command(&start, 64 * 1024).expect("starts");
-    let world = World { service, fares: BTreeMap::new(), passed: Passed::default(), commanded: false, ids: 0 };
+    let world = World { service, fares: BTreeMap::new(), passed: ElapsedTime::default(), commanded: false, ids: 0 };
     let (_, ends) = explore(world, true);
-    assert!(ends.contains_key(&RolloutProgress::Old) && ends.contains_key(&RolloutProgress::New), "{ends:?}");
+    assert!(
+        ends.contains_key(&RolloutProgress::Reverted) && ends.contains_key(&RolloutProgress::Completed),
+        "{ends:?}"
+    );
 }
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 use tillercleat_rollout::commands::{summary, OperatorRequest};
-use tillercleat_rollout::driver::{service_key, Claim, Note, DRIVER_KEY, ROOT, SERVICES};
+use tillercleat_rollout::driver::{service_key, LeaderLease, Note, DRIVER_KEY, ROOT, SERVICES};
 use tillercleat_rollout::file::*;
 use tillercleat_rollout::listen::{route, Routed};
 use tillercleat_rollout::metrics::Metrics;
@@ -16,7 +16,7 @@
 use tillercleat_rollout::reconcile::Event;
 use tillercleat_rollout::record::*;
 use tillercleat_rollout::settings::Settings;
-use tillercleat_rollout::units::{JobId, Millis, VersionNo};
+use tillercleat_rollout::units::{JobId, Millis, VersionNumber};
 
 fn path_of(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name)
@@ -108,15 +108,15 @@
     };
     Rollout {
         number: 5,
-        to: VersionNo(2),
+        to: VersionNumber(2),
         steps: vec![step(2, Some("a")), step(10, None)],
         on_failure: OnFailure::Halt,
         floor: 7,
         ceiling: 14,
-        from: 10,
+        initial_replicas: 10,
         step: 1,
-        direction: Direction::Baking,
-        progress: RolloutProgress::Going,
+        phase: Phase::Baking,
+        progress: RolloutProgress::InProgress,
         spent: Millis(1200),
         baked: Millis(700),
         reason: Some("step 1 failed".into()),
@@ -130,7 +130,7 @@
     let plain_check = Check { body: None, ..check() };
     let member = |id: &str, version, zone: Option<&str>, retiring| Member {
         job: JobId(id.into()),
-        version: VersionNo(version),
+        version: VersionNumber(version),
         replicas: 2,
         step: 1,
         zone: zone.map(String::from),
@@ -143,30 +143,33 @@
         reason: reason.map(String::from),
     };
     Service {
-        base: Some(VersionNo(1)),
+        base: Some(VersionNumber(1)),
         versions: [
-            (VersionNo(1), version("v1", plain_job, plain_check)),
-            (VersionNo(2), version("v2", job(), check())),
+            (VersionNumber(1), version("v1", plain_job, plain_check)),
+            (VersionNumber(2), version("v2", job(), check())),
         ]
         .into(),
         members: vec![member("wk-9000001", 1, None, true), member("wk-9000002", 2, Some("a"), false)],
-        rolling: Some(rollout()),
-        past: vec![outcome(4, RolloutProgress::Old, Some("step 2 failed")), outcome(3, RolloutProgress::New, None)],
-        last_version: VersionNo(2),
+        rollout: Some(rollout()),
+        past: vec![
+            outcome(4, RolloutProgress::Reverted, Some("step 2 failed")),
+            outcome(3, RolloutProgress::Completed, None),
+        ],
+        last_version: VersionNumber(2),
         last_number: 5,
     }
 }
 
 #[test]
 fn records_keep_their_keys_and_stored_form() {
-    let claim = Claim { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
+    let claim = LeaderLease { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
     let words = |words: &[String]| words.join(" ");
     let courses = [
-        RolloutProgress::Going,
+        RolloutProgress::InProgress,
         RolloutProgress::Paused,
         RolloutProgress::Halted,
-        RolloutProgress::New,
-        RolloutProgress::Old,
+        RolloutProgress::Completed,
+        RolloutProgress::Reverted,
     ];
     let lines = [
         words(&[ROOT.into(), DRIVER_KEY.into(), SERVICES.into()]),
@@ -174,7 +177,7 @@
         stored(&service_key("routeplan"), &service()),
         stored(&service_key("empty"), &Service::default()),
         words(&courses.map(|progress| stored("", &progress))),
-        words(&[Direction::Raising, Direction::Baking, Direction::Reverting].map(|way| stored("", &way))),
+        words(&[Phase::ScalingUp, Phase::Baking, Phase::Reverting].map(|way| stored("", &way))),
         words(&[OnFailure::Revert, OnFailure::Halt].map(|way| stored("", &way))),
         words(&[Priority::Low, Priority::Normal, Priority::High, Priority::Critical].map(|rank| stored("", &rank))),
         words(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
@@ -268,10 +271,10 @@
         }
         metrics.text()
     };
-    let failed = || Event::Failed { step: 1, reason: "late".into() };
+    let failed = || Event::StepFailed { step: 1, reason: "late".into() };
     let texts = [
-        counted(Verdict::Pass, Event::Passed(1), RolloutProgress::New),
-        counted(Verdict::Fail("500".into()), failed(), RolloutProgress::Old),
+        counted(Verdict::Pass, Event::StepPassed(1), RolloutProgress::Completed),
+        counted(Verdict::Fail("500".into()), failed(), RolloutProgress::Reverted),
         counted(Verdict::Unreachable("refused".into()), failed(), RolloutProgress::Halted),
     ];
     let lines: Vec<String> = texts.iter().flat_map(|text| text.lines().map(String::from)).collect();
--- a/crates/rollout/tests/world/mod.rs
+++ b/crates/rollout/tests/world/mod.rs
@@ -7,9 +7,11 @@
 use tillercleat_rollout::commands::{CommandHandler, OperatorRequest, OperatorResponse};
 use tillercleat_rollout::driver::{Config, Driver, Output, DRIVER_KEY, SERVICES};
 use tillercleat_rollout::file::RollOut;
-use tillercleat_rollout::ports::{Answer, Call, Commit, Item, JobFate, Order, ReplicaSeen, Standing, Verdict};
+use tillercleat_rollout::ports::{
+    Answer, Call, Commit, Item, JobStatus, JobSubmission, ObservedReplica, ReplicaState, Verdict,
+};
 use tillercleat_rollout::record::{Command, Service};
-use tillercleat_rollout::units::{CallId, CheckId, JobId, LeaseId, Millis, RequestId, Stamp};
+use tillercleat_rollout::units::{CallId, CheckId, JobId, LeaseId, Millis, RequestId, Revision};
 
 /// Time between two steps of the world.
 const STEP: u64 = 50;
@@ -295,8 +297,9 @@
                 }
                 Output::Call(id, call) => {
                     self.calls += 1;
-                    if let (Call::Submit { job, order }, Some((image, until))) = (&call, self.hold_submits.clone()) {
-                        if order.job.image == image && self.now < until {
+                    if let (Call::Submit { job, submission }, Some((image, until))) = (&call, self.hold_submits.clone())
+                    {
+                        if submission.job.image == image && self.now < until {
                             self.later(1500, Due::Answer(at, life, id, Answer::Unknown));
                             if self.held.insert(job.clone()) {
                                 self.later(until - self.now, Due::Carry(at, life, id, call, false));
@@ -379,7 +382,7 @@
         if commit.lease.is_some_and(|l| !self.leases.contains_key(&l.0)) {
             return Answer::Refused;
         }
-        if commit.when.iter().any(|(key, stamp)| at(self, key) != stamp.0) {
+        if commit.conditions.iter().any(|(key, stamp)| at(self, key) != stamp.0) {
             return Answer::Conflict;
         }
         self.revision += 1;
@@ -391,7 +394,7 @@
             let service = serde_json::from_value(commit.value.clone()).expect("a service's record");
             self.records.push((self.now, name.to_string(), service));
         }
-        Answer::Committed(Stamp(self.revision))
+        Answer::Committed(Revision(self.revision))
     }
 
     fn carry(&mut self, at: usize, call: &Call) -> Answer {
@@ -404,7 +407,7 @@
         let item = |key: &String, v: &(serde_json::Value, u64, Option<u64>)| Item {
             key: key.clone(),
             value: v.0.clone(),
-            stamp: Stamp(v.1),
+            revision: Revision(v.1),
         };
         match call {
             Call::Get { key } => self.kv.get_key_value(key).map_or(Answer::Missing, |(k, v)| Answer::Found(item(k, v))),
@@ -412,7 +415,7 @@
                 let from = after.clone().unwrap_or_default();
                 let rows = self.kv.iter().filter(|(k, _)| k.starts_with(prefix.as_str()) && **k > from);
                 let items: Vec<Item> = rows.take(20).map(|(k, v)| item(k, v)).collect();
-                Answer::Page { more: items.len() == 20, items, revision: Stamp(self.revision) }
+                Answer::Page { more: items.len() == 20, items, revision: Revision(self.revision) }
             }
             Call::Commit(commit) => self.commit(commit),
             Call::Grant { ttl } => {
@@ -429,10 +432,10 @@
             },
             Call::Watch { prefix, after, .. } => {
                 let news = self.changes.iter().filter(|c| c.0 > after.0 && c.1.starts_with(prefix.as_str()));
-                let changed = news.map(|c| (c.1.clone(), c.2.clone(), Stamp(c.0))).collect();
-                Answer::Changes { revision: Stamp(self.revision), changed }
+                let changed = news.map(|c| (c.1.clone(), c.2.clone(), Revision(c.0))).collect();
+                Answer::Changes { revision: Revision(self.revision), changed }
             }
-            Call::Submit { job, order } => self.submit(job, order),
+            Call::Submit { job, submission } => self.submit(job, submission),
             Call::Withdraw { job } => self.withdraw(job),
             Call::Replicas { jobs } => self.replicas(jobs),
             Call::Reach { .. } => {
@@ -442,24 +445,24 @@
         }
     }
 
-    fn submit(&mut self, job: &JobId, order: &Order) -> Answer {
+    fn submit(&mut self, job: &JobId, submission: &JobSubmission) -> Answer {
         let begins = self.now + self.start_ms;
         let known = self.jobs.entry(job.clone()).or_insert_with(|| Job {
-            image: order.job.image.clone(),
-            replicas: order.replicas,
-            zone: order.zone.clone(),
+            image: submission.job.image.clone(),
+            replicas: submission.replicas,
+            zone: submission.zone.clone(),
             withdrawn: None,
-            runs: vec![(1, begins, 0); order.replicas as usize],
+            runs: vec![(1, begins, 0); submission.replicas as usize],
         });
-        Answer::Job(if known.withdrawn.is_some() { JobFate::Over } else { JobFate::Known })
+        Answer::Job(if known.withdrawn.is_some() { JobStatus::Ended } else { JobStatus::Accepted })
     }
 
     fn withdraw(&mut self, job: &JobId) -> Answer {
         match self.jobs.get_mut(job) {
-            None => Answer::Job(JobFate::Unknown),
+            None => Answer::Job(JobStatus::Unknown),
             Some(known) => {
                 known.withdrawn.get_or_insert(self.now);
-                Answer::Job(JobFate::Over)
+                Answer::Job(JobStatus::Ended)
             }
         }
     }
@@ -476,18 +479,18 @@
                     continue;
                 }
                 let standing = match (placed, run.1 <= self.now) {
-                    (false, _) => Standing::Waiting,
-                    (true, false) => Standing::Placed,
-                    (true, true) => Standing::Running,
+                    (false, _) => ReplicaState::Pending,
+                    (true, false) => ReplicaState::Starting,
+                    (true, true) => ReplicaState::Running,
                 };
-                told.push(ReplicaSeen {
+                told.push(ObservedReplica {
                     replica: (id.clone(), index as u32),
                     attempt: run.0,
-                    standing,
+                    state: standing,
                     host: format!("{id}/{index}"),
                     zone: job.zone.clone().unwrap_or_default(),
-                    error: run.2,
-                    age: Millis(self.now % 400),
+                    failed_attempt: run.2,
+                    heartbeat_age: Millis(self.now % 400),
                     token: 1,
                 });
             }
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::sync_channel;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tillercleat_rollout::ports::{Answer, Call, ReplicaSeen};
+use tillercleat_rollout::ports::{Answer, Call, ObservedReplica};
 use tillercleat_rollout::runtime::ControllerApi;
 use tillercleat_rollout::units::JobId as RolloutJobId;
 
@@ -80,7 +80,7 @@
     }
 
     /// What all owners know of the replicas of these jobs. Peers are asked while the core answers.
-    fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ReplicaSeen> {
+    fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ObservedReplica> {
         let (reply_sender, reply) = sync_channel(1);
         let reply_to = Box::new(move |replicas: Vec<Replica>| drop(reply_sender.try_send(replicas)));
         let own_jobs = jobs.iter().map(|job| JobId::new(&job.0)).collect();
@@ -97,8 +97,8 @@
 impl ControllerApi for ControllerSite {
     fn call(&self, call: &Call) -> Answer {
         match call {
-            Call::Submit { job, order } => {
-                submission_answer(self.ask_core(ClientRequest::Submit(Box::new(job_spec(job, order)))))
+            Call::Submit { job, submission } => {
+                submission_answer(self.ask_core(ClientRequest::Submit(Box::new(job_spec(job, submission)))))
             }
             Call::Withdraw { job } => cancellation_answer(self.ask_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
--- a/src/transport/rollouts/conversions.rs
+++ b/src/transport/rollouts/conversions.rs
@@ -8,12 +8,14 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use tillercleat_rollout::file;
-use tillercleat_rollout::ports::{Answer, Commit, Item, JobFate, Order, ReplicaSeen, Standing};
-use tillercleat_rollout::units::{JobId as RolloutJobId, LeaseId as RolloutLeaseId, Millis as RolloutMillis, Stamp};
+use tillercleat_rollout::ports::{Answer, Commit, Item, JobStatus, JobSubmission, ObservedReplica, ReplicaState};
+use tillercleat_rollout::units::{
+    JobId as RolloutJobId, LeaseId as RolloutLeaseId, Millis as RolloutMillis, Revision as RolloutRevision,
+};
 
 /// A change of a roll-out's record that holds only if the named keys are unchanged.
 pub fn transaction(commit: &Commit) -> Transaction {
-    let conditions = commit.when.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
+    let conditions = commit.conditions.iter().map(|(key, at)| Condition { key: key.clone(), version: Revision(at.0) });
     let (key, value) = (commit.key.clone(), commit.value.clone());
     let change = match commit.lease {
         Some(lease) => Change::put_leased(key, value, LeaseId(lease.0)),
@@ -30,15 +32,15 @@
         StoreResponse::Page(page) => Answer::Page {
             items: page.items.into_iter().map(item).collect(),
             more: page.truncated,
-            revision: Stamp(page.revision.0),
+            revision: RolloutRevision(page.revision.0),
         },
-        StoreResponse::Committed(at) => Answer::Committed(Stamp(at.0)),
+        StoreResponse::Committed(at) => Answer::Committed(RolloutRevision(at.0)),
         StoreResponse::Conflict(_) => Answer::Conflict,
         StoreResponse::LeaseGranted(lease) => Answer::Granted(RolloutLeaseId(lease.0)),
         StoreResponse::LeaseRenewed => Answer::Renewed,
         StoreResponse::LeaseGone => Answer::LeaseGone,
         StoreResponse::WatchEvents(changes) => Answer::Changes {
-            revision: Stamp(changes.revision.0),
+            revision: RolloutRevision(changes.revision.0),
             changed: changes.events.into_iter().map(change).collect(),
         },
         StoreResponse::TooOld => Answer::TooOld,
@@ -52,20 +54,20 @@
 }
 
 fn item(item: state::Item) -> Item {
-    Item { key: item.key, value: item.value, stamp: Stamp(item.version.0) }
+    Item { key: item.key, value: item.value, revision: RolloutRevision(item.version.0) }
 }
 
 /// Key, value (none: deleted) and version of a change that a watch brought.
-fn change(event: WatchEvent) -> (String, Option<Value>, Stamp) {
+fn change(event: WatchEvent) -> (String, Option<Value>, RolloutRevision) {
     match event {
-        WatchEvent::Put { key, value, version } => (key, Some(value), Stamp(version.0)),
-        WatchEvent::Delete { key, version } => (key, None, Stamp(version.0)),
+        WatchEvent::Put { key, value, version } => (key, Some(value), RolloutRevision(version.0)),
+        WatchEvent::Delete { key, version } => (key, None, RolloutRevision(version.0)),
     }
 }
 
 /// The job of one group of replicas, as a user would submit it.
-pub fn job_spec(id: &RolloutJobId, order: &Order) -> JobSpec {
-    let job = &order.job;
+pub fn job_spec(id: &RolloutJobId, submission: &JobSubmission) -> JobSpec {
+    let job = &submission.job;
     JobSpec {
         id: JobId::new(&id.0),
         class: job.class.clone(),
@@ -77,14 +79,14 @@
             file::Priority::High => Priority::High,
             file::Priority::Critical => Priority::Critical,
         },
-        task_count: order.replicas,
+        task_count: submission.replicas,
         cpus: job.cpus,
         gpus: job.gpus,
         mem_gb: job.mem_gb,
         image: job.image.clone(),
         image_gb: job.image_gb,
         types: job.types.clone(),
-        zone: order.zone.clone().or_else(|| job.zone.clone()),
+        zone: submission.zone.clone().or_else(|| job.zone.clone()),
         one_zone: false,
         apart: false,
         spot_allowed: job.spot,
@@ -98,8 +100,8 @@
 
 fn job_fate(state: JobState) -> Answer {
     Answer::Job(match state {
-        JobState::Queued | JobState::Running => JobFate::Known,
-        JobState::Done | JobState::Cancelled => JobFate::Over,
+        JobState::Queued | JobState::Running => JobStatus::Accepted,
+        JobState::Done | JobState::Cancelled => JobStatus::Ended,
     })
 }
 
@@ -120,30 +122,30 @@
 pub fn cancellation_answer(response: Option<Response>) -> Answer {
     match response {
         Some(Response::Job { state, .. }) => job_fate(state),
-        Some(Response::Error(refusal)) if refusal.kind() == RefusalKind::NotFound => Answer::Job(JobFate::Unknown),
+        Some(Response::Error(refusal)) if refusal.kind() == RefusalKind::NotFound => Answer::Job(JobStatus::Unknown),
         Some(Response::Error(_)) => Answer::Refused,
         _ => Answer::Unknown,
     }
 }
 
 /// A replica as roll-outs see it: its machine's address without a port; empty if the machine is not known.
-pub fn observed_replica(replica: peer::Replica) -> ReplicaSeen {
+pub fn observed_replica(replica: peer::Replica) -> ObservedReplica {
     use peer::replica::State;
     let standing = match replica.state() {
-        State::Waiting => Standing::Waiting,
-        State::Placed => Standing::Placed,
-        State::Running => Standing::Running,
-        State::Leaving => Standing::Leaving,
-        State::Ended => Standing::Ended,
+        State::Waiting => ReplicaState::Pending,
+        State::Placed => ReplicaState::Starting,
+        State::Running => ReplicaState::Running,
+        State::Leaving => ReplicaState::Terminating,
+        State::Ended => ReplicaState::Ended,
     };
-    ReplicaSeen {
+    ObservedReplica {
         host: replica.addr.parse::<SocketAddr>().map(|addr| addr.ip().to_string()).unwrap_or_default(),
         replica: (RolloutJobId(replica.job), replica.index),
         attempt: replica.attempt,
-        standing,
+        state: standing,
         zone: replica.zone,
-        error: replica.failed_attempt,
-        age: RolloutMillis(replica.age_ms),
+        failed_attempt: replica.failed_attempt,
+        heartbeat_age: RolloutMillis(replica.age_ms),
         token: replica.token,
     }
 }
