--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -1,8 +1,10 @@
-//! Whoever drives the roll-outs: one controller at a time, by a lease.
+//! The roll-out controller: one controller at a time drives the roll-outs,
+//! elected by a leader lease.
 //!
 //! A pure state machine: ticks, answers and verdicts go in; calls and checks
-//! come out. The driver writes what it decides, conditional on its claim and on
-//! the record as it read it, and acts on what is durable only.
+//! come out. The driver writes each decision to the record, conditional on its
+//! leader lease and on the revision that it read, and acts only on durable
+//! records.
 
 mod checks;
 mod jobs;
@@ -21,81 +23,82 @@
 use tracked::TrackedService;
 pub use tracked::{ReplicaStatus, ServiceStatus};
 
-/// Everything that roll-outs keep in the state service begins with this.
+/// Prefix of all keys that roll-outs keep in the state service.
 pub const ROOT: &str = "o/";
-/// Who drives.
+/// Key of the [`LeaderLease`].
 pub const DRIVER_KEY: &str = "o/d";
-/// Services, one key each.
+/// Prefix of the services' records, one key for each service.
 pub const SERVICES: &str = "o/s/";
 
-/// The key of a service's record.
+/// Returns the key of a service's record.
 pub fn service_key(name: &str) -> String {
     format!("{SERVICES}{name}")
 }
 
-/// Pause after a call that was refused or got no answer.
+/// Delay before a call that was refused or got no answer is repeated.
 const RETRY_DELAY: Millis = Millis(1000);
 
-/// The most time that one tick may stand for: what passed while the process
-/// stood still was checked by nobody.
+/// Longest time that one tick may add to a step: no checks ran while the process
+/// was suspended.
 const MAX_TIME_PER_TICK: Millis = Millis(1000);
 
-/// What the driver needs to know of its node.
+/// Configuration of a driver.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// This controller's name.
+    /// Name of this controller.
     pub node: String,
-    /// Where its operators' listener is.
+    /// Address of this controller's listener for operators.
     pub listen: String,
-    /// How long the driver's lease lasts unrenewed.
+    /// The leader lease expires this long after its last renewal.
     pub ttl: Millis,
-    /// Checks that may be under way at the same time.
+    /// Maximum number of checks that run at the same time.
     pub checks: usize,
-    /// First digits of the ids of jobs, which users of the platform leave free.
+    /// First digits of the ids of services' jobs; users of the platform must not
+    /// use them.
     pub first_digits: String,
 }
 
-/// The driver's claim, as others read it.
+/// The stored value of the leader lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderLease {
-    /// Name of the controller that drives.
+    /// Name of the leader.
     pub node: String,
-    /// Where the driver's operators' listener is.
+    /// Address of the leader's listener for operators.
     pub listen: String,
-    /// Tells the lives of a node apart.
+    /// Id of the lease; distinguishes restarts of the same node.
     pub lease: u64,
 }
 
-/// What the driver wants done.
+/// An action for the host to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// A call to make; its answer goes to [`Driver::answer`].
+    /// Make a call and pass its answer to [`Driver::answer`].
     Call(CallId, Call),
-    /// A health check to run; its verdict goes to [`Driver::verdict`].
+    /// Run a health check and pass its verdict to [`Driver::verdict`].
     Probe(CheckId, Probe),
-    /// Something to be noted; it changes nothing.
+    /// Log and count an event; has no effect on the driver.
     Note(Note),
 }
 
-/// Something worth a line in the log and a count.
+/// An event for the log and the metrics.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
-    /// This node begins to drive, with this claim.
+    /// This node became the leader; the revision is that of its leader lease.
     BecameLeader(Revision),
-    /// This node no longer drives.
+    /// This node is no longer the leader.
     SteppedDown,
-    /// A service's record changed as decided here.
+    /// A change of a service's record by this driver is durable.
     Changed {
         /// Name of the service.
         service: String,
         /// Number of the service's roll-out.
         number: u64,
-        /// The step after the change, counted from 0.
+        /// Index of the step after the change, from 0.
         step: u32,
-        /// What the change was.
+        /// The change.
         event: Event,
     },
-    /// A record can't be read: it is left alone.
+    /// A record can't be parsed; the driver ignores it.
     Unreadable {
         /// Name of the service.
         service: String,
@@ -104,7 +107,7 @@
     },
 }
 
-/// What an answer is about.
+/// A call that has not been answered yet.
 #[derive(Debug, Clone)]
 enum PendingCall {
     ReadLease,
@@ -113,9 +116,9 @@
     RenewLease(Millis),
     LoadServices,
     Watch,
-    /// Reads one service again.
+    /// Reads the record of one service again.
     RereadRecord(String),
-    /// Reads the claim again.
+    /// Reads the leader lease again to verify that this node still holds it.
     VerifyLease,
     WriteRecord {
         service: String,
@@ -139,7 +142,7 @@
     },
 }
 
-/// The driver of one controller, whether it drives or stands by.
+/// The driver of one controller, as leader or on standby.
 #[derive(Debug)]
 pub struct Driver {
     config: Config,
@@ -148,16 +151,17 @@
     last_call: u64,
     calls: BTreeMap<CallId, PendingCall>,
     leadership: Leadership,
-    /// The lease last granted in this life.
+    /// The last lease that was granted to this process.
     granted_lease: Option<LeaseId>,
-    /// The claim that ours is to take the place of.
+    /// Revision of the leader lease that this node is to replace; 0 if there is none.
     replaced_revision: Revision,
-    /// Ids given in this life: together with the claim, none is given twice.
+    /// Number of job ids assigned by this process. Together with the revision of
+    /// the leader lease it makes each id unique.
     ids: u64,
     services: BTreeMap<String, TrackedService>,
-    /// Jobs of services that are worked on.
+    /// Service of each job of the services that need work.
     service_of: BTreeMap<JobId, String>,
-    /// When the state service last answered.
+    /// When the state service last answered a call.
     store_answered_at: Millis,
     next_poll: Millis,
     polling: bool,
@@ -166,7 +170,7 @@
 }
 
 impl Driver {
-    /// A driver that holds no claim and knows no service.
+    /// Returns a driver on standby without any services.
     pub fn new(config: Config) -> Driver {
         Driver {
             config,
@@ -188,10 +192,11 @@
         }
     }
 
-    /// Pause between ticks.
+    /// Interval between calls of [`Driver::tick`].
     pub const TICK: Millis = Millis(100);
 
-    /// Lets time pass; `now` is this process's steady clock.
+    /// Advances the time to `now`, a monotonic clock of this process, and starts
+    /// the work that is due.
     pub fn tick(&mut self, now: Millis) -> Vec<Output> {
         self.now = self.now.max(now);
         self.update_leadership();
@@ -211,11 +216,11 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes in the answer to a call.
+    /// Handles the answer to a call; ignored if the call is not pending.
     pub fn answer(&mut self, now: Millis, id: CallId, answer: Answer) -> Vec<Output> {
         self.now = self.now.max(now);
         let Some(pending) = self.calls.remove(&id) else { return vec![] };
-        let of_state = matches!(
+        let from_store = matches!(
             pending,
             PendingCall::ReadLease
                 | PendingCall::WriteLease
@@ -224,7 +229,7 @@
                 | PendingCall::RereadRecord(_)
                 | PendingCall::WriteRecord { .. }
         );
-        if of_state && !matches!(answer, Answer::Refused | Answer::Unknown) {
+        if from_store && !matches!(answer, Answer::Refused | Answer::Unknown) {
             self.store_answered_at = self.now;
         }
         match pending {
@@ -249,12 +254,12 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// True if this node drives, as far as it knows.
+    /// True if this node is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
         matches!(self.leadership, Leadership::Leading { .. })
     }
 
-    /// What is seen of a service's replicas, if this node drives.
+    /// Returns the observed state of a service's replicas if this node is the leader.
     pub fn service_status(&self, service: &str) -> Option<ServiceStatus> {
         self.services.get(service).filter(|_| self.is_leader()).map(|t| t.service_status(self.now))
     }
@@ -270,7 +275,7 @@
         self.outputs.push(Output::Note(note));
     }
 
-    /// Takes a record that is durable as of `stamp`, unless a newer one is known.
+    /// Applies a key's value as of `revision`; `None` if the key was deleted.
     fn apply_value(&mut self, key: &str, value: Option<serde_json::Value>, revision: Revision) {
         let Some(name) = key.strip_prefix(SERVICES).filter(|name| valid_name(name)) else { return };
         let Some(value) = value else {
@@ -283,6 +288,7 @@
         }
     }
 
+    /// Applies a durable record unless a newer one is known.
     fn apply_record(&mut self, name: &str, record: Service, revision: Revision) {
         let now = self.now;
         let tracked = self.services.entry(name.to_string()).or_insert_with(|| TrackedService::new(now));
--- a/crates/rollout/src/driver/checks.rs
+++ b/crates/rollout/src/driver/checks.rs
@@ -1,5 +1,5 @@
-//! Which checks run when. A service whose checks hang takes a share of the
-//! slots, never all of them, and nobody waits for a slot longer than others.
+//! Schedules health checks. A service whose checks hang gets only a share of the
+//! check slots, and the most overdue checks start first.
 
 use super::{Driver, Output, PendingCall};
 use crate::file::Check;
@@ -7,20 +7,20 @@
 use crate::units::{CheckId, Millis, ReplicaKey};
 use std::collections::BTreeMap;
 
-/// A check that takes at least this share of its time-out is slow.
+/// A failed check is slow if it takes at least this share of its time-out.
 const SLOW_CHECK_RATIO: f64 = 0.8;
 
-/// A check that could begin now.
+/// A check that is due.
 struct DueCheck {
     service: String,
     replica: ReplicaKey,
     attempt: u64,
     probe: Probe,
-    /// The service's last check was slow.
+    /// True if the last check of the service was slow.
     slow: bool,
 }
 
-/// A check that was begun.
+/// A check that was started and has no verdict yet.
 #[derive(Debug)]
 pub(super) struct RunningCheck {
     service: String,
@@ -32,7 +32,7 @@
 }
 
 impl Driver {
-    /// Begins the checks that are due, as far as there are slots.
+    /// Starts the checks that are due, as far as slots are free.
     pub(super) fn begin_checks(&mut self, names: &[String]) {
         let slots = self.config.checks.max(1);
         let mut free = slots.saturating_sub(self.running_checks.len());
@@ -40,10 +40,12 @@
             return;
         }
         let due = self.due_checks(names);
-        // Services without slow checks are never kept waiting by slow ones.
+        // At most half of the slots go to services whose checks are slow, so that
+        // the other services never wait for them.
         let slow_slots = (slots / 2).max(1);
-        // Nor may one that begins to hang take all of them before that is known,
-        // be it the only one now: another may come.
+        // A service whose checks start to hang must not take all slots before a
+        // check is known to be slow. This also holds for a single service, because
+        // another one may be added.
         let max_per_service = (slots / names.len().max(2)).max(1);
         let mut busy: BTreeMap<String, usize> = BTreeMap::new();
         for running_checks in self.running_checks.values() {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Checks that are due in these services, the most overdue first.
+    /// Returns the checks that are due in these services, the most overdue first.
     fn due_checks(&mut self, names: &[String]) -> Vec<DueCheck> {
         let now = self.now;
         let mut due = vec![];
@@ -86,7 +88,7 @@
         due.into_iter().map(|(_, check)| check).collect()
     }
 
-    /// Takes a slot for a check and has it run.
+    /// Takes a slot for a check and outputs the check.
     fn begin_check(&mut self, due: DueCheck) {
         let DueCheck { service, replica, attempt, probe, slow } = due;
         let now = self.now;
@@ -100,7 +102,7 @@
         self.outputs.push(Output::Probe(id, probe));
     }
 
-    /// Takes in what a check found.
+    /// Handles the verdict of a check; ignored if the check is not running.
     pub fn verdict(&mut self, now: Millis, id: CheckId, verdict: Verdict) -> Vec<Output> {
         self.now = self.now.max(now);
         let Some(RunningCheck { service, replica, attempt, addr, started_at, .. }) = self.running_checks.remove(&id)
@@ -127,7 +129,9 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Tells a replica that nobody reaches from one that only we can't reach.
+    /// Turns the other controllers' answer on an unreachable replica into a
+    /// verdict: a failure only if they can't reach it either, or if they did not
+    /// answer but this controller reaches other replicas.
     pub(super) fn reachability_answer(
         &mut self,
         service: &str,
@@ -141,11 +145,11 @@
             Answer::Reached(others) => *others,
             _ => None,
         };
-        let we_reach = |d: &Driver| d.services.get(service).is_some_and(|t| t.health.others_reached(replica));
+        let reaches_others = |d: &Driver| d.services.get(service).is_some_and(|t| t.health.others_reached(replica));
         let verdict = match others {
             Some(true) => Verdict::Unreachable(format!("{why}, but other controllers reach it")),
             Some(false) => Verdict::Fail(format!("{why}, nor do other controllers reach it")),
-            None if we_reach(self) => Verdict::Fail(format!("{why}, while other replicas are reached")),
+            None if reaches_others(self) => Verdict::Fail(format!("{why}, while other replicas are reached")),
             None => Verdict::Unreachable(format!("{why}, nor is any other replica reached from here")),
         };
         self.record_verdict(service, replica, attempt, verdict, &check);
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -1,5 +1,5 @@
-//! From records to writes and jobs: what is decided is written, and what is
-//! durable is carried out, as often as it takes.
+//! Writes the decided records, and submits and withdraws jobs as the durable
+//! records say, with retries.
 
 use super::tracked::JobProgress;
 use super::{service_key, Driver, Note, PendingCall, DRIVER_KEY, MAX_TIME_PER_TICK, RETRY_DELAY};
@@ -8,48 +8,49 @@
 use crate::record::{Phase, RolloutProgress, Service};
 use crate::units::{JobId, Millis};
 
-/// Submissions and withdrawals under way at the same time, over all services.
+/// Maximum number of pending submissions and withdrawals over all services.
 const MAX_JOB_CALLS: usize = 8;
 
-/// Writes of records under way at the same time.
+/// Maximum number of pending writes of records.
 const MAX_WRITES: usize = 4;
 
-/// Pause between two questions about replicas.
+/// Interval between polls of the replicas.
 const POLL_INTERVAL: Millis = Millis(1000);
 
-/// Jobs asked about at once.
+/// Maximum number of jobs in one poll.
 const MAX_POLLED_JOBS: usize = 2000;
 
-/// How lately the state service must have answered for a step's time to count.
+/// The time of a step counts only if the state service answered within this time.
 const MAX_STORE_SILENCE: Millis = Millis(5000);
 
 impl Driver {
-    /// Lets time pass for a service: a step's own time only while it could go
-    /// on, its bake only while all of its replicas are well.
+    /// Adds the time since the last tick to a service's step: to its duration only
+    /// while the roll-out is in progress and the state service answers, to its
+    /// bake time only while all of its replicas are healthy.
     pub(super) fn add_elapsed_time(&mut self, name: &str) {
         let now = self.now;
-        let reached = now.since(self.store_answered_at) <= MAX_STORE_SILENCE;
+        let store_reachable = now.since(self.store_answered_at) <= MAX_STORE_SILENCE;
         let Some(tracked) = self.services.get_mut(name) else { return };
-        let passed = Millis(now.since(tracked.last_tick).0.min(MAX_TIME_PER_TICK.0));
+        let elapsed = Millis(now.since(tracked.last_tick).0.min(MAX_TIME_PER_TICK.0));
         tracked.last_tick = now;
         let Some(rollout) = tracked.record.rollout.as_ref().filter(|r| r.progress == RolloutProgress::InProgress)
         else {
             return;
         };
-        if reached {
-            tracked.elapsed.spent = tracked.elapsed.spent + passed;
+        if store_reachable {
+            tracked.elapsed.spent = tracked.elapsed.spent + elapsed;
         }
         if rollout.phase == Phase::Baking {
-            let seen = tracked.member_statuses(now);
+            let statuses = tracked.member_statuses(now);
             let new = tracked.record.active_members().filter(|m| m.version == rollout.to);
-            let well = |job: &JobId| seen.get(job).map_or(0, |s| s.healthy);
-            if new.into_iter().all(|m| well(&m.job) >= m.replicas) {
-                tracked.elapsed.baked = tracked.elapsed.baked + passed;
+            let healthy = |job: &JobId| statuses.get(job).map_or(0, |s| s.healthy);
+            if new.into_iter().all(|m| healthy(&m.job) >= m.replicas) {
+                tracked.elapsed.baked = tracked.elapsed.baked + elapsed;
             }
         }
     }
 
-    /// Decides on the service's next record, and has it written.
+    /// Decides on the service's next record and writes it.
     pub(super) fn reconcile(&mut self, name: &str) {
         let now = self.now;
         let writes = self.calls.values().filter(|p| matches!(p, PendingCall::WriteRecord { .. })).count();
@@ -58,14 +59,14 @@
         if tracked.busy || now < tracked.next_write || writes >= MAX_WRITES {
             return;
         }
-        let seen = tracked.member_statuses(now);
-        let of = |job: &JobId| seen.get(job).cloned().unwrap_or_else(MemberStatus::default);
+        let statuses = tracked.member_statuses(now);
+        let member_status = |job: &JobId| statuses.get(job).cloned().unwrap_or_else(MemberStatus::default);
         let (digits, mut ids) = (&self.config.first_digits, self.ids);
         let mut new_job_id = || {
             ids += 1;
             JobId(format!("wk-{digits}{:012}{ids:06}", lease_revision.0))
         };
-        let observations = Observations { member_status: &of, elapsed: tracked.elapsed };
+        let observations = Observations { member_status: &member_status, elapsed: tracked.elapsed };
         let Some((next, events)) = reconcile(&tracked.record, &observations, &mut new_job_id) else { return };
         self.ids = ids;
         let Ok(value) = serde_json::to_value(&next) else { return };
@@ -97,8 +98,8 @@
                     tracked.next_write = now + RETRY_DELAY;
                 }
             }
-            // The record or the claim has changed, or it is not known whether
-            // the write was carried out: nothing is done before both are read.
+            // The record or the leader lease has changed, or the result of the
+            // write is unknown: both are read before the next write.
             _ => {
                 let key = service_key(name);
                 self.call(Call::Get { key }, PendingCall::RereadRecord(name.into()));
@@ -121,7 +122,7 @@
                 self.services.remove(name);
             }
             _ => {
-                // Asked again with the next tick that may.
+                // `retry_reads` repeats the read after the delay.
                 if let Some(tracked) = self.services.get_mut(name) {
                     tracked.next_write = now + RETRY_DELAY;
                     tracked.reread = true;
@@ -130,18 +131,18 @@
         }
     }
 
-    /// Carries out what the durable record says of each member.
+    /// Submits or withdraws the job of each member as the durable record says.
     pub(super) fn sync_jobs(&mut self, name: &str) {
         let now = self.now;
         let job_calls = |p: &&PendingCall| matches!(p, PendingCall::Submit { .. } | PendingCall::Withdraw { .. });
-        let mut room = MAX_JOB_CALLS.saturating_sub(self.calls.values().filter(job_calls).count());
+        let mut free_calls = MAX_JOB_CALLS.saturating_sub(self.calls.values().filter(job_calls).count());
         let Some(tracked) = self.services.get_mut(name) else { return };
         let mut calls = vec![];
-        // Those that must go come before those that come.
+        // Withdrawals first.
         let mut members: Vec<_> = tracked.record.members.iter().collect();
         members.sort_by_key(|m| !m.retiring);
         for member in members {
-            if room == 0 {
+            if free_calls == 0 {
                 break;
             }
             let work = tracked.jobs.entry(member.job.clone()).or_default();
@@ -161,15 +162,16 @@
                 continue;
             }
             work.busy = true;
-            room -= 1;
+            free_calls -= 1;
         }
         for (call, pending) in calls {
             self.call(call, pending);
         }
     }
 
-    /// What was noted of a job's call, if its member is still there.
-    fn work(&mut self, service: &str, job: &JobId) -> Option<&mut JobProgress> {
+    /// Marks a job's call as answered and returns the job's progress, or `None` if
+    /// its member was removed.
+    fn finish_job_call(&mut self, service: &str, job: &JobId) -> Option<&mut JobProgress> {
         let next = self.now + RETRY_DELAY;
         let work = self.services.get_mut(service)?.jobs.get_mut(job)?;
         work.busy = false;
@@ -179,7 +181,7 @@
 
     pub(super) fn submit_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
-        let Some(work) = self.work(service, job) else { return };
+        let Some(work) = self.finish_job_call(service, job) else { return };
         work.submit_first = work.submit_first && matches!(answer, Answer::Refused | Answer::Unknown);
         match answer {
             Answer::Job(JobStatus::Accepted) => work.accepted = true,
@@ -192,12 +194,12 @@
 
     pub(super) fn withdraw_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
-        let Some(work) = self.work(service, job) else { return };
+        let Some(work) = self.finish_job_call(service, job) else { return };
         match answer {
             Answer::Job(JobStatus::Ended) => work.withdrawn = true,
-            // Never submitted, or its submission is still on its way and could
-            // bring the job to life later: known and withdrawn, it can't. What
-            // the platform will never take needs no such care.
+            // The job was never submitted, or a delayed submission may still
+            // create it. It is submitted and then withdrawn, so that it can't be
+            // created later. A job that the platform rejects needs no withdrawal.
             Answer::Job(JobStatus::Unknown) => {
                 work.withdrawn = work.fault.is_some();
                 work.submit_first = !work.withdrawn;
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Asks how the replicas of all services that are worked on fare.
+    /// Polls the replicas of all services that need work.
     pub(super) fn poll(&mut self) {
         if self.polling || self.now < self.next_poll {
             return;
@@ -251,19 +253,19 @@
         }
     }
 
-    /// Resigns if the claim is somebody else's.
+    /// Steps down if another process holds the leader lease, or none does.
     pub(super) fn lease_verified(&mut self, answer: &Answer) {
-        let ours = match answer {
+        let is_ours = match answer {
             Answer::Found(item) => Some(item.revision) == self.lease_revision(),
             Answer::Missing => false,
             _ => true,
         };
-        if self.is_leader() && !ours {
+        if self.is_leader() && !is_ours {
             self.step_down();
         }
     }
 
-    /// Reads again what could not be read before.
+    /// Repeats the read of a record that failed before.
     pub(super) fn retry_reads(&mut self, name: &str) {
         let now = self.now;
         let Some(tracked) = self.services.get_mut(name).filter(|t| t.reread && now >= t.next_write) else { return };
--- a/crates/rollout/src/driver/leadership.rs
+++ b/crates/rollout/src/driver/leadership.rs
@@ -1,22 +1,22 @@
-//! Who drives: a key that a lease keeps. Its revision is the claim; every write
-//! of a driver is conditional on it, so that one whose lease ran out while it
-//! was frozen or cut off changes nothing any more.
+//! Leader election with a leased key. Every write of a driver is conditional on
+//! the revision of that key, so that a driver whose lease expired while it was
+//! suspended or cut off can't change anything.
 
 use super::{service_key, Driver, LeaderLease, Note, PendingCall, DRIVER_KEY, RETRY_DELAY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
 use crate::units::{LeaseId, Millis, Revision};
 
-/// How long a watch waits for news.
+/// Longest time that a watch waits for changes.
 const WATCH_TIMEOUT: Millis = Millis(10_000);
 
-/// Where this node is on its way to driving.
+/// This node's state in the leader election.
 #[derive(Debug)]
 pub(super) enum Leadership {
-    /// Somebody else drives, or nobody does yet.
+    /// Another node is the leader, or none is.
     Standby { read_lease_at: Millis },
-    /// A call on the way to a claim is under way.
+    /// Reading or writing the leader lease.
     Acquiring,
-    /// The claim is ours; the records are being read.
+    /// This node holds the leader lease and is reading the records.
     Loading {
         lease_revision: Revision,
         lease: LeaseId,
@@ -26,6 +26,7 @@
         calling: bool,
         retry: Millis,
     },
+    /// This node is the leader.
     Leading {
         lease_revision: Revision,
         lease: LeaseId,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// The claim that writes are conditional on, while this node drives.
+    /// Returns the revision of the leader lease, on which all writes are
+    /// conditional; `None` unless this node is the leader.
     pub(super) fn lease_revision(&self) -> Option<Revision> {
         match self.leadership {
             Leadership::Leading { lease_revision, .. } => Some(lease_revision),
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Stops driving; whatever is on its way stays harmless.
+    /// Gives up leadership. Calls that are still pending are harmless, because
+    /// writes are conditional and effects are idempotent.
     pub(super) fn step_down(&mut self) {
         if !matches!(self.leadership, Leadership::Standby { .. } | Leadership::Acquiring) {
             self.note(Note::SteppedDown);
@@ -134,7 +137,7 @@
                 }
                 _ => self.leadership = Leadership::Standby { read_lease_at: self.now + RETRY_DELAY },
             },
-            // Whatever came of it, the key tells.
+            // Reading the key again shows whether the write succeeded.
             PendingCall::WriteLease => self.leadership = Leadership::Standby { read_lease_at: self.now },
             PendingCall::RenewLease(sent) => self.renew_answer(sent, &answer),
             PendingCall::LoadServices => self.load_answer(answer),
@@ -152,8 +155,9 @@
                     Some(lease_revision) if self.granted_lease == Some(LeaseId(lease_revision.lease)) => {
                         self.leadership = Leadership::load(item.revision, LeaseId(lease_revision.lease), self.now);
                     }
-                    // An earlier life of this node: claimed anew, so that its
-                    // writes that are still on their way, and its ids, end here.
+                    // An earlier process of this node holds the lease. It is
+                    // replaced: writes of that process that are still in flight
+                    // then fail, and new job ids differ from its ids.
                     Some(_) => self.grant(item.revision),
                     None => {
                         self.leadership =
@@ -172,16 +176,16 @@
 
     fn renew_answer(&mut self, sent: Millis, answer: &Answer) {
         let quarter = Millis(self.config.ttl.0 / 4);
-        let mut gone = false;
+        let mut lease_gone = false;
         if let Leadership::Leading { renewing, renew_at, .. } = &mut self.leadership {
             *renewing = false;
             match answer {
                 Answer::Renewed => *renew_at = sent + quarter,
-                Answer::LeaseGone => gone = true,
+                Answer::LeaseGone => lease_gone = true,
                 _ => *renew_at = self.now + Millis(RETRY_DELAY.0 / 2),
             }
         }
-        if gone {
+        if lease_gone {
             self.step_down();
         }
     }
@@ -198,16 +202,17 @@
             *retry = now + RETRY_DELAY;
             return;
         };
-        // News since the first page are read again from the watch.
+        // The watch starts at the revision of the first page, so that it returns
+        // changes during the listing.
         let from = *revision.get_or_insert(at);
         *after = items.last().map(|item| item.key.clone());
         listed_keys.extend(items.iter().map(|item| item.key.clone()));
         let (lease_revision, lease) = (*lease_revision, *lease);
-        let all = (!more || items.is_empty()).then(|| std::mem::take(listed_keys));
+        let all_keys = (!more || items.is_empty()).then(|| std::mem::take(listed_keys));
         for item in items {
             self.apply_value(&item.key, Some(item.value), item.revision);
         }
-        if let Some(listed_keys) = all {
+        if let Some(listed_keys) = all_keys {
             self.services.retain(|name, _| listed_keys.contains(&service_key(name)));
             self.leadership = Leadership::Leading {
                 lease_revision,
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -1,4 +1,4 @@
-//! A service as its driver knows it: the durable record, and what is seen.
+//! The driver's view of a service: its durable record and its observed state.
 
 use crate::file::Check;
 use crate::health::Health;
@@ -9,18 +9,21 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What was done about a member's job in this reign.
+/// Calls for a member's job since this node became the leader.
 #[derive(Debug, Default)]
 pub(super) struct JobProgress {
-    /// The platform knows the job.
+    /// The platform accepted the job.
     pub accepted: bool,
-    /// It will never run again.
+    /// The withdrawal is confirmed; the job will never run again.
     pub withdrawn: bool,
-    /// It must be made known before it can be withdrawn for good.
+    /// The platform does not know the job: it must be submitted before it can be
+    /// withdrawn, so that a delayed submission can't create it later.
     pub submit_first: bool,
+    /// A call for the job is pending.
     pub busy: bool,
+    /// Earliest time of the next call.
     pub next: Millis,
-    /// Why the platform will never run it.
+    /// Why the platform will never run the job.
     pub fault: Option<String>,
 }
 
@@ -31,51 +34,51 @@
     pub health: Health,
     pub elapsed: ElapsedTime,
     pub last_tick: Millis,
-    /// A write or a read of the record is under way.
+    /// A read or write of the record is pending.
     pub busy: bool,
-    /// It must be read again before anything is written.
+    /// The record must be read again before the next write.
     pub reread: bool,
     pub next_write: Millis,
     pub jobs: BTreeMap<JobId, JobProgress>,
-    /// Its last check took nearly all of its time.
+    /// The last check failed after most of its time-out.
     pub slow: bool,
 }
 
-/// A replica as it is seen now.
+/// Observed state of a replica.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ReplicaStatus {
     /// The job that the replica belongs to.
     pub job: JobId,
-    /// The replica's number within its job.
+    /// Index of the replica within its job.
     pub index: u32,
-    /// Name of the version that it runs.
+    /// Name of the version that the replica runs.
     pub version: String,
-    /// Its life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
+    /// Life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
     #[serde(rename = "standing")]
     pub state: &'static str,
-    /// Address of its machine without a port; empty if unknown.
+    /// Address of the machine without a port; empty if unknown.
     pub host: String,
-    /// Zone of its machine; empty if unknown.
+    /// Zone of the machine; empty if unknown.
     pub zone: String,
-    /// Whether it passed enough checks in a row to be ready.
+    /// True if the replica passed enough checks in a row to be ready.
     pub ready: bool,
     /// Checks passed in a row by this attempt.
     pub passes: u32,
-    /// Failures counted in this step.
+    /// Failures of the replica in this step.
     pub failures: u32,
-    /// The last verdict, and how long ago it came in seconds.
+    /// Text of the last verdict and its age in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub last: Option<(String, f64)>,
 }
 
-/// What the driver sees of a service beyond its record.
+/// Observed state of a service, which is not in its record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServiceStatus {
     /// Time spent in the step, in seconds.
     pub spent_s: f64,
     /// Time for which the step's replicas have been healthy, in seconds.
     pub baked_s: f64,
-    /// The service's known replicas.
+    /// Known replicas, ordered by job and index.
     pub replicas: Vec<ReplicaStatus>,
 }
 
@@ -95,7 +98,8 @@
         }
     }
 
-    /// True if there may be anything to do about it.
+    /// True if the roll-out is not finished, or a member is retiring. A halted
+    /// roll-out counts as unfinished.
     pub fn needs_work(&self) -> bool {
         let over = self
             .record
@@ -109,23 +113,23 @@
         self.record.members.iter().any(|m| m.job == *job)
     }
 
-    /// Takes a durable record. Time seen but not durable yet is kept as long as
-    /// the same step goes on.
+    /// Replaces the record. Elapsed time that is not in the new record yet is kept
+    /// while the step stays the same.
     pub fn apply_record(&mut self, record: Service, revision: Revision) {
         let key = |s: &Service| s.rollout.as_ref().map(|r| (r.number, r.step, r.phase == Phase::Reverting));
-        let direction = |s: &Service| s.rollout.as_ref().map(|r| r.phase);
+        let phase = |s: &Service| s.rollout.as_ref().map(|r| r.phase);
         let same_step = key(&self.record) == key(&record);
         let halted = |s: &Service| s.rollout.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
-        let again = halted(&self.record) && !halted(&record);
+        let resumed = halted(&self.record) && !halted(&record);
         let durable =
             record.rollout.as_ref().map_or(ElapsedTime::default(), |r| ElapsedTime { spent: r.spent, baked: r.baked });
-        if !same_step || again {
+        if !same_step || resumed {
             self.health.reset_step();
             self.elapsed = durable;
         } else {
             self.elapsed.spent = self.elapsed.spent.max(durable.spent);
-            let went_on = direction(&self.record) == direction(&record);
-            self.elapsed.baked = if went_on { self.elapsed.baked.max(durable.baked) } else { durable.baked };
+            let same_phase = phase(&self.record) == phase(&record);
+            self.elapsed.baked = if same_phase { self.elapsed.baked.max(durable.baked) } else { durable.baked };
         }
         self.revision = revision;
         self.record = record;
@@ -138,21 +142,21 @@
         self.record.versions.get(&member.version).map(|v| &v.check)
     }
 
-    /// What is seen of each member.
+    /// Returns the observed status of each member.
     pub fn member_statuses(&self, now: Millis) -> BTreeMap<JobId, MemberStatus> {
-        let of = |member: &Member| {
-            let mut seen =
+        let status_of = |member: &Member| {
+            let mut status =
                 self.check(member).map(|check| self.health.member_status(now, member, check)).unwrap_or_default();
             if let Some(work) = self.jobs.get(&member.job) {
-                seen.withdrawn = work.withdrawn;
+                status.withdrawn = work.withdrawn;
                 if work.fault.is_some() {
-                    seen.fault.clone_from(&work.fault);
-                    seen.unavailable = member.replicas;
+                    status.fault.clone_from(&work.fault);
+                    status.unavailable = member.replicas;
                 }
             }
-            (member.job.clone(), seen)
+            (member.job.clone(), status)
         };
-        self.record.members.iter().map(of).collect()
+        self.record.members.iter().map(status_of).collect()
     }
 
     pub fn service_status(&self, now: Millis) -> ServiceStatus {
--- a/crates/rollout/src/events.rs
+++ b/crates/rollout/src/events.rs
@@ -1,5 +1,5 @@
-//! What reaches the thread that owns the state machines, from its callers, its
-//! checks and the operators' listener.
+//! Events for the thread that owns the state machines. The calling threads, the
+//! check threads and the operators' listener send them.
 
 use crate::commands::{OperatorRequest, OperatorResponse};
 use crate::ports::{Answer, Verdict};
--- a/crates/rollout/src/health.rs
+++ b/crates/rollout/src/health.rs
@@ -1,8 +1,8 @@
-//! What checks and reports say of each replica of a service.
+//! Health of a service's replicas, from health checks and heartbeats.
 //!
-//! A failed check alone does not blame a version: its machine may have been
-//! taken away. It counts once the machine has reported after the check and
-//! still runs the same attempt.
+//! A failed check alone does not count against a version, because the machine
+//! may have been reclaimed. The failure counts once a heartbeat that the machine
+//! sent after the check shows that it still runs the same attempt.
 
 use crate::file::{Check, CheckKind};
 use crate::ports::{ObservedReplica, Probe, ReplicaState, Verdict};
@@ -11,10 +11,10 @@
 use crate::units::{JobId, Millis, ReplicaKey};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Failed checks of a replica that are remembered until its machine reports.
+/// Failed checks of one replica that are kept until a heartbeat confirms them.
 const MAX_UNCONFIRMED_FAILURES: usize = 1001;
 
-/// What is known of one replica.
+/// Observed state and check results of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaHealth {
     /// The latest status from the owner of its shard; `None` before the first.
@@ -23,31 +23,32 @@
     pub consecutive_passes: u32,
     /// Checks failed in a row by this attempt.
     pub consecutive_failures: u32,
-    /// Failures in this step, of checks once ready and of attempts.
+    /// Failures in this step: failed attempts, and failed checks of an attempt
+    /// that was ready before.
     pub step_failures: u32,
-    /// Whether it has passed enough checks in a row and not failed too many since.
+    /// True if the attempt passed enough checks in a row and has not failed too
+    /// many in a row since.
     pub ready: bool,
-    /// This attempt was ready at some time.
+    /// True if this attempt has ever been ready.
     pub was_ready: bool,
-    /// The last verdict, and when it came.
+    /// The last verdict and when it was received.
     pub last_verdict: Option<(Millis, Verdict)>,
-    /// When a check last got through to it from here.
+    /// When a check from this controller last connected to the replica.
     last_contact: Option<Millis>,
-    /// Why its version is to blame.
+    /// Why the failures are attributed to the version, if they are.
     pub fault: Option<String>,
-    /// Failed checks that its machine has not vouched for yet, and when the
-    /// last of them failed.
+    /// Failed checks that no heartbeat has confirmed yet.
     unconfirmed_failures: Vec<String>,
+    /// When the last of the unconfirmed failures was received.
     last_unconfirmed_at: Millis,
-    /// The last failed attempt that was counted.
+    /// Number of the last failed attempt that was counted.
     last_failed_attempt: u64,
-    /// A check is under way.
     check_running: bool,
     next_check: Millis,
 }
 
 impl ReplicaHealth {
-    /// A new attempt has nothing to show for itself yet.
+    /// Clears the results of the previous attempt.
     fn reset_attempt(&mut self) {
         self.consecutive_passes = 0;
         self.consecutive_failures = 0;
@@ -65,7 +66,7 @@
         self.state() == Some(ReplicaState::Running)
     }
 
-    /// Where its check goes, once its machine's address is known.
+    /// Address to check; `None` while the machine's address is unknown.
     fn addr(&self, index: u32, check: &Check) -> Option<String> {
         let host = self.observed.as_ref().map(|s| &s.host).filter(|host| !host.is_empty())?;
         let port = u16::try_from(u32::from(check.port) + index * u32::from(check.port_step)).ok()?;
@@ -80,26 +81,26 @@
     }
 }
 
-/// What is known of all replicas of a service.
+/// Health of all replicas of a service.
 #[derive(Debug, Default)]
 pub struct Health {
     replicas: BTreeMap<ReplicaKey, ReplicaHealth>,
-    /// Addresses that several replicas share.
+    /// Addresses that more than one replica reports.
     shared_addrs: BTreeSet<String>,
 }
 
 impl Health {
-    /// All known replicas, ordered by key.
+    /// Returns the replicas ordered by key.
     pub fn replicas(&self) -> impl Iterator<Item = (&ReplicaKey, &ReplicaHealth)> {
         self.replicas.iter()
     }
 
-    /// Forgets replicas of members that are gone.
+    /// Drops the replicas of jobs for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(&JobId) -> bool) {
         self.replicas.retain(|key, _| keep(&key.0));
     }
 
-    /// A new step begins: failures count from nothing, readiness stays.
+    /// Resets the failure counts at the start of a step; readiness is kept.
     pub fn reset_step(&mut self) {
         for replica in self.replicas.values_mut() {
             replica.step_failures = 0;
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Takes in what an owner said of a replica when asked at `asked`; older
-    /// words change nothing.
+    /// Records an owner's report on a replica, requested at `asked`. Ignores
+    /// reports that are older than the last one.
     pub fn observe(&mut self, now: Millis, asked: Millis, reported: ObservedReplica, check: &Check) {
         let replica = self.replicas.entry(reported.replica.clone()).or_default();
         let order = |s: &ObservedReplica| (s.attempt, s.token);
@@ -143,14 +144,14 @@
         }
     }
 
-    /// Notes that a check got through to a replica, whatever it found.
+    /// Records that a check connected to a replica, whatever its verdict.
     pub fn record_contact(&mut self, now: Millis, key: &ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.last_contact = Some(now);
         }
     }
 
-    /// Takes in the verdict on an attempt; one on an earlier attempt is void.
+    /// Records the verdict on an attempt; ignored if the attempt is not current.
     pub fn record_verdict(&mut self, now: Millis, key: &ReplicaKey, attempt: u64, verdict: Verdict, check: &Check) {
         let Some(replica) = self.replicas.get_mut(key) else { return };
         replica.check_running = false;
@@ -159,8 +160,9 @@
         }
     }
 
-    /// Replicas whose check is due, with what to ask; the most overdue first.
-    /// Two that share an address can't be told apart: neither is checked.
+    /// Returns the checks of a member that are due: due time, replica, attempt
+    /// and probe. Replicas that share an address can't be told apart, so they
+    /// are not checked and get an `Unreachable` verdict.
     pub fn due_checks(&mut self, now: Millis, member: &Member, check: &Check) -> Vec<(Millis, ReplicaKey, u64, Probe)> {
         if check.kind == CheckKind::Up {
             return vec![];
@@ -187,15 +189,15 @@
         due
     }
 
-    /// Finds replicas that share an address, among members with their checks.
+    /// Finds the addresses that running replicas of these members share.
     pub fn update_shared_addrs<'a>(&mut self, members: impl Iterator<Item = (&'a Member, &'a Check)>) {
-        let mut once = BTreeSet::new();
+        let mut known = BTreeSet::new();
         self.shared_addrs.clear();
         for (member, check) in members.filter(|(_, check)| check.kind != CheckKind::Up) {
             for index in 0..member.replicas {
                 let replica = self.replicas.get(&(member.job.clone(), index)).filter(|r| r.is_running());
                 if let Some(addr) = replica.and_then(|r| r.addr(index, check)) {
-                    if !once.insert(addr.clone()) {
+                    if !known.insert(addr.clone()) {
                         self.shared_addrs.insert(addr);
                     }
                 }
@@ -203,7 +205,7 @@
         }
     }
 
-    /// A check has begun.
+    /// Records that a check was started, and schedules the next one.
     pub fn check_started(&mut self, now: Millis, key: &ReplicaKey, check: &Check) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.check_running = true;
@@ -211,9 +213,9 @@
         }
     }
 
-    /// True if another replica of the service was reached from here since this
-    /// one was last found out of reach. The first time proves nothing: a cut of
-    /// our own may just have begun.
+    /// True if this controller connected to another replica of the service after
+    /// the previous check of this one ended as unreachable. False if the previous
+    /// check did not: this controller may just have lost its own network.
     pub fn others_reached(&self, key: &ReplicaKey) -> bool {
         let last = self.replicas.get(key).and_then(|r| r.last_verdict.as_ref());
         let Some((since, _)) = last.filter(|(_, verdict)| matches!(verdict, Verdict::Unreachable(_))) else {
@@ -222,32 +224,32 @@
         self.replicas.iter().any(|(other, replica)| other != key && replica.last_contact.is_some_and(|at| at > *since))
     }
 
-    /// What is seen of a member.
+    /// Returns the observed status of a member.
     pub fn member_status(&self, now: Millis, member: &Member, check: &Check) -> MemberStatus {
-        let lately = Millis::from_secs(2.0 * check.interval_s + check.timeout_s + 1.0);
-        let mut seen = MemberStatus::default();
+        let max_verdict_age = Millis::from_secs(2.0 * check.interval_s + check.timeout_s + 1.0);
+        let mut status = MemberStatus::default();
         for index in 0..member.replicas {
             let Some(replica) = self.replicas.get(&(member.job.clone(), index)) else { continue };
             let Some(state) = replica.state() else { continue };
             let last = replica.last_verdict.as_ref();
             let placed = matches!(state, ReplicaState::Running | ReplicaState::Terminating);
-            seen.ready += u32::from(replica.ready && state == ReplicaState::Running);
+            status.ready += u32::from(replica.ready && state == ReplicaState::Running);
             let running = state == ReplicaState::Running;
-            let lately = |at: &Millis| now.since(*at) <= lately;
-            let passed = last.is_some_and(|(at, v)| *v == Verdict::Pass && lately(at));
+            let is_recent = |at: &Millis| now.since(*at) <= max_verdict_age;
+            let passed = last.is_some_and(|(at, v)| *v == Verdict::Pass && is_recent(at));
             let failed = last.is_some_and(|(_, v)| matches!(v, Verdict::Fail(_)));
-            seen.healthy += u32::from(replica.ready && running && passed);
-            seen.unavailable += u32::from(!placed || (!replica.ready && failed));
+            status.healthy += u32::from(replica.ready && running && passed);
+            status.unavailable += u32::from(!placed || (!replica.ready && failed));
             let unplaced = matches!(state, ReplicaState::Pending | ReplicaState::Starting);
-            seen.unplaced += u32::from(unplaced && replica.step_failures == 0);
-            // Out of reach, never checked, or not lately: no word against it.
-            let unknown = !last.is_some_and(|(at, v)| !matches!(v, Verdict::Unreachable(_)) && lately(at));
-            seen.unreachable += u32::from(running && unknown);
-            if seen.fault.is_none() {
-                seen.fault.clone_from(&replica.fault);
+            status.unplaced += u32::from(unplaced && replica.step_failures == 0);
+            // Unreachable, never checked or not checked recently: no evidence of a fault.
+            let unknown = !last.is_some_and(|(at, v)| !matches!(v, Verdict::Unreachable(_)) && is_recent(at));
+            status.unreachable += u32::from(running && unknown);
+            if status.fault.is_none() {
+                status.fault.clone_from(&replica.fault);
             }
         }
-        seen
+        status
     }
 }
 
@@ -264,7 +266,8 @@
         Verdict::Fail(why) => {
             replica.consecutive_passes = 0;
             replica.consecutive_failures = replica.consecutive_failures.saturating_add(1);
-            // Until it was ready it is still starting: the deadline bounds that.
+            // Failures of an attempt that was never ready are not counted: it may
+            // still be starting, which the step's deadline bounds.
             if replica.was_ready && replica.unconfirmed_failures.len() < MAX_UNCONFIRMED_FAILURES {
                 replica.unconfirmed_failures.push(why.clone());
                 replica.last_unconfirmed_at = now;
@@ -273,7 +276,7 @@
                 replica.ready = false;
             }
         }
-        // Proves nothing either way.
+        // No evidence of success or failure.
         Verdict::Unreachable(_) => {}
     }
     replica.last_verdict = Some((now, verdict));
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,22 +1,21 @@
 //! Gated roll-outs of services.
 //!
 //! A service goes from one version to the next in steps that its operators
-//! define. A step begins only when the one before has passed its checks for its
-//! whole bake time; a step that fails halts the roll-out, or reverts it.
+//! define. A step starts only after the previous one has passed its checks for
+//! its whole bake time; a failed step halts or reverts the roll-out.
 //!
-//! - [`mod@file`]: what operators write, and what is wrong with it.
-//! - [`record`]: what is durable of a service, one value a service.
-//! - [`mod@reconcile`]: what to change of the record next. Pure.
-//! - [`health`]: what checks and reports say of each replica. Pure.
-//! - [`driver`], [`commands`]: whoever drives, and operators' commands, as state
-//!   machines that say which calls to make. Pure.
-//! - [`mod@check`], [`runtime`], [`listen`]: sockets and threads around them.
+//! - [`mod@file`]: the roll-out file that operators write, and its validation.
+//! - [`record`]: the durable state of a service, one value for each service.
+//! - [`mod@reconcile`]: computes the next record of a service. Pure.
+//! - [`health`]: the health of each replica, from checks and heartbeats. Pure.
+//! - [`driver`], [`commands`]: the elected roll-out controller and the handler
+//!   of operators' commands, as state machines that return calls to make. Pure.
+//! - [`mod@check`], [`runtime`], [`listen`]: the sockets and threads.
 //!
-//! The record states intentions. Every effect follows from a record that is
-//! durable, and can be repeated without harm by anybody at any later time: a
-//! job's id is never used twice, and a job marked for retirement never comes
-//! back. So a second driver, a late transaction or a repeated answer changes
-//! nothing.
+//! The record holds the desired state. Every effect follows from a durable
+//! record and is idempotent: a job id is never reused, and a member that is
+//! marked as retiring stays so. A second driver, a late transaction or a
+//! repeated answer therefore changes nothing.
 
 pub mod check;
 pub mod commands;
--- a/crates/rollout/src/ports.rs
+++ b/crates/rollout/src/ports.rs
@@ -1,30 +1,30 @@
-//! What the driver asks of the world around it, and what it hears back, in
-//! terms that a host translates.
+//! The calls that the driver makes and their answers. The host process
+//! translates them to its own store, scheduler and peers.
 
 use crate::file::{Check, Job};
 use crate::units::{JobId, LeaseId, Millis, ReplicaKey, Revision};
 use serde_json::Value;
 
-/// A call that may take long, fail, or be carried out late.
+/// A call that may be slow, fail, or take effect after its caller gave up.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
     /// Reads one key.
     Get {
-        /// The key to read.
+        /// Full key.
         key: String,
     },
-    /// Reads the keys that begin with a prefix, page by page.
+    /// Reads one page of the keys that begin with a prefix.
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before; `None` for the first page.
+        /// Last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
-    /// Writes one key, if all conditions hold.
+    /// Writes one key if all conditions hold.
     Commit(Commit),
     /// Grants a lease.
     Grant {
-        /// How long the lease lasts unrenewed.
+        /// The lease expires this long after its last renewal.
         ttl: Millis,
     },
     /// Renews a lease.
@@ -36,29 +36,29 @@
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Only changes after this revision are of interest.
+        /// Only changes after this revision are returned.
         after: Revision,
-        /// How long to wait for a change.
+        /// Longest time to wait for a change.
         wait: Millis,
     },
     /// Submits a standing job.
     Submit {
-        /// Id under which the job is submitted; submitting it again changes nothing.
+        /// Id of the job; submitting the same id again changes nothing.
         job: JobId,
-        /// What to submit.
+        /// Content of the job.
         submission: Box<JobSubmission>,
     },
-    /// Withdraws a job for good.
+    /// Withdraws a job; it can't be submitted again.
     Withdraw {
         /// The job to withdraw.
         job: JobId,
     },
-    /// Asks all owners how the replicas of these jobs fare.
+    /// Asks all shard owners for the state of these jobs' replicas.
     Replicas {
         /// The jobs to ask about.
         jobs: Vec<JobId>,
     },
-    /// Asks the other controllers whether an address accepts connections there.
+    /// Asks the other controllers whether they can connect to an address.
     Reach {
         /// Address as `host:port`.
         addr: String,
@@ -68,68 +68,68 @@
 /// A conditional write.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Commit {
-    /// Keys with the versions that they must have; 0: there must be none.
+    /// Keys and their expected revisions; 0 if the key must not exist.
     pub conditions: Vec<(String, Revision)>,
-    /// The key to write.
+    /// Key that is written.
     pub key: String,
-    /// Its new value.
+    /// New value of the key.
     pub value: Value,
-    /// The lease that keeps the key.
+    /// Lease whose expiry deletes the key, if any.
     pub lease: Option<LeaseId>,
 }
 
-/// A standing job to be submitted.
+/// Content of a standing job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSubmission {
-    /// What each replica runs and takes of its machine.
+    /// Image and resources of each replica.
     pub job: Job,
     /// Number of replicas.
     pub replicas: u32,
-    /// Overrides the job's own zone.
+    /// Zone for the replicas; overrides that of `job`.
     pub zone: Option<String>,
 }
 
-/// A key as it was read.
+/// A key-value pair of the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Item {
-    /// The key.
+    /// Full key.
     pub key: String,
-    /// Its value.
+    /// Value of the key at `revision`.
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision at which the key last changed.
     pub revision: Revision,
 }
 
-/// What became of a job that was submitted or withdrawn.
+/// State of a job after its submission or withdrawal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobStatus {
-    /// It was accepted, now or earlier.
+    /// The platform has accepted the job, now or earlier.
     Accepted,
-    /// It was withdrawn or is over: none of its replicas will run again.
+    /// The job was withdrawn or has ended; none of its replicas will run again.
     Ended,
-    /// The platform has no record of it.
+    /// The platform has no record of the job.
     Unknown,
 }
 
-/// What came of a call.
+/// The answer to a [`Call`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
     /// The key that was read.
     Found(Item),
-    /// There is no such key.
+    /// The key does not exist.
     Missing,
     /// One page of a list.
     Page {
-        /// Keys of the page, in order.
+        /// Items of the page, in key order.
         items: Vec<Item>,
-        /// Whether there are more keys after these.
+        /// True if more keys follow this page.
         more: bool,
-        /// Revision of the store as of this page.
+        /// Revision of the store when the page was read.
         revision: Revision,
     },
-    /// The write is durable, at this revision.
+    /// The write is durable at this revision.
     Committed(Revision),
-    /// A condition did not hold: nothing was written.
+    /// A condition did not hold; nothing was written.
     Conflict,
     /// The lease that was granted.
     Granted(LeaseId),
@@ -137,83 +137,85 @@
     Renewed,
     /// The lease has expired or was revoked.
     LeaseGone,
-    /// Keys with their new values, or none if deleted.
+    /// Changes that a watch returned.
     Changes {
         /// Revision up to which the changes are complete.
         revision: Revision,
-        /// Each key, its new value and the revision of its change.
+        /// Key, new value (`None` if deleted) and revision of each change.
         changed: Vec<(String, Option<Value>, Revision)>,
     },
-    /// The watch begins too long ago: read the keys again.
+    /// The start revision is too old to watch from; the keys must be read again.
     TooOld,
-    /// What became of a job that was submitted or withdrawn.
+    /// State of the job that was submitted or withdrawn.
     Job(JobStatus),
-    /// The platform will never take this.
+    /// The platform rejects the request permanently, for this reason.
     Unacceptable(String),
-    /// The replicas that are known, of those asked about.
+    /// Known replicas of the requested jobs.
     Replicas(Vec<ObservedReplica>),
-    /// Whether any other controller reaches the address; none: nobody said.
+    /// True if any other controller reaches the address; `None` if none of
+    /// them answered.
     Reached(Option<bool>),
-    /// Not carried out.
+    /// The call was not carried out.
     Refused,
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer; the call may have taken effect or may still do so.
     Unknown,
 }
 
-/// Where a replica stands.
+/// Life-cycle state of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ReplicaState {
-    /// On no machine.
+    /// Not placed on a machine.
     Pending,
-    /// On a machine that does not run it yet.
+    /// Placed on a machine that does not run it yet.
     Starting,
-    /// On a machine that runs it.
+    /// Running on its machine.
     Running,
-    /// Being stopped, or on a machine about to be taken away.
+    /// Being stopped, or on a machine that is about to be reclaimed.
     Terminating,
-    /// Ended by itself, for good.
+    /// Exited on its own; it will not be restarted.
     Ended,
 }
 
-/// How an owner sees a replica.
+/// State of a replica as reported by the owner of its shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ObservedReplica {
-    /// Which replica.
+    /// Job and index of the replica.
     pub replica: ReplicaKey,
-    /// Number of its current attempt; a restart begins a new one.
+    /// Number of the current attempt; each restart increments it.
     pub attempt: u64,
-    /// Its life-cycle state.
+    /// State of the current attempt.
     pub state: ReplicaState,
-    /// The machine's address without a port; empty if not known.
+    /// Address of the machine without a port; empty if unknown.
     pub host: String,
-    /// Zone of its machine; empty if not known.
+    /// Zone of the machine; empty if unknown.
     pub zone: String,
-    /// The last attempt that failed by its own doing; 0: none known.
+    /// Number of the last attempt that failed on its own; 0 if none is known.
     pub failed_attempt: u64,
-    /// How long ago its machine reported, as of the answer.
+    /// Age of the machine's last heartbeat when the owner answered.
     pub heartbeat_age: Millis,
-    /// Of two answers, that with the higher token counts.
+    /// The owner's token; of two reports, the one with the higher token wins.
     pub token: u64,
 }
 
-/// A check to be carried out by a given time.
+/// A health check to run on one replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Probe {
-    /// Job, number and attempt: the same whoever checks, and whenever.
+    /// Job, index and attempt as text; does not depend on the controller that
+    /// runs the check or on the time.
     pub replica: String,
     /// Address as `host:port`.
     pub addr: String,
-    /// What to check, and by when.
+    /// Kind of check and its time-out.
     pub check: Check,
 }
 
-/// What a check found.
+/// The result of a health check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// The replica passed.
     Pass,
-    /// The replica answered wrongly or refused; the reason.
+    /// The replica gave a wrong answer or refused; the reason.
     Fail(String),
-    /// No connection came about: the replica's fault or the network's.
+    /// The connection failed; the cause may be the replica or the network.
     Unreachable(String),
 }
--- a/crates/rollout/src/record.rs
+++ b/crates/rollout/src/record.rs
@@ -1,4 +1,4 @@
-//! What is durable of a service: one value, so that every change of it is one
+//! The durable record of a service. It is one value, so that each change is one
 //! conditional write.
 
 use crate::file::{Check, Job, OnFailure, RollOut};
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Roll-outs that are remembered after they ended.
+/// Ended roll-outs that a record keeps.
 const MAX_PAST_ROLLOUTS: usize = 5;
 
-/// Bytes that a member takes of its service's record, about.
+/// Approximate size of a member in its service's record, as JSON.
 const MEMBER_BYTES: usize = 110;
 
-/// A version of a service, for as long as a member or a way back needs it.
+/// A version of a service, kept while a member, the roll-out or a revert refers to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// The operators' name of the version.
+    /// Name that the operators gave the version.
     pub name: String,
-    /// Replicas that the service has when all of them run this version.
+    /// Replicas of the service when it runs only this version.
     pub replicas: u32,
     /// Replicas per job.
     pub group: u32,
-    /// What each replica runs.
+    /// Job specification of each replica.
     pub job: Job,
-    /// How each replica is checked.
+    /// Health check of each replica.
     pub check: Check,
 }
 
-/// A job of the service: a group of replicas that come and go together.
+/// A job of the service: a group of replicas that are added and withdrawn together.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// Id of the job.
@@ -38,101 +38,102 @@
     /// Number of replicas.
     #[serde(rename = "n")]
     pub replicas: u32,
-    /// The step that brought it, counted from 0.
+    /// Index of the step that added the member, from 0.
     #[serde(rename = "s")]
     pub step: u32,
-    /// The only zone allowed, if any.
+    /// Zone that the replicas must run in, if any.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// It is to be withdrawn, and never comes back.
+    /// Tombstone: the job is to be withdrawn. Never cleared.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub retiring: bool,
 }
 
-/// One step of a roll-out under way.
+/// One step of a roll-out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StepPlan {
     /// Replicas of the new version after this step.
     pub target: u32,
-    /// Zone for this step's replicas, if any.
+    /// Zone of the replicas that this step adds, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// How long the replicas must stay healthy.
+    /// How long the replicas must stay healthy before the step passes.
     pub bake: Millis,
-    /// How long the step may take in all.
+    /// Longest duration of the whole step, bake time included.
     pub deadline: Millis,
 }
 
-/// Which way a roll-out goes.
+/// Phase of a roll-out's current step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// To the new version; the step's replicas are being brought out.
+    /// Adding replicas of the new version and retiring old ones.
     #[serde(rename = "raising")]
     ScalingUp,
-    /// To the new version; the step's replicas must stay well.
+    /// Waiting until the replicas of the new version have stayed healthy for the
+    /// bake time.
     Baking,
-    /// To the version before.
+    /// Returning to the previous version.
     Reverting,
 }
 
-/// Whether a roll-out goes on.
+/// Progress of a roll-out, independent of its phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RolloutProgress {
-    /// The driver takes it further.
+    /// The driver advances the roll-out.
     #[serde(rename = "going")]
     InProgress,
-    /// By an operator: no step goes on, but a failure still counts.
+    /// Paused by an operator: no step advances, but failures still count.
     Paused,
-    /// Stopped where it was, for the reason noted.
+    /// Stopped at its current step; [`Rollout::reason`] says why.
     Halted,
-    /// All replicas have the new version.
+    /// All replicas run the new version.
     #[serde(rename = "new")]
     Completed,
-    /// All replicas have the version before.
+    /// All replicas run the previous version again.
     #[serde(rename = "old")]
     Reverted,
 }
 
-/// A roll-out, from its start to its end and beyond.
+/// A roll-out; kept after its end until the next one starts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Counts the service's roll-outs from 1.
+    /// Number of the roll-out within its service; the first is 1.
     pub number: u64,
     /// The version to roll out.
     pub to: VersionNumber,
-    /// The steps, in order.
+    /// Steps in the order in which they run.
     pub steps: Vec<StepPlan>,
-    /// What a failed step leads to.
+    /// Action when a step fails.
     pub on_failure: OnFailure,
-    /// Never fewer replicas than this are left by our own doing.
+    /// Lower bound of ready replicas: the driver retires no serving replica below it.
     pub floor: u32,
-    /// Never more replicas than this are on the books.
+    /// Upper bound of recorded replicas of all versions, retiring ones included.
     pub ceiling: u32,
     /// Replicas of other versions at the start.
     #[serde(rename = "from")]
     pub initial_replicas: u32,
-    /// The current step, counted from 0.
+    /// Index of the current step, from 0.
     pub step: u32,
-    /// Which way it goes.
+    /// Current phase; `way` in the stored record.
     #[serde(rename = "way")]
     pub phase: Phase,
-    /// Whether it goes on.
+    /// Current progress; `course` in the stored record.
     #[serde(rename = "course")]
     pub progress: RolloutProgress,
-    /// Time spent on the step, as far as it is durable.
+    /// Time spent in the step when the record was written.
     pub spent: Millis,
-    /// Time that the step's replicas have stayed well, as far as it is durable.
+    /// Time that the step's replicas had stayed healthy when the record was written.
     pub baked: Millis,
-    /// Why it was halted or turned back.
+    /// Why the roll-out was halted or reverted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
 impl Rollout {
-    /// A roll-out at the start of its first step. `from` counts the replicas of
-    /// other versions; `ceiling` bounds the replicas of all versions.
+    /// Returns a roll-out at the start of its first step. `initial_replicas`
+    /// counts the replicas of other versions.
     fn begin(file: &RollOut, number: u64, to: VersionNumber, initial_replicas: u32, ceiling: u32) -> Rollout {
         let steps = file.steps.iter().zip(file.targets()).map(|(step, target)| StepPlan {
             target,
@@ -157,17 +158,17 @@
         }
     }
 
-    /// True while replicas may come or go.
+    /// True until the roll-out has ended or was halted.
     pub fn active(&self) -> bool {
         matches!(self.progress, RolloutProgress::InProgress | RolloutProgress::Paused)
     }
 
-    /// The plan of the current step.
+    /// Returns the plan of the current step.
     pub fn plan(&self) -> Option<&StepPlan> {
         self.steps.get(self.step as usize)
     }
 
-    /// Begins whatever comes next: its time counts from nothing.
+    /// Starts a phase and resets its times to 0.
     pub(crate) fn begin_phase(&mut self, phase: Phase) {
         self.phase = phase;
         self.spent = Millis(0);
@@ -178,56 +179,57 @@
 /// A roll-out that has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The roll-out's number.
+    /// Number of the roll-out within its service.
     pub number: u64,
-    /// Name of the version that was rolled out.
+    /// Name of the version to roll out.
     pub version: String,
-    /// How it ended.
+    /// Final progress.
     #[serde(rename = "course")]
     pub progress: RolloutProgress,
-    /// Why it was halted or reverted, if it was.
+    /// Why the roll-out was halted or reverted, if it was.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
 }
 
-/// Everything durable of a service.
+/// Durable state of a service.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Service {
-    /// The version that all replicas last had.
+    /// Version that a revert returns to: that of the last completed roll-out, or
+    /// the most common one if none has completed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<VersionNumber>,
-    /// Versions that members or the roll-out refer to.
+    /// Versions that `base`, a member or the roll-out refers to.
     pub versions: BTreeMap<VersionNumber, Version>,
-    /// The jobs of the service, retiring ones included.
+    /// Jobs of the service, including those that are retiring.
     pub members: Vec<Member>,
-    /// The current or last roll-out.
+    /// The current or last roll-out; `rolling` in the stored record.
     #[serde(rename = "rolling", default, skip_serializing_if = "Option::is_none")]
     pub rollout: Option<Rollout>,
-    /// Earlier roll-outs, oldest first; the last few are kept.
+    /// Earlier roll-outs, oldest first; only the last few are kept.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub past: Vec<Outcome>,
-    /// The newest version and roll-out there ever were.
+    /// The highest version number assigned so far.
     pub last_version: VersionNumber,
-    /// The highest roll-out number given so far.
+    /// The highest roll-out number assigned so far.
     pub last_number: u64,
 }
 
-/// What an operator wants of a service.
+/// An operator's command on a service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Start a roll-out.
     Start(Box<RollOut>),
-    /// Hold the roll-out back; failures still count.
+    /// Pause the roll-out; failures still count.
     Pause,
-    /// Go on after a pause or halt.
+    /// Continue after a pause or halt.
     Resume,
-    /// Halt the roll-out where it is.
+    /// Halt the roll-out at its current step.
     Abort,
-    /// Return to the version before.
+    /// Return to the previous version.
     Revert,
 }
 
-/// Why a command is not carried out.
+/// Why a command was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
     /// Another roll-out of the service is under way.
@@ -235,47 +237,48 @@
     RolloutActive {
         /// Number of the roll-out under way.
         number: u64,
-        /// Name of the version that it rolls out.
+        /// Name of the version to roll out.
         version: String,
-        /// Its current step, counted from 1.
+        /// Current step, counted from 1.
         step: u32,
-        /// How many steps it has.
+        /// Number of steps.
         steps: usize,
     },
-    /// There is nothing that the command could be about.
+    /// The command does not apply to the current state of the service.
     #[error("{0}")]
     Conflict(&'static str),
-    /// The service's record would not fit into one value.
+    /// The service's record could outgrow one value of the state service.
     #[error("the service would need {members} jobs and has room for {room}: use a larger group")]
     TooLarge {
-        /// Jobs that the service could come to have.
+        /// Most jobs that the service may need during the roll-out.
         members: usize,
-        /// Jobs that fit into its record.
+        /// Jobs that fit into the record.
         room: usize,
     },
 }
 
 impl Service {
-    /// Members that are to stay.
+    /// Returns the members that are not retiring.
     pub fn active_members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| !m.retiring)
     }
 
-    /// Replicas on the books, those to be withdrawn included.
+    /// Counts the replicas of all members, retiring ones included.
     pub fn recorded_replicas(&self) -> u32 {
         self.members.iter().map(|m| m.replicas).sum()
     }
 
-    /// Name of a version; `?` if it isn't known any more.
+    /// Returns the name of a version, or `?` if the record no longer has it.
     pub fn version_name(&self, version: VersionNumber) -> &str {
         self.versions.get(&version).map_or("?", |v| &v.name)
     }
 
-    /// The service after a command; `value_bytes` bounds its record.
+    /// Returns the service after a command; `value_bytes` is the maximum size of
+    /// its record.
     ///
     /// # Errors
     ///
-    /// Why the command cannot be carried out; nothing has changed then.
+    /// If the command can't be carried out; the service is unchanged.
     pub fn command(&self, command: &Command, value_bytes: usize) -> Result<Service, Refusal> {
         let mut next = self.clone();
         if let Command::Start(file) = command {
@@ -358,8 +361,8 @@
         Ok(())
     }
 
-    /// The version that most replicas have: what a revert returns to as long as
-    /// no roll-out has ever succeeded.
+    /// Returns the version with the most replicas. A revert returns to it as long
+    /// as no roll-out has ever completed.
     fn most_common_version(&self) -> Option<VersionNumber> {
         let count =
             |v: VersionNumber| self.active_members().filter(|m| m.version == v).map(|m| m.replicas).sum::<u32>();
@@ -367,7 +370,8 @@
         counted.filter(|(replicas, _)| *replicas > 0).max().map(|(_, version)| version)
     }
 
-    /// Whether the record stays one value with as many members as there may be.
+    /// Checks that the record fits into one value with the most members that the
+    /// roll-out may need.
     fn check_size(&self, file: &RollOut, ceiling: u32, value_bytes: usize) -> Result<(), Refusal> {
         let fixed = serde_json::to_vec(&(&self.versions, &self.past, file)).map_or(0, |text| text.len()) + 512;
         let room = (value_bytes * 9 / 10).saturating_sub(fixed) / MEMBER_BYTES;
@@ -379,7 +383,7 @@
         Ok(())
     }
 
-    /// Puts the last roll-out among those that are remembered.
+    /// Moves the last roll-out to `past`.
     fn archive_rollout(&mut self) {
         if let Some(rollout) = self.rollout.take() {
             let version = self.version_name(rollout.to).to_string();
@@ -394,7 +398,7 @@
         }
     }
 
-    /// Drops versions that nothing refers to any more.
+    /// Removes versions that are no longer referred to.
     pub(crate) fn prune_versions(&mut self) {
         let needed: Vec<VersionNumber> = self
             .members
--- a/crates/rollout/src/units.rs
+++ b/crates/rollout/src/units.rs
@@ -1,4 +1,4 @@
-//! Ids, versions and times as small types of their own.
+//! Newtypes for ids, versions and times.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -19,25 +19,25 @@
 }
 
 number!(
-    /// A revision of the state service; 0 stands for "no such key".
+    /// A revision of the state service; 0 means that the key does not exist.
     Revision, u64);
 number!(
     /// A lease of the state service.
     LeaseId, u64);
 number!(
-    /// Counts a service's versions from 1.
+    /// Number of a service's version; the first is 1.
     VersionNumber, u32);
 number!(
-    /// Matches an answer to a call.
+    /// Id of a call; its answer carries the same id.
     CallId, u64);
 number!(
-    /// Matches a verdict to a check.
+    /// Id of a health check; its verdict carries the same id.
     CheckId, u64);
 number!(
-    /// A waiting request of an operator.
+    /// Id of an operator's request that has not been answered yet.
     RequestId, u64);
 
-/// A job's unique id.
+/// Id of a job, unique across the platform and never reused.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct JobId(pub String);
@@ -48,21 +48,21 @@
     }
 }
 
-/// A replica: its job, and its number within it.
+/// A replica: its job and its index within the job.
 pub type ReplicaKey = (JobId, u32);
 
-/// A moment on a steady clock, or a length of time, in milliseconds.
+/// A time on a monotonic clock, or a duration, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// From seconds; what is negative or no number counts as nothing.
+    /// Converts from seconds; negative numbers and NaN become 0.
     pub fn from_secs(seconds: f64) -> Millis {
         Millis((seconds.max(0.0) * 1000.0) as u64)
     }
 
-    /// Time passed since `earlier`; nothing if that lies ahead.
+    /// Time elapsed since `earlier`; 0 if `earlier` is in the future.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
