--- a/crates/rollout/src/driver.rs
+++ b/crates/rollout/src/driver.rs
@@ -113,6 +113,7 @@
     ReadLease,
     GrantLease,
     WriteLease,
+    /// Renews the leader lease; the time at which the call was sent.
     RenewLease(Millis),
     LoadServices,
     Watch,
@@ -133,6 +134,7 @@
         service: String,
         job: JobId,
     },
+    /// Polls the replicas; the time at which the call was sent.
     Replicas(Millis),
     Reach {
         service: String,
@@ -157,7 +159,7 @@
     replaced_revision: Revision,
     /// Number of job ids assigned by this process. Together with the revision of
     /// the leader lease it makes each id unique.
-    ids: u64,
+    assigned_ids: u64,
     services: BTreeMap<String, TrackedService>,
     /// Service of each job of the services that need work.
     service_of: BTreeMap<JobId, String>,
@@ -181,7 +183,7 @@
             leadership: Leadership::default(),
             granted_lease: None,
             replaced_revision: Revision(0),
-            ids: 0,
+            assigned_ids: 0,
             services: BTreeMap::new(),
             service_of: BTreeMap::new(),
             store_answered_at: Millis(0),
--- a/crates/rollout/src/driver/jobs.rs
+++ b/crates/rollout/src/driver/jobs.rs
@@ -61,14 +61,14 @@
         }
         let statuses = tracked.member_statuses(now);
         let member_status = |job: &JobId| statuses.get(job).cloned().unwrap_or_else(MemberStatus::default);
-        let (digits, mut ids) = (&self.config.first_digits, self.ids);
+        let (digits, mut assigned_ids) = (&self.config.first_digits, self.assigned_ids);
         let mut new_job_id = || {
-            ids += 1;
-            JobId(format!("wk-{digits}{:012}{ids:06}", lease_revision.0))
+            assigned_ids += 1;
+            JobId(format!("wk-{digits}{:012}{assigned_ids:06}", lease_revision.0))
         };
         let observations = Observations { member_status: &member_status, elapsed: tracked.elapsed };
         let Some((next, events)) = reconcile(&tracked.record, &observations, &mut new_job_id) else { return };
-        self.ids = ids;
+        self.assigned_ids = assigned_ids;
         let Ok(value) = serde_json::to_value(&next) else { return };
         tracked.busy = true;
         let key = service_key(name);
@@ -82,14 +82,14 @@
         let now = self.now;
         match answer {
             Answer::Committed(revision) => {
-                let rollout = next.rollout.as_ref().map_or((0, 0), |r| (r.number, r.step));
+                let position = next.rollout.as_ref().map_or((0, 0), |r| (r.number, r.step));
                 if let Some(tracked) = self.services.get_mut(name) {
                     tracked.busy = false;
                 }
                 self.apply_record(name, next, revision);
                 for event in events {
                     let service = name.to_string();
-                    self.note(Note::Changed { service, number: rollout.0, step: rollout.1, event });
+                    self.note(Note::Changed { service, number: position.0, step: position.1, event });
                 }
             }
             Answer::Refused => {
@@ -145,14 +145,14 @@
             if free_calls == 0 {
                 break;
             }
-            let work = tracked.jobs.entry(member.job.clone()).or_default();
-            if work.busy || now < work.next || work.withdrawn {
+            let progress = tracked.jobs.entry(member.job.clone()).or_default();
+            if progress.busy || now < progress.next || progress.withdrawn {
                 continue;
             }
             let (service, job) = (name.to_string(), member.job.clone());
-            if member.retiring && !work.submit_first {
+            if member.retiring && !progress.submit_first {
                 calls.push((Call::Withdraw { job: job.clone() }, PendingCall::Withdraw { service, job }));
-            } else if !work.accepted && work.fault.is_none() {
+            } else if !progress.accepted && progress.fault.is_none() {
                 let Some(version) = tracked.record.versions.get(&member.version) else { continue };
                 let submission =
                     JobSubmission { job: version.job.clone(), replicas: member.replicas, zone: member.zone.clone() };
@@ -161,7 +161,7 @@
             } else {
                 continue;
             }
-            work.busy = true;
+            progress.busy = true;
             free_calls -= 1;
         }
         for (call, pending) in calls {
@@ -173,37 +173,37 @@
     /// its member was removed.
     fn finish_job_call(&mut self, service: &str, job: &JobId) -> Option<&mut JobProgress> {
         let next = self.now + RETRY_DELAY;
-        let work = self.services.get_mut(service)?.jobs.get_mut(job)?;
-        work.busy = false;
-        work.next = next;
-        Some(work)
+        let progress = self.services.get_mut(service)?.jobs.get_mut(job)?;
+        progress.busy = false;
+        progress.next = next;
+        Some(progress)
     }
 
     pub(super) fn submit_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
-        let Some(work) = self.finish_job_call(service, job) else { return };
-        work.submit_first = work.submit_first && matches!(answer, Answer::Refused | Answer::Unknown);
+        let Some(progress) = self.finish_job_call(service, job) else { return };
+        progress.submit_first = progress.submit_first && matches!(answer, Answer::Refused | Answer::Unknown);
         match answer {
-            Answer::Job(JobStatus::Accepted) => work.accepted = true,
-            Answer::Job(JobStatus::Ended) => work.fault = Some("the job was withdrawn by somebody else".into()),
-            Answer::Unacceptable(why) => work.fault = Some(format!("the platform refuses it: {why}")),
+            Answer::Job(JobStatus::Accepted) => progress.accepted = true,
+            Answer::Job(JobStatus::Ended) => progress.fault = Some("the job was withdrawn by somebody else".into()),
+            Answer::Unacceptable(why) => progress.fault = Some(format!("the platform refuses it: {why}")),
             _ => return,
         }
-        work.next = now;
+        progress.next = now;
     }
 
     pub(super) fn withdraw_answer(&mut self, service: &str, job: &JobId, answer: Answer) {
         let now = self.now;
-        let Some(work) = self.finish_job_call(service, job) else { return };
+        let Some(progress) = self.finish_job_call(service, job) else { return };
         match answer {
-            Answer::Job(JobStatus::Ended) => work.withdrawn = true,
+            Answer::Job(JobStatus::Ended) => progress.withdrawn = true,
             // The job was never submitted, or a delayed submission may still
             // create it. It is submitted and then withdrawn, so that it can't be
             // created later. A job that the platform rejects needs no withdrawal.
             Answer::Job(JobStatus::Unknown) => {
-                work.withdrawn = work.fault.is_some();
-                work.submit_first = !work.withdrawn;
-                work.next = now;
+                progress.withdrawn = progress.fault.is_some();
+                progress.submit_first = !progress.withdrawn;
+                progress.next = now;
             }
             _ => {}
         }
@@ -225,19 +225,19 @@
         self.call(Call::Replicas { jobs }, PendingCall::Replicas(self.now));
     }
 
-    pub(super) fn replicas_answer(&mut self, asked: Millis, answer: Answer) {
+    pub(super) fn replicas_answer(&mut self, asked_at: Millis, answer: Answer) {
         self.polling = false;
         let Answer::Replicas(replicas) = answer else { return };
         let now = self.now;
-        for seen in replicas {
-            let Some(tracked) = self.service_of.get(&seen.replica.0).and_then(|name| self.services.get_mut(name))
+        for observed in replicas {
+            let Some(tracked) = self.service_of.get(&observed.replica.0).and_then(|name| self.services.get_mut(name))
             else {
                 continue;
             };
-            let member = tracked.record.members.iter().find(|m| m.job == seen.replica.0);
-            let version = member.filter(|m| seen.replica.1 < m.replicas).map(|m| m.version);
+            let member = tracked.record.members.iter().find(|m| m.job == observed.replica.0);
+            let version = member.filter(|m| observed.replica.1 < m.replicas).map(|m| m.version);
             if let Some(version) = version.and_then(|v| tracked.record.versions.get(&v)) {
-                tracked.health.observe(now, asked, seen, &version.check);
+                tracked.health.observe(now, asked_at, observed, &version.check);
             }
         }
         for tracked in self.services.values_mut().filter(|t| t.needs_work()) {
--- a/crates/rollout/src/driver/leadership.rs
+++ b/crates/rollout/src/driver/leadership.rs
@@ -22,18 +22,18 @@
         lease: LeaseId,
         after: Option<String>,
         listed_keys: Vec<String>,
-        revision: Option<Revision>,
-        calling: bool,
-        retry: Millis,
+        listed_revision: Option<Revision>,
+        list_pending: bool,
+        retry_at: Millis,
     },
     /// This node is the leader.
     Leading {
         lease_revision: Revision,
         lease: LeaseId,
-        renewing: bool,
+        renew_pending: bool,
         renew_at: Millis,
-        watch: Revision,
-        watching: bool,
+        watched_revision: Revision,
+        watch_pending: bool,
         watch_at: Millis,
     },
 }
@@ -51,9 +51,9 @@
             lease,
             after: None,
             listed_keys: vec![],
-            revision: None,
-            calling: false,
-            retry: now,
+            listed_revision: None,
+            list_pending: false,
+            retry_at: now,
         }
     }
 }
@@ -66,14 +66,14 @@
                 self.leadership = Leadership::Acquiring;
                 self.call(Call::Get { key: DRIVER_KEY.into() }, PendingCall::ReadLease);
             }
-            Leadership::Leading { lease, renewing, renew_at, .. } if !*renewing && now >= *renew_at => {
-                *renewing = true;
+            Leadership::Leading { lease, renew_pending, renew_at, .. } if !*renew_pending && now >= *renew_at => {
+                *renew_pending = true;
                 *renew_at = now + quarter;
                 let lease = *lease;
                 self.call(Call::Renew { lease }, PendingCall::RenewLease(now));
             }
-            Leadership::Loading { after, calling, retry, .. } if !*calling && now >= *retry => {
-                *calling = true;
+            Leadership::Loading { after, list_pending, retry_at, .. } if !*list_pending && now >= *retry_at => {
+                *list_pending = true;
                 let after = after.clone();
                 self.call(Call::List { prefix: SERVICES.into(), after }, PendingCall::LoadServices);
             }
@@ -92,10 +92,10 @@
 
     pub(super) fn watch(&mut self) {
         let now = self.now;
-        if let Leadership::Leading { watch, watching, watch_at, .. } = &mut self.leadership {
-            if !*watching && now >= *watch_at {
-                *watching = true;
-                let after = *watch;
+        if let Leadership::Leading { watched_revision, watch_pending, watch_at, .. } = &mut self.leadership {
+            if !*watch_pending && now >= *watch_at {
+                *watch_pending = true;
+                let after = *watched_revision;
                 let call = Call::Watch { prefix: SERVICES.into(), after, wait: WATCH_TIMEOUT };
                 self.call(call, PendingCall::Watch);
             }
@@ -139,7 +139,7 @@
             },
             // Reading the key again shows whether the write succeeded.
             PendingCall::WriteLease => self.leadership = Leadership::Standby { read_lease_at: self.now },
-            PendingCall::RenewLease(sent) => self.renew_answer(sent, &answer),
+            PendingCall::RenewLease(sent_at) => self.renew_answer(sent_at, &answer),
             PendingCall::LoadServices => self.load_answer(answer),
             PendingCall::Watch => self.watch_answer(answer),
             _ => {}
@@ -169,18 +169,18 @@
         }
     }
 
-    fn grant(&mut self, over: Revision) {
-        self.replaced_revision = over;
+    fn grant(&mut self, replaced: Revision) {
+        self.replaced_revision = replaced;
         self.call(Call::Grant { ttl: self.config.ttl }, PendingCall::GrantLease);
     }
 
-    fn renew_answer(&mut self, sent: Millis, answer: &Answer) {
+    fn renew_answer(&mut self, sent_at: Millis, answer: &Answer) {
         let quarter = Millis(self.config.ttl.0 / 4);
         let mut lease_gone = false;
-        if let Leadership::Leading { renewing, renew_at, .. } = &mut self.leadership {
-            *renewing = false;
+        if let Leadership::Leading { renew_pending, renew_at, .. } = &mut self.leadership {
+            *renew_pending = false;
             match answer {
-                Answer::Renewed => *renew_at = sent + quarter,
+                Answer::Renewed => *renew_at = sent_at + quarter,
                 Answer::LeaseGone => lease_gone = true,
                 _ => *renew_at = self.now + Millis(RETRY_DELAY.0 / 2),
             }
@@ -192,19 +192,19 @@
 
     fn load_answer(&mut self, answer: Answer) {
         let now = self.now;
-        let Leadership::Loading { lease_revision, lease, after, listed_keys, revision, calling, retry } =
+        let Leadership::Loading { lease_revision, lease, after, listed_keys, listed_revision, list_pending, retry_at } =
             &mut self.leadership
         else {
             return;
         };
-        *calling = false;
-        let Answer::Page { items, more, revision: at } = answer else {
-            *retry = now + RETRY_DELAY;
+        *list_pending = false;
+        let Answer::Page { items, more, revision: page_revision } = answer else {
+            *retry_at = now + RETRY_DELAY;
             return;
         };
         // The watch starts at the revision of the first page, so that it returns
         // changes during the listing.
-        let from = *revision.get_or_insert(at);
+        let from = *listed_revision.get_or_insert(page_revision);
         *after = items.last().map(|item| item.key.clone());
         listed_keys.extend(items.iter().map(|item| item.key.clone()));
         let (lease_revision, lease) = (*lease_revision, *lease);
@@ -217,10 +217,10 @@
             self.leadership = Leadership::Leading {
                 lease_revision,
                 lease,
-                renewing: false,
+                renew_pending: false,
                 renew_at: now,
-                watch: from,
-                watching: false,
+                watched_revision: from,
+                watch_pending: false,
                 watch_at: now,
             };
             self.note(Note::BecameLeader(lease_revision));
@@ -229,13 +229,15 @@
 
     fn watch_answer(&mut self, answer: Answer) {
         let now = self.now;
-        let Leadership::Leading { lease_revision, lease, watch, watching, watch_at, .. } = &mut self.leadership else {
+        let Leadership::Leading { lease_revision, lease, watched_revision, watch_pending, watch_at, .. } =
+            &mut self.leadership
+        else {
             return;
         };
-        *watching = false;
+        *watch_pending = false;
         match answer {
             Answer::Changes { revision, changed } => {
-                *watch = revision.max(*watch);
+                *watched_revision = revision.max(*watched_revision);
                 *watch_at = now;
                 for (key, value, revision) in changed {
                     self.apply_value(&key, value, revision);
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -101,12 +101,12 @@
     /// True if the roll-out is not finished, or a member is retiring. A halted
     /// roll-out counts as unfinished.
     pub fn needs_work(&self) -> bool {
-        let over = self
+        let finished = self
             .record
             .rollout
             .as_ref()
             .is_none_or(|r| matches!(r.progress, RolloutProgress::Completed | RolloutProgress::Reverted));
-        !over || self.record.members.iter().any(|m| m.retiring)
+        !finished || self.record.members.iter().any(|m| m.retiring)
     }
 
     pub fn has(&self, job: &JobId) -> bool {
@@ -147,10 +147,10 @@
         let status_of = |member: &Member| {
             let mut status =
                 self.check(member).map(|check| self.health.member_status(now, member, check)).unwrap_or_default();
-            if let Some(work) = self.jobs.get(&member.job) {
-                status.withdrawn = work.withdrawn;
-                if work.fault.is_some() {
-                    status.fault.clone_from(&work.fault);
+            if let Some(progress) = self.jobs.get(&member.job) {
+                status.withdrawn = progress.withdrawn;
+                if progress.fault.is_some() {
+                    status.fault.clone_from(&progress.fault);
                     status.unavailable = member.replicas;
                 }
             }
@@ -165,14 +165,14 @@
             member.map_or_else(String::new, |m| self.record.version_name(m.version).to_string())
         };
         let replicas = self.health.replicas().map(|((job, index), replica)| {
-            let seen = replica.observed.as_ref();
+            let observed = replica.observed.as_ref();
             ReplicaStatus {
                 job: job.clone(),
                 index: *index,
                 version: version(job),
-                state: state_name(seen.map(|s| s.state)),
-                host: seen.map(|s| s.host.clone()).unwrap_or_default(),
-                zone: seen.map(|s| s.zone.clone()).unwrap_or_default(),
+                state: state_name(observed.map(|s| s.state)),
+                host: observed.map(|s| s.host.clone()).unwrap_or_default(),
+                zone: observed.map(|s| s.zone.clone()).unwrap_or_default(),
                 ready: replica.ready,
                 passes: replica.consecutive_passes,
                 failures: replica.step_failures,
