--- a/crates/rollout/benches/exposure.rs
+++ b/crates/rollout/benches/exposure.rs
@@ -57,8 +57,8 @@
     world.start(&file("v1", ""));
     assert!(world.run(HOUR_MS, |w| w
         .service(SERVICE_NAME)
-        .and_then(|s| s.rolling)
-        .is_some_and(|r| r.progress == RolloutProgress::New)));
+        .and_then(|s| s.rollout)
+        .is_some_and(|r| r.progress == RolloutProgress::Completed)));
     let fault_delay_ms = world.random(20_000);
     let fault = match seed % 3 {
         0 => RolloutStrategy::FailsAfter(fault_delay_ms),
@@ -120,8 +120,8 @@
         let mut world = World::new(7, 1);
         let all_done = |w: &World, number: u64| {
             (0..count).all(|n| {
-                let rolling = w.service(&format!("s{n}")).and_then(|s| s.rolling);
-                rolling.is_some_and(|r| r.number == number && r.progress == RolloutProgress::New)
+                let rolling = w.service(&format!("s{n}")).and_then(|s| s.rollout);
+                rolling.is_some_and(|r| r.number == number && r.progress == RolloutProgress::Completed)
             })
         };
         for number in 1..=2 {
--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -1,10 +1,10 @@
 //! Handles operators' requests on any controller. A command is one conditional
 //! write of the service's record; the driver learns of it by watching the record.
 
-use crate::driver::{service_key, Claim, DRIVER_KEY, SERVICES};
+use crate::driver::{service_key, LeaderLease, DRIVER_KEY, SERVICES};
 use crate::ports::{Answer, Call, Commit};
-use crate::record::{Command, Direction, RolloutProgress, Service};
-use crate::units::{CallId, RequestId, Stamp};
+use crate::record::{Command, Phase, RolloutProgress, Service};
+use crate::units::{CallId, RequestId, Revision};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -149,7 +149,7 @@
         if let Some(service) = &pending.service {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
-                if let Ok(claim) = serde_json::from_value::<Claim>(item.value) {
+                if let Ok(claim) = serde_json::from_value::<LeaderLease>(item.value) {
                     body["driver"] = json!({ "node": claim.node, "listen": claim.listen });
                 }
             }
@@ -180,10 +180,10 @@
         let OperatorRequest::Command(name, command) = &pending.request else { return None };
         let (service, stamp) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
-                Ok(service) => (service, item.stamp),
+                Ok(service) => (service, item.revision),
                 Err(error) => return Some(OperatorResponse::error(500, &format!("the record can't be read: {error}"))),
             },
-            Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Stamp(0)),
+            Answer::Missing if matches!(command, Command::Start(_)) => (Service::default(), Revision(0)),
             Answer::Missing => return Some(OperatorResponse::error(404, "no such service")),
             _ => return Some(state_service_unreachable()),
         };
@@ -193,7 +193,7 @@
         };
         let key = service_key(name);
         let value = serde_json::to_value(&new_record).unwrap_or_default();
-        let commit = Commit { when: vec![(key.clone(), stamp)], key, value, lease: None };
+        let commit = Commit { conditions: vec![(key.clone(), stamp)], key, value, lease: None };
         pending.new_record = Some(new_record);
         self.call(Call::Commit(commit), pending, output);
         None
@@ -234,17 +234,17 @@
 pub fn summary(name: &str, service: &Service) -> Value {
     let seconds = |ms: crate::units::Millis| ms.0 as f64 / 1000.0;
     let mut by_version: BTreeMap<&str, u32> = BTreeMap::new();
-    for member in service.staying() {
+    for member in service.active_members() {
         *by_version.entry(service.version_name(member.version)).or_default() += member.replicas;
     }
-    let rollout = service.rolling.as_ref().map(|r| {
+    let rollout = service.rollout.as_ref().map(|r| {
         let plan = r.plan();
         json!({
             "number": r.number,
             "to": service.version_name(r.to),
             "from": service.base.filter(|b| *b != r.to).map(|b| service.version_name(b)),
             "course": r.progress,
-            "way": match r.direction { Direction::Raising => "raising", Direction::Baking => "baking", Direction::Reverting => "reverting" },
+            "way": match r.phase { Phase::ScalingUp => "raising", Phase::Baking => "baking", Phase::Reverting => "reverting" },
             "step": r.step + 1,
             "steps": r.steps.len(),
             "target": plan.map(|p| p.target),
@@ -266,13 +266,13 @@
                 "step": m.step + 1, "zone": m.zone, "retiring": m.retiring})
         })
         .collect();
-    let state = service.rolling.as_ref().map_or("none", |r| match (r.progress, r.direction) {
-        (RolloutProgress::Going, Direction::Reverting) => "reverting",
-        (RolloutProgress::Going, _) => "rolling",
+    let state = service.rollout.as_ref().map_or("none", |r| match (r.progress, r.phase) {
+        (RolloutProgress::InProgress, Phase::Reverting) => "reverting",
+        (RolloutProgress::InProgress, _) => "rolling",
         (RolloutProgress::Paused, _) => "paused",
         (RolloutProgress::Halted, _) => "halted",
-        (RolloutProgress::New, _) => "done",
-        (RolloutProgress::Old, _) => "reverted",
+        (RolloutProgress::Completed, _) => "done",
+        (RolloutProgress::Reverted, _) => "reverted",
     });
     json!({"service": name, "state": state, "versions": by_version, "rollout": rollout, "members": members,
         "past": service.past})
--- a/crates/rollout/src/driver/tracked.rs
+++ b/crates/rollout/src/driver/tracked.rs
@@ -1,90 +1,94 @@
-//! A service as its driver knows it: the durable record, and what is seen.
+//! The driver's view of a service: its durable record and its observed state.
 
 use crate::file::Check;
 use crate::health::Health;
-use crate::ports::{Standing, Verdict};
-use crate::reconcile::{MemberStatus, Passed};
-use crate::record::{Direction, Member, RolloutProgress, Service};
-use crate::units::{JobId, Millis, Stamp};
+use crate::ports::{ReplicaState, Verdict};
+use crate::reconcile::{ElapsedTime, MemberStatus};
+use crate::record::{Member, Phase, RolloutProgress, Service};
+use crate::units::{JobId, Millis, Revision};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What was done about a member's job in this reign.
+/// Calls for a member's job since this node became the leader.
 #[derive(Debug, Default)]
-pub(super) struct JobWork {
-    /// The platform knows the job.
+pub(super) struct JobProgress {
+    /// The platform accepted the job.
     pub accepted: bool,
-    /// It will never run again.
+    /// The withdrawal is confirmed; the job will never run again.
     pub withdrawn: bool,
-    /// It must be made known before it can be withdrawn for good.
+    /// The platform does not know the job: it must be submitted before it can be
+    /// withdrawn, so that a delayed submission can't create it later.
     pub submit_first: bool,
+    /// A call for the job is pending.
     pub busy: bool,
+    /// Earliest time of the next call.
     pub next: Millis,
-    /// Why the platform will never run it.
+    /// Why the platform will never run the job.
     pub fault: Option<String>,
 }
 
 #[derive(Debug)]
-pub(super) struct Tracked {
-    pub stamp: Stamp,
+pub(super) struct TrackedService {
+    pub revision: Revision,
     pub record: Service,
     pub health: Health,
-    pub passed: Passed,
+    pub elapsed: ElapsedTime,
     pub last_tick: Millis,
-    /// A write or a read of the record is under way.
+    /// A read or write of the record is pending.
     pub busy: bool,
-    /// It must be read again before anything is written.
+    /// The record must be read again before the next write.
     pub reread: bool,
     pub next_write: Millis,
-    pub jobs: BTreeMap<JobId, JobWork>,
-    /// Its last check took nearly all of its time.
+    pub jobs: BTreeMap<JobId, JobProgress>,
+    /// The last check failed after most of its time-out.
     pub slow: bool,
 }
 
-/// A replica as it is seen now.
+/// Observed state of a replica.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ReplicaStatus {
     /// The job that the replica belongs to.
     pub job: JobId,
-    /// The replica's number within its job.
+    /// Index of the replica within its job.
     pub index: u32,
-    /// Name of the version that it runs.
+    /// Name of the version that the replica runs.
     pub version: String,
-    /// Its life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
-    pub standing: &'static str,
-    /// Address of its machine without a port; empty if unknown.
+    /// Life-cycle state: `waiting`, `starting`, `running`, `leaving`, `ended` or `unknown`.
+    #[serde(rename = "standing")]
+    pub state: &'static str,
+    /// Address of the machine without a port; empty if unknown.
     pub host: String,
-    /// Zone of its machine; empty if unknown.
+    /// Zone of the machine; empty if unknown.
     pub zone: String,
-    /// Whether it passed enough checks in a row to be ready.
+    /// True if the replica passed enough checks in a row to be ready.
     pub ready: bool,
     /// Checks passed in a row by this attempt.
     pub passes: u32,
-    /// Failures counted in this step.
+    /// Failures of the replica in this step.
     pub failures: u32,
-    /// The last verdict, and how long ago it came in seconds.
+    /// Text of the last verdict and its age in seconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub last: Option<(String, f64)>,
 }
 
-/// What the driver sees of a service beyond its record.
+/// Observed state of a service, which is not in its record.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServiceStatus {
     /// Time spent in the step, in seconds.
     pub spent_s: f64,
     /// Time for which the step's replicas have been healthy, in seconds.
     pub baked_s: f64,
-    /// The service's known replicas.
+    /// Known replicas, ordered by job and index.
     pub replicas: Vec<ReplicaStatus>,
 }
 
-impl Tracked {
-    pub fn new(now: Millis) -> Tracked {
-        Tracked {
-            stamp: Stamp(0),
+impl TrackedService {
+    pub fn new(now: Millis) -> TrackedService {
+        TrackedService {
+            revision: Revision(0),
             record: Service::default(),
             health: Health::default(),
-            passed: Passed::default(),
+            elapsed: ElapsedTime::default(),
             last_tick: now,
             busy: false,
             reread: false,
@@ -94,41 +98,43 @@
         }
     }
 
-    /// True if there may be anything to do about it.
-    pub fn works(&self) -> bool {
-        let over = self
+    /// True if the roll-out is not finished, or a member is retiring. A halted
+    /// roll-out counts as unfinished.
+    pub fn needs_work(&self) -> bool {
+        let finished = self
             .record
-            .rolling
+            .rollout
             .as_ref()
-            .is_none_or(|r| matches!(r.progress, RolloutProgress::New | RolloutProgress::Old));
-        !over || self.record.members.iter().any(|m| m.retiring)
+            .is_none_or(|r| matches!(r.progress, RolloutProgress::Completed | RolloutProgress::Reverted));
+        !finished || self.record.members.iter().any(|m| m.retiring)
     }
 
     pub fn has(&self, job: &JobId) -> bool {
         self.record.members.iter().any(|m| m.job == *job)
     }
 
-    /// Takes a durable record. Time seen but not durable yet is kept as long as
-    /// the same step goes on.
-    pub fn take(&mut self, record: Service, stamp: Stamp) {
-        let key = |s: &Service| s.rolling.as_ref().map(|r| (r.number, r.step, r.direction == Direction::Reverting));
-        let direction = |s: &Service| s.rolling.as_ref().map(|r| r.direction);
+    /// Replaces the record. Elapsed time that is not in the new record yet is kept
+    /// while the step stays the same.
+    pub fn apply_record(&mut self, record: Service, revision: Revision) {
+        let key = |s: &Service| s.rollout.as_ref().map(|r| (r.number, r.step, r.phase == Phase::Reverting));
+        let phase = |s: &Service| s.rollout.as_ref().map(|r| r.phase);
         let same_step = key(&self.record) == key(&record);
-        let halted = |s: &Service| s.rolling.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
-        let again = halted(&self.record) && !halted(&record);
-        let durable = record.rolling.as_ref().map_or(Passed::default(), |r| Passed { spent: r.spent, baked: r.baked });
-        if !same_step || again {
-            self.health.begin_step();
-            self.passed = durable;
+        let halted = |s: &Service| s.rollout.as_ref().is_some_and(|r| r.progress == RolloutProgress::Halted);
+        let resumed = halted(&self.record) && !halted(&record);
+        let durable =
+            record.rollout.as_ref().map_or(ElapsedTime::default(), |r| ElapsedTime { spent: r.spent, baked: r.baked });
+        if !same_step || resumed {
+            self.health.reset_step();
+            self.elapsed = durable;
         } else {
-            self.passed.spent = self.passed.spent.max(durable.spent);
-            let went_on = direction(&self.record) == direction(&record);
-            self.passed.baked = if went_on { self.passed.baked.max(durable.baked) } else { durable.baked };
+            self.elapsed.spent = self.elapsed.spent.max(durable.spent);
+            let same_phase = phase(&self.record) == phase(&record);
+            self.elapsed.baked = if same_phase { self.elapsed.baked.max(durable.baked) } else { durable.baked };
         }
-        self.stamp = stamp;
+        self.revision = revision;
         self.record = record;
         let members = &self.record.members;
-        self.health.keep(|job| members.iter().any(|m| m.job == *job));
+        self.health.retain(|job| members.iter().any(|m| m.job == *job));
         self.jobs.retain(|job, _| members.iter().any(|m| m.job == *job));
     }
 
@@ -136,20 +142,21 @@
         self.record.versions.get(&member.version).map(|v| &v.check)
     }
 
-    /// What is seen of each member.
+    /// Returns the observed status of each member.
     pub fn member_statuses(&self, now: Millis) -> BTreeMap<JobId, MemberStatus> {
-        let of = |member: &Member| {
-            let mut seen = self.check(member).map(|check| self.health.member(now, member, check)).unwrap_or_default();
-            if let Some(work) = self.jobs.get(&member.job) {
-                seen.withdrawn = work.withdrawn;
-                if work.fault.is_some() {
-                    seen.fault.clone_from(&work.fault);
-                    seen.lost = member.replicas;
+        let status_of = |member: &Member| {
+            let mut status =
+                self.check(member).map(|check| self.health.member_status(now, member, check)).unwrap_or_default();
+            if let Some(progress) = self.jobs.get(&member.job) {
+                status.withdrawn = progress.withdrawn;
+                if progress.fault.is_some() {
+                    status.fault.clone_from(&progress.fault);
+                    status.unavailable = member.replicas;
                 }
             }
-            (member.job.clone(), seen)
+            (member.job.clone(), status)
         };
-        self.record.members.iter().map(of).collect()
+        self.record.members.iter().map(status_of).collect()
     }
 
     pub fn service_status(&self, now: Millis) -> ServiceStatus {
@@ -158,18 +165,18 @@
             member.map_or_else(String::new, |m| self.record.version_name(m.version).to_string())
         };
         let replicas = self.health.replicas().map(|((job, index), replica)| {
-            let seen = replica.seen.as_ref();
+            let observed = replica.observed.as_ref();
             ReplicaStatus {
                 job: job.clone(),
                 index: *index,
                 version: version(job),
-                standing: standing_word(seen.map(|s| s.standing)),
-                host: seen.map(|s| s.host.clone()).unwrap_or_default(),
-                zone: seen.map(|s| s.zone.clone()).unwrap_or_default(),
+                state: state_name(observed.map(|s| s.state)),
+                host: observed.map(|s| s.host.clone()).unwrap_or_default(),
+                zone: observed.map(|s| s.zone.clone()).unwrap_or_default(),
                 ready: replica.ready,
-                passes: replica.passes,
-                failures: replica.failures,
-                last: replica.last.as_ref().map(|(at, verdict)| {
+                passes: replica.consecutive_passes,
+                failures: replica.step_failures,
+                last: replica.last_verdict.as_ref().map(|(at, verdict)| {
                     let text = match verdict {
                         Verdict::Pass => "passed".to_string(),
                         Verdict::Fail(why) => format!("failed: {why}"),
@@ -180,20 +187,20 @@
             }
         });
         ServiceStatus {
-            spent_s: self.passed.spent.0 as f64 / 1000.0,
-            baked_s: self.passed.baked.0 as f64 / 1000.0,
+            spent_s: self.elapsed.spent.0 as f64 / 1000.0,
+            baked_s: self.elapsed.baked.0 as f64 / 1000.0,
             replicas: replicas.collect(),
         }
     }
 }
 
-fn standing_word(standing: Option<Standing>) -> &'static str {
-    match standing {
+fn state_name(state: Option<ReplicaState>) -> &'static str {
+    match state {
         None => "unknown",
-        Some(Standing::Waiting) => "waiting",
-        Some(Standing::Placed) => "starting",
-        Some(Standing::Running) => "running",
-        Some(Standing::Leaving) => "leaving",
-        Some(Standing::Ended) => "ended",
+        Some(ReplicaState::Pending) => "waiting",
+        Some(ReplicaState::Starting) => "starting",
+        Some(ReplicaState::Running) => "running",
+        Some(ReplicaState::Terminating) => "leaving",
+        Some(ReplicaState::Ended) => "ended",
     }
 }
--- a/crates/rollout/src/metrics.rs
+++ b/crates/rollout/src/metrics.rs
@@ -62,18 +62,18 @@
     /// Updates the counters for a note of the driver.
     pub fn record_note(&self, note: &Note) {
         match note {
-            Note::Drives(_) => drop(self.driving.set(1)),
+            Note::BecameLeader(_) => drop(self.driving.set(1)),
             Note::SteppedDown => drop(self.driving.set(0)),
             Note::Unreadable { .. } => {}
             Note::Changed { event, .. } => {
                 self.changes.inc();
                 match event {
-                    Event::Passed(_) => drop(self.steps.get_or_create(&ResultLabel { result: "passed" }).inc()),
-                    Event::Failed { .. } => drop(self.steps.get_or_create(&ResultLabel { result: "failed" }).inc()),
+                    Event::StepPassed(_) => drop(self.steps.get_or_create(&ResultLabel { result: "passed" }).inc()),
+                    Event::StepFailed { .. } => drop(self.steps.get_or_create(&ResultLabel { result: "failed" }).inc()),
                     Event::Ended(progress) => {
                         let result = match progress {
-                            RolloutProgress::New => "new",
-                            RolloutProgress::Old => "reverted",
+                            RolloutProgress::Completed => "new",
+                            RolloutProgress::Reverted => "reverted",
                             _ => "halted",
                         };
                         self.ends.get_or_create(&ResultLabel { result }).inc();
--- a/crates/rollout/src/runtime.rs
+++ b/crates/rollout/src/runtime.rs
@@ -249,7 +249,7 @@
 /// Logs one line per change. The ids of its spans are the same on every controller that drives the roll-out.
 fn log(note: &Note) {
     match note {
-        Note::Drives(claim) => tracing::info!(%claim, "became leader of roll-outs"),
+        Note::BecameLeader(claim) => tracing::info!(%claim, "became leader of roll-outs"),
         Note::SteppedDown => tracing::info!("lost leadership of roll-outs"),
         Note::Unreadable { service, why } => tracing::error!(%service, error = %why, "failed to read service record"),
         Note::Changed { service, number, step, event } => {
--- a/src/transport/rollouts.rs
+++ b/src/transport/rollouts.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::sync_channel;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tillercleat_rollout::ports::{Answer, Call, ReplicaSeen};
+use tillercleat_rollout::ports::{Answer, Call, ObservedReplica};
 use tillercleat_rollout::runtime::ControllerApi;
 use tillercleat_rollout::units::JobId as RolloutJobId;
 
@@ -82,7 +82,7 @@
     }
 
     /// Returns the replicas of these jobs in all shards. The peers and the core are queried concurrently.
-    fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ReplicaSeen> {
+    fn replicas(&self, jobs: &[RolloutJobId]) -> Vec<ObservedReplica> {
         let (reply_sender, reply) = sync_channel(1);
         let reply_to = Box::new(move |replicas: Vec<Replica>| drop(reply_sender.try_send(replicas)));
         let own_jobs = jobs.iter().map(|job| JobId::new(&job.0)).collect();
@@ -99,8 +99,8 @@
 impl ControllerApi for LocalController {
     fn call(&self, call: &Call) -> Answer {
         match call {
-            Call::Submit { job, order } => {
-                submission_answer(self.request_core(ClientRequest::Submit(Box::new(job_spec(job, order)))))
+            Call::Submit { job, submission } => {
+                submission_answer(self.request_core(ClientRequest::Submit(Box::new(job_spec(job, submission)))))
             }
             Call::Withdraw { job } => cancellation_answer(self.request_core(ClientRequest::Cancel(JobId::new(&job.0)))),
             Call::Replicas { jobs } => Answer::Replicas(self.replicas(jobs)),
