--- a/tests/door.rs
+++ b/tests/door.rs
@@ -169,8 +169,8 @@
         node.watch_open = false;
         node.store.revision += 2;
         let revision = node.store.revision;
-        node.store.insert_unseen("t/j/wk-000007", record.clone(), revision - 1);
-        node.store.insert_unseen("f/wk-000008", archive_ended_jobs.clone(), revision);
+        node.store.insert_without_event("t/j/wk-000007", record.clone(), revision - 1);
+        node.store.insert_without_event("f/wk-000008", archive_ended_jobs.clone(), revision);
         node
     };
     let bodies =
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: its catalog, the list of machines that is a little behind, rentals and returns.
+//! The cloud: its catalog, its list of machines, which lags behind, and renting and returning machines.
 
 use super::SimulatedCluster;
 use std::collections::BTreeMap;
@@ -6,26 +6,26 @@
 use tillercleat::protocol::cloud::{Catalog, ListedMachine, ListedMachineState, MachineIds, MachinePage, RentRequest};
 use tillercleat::units::MachineId;
 
-/// How long a machine is rented before the list shows it (milliseconds).
+/// Time from renting a machine until the list includes it (milliseconds).
 const LIST_LAG_MS: u64 = 2000;
-/// How long a machine takes to come up at least, and what it may take longer (milliseconds).
+/// Minimum boot time of a machine and its random excess (milliseconds).
 const MIN_BOOT_MS: u64 = 2000;
 const BOOT_SPREAD_MS: u64 = 6000;
-/// When machines come up that never do.
-const NEVER: u64 = u64::MAX / 2;
+/// Boot time of machines that never come up (milliseconds): later than the end of any run.
+const NEVER_MS: u64 = u64::MAX / 2;
 
-/// Machines rented before then come up late, or never.
+/// A fault that makes machines rented before `until` come up late, or never.
 #[derive(Debug, Clone, Copy)]
 struct SlowProvisioning {
     until: u64,
     factor: u64,
-    /// 0: all of them come up.
+    /// Every nth of these machines never comes up; 0 if all of them come up.
     every_nth_never: usize,
 }
 
-/// What the cloud remembers.
+/// State of the cloud apart from the machines, which are in the workers.
 pub(super) struct Cloud {
-    /// The machines of each rental, by the request's name: a repeated request gets the same.
+    /// Machines of each rental by request id, so that a repeated request gets the same machines.
     rentals: BTreeMap<String, Vec<MachineId>>,
     slow: SlowProvisioning,
 }
@@ -37,17 +37,17 @@
 }
 
 impl Cloud {
-    pub(super) fn slow_down(&mut self, until: u64, factor: u64, every_nth_never: usize) {
+    pub(super) fn slow_provisioning(&mut self, until: u64, factor: u64, every_nth_never: usize) {
         self.slow = SlowProvisioning { until, factor, every_nth_never };
     }
 
-    /// When the machine of this number is up that is rented now and takes `boot_ms` as a rule.
+    /// Returns when a machine that is rented now comes up, given its usual boot time.
     fn up_at(&self, now: u64, index: usize, boot_ms: u64) -> u64 {
         let SlowProvisioning { until, factor, every_nth_never } = self.slow;
         if now >= until {
             now + boot_ms
         } else if every_nth_never > 0 && index % every_nth_never == 0 {
-            NEVER
+            NEVER_MS
         } else {
             now + boot_ms * factor
         }
@@ -62,7 +62,7 @@
             CloudCall::Rent(request) => self.rent_machines(request),
             CloudCall::Return(names) => {
                 let returned = self.workers.iter_mut().filter(|worker| names.contains(&worker.name));
-                returned.for_each(|worker| worker.die());
+                returned.for_each(|worker| worker.terminate());
                 CloudResponse::Returned
             }
         }
@@ -72,7 +72,7 @@
         let listed = |worker: &&super::workers::Worker| worker.alive && self.now >= worker.rented_at + LIST_LAG_MS;
         let machines = self.workers.iter().filter(listed).map(|worker| ListedMachine {
             machine: worker.name.clone(),
-            machine_type: worker.kind.clone(),
+            machine_type: worker.machine_type.clone(),
             zone: self.config.zones[worker.zone].clone(),
             spot: worker.spot,
             state: if self.now >= worker.up_at { ListedMachineState::Running } else { ListedMachineState::Booting },
--- a/tests/simulator/configuration.rs
+++ b/tests/simulator/configuration.rs
@@ -1,42 +1,41 @@
-//! How large a simulated cluster is, what its store and cloud allow, and the settings that its
-//! controllers are given.
+//! Size of a simulated cluster, limits of its store and cloud, and the settings of its controllers.
 
 use super::SimulatedStore;
 use serde_json::{json, Value};
 use tillercleat::protocol::cloud::MachineType;
 use tillercleat::settings::Settings;
 
-/// The most that a value of the store may take (KiB).
+/// Maximum size of a value in the store (KiB).
 const MAX_VALUE_KB: usize = 8;
-/// The most changes of a transaction.
+/// Maximum number of changes in a transaction.
 const MAX_CHANGES: usize = 12;
 
-/// A cluster and its limits.
+/// Size and limits of a cluster. Times are in milliseconds.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Controllers.
+    /// Number of controllers.
     pub nodes: usize,
     pub zones: Vec<String>,
-    /// Machines that the cloud has in all.
+    /// Maximum number of machines that the cloud rents out at the same time.
     pub machines: usize,
-    /// How many of them run from the start.
+    /// Number of machines that run from the start.
     pub running: usize,
     pub machine_types: Vec<MachineType>,
     pub heartbeat_ms: u64,
-    /// Of workers.
+    /// Lease duration of workers.
     pub lease_ms: u64,
-    /// How long a cancelled task may still run.
+    /// Time limit for stopping the tasks of a cancelled job.
     pub cancel_ms: u64,
-    /// Requests and changes a second that the store takes; it refuses the rest if
-    /// `enforce_limits`.
+    /// Requests and changes per second that the store accepts. It refuses the excess only if
+    /// `enforce_limits` is set.
     pub requests_per_s: f64,
     pub writes_per_s: f64,
     pub enforce_limits: bool,
-    /// Items of one page of a list.
+    /// Items on one page of a list of the store.
     pub page_size: usize,
-    /// As in the settings.
+    /// Teams in the form of the settings file.
     pub teams: Value,
-    /// Limits of the store to come, as the settings name them.
+    /// Announced future limits of the store, in the form of the settings file; null if none.
     pub announced_limits: Value,
 }
 
@@ -56,7 +55,7 @@
 }
 
 impl ClusterConfig {
-    /// Three controllers, two zones and a dozen machines.
+    /// Three controllers, two zones and 14 machines, none of them running at the start.
     pub fn small() -> ClusterConfig {
         let zones = vec!["a".to_string(), "b".to_string()];
         ClusterConfig {
@@ -77,7 +76,7 @@
         }
     }
 
-    /// As many machines as asked for, of three sizes, half of them running from the start.
+    /// A fleet of `machines` machines of three types, half of them running from the start.
     pub fn fleet(nodes: usize, zones: usize, machines: usize) -> ClusterConfig {
         let zones: Vec<String> = (0..zones).map(|n| format!("z{n}")).collect();
         ClusterConfig {
@@ -102,7 +101,7 @@
         }
     }
 
-    /// The store with its limits.
+    /// Creates the store with its limits.
     pub(super) fn store(&self) -> SimulatedStore {
         let mut store = SimulatedStore::with_sizes(self.page_size, MAX_VALUE_KB * 1024, MAX_CHANGES);
         if self.enforce_limits {
@@ -112,7 +111,7 @@
     }
 }
 
-/// The settings of one node; `lease_s` is what it is told of workers' leases.
+/// Returns the settings of one node, with `lease_s` as the worker lease.
 pub fn settings(config: &ClusterConfig, node: usize, lease_s: f64) -> Settings {
     let address = |number: usize| format!("127.0.0.1:{}", 1000 + number);
     let zone = |node: usize| config.zones[node % config.zones.len()].clone();
--- a/tests/simulator/controllers.rs
+++ b/tests/simulator/controllers.rs
@@ -1,5 +1,5 @@
-//! The controllers under test: their processes, the inputs they are fed and the way of what they
-//! send. The cores are the real ones; only their surroundings are simulated.
+//! The controllers under test: starts their processes, feeds them inputs and routes their outputs.
+//! The cores are the production code; only their environment is simulated.
 
 use super::events::{ProcessId, ScheduledEvent};
 use super::statistics::input_kind;
@@ -11,36 +11,36 @@
 use tillercleat::settings::Tuning;
 use tillercleat::units::{CallId, MonotonicTime, Revision};
 
-/// Pause between two ticks of a controller's clock (milliseconds).
+/// Interval between two ticks of a controller (milliseconds).
 const TICK_MS: u64 = 50;
-/// How long a call to the cloud is on its way, and its answer (milliseconds).
+/// Latency of a call to the cloud and of its answer (milliseconds).
 const CLOUD_CALL_MS: u64 = 80;
 const CLOUD_ANSWER_MS: u64 = 50;
 
-/// How much the nodes' steady clocks run ahead in 100,000 ms: they drift apart a little.
-const CLOCK_DRIFT: [u64; 3] = [0, 40, 25];
-/// How far the nodes' times of day are apart (milliseconds).
-const TIME_OF_DAY_OFFSET_MS: u64 = 500;
+/// Drift of the nodes' monotonic clocks (milliseconds gained per 100,000 ms).
+const CLOCK_DRIFT_MS_PER_100_S: [u64; 3] = [0, 40, 25];
+/// Difference between the wall clocks of adjacent nodes (milliseconds).
+const WALL_CLOCK_OFFSET_MS: u64 = 500;
 
-/// Fields of records that the previous version doesn't know, and so doesn't write.
-const FIELDS_OF_THIS_VERSION: [&str; 3] = ["level", "awaits", "ready"];
+/// Fields of stored records that the previous version does not know and therefore does not write.
+const FIELDS_ADDED_IN_THIS_VERSION: [&str; 3] = ["level", "awaits", "ready"];
 
-/// A controller and the faults that it meets. Times are in milliseconds.
+/// A controller and the faults that affect it. Times are in milliseconds.
 #[derive(Default)]
 pub(super) struct Controller {
     /// None while its process is not running.
     pub(super) core: Option<Core>,
-    /// Rises at each start and at each crash.
+    /// Incremented at each start and at each crash.
     pub(super) incarnation: u32,
     started_at: u64,
     pub(super) paused_until: u64,
-    /// Until then its answers to workers are lost.
+    /// Its answers to workers are lost until this time.
     pub(super) answers_lost_until: u64,
-    /// Until then it reaches no other controller.
+    /// It exchanges no messages with other controllers until this time.
     pub(super) isolated_until: u64,
-    /// Until then no user reaches it.
+    /// Users cannot reach it until this time.
     pub(super) users_cut_until: u64,
-    /// Writes what the previous version would write.
+    /// Whether it writes records as the previous version does.
     pub(super) previous_version: bool,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// Removes what the previous version would not have written.
+/// Removes the fields that the previous version does not write.
 fn strip_to_previous_version(call: &mut StoreRequest) {
     let StoreRequest::Transaction(transaction) = call else { return };
     for change in &mut transaction.changes {
         if let Change::Put { value: serde_json::Value::Object(value), .. } = change {
-            for field in FIELDS_OF_THIS_VERSION {
+            for field in FIELDS_ADDED_IN_THIS_VERSION {
                 value.remove(field);
             }
         }
@@ -63,24 +63,24 @@
 }
 
 impl SimulatedCluster {
-    /// A controller writes as the previous version did, from its start.
+    /// Makes a controller write records as the previous version does.
     pub fn run_previous_version(&mut self, node: usize) {
         self.controllers[node].previous_version = true;
     }
 
-    /// Gives the settings limits to come, which controllers know from their next start on.
+    /// Adds announced future store limits to the settings. Controllers read them at their next start.
     pub fn announce_limits(&mut self, limits: serde_json::Value) {
         for settings in &mut self.settings {
             settings.cluster.state.next = serde_json::from_value(limits.clone()).expect("limits of the settings' form");
         }
     }
 
-    /// The process that a node runs now.
+    /// Returns the id of a node's current process.
     pub(super) fn process(&self, node: usize) -> ProcessId {
         ProcessId { node, incarnation: self.controllers[node].incarnation }
     }
 
-    /// Any node, whether it runs or not.
+    /// Returns a random node, whether it runs or not.
     pub(super) fn random_node(&mut self) -> usize {
         self.random.below(self.config.nodes as u64) as usize
     }
@@ -108,23 +108,23 @@
         }
     }
 
-    /// Feeds a controller's core one input, and sends what it answers.
+    /// Passes one input to a controller's core and sends the outputs.
     pub(super) fn handle_input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let controller = &mut self.controllers[node];
         let Some(core) = controller.core.as_mut() else { return };
-        let drift = CLOCK_DRIFT[node % CLOCK_DRIFT.len()];
-        let steady = MonotonicTime((now - controller.started_at) * (100_000 + drift) / 100_000 + 1);
-        let time_of_day = now + TIME_OF_DAY_OFFSET_MS * (node % 3) as u64;
+        let drift = CLOCK_DRIFT_MS_PER_100_S[node % CLOCK_DRIFT_MS_PER_100_S.len()];
+        let monotonic = MonotonicTime((now - controller.started_at) * (100_000 + drift) / 100_000 + 1);
+        let wall_clock = now + WALL_CLOCK_OFFSET_MS * (node % 3) as u64;
         let kind = input_kind(&input);
         let began = Instant::now();
-        let outputs = core.handle(steady, time_of_day, input);
+        let outputs = core.handle(monotonic, wall_clock, input);
         self.statistics.add_cost(kind, began.elapsed());
         self.trace.add(now, node, &outputs);
         let process = self.process(node);
         for output in outputs {
             if self.crash_if_planned(node, &output) {
-                // What it was about to send after this is never sent.
+                // The outputs after this one are lost with the process.
                 return;
             }
             self.send_output(process, output);
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Carries a call to the cloud out, and sends the answer.
+    /// Executes a call to the cloud and sends the answer.
     pub(super) fn answer_cloud_call(&mut self, caller: ProcessId, id: CallId, call: CloudCall) {
         let input = Input::Cloud(id, self.call_cloud(call));
         self.schedule(self.now + CLOUD_ANSWER_MS, ScheduledEvent::DeliverInput { to: caller, input });
     }
 }
 
-/// The status that tells peers of a new revision and nothing else.
+/// Builds a peer status that carries only a new store revision.
 fn revision_hint(node: usize, revision: Revision) -> PeerStatus {
     PeerStatus { from: format!("n{node}"), revision: revision.0, state_reachable: true, ..PeerStatus::default() }
 }
--- a/tests/simulator/crash_points.rs
+++ b/tests/simulator/crash_points.rs
@@ -1,5 +1,5 @@
-//! Crashes of controllers in the middle of what they do: the points at which a test may let one
-//! end, told from outside by what it sends.
+//! Crashes of controllers in the middle of an operation: the points at which a test can crash one,
+//! recognized by the calls that it sends.
 
 use super::events::{ProcessId, ScheduledEvent};
 use super::store_calls::StoreCall;
@@ -8,28 +8,28 @@
 use tillercleat::coordination::{CloudCall, Output};
 use tillercleat::protocol::state::{Change, StoreRequest, Transaction};
 
-/// What a controller is in the middle of.
+/// An operation during which a controller can be crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashPoint {
     /// Reading all records at its start.
     ReadRecords,
-    /// Getting a lease of its own.
+    /// Requesting a lease for the node itself.
     GrantLease,
-    /// Writing the key that shows it to the others.
+    /// Writing the node's membership key.
     AnnounceNode,
-    /// Taking a shard for itself.
+    /// Recording the node itself as owner of a shard.
     ClaimShard,
-    /// Giving a shard to another node.
+    /// Recording another node as owner of a shard.
     HandOverShard,
     BecomeLeader,
     TransferQuota,
-    /// Writing a rental's name, before the call.
+    /// Recording a rental before the call to the cloud.
     RecordRental,
-    /// The call to the cloud.
+    /// Calling the cloud to rent machines.
     RentMachines,
-    /// Writing the key that lets it renew leases for an owner.
+    /// Writing the key that allows the node to renew worker leases for a shard's owner.
     ProxyLease,
-    /// Writing records of tasks.
+    /// Writing slices, which are records of tasks.
     WriteSlices,
 }
 
@@ -48,7 +48,7 @@
         CrashPoint::WriteSlices,
     ];
 
-    /// The point that a node reaches by sending this, if it is any of these.
+    /// Returns the crash point that a node reaches by sending this output, if there is one.
     fn of(node: &str, output: &Output) -> Option<CrashPoint> {
         match output {
             Output::Store(_, StoreRequest::List { .. }) => Some(CrashPoint::ReadRecords),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The point of the first change that has one.
+    /// Returns the crash point of the first change that has one.
     fn of_transaction(node: &str, transaction: &Transaction) -> Option<CrashPoint> {
         transaction.changes.iter().find_map(|change| {
             let Change::Put { key, value, .. } = change else { return None };
@@ -78,18 +78,18 @@
     }
 }
 
-/// A crash that happens once the node reaches the point.
+/// A crash that happens when the node reaches the crash point. Times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedCrash {
     pub(super) node: usize,
     pub(super) point: CrashPoint,
     pub(super) restart_after: u64,
-    /// How much later what it just sent is carried out, if ever (milliseconds).
+    /// Delay after which the call that it just sent is executed; never if None.
     pub(super) late: Option<u64>,
 }
 
 impl SimulatedCluster {
-    /// Ends a node that is to crash when it sends this; true if it did.
+    /// Crashes a node if a crash is planned for this output; returns whether it crashed.
     pub(super) fn crash_if_planned(&mut self, node: usize, output: &Output) -> bool {
         if self.planned_crashes.is_empty() {
             return false;
@@ -100,15 +100,15 @@
         let PlannedCrash { restart_after, late, .. } = self.planned_crashes.swap_remove(at);
         *self.statistics.reached_crash_points.entry(point).or_default() += 1;
         if let Some(late) = late {
-            self.carry_out_later(node, output, late);
+            self.execute_later(node, output, late);
         }
         self.apply_fault(Fault::Crash { node, restart_after });
         true
     }
 
-    /// A call whose caller is about to end is carried out, and its answer goes to nobody.
-    fn carry_out_later(&mut self, node: usize, output: &Output, late: u64) {
-        let caller = ProcessId::gone(node);
+    /// Schedules a call of a crashing node to be executed later, with its answer discarded.
+    fn execute_later(&mut self, node: usize, output: &Output, late: u64) {
+        let caller = ProcessId::detached(node);
         let event = match output {
             Output::Store(id, call) => {
                 ScheduledEvent::StoreCall(StoreCall { caller, id: *id, call: call.clone(), watch_until: 0 })
--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -1,5 +1,5 @@
-//! The events of a run in virtual time. The cluster schedules them and handles them one after
-//! the other; of events at the same time, the one that was scheduled first comes first.
+//! The events of a run in virtual time. The cluster handles them in order of time; events at the
+//! same time are handled in the order in which they were scheduled.
 
 use super::probes::ProbeSubmission;
 use super::store_calls::StoreCall;
@@ -12,10 +12,11 @@
 use tillercleat::protocol::workers::Heartbeat;
 use tillercleat::units::{CallId, JobId};
 
-/// The incarnation of no process: what is sent to it is dropped.
-const NO_INCARNATION: u32 = u32::MAX;
+/// Incarnation that no process has: messages to it are dropped.
+const DETACHED_INCARNATION: u32 = u32::MAX;
 
-/// One process of a controller: the node, and how often it was started or ended before.
+/// One process of a controller: its node and the node's incarnation, which is incremented at each
+/// start and crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessId {
     pub(super) node: usize,
@@ -23,19 +24,19 @@
 }
 
 impl ProcessId {
-    /// A caller that no longer waits for its answer.
-    pub(super) fn gone(node: usize) -> ProcessId {
-        ProcessId { node, incarnation: NO_INCARNATION }
+    /// Returns the id of a caller that no longer waits for an answer.
+    pub(super) fn detached(node: usize) -> ProcessId {
+        ProcessId { node, incarnation: DETACHED_INCARNATION }
     }
 
-    pub(super) fn is_gone(self) -> bool {
-        self.incarnation == NO_INCARNATION
+    pub(super) fn is_detached(self) -> bool {
+        self.incarnation == DETACHED_INCARNATION
     }
 }
 
-/// What is to happen at some time.
+/// An event of the simulation. Times are in milliseconds.
 pub(super) enum ScheduledEvent {
-    /// A controller's clock ticks.
+    /// A controller handles its periodic tick.
     Tick(ProcessId),
     DeliverInput {
         to: ProcessId,
@@ -51,7 +52,7 @@
     HeartbeatDue {
         worker: usize,
     },
-    /// The heartbeat of this number got no answer: the worker tries the next node.
+    /// The heartbeat with this number got no answer; the worker tries the next node.
     HeartbeatFailed {
         worker: usize,
         number: u64,
@@ -61,7 +62,7 @@
         worker: usize,
         heartbeat: Heartbeat,
     },
-    /// A delayed or duplicated heartbeat reaches any node.
+    /// A delayed or duplicated heartbeat arrives at a random node.
     DeliverStrayHeartbeat {
         worker: usize,
         heartbeat: Heartbeat,
@@ -79,16 +80,16 @@
         job: JobId,
         retries: u32,
     },
-    /// A question that its user repeats until it is answered.
+    /// A query that is repeated for as long as its user polls the job.
     Poll {
         job: JobId,
     },
-    /// A question that nobody repeats.
+    /// A query that is never repeated.
     QueryOnce {
         job: JobId,
     },
     SendProbe(ProbeSubmission),
-    /// The next of the probe requests, which go on until then.
+    /// The next probe request is due; probes continue until the time `until`.
     NextProbe {
         until: u64,
         number: u64,
@@ -100,7 +101,7 @@
 }
 
 impl ScheduledEvent {
-    /// The node that receives it, if it is one that waits while the node is paused.
+    /// Returns the receiving node if the event is postponed while that node is paused.
     pub(super) fn receiver(&self) -> Option<usize> {
         match self {
             ScheduledEvent::Tick(to)
@@ -111,11 +112,11 @@
     }
 }
 
-/// Events by time.
+/// Pending events, ordered by time and then by order of scheduling.
 #[derive(Default)]
 pub(super) struct EventQueue {
     last_number: u64,
-    /// Times (milliseconds) and numbers of the events.
+    /// Time (milliseconds) and sequence number of each event.
     order: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, ScheduledEvent>,
 }
@@ -127,7 +128,7 @@
         self.events.insert(self.last_number, event);
     }
 
-    /// The next event, with its time, unless that is later than `until`.
+    /// Removes and returns the next event and its time, or None if it is later than `until`.
     pub(super) fn next(&mut self, until: u64) -> Option<(u64, ScheduledEvent)> {
         let Reverse((at, number)) = self.order.peek().copied().filter(|next| next.0 .0 <= until)?;
         self.order.pop();
--- a/tests/simulator/fault_effects.rs
+++ b/tests/simulator/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What a fault does to the simulated cluster at the moment when it strikes.
+//! Applies faults to the simulated cluster when they start.
 
 use super::crash_points::PlannedCrash;
 use super::events::ScheduledEvent;
@@ -10,7 +10,7 @@
 use super::{Fault, SimulatedCluster};
 
 impl SimulatedCluster {
-    /// Lets a fault strike at a time (milliseconds).
+    /// Schedules a fault for the time `at` (milliseconds).
     pub fn inject_fault(&mut self, at: u64, fault: Fault) {
         self.faults_end.all = self.faults_end.all.max(at + fault.duration_ms());
         self.schedule(at, ScheduledEvent::ApplyFault(fault));
@@ -74,13 +74,13 @@
         }
     }
 
-    /// Ends a controller's process, if it runs, and starts it again later.
+    /// Ends a controller's process, if it runs, and schedules its restart.
     fn crash(&mut self, node: usize, restart_after: u64) {
         if self.controllers[node].core.take().is_none() {
             return;
         }
         self.controllers[node].incarnation += 1;
-        // Users whose answer is lost with the process ask again.
+        // Users retry the requests whose answers are lost with the process.
         for request in self.requests.take_all_of(node) {
             match request {
                 PendingRequest::User(request) => self.retry_request(request),
@@ -91,7 +91,7 @@
         self.schedule(self.now + restart_after, ScheduledEvent::StartController { node });
     }
 
-    /// The node that the store names as leader.
+    /// Returns the node recorded in the store as leader.
     fn leader(&self) -> Option<usize> {
         let record = self.store.value("t/l")?;
         (0..self.controllers.len()).find(|node| record["node"] == format!("n{node}"))
@@ -139,7 +139,7 @@
                 for node in 0..self.controllers.len() {
                     self.store_faults.refuse_until(node, now + for_ms);
                 }
-                // Every lease has its full time again when the outage ends.
+                // The store extends every lease to its full TTL after the end of an outage.
                 self.store.expire_leases(now);
                 self.store.extend_leases(now + for_ms);
             }
@@ -167,7 +167,7 @@
         match fault {
             Fault::MachineDies { pick } => {
                 if let Some(worker) = self.running_worker(pick) {
-                    worker.die();
+                    worker.terminate();
                 }
             }
             Fault::MachineHangs { pick, for_ms } => {
@@ -182,16 +182,16 @@
             }
             Fault::ZoneMachinesDie { zone, every_nth } => {
                 let machines = self.workers.iter_mut().filter(|worker| worker.alive && worker.zone == zone);
-                machines.step_by(every_nth.max(1)).for_each(Worker::die);
+                machines.step_by(every_nth.max(1)).for_each(Worker::terminate);
             }
             Fault::SlowProvisioning { factor, every_nth_never, for_ms } => {
-                self.cloud.slow_down(now + for_ms, factor, every_nth_never);
+                self.cloud.slow_provisioning(now + for_ms, factor, every_nth_never);
             }
             other => unreachable!("no fault of machines: {other:?}"),
         }
     }
 
-    /// One of the machines that run.
+    /// Returns the running worker at index `pick`, modulo their number; None if there is none.
     fn running_worker(&mut self, pick: usize) -> Option<&mut Worker> {
         let running = self.workers.iter().filter(|worker| worker.alive).count();
         let mut workers = self.workers.iter_mut().filter(|worker| worker.alive);
--- a/tests/simulator/faults.rs
+++ b/tests/simulator/faults.rs
@@ -1,89 +1,91 @@
-//! The faults that tests inject. What each of them does stands in `fault_effects`.
+//! The faults that tests inject. Their effects are implemented in `fault_effects`.
 
 use super::crash_points::CrashPoint;
 use super::random::Random;
 
-/// What goes wrong. Times are in milliseconds, `for_ms` is how long it lasts, `share` is in
-/// percent, and `every_nth` picks every so many of the machines that run.
+/// A fault. Times are in milliseconds; `for_ms` is the duration and `share` a percentage.
+/// `every_nth` selects every nth running machine. `pick` selects one, modulo their number.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// The process of a controller ends and is started again later.
+    /// A controller's process crashes and restarts later.
     Crash { node: usize, restart_after: u64 },
-    /// Whoever is leader crashes.
+    /// The current leader crashes and restarts later; no effect without a leader.
     LeaderCrash { restart_after: u64 },
-    /// The process ends the next time that it reaches this point. What it just asked for is
-    /// carried out after `late`, perhaps when its successor runs, or never.
+    /// A controller crashes the next time that it reaches this point. The call that it just sent is
+    /// executed after `late`, possibly after the restart, or never if None.
     CrashAt { node: usize, point: CrashPoint, restart_after: u64, late: Option<u64> },
-    /// A controller stands still while its clocks run on; what arrives meanwhile waits.
+    /// A controller stops processing while its clocks advance; its inputs are postponed.
     ControllerPaused { node: usize, for_ms: u64 },
-    /// From its next start on, a controller writes as the previous version did, or as this one
-    /// does again.
+    /// A controller writes records as the previous version does, or as the current version if
+    /// `previous` is false.
     ControllerVersion { node: usize, previous: bool },
-    /// A controller loses the store and the other controllers, not its workers.
+    /// A controller reaches neither the store nor the other controllers, but still its workers.
     ControllerIsolated { node: usize, for_ms: u64 },
     /// A controller's answers to workers are lost.
     ControllerAnswersLost { node: usize, for_ms: u64 },
-    /// Controllers don't reach one another.
+    /// No controller reaches another one.
     PeerLinksCut { for_ms: u64 },
-    /// Workers of a zone, or of all zones if there is no such zone, and one controller don't
-    /// reach each other. What is sent is lost, or if `hold`, delivered afterwards.
+    /// Cuts the link between a controller and the workers of a zone, or of all zones if `zone` is out
+    /// of range. Messages are lost, or delivered after the cut if `hold`.
     LinkCut { node: usize, zone: usize, for_ms: u64, hold: bool },
-    /// A zone with its machines and controllers is cut off from all others, the store and users.
+    /// The machines and controllers of a zone are cut off from other zones, the store and users.
     ZoneIsolated { zone: usize, for_ms: u64, hold: bool },
-    /// Each message takes longer, by up to `max_delay_ms`.
+    /// Each message is delayed by up to `max_delay_ms`.
     SlowLinks { for_ms: u64, max_delay_ms: u64 },
-    /// The store answers 503, to all or to one controller.
+    /// The store answers 503 to one controller, or to all if `node` is None.
     StoreOutage { node: Option<usize>, for_ms: u64 },
-    /// The store's answers to a controller get lost. Its transactions are carried out late, or
-    /// never if `carried_out_after` is 0.
+    /// The store's answers to a controller are lost. Its transactions are executed after
+    /// `carried_out_after`, or never if that is 0.
     StoreAnswersLost { node: usize, for_ms: u64, carried_out_after: u64 },
-    /// This share of transactions gets no answer and is carried out 2 to 12 s later, after
+    /// This share of transactions gets no answer and is executed 2 to 12 s later, possibly after
     /// newer ones.
     DelayedTransactions { share: u64, for_ms: u64 },
-    /// The store carries out and answers each call later.
+    /// The store executes and answers each call late, by up to `max_delay_ms`.
     SlowStore { for_ms: u64, max_delay_ms: u64 },
-    /// The store's limits fall.
+    /// The store's limits on value size, changes per transaction and changes per second are set to
+    /// these values.
     StoreLimits { value_kb: usize, txn_ops: usize, writes_per_s: f64 },
-    /// A machine is lost, with all that runs on it.
+    /// A machine is lost with all its tasks.
     MachineDies { pick: usize },
-    /// A worker stands still; its tasks go on and its lease runs out.
+    /// A worker sends no heartbeats and executes no commands. Its tasks keep running until its lease
+    /// expires.
     MachineHangs { pick: usize, for_ms: u64 },
-    /// A machine fails every task that it starts.
+    /// Every task on a machine fails.
     MachineFaulty { pick: usize },
-    /// All machines of a zone die, or every so many.
+    /// Every nth machine of a zone is lost; all of them if `every_nth` is 0 or 1.
     ZoneMachinesDie { zone: usize, every_nth: usize },
-    /// New machines take `factor` times as long, and every so many never come up.
+    /// New machines take `factor` times as long to come up, and every nth never does (none if 0).
     SlowProvisioning { factor: u64, every_nth_never: usize, for_ms: u64 },
-    /// Heartbeats of these machines arrive, but the answers don't reach them.
+    /// Heartbeats of these machines arrive, but the answers to them are lost.
     DownlinkLost { every_nth: usize, for_ms: u64 },
-    /// These machines, of a zone or of all, reach no controller.
+    /// Heartbeats of these machines are lost; `zone` restricts the fault to one zone.
     UplinkLost { every_nth: usize, zone: Option<usize>, for_ms: u64 },
     /// Answers to these machines arrive late.
     DelayedAnswers { every_nth: usize, for_ms: u64, max_delay_ms: u64 },
-    /// This share of heartbeats arrives late, at any controller.
+    /// This share of heartbeats arrives late, at a random controller.
     DelayedHeartbeats { share: u64, for_ms: u64, max_delay_ms: u64 },
-    /// This share of heartbeats arrives a second time, at any controller.
+    /// This share of heartbeats arrives a second time, at a random controller.
     DuplicatedHeartbeats { share: u64, for_ms: u64, max_delay_ms: u64 },
-    /// Users cancel so many jobs that have long to go, within a fifth of a second; up to eight
-    /// of their machines then hang.
+    /// Users cancel up to `count` jobs with long-running tasks within 200 ms. Up to eight of the
+    /// machines that run them hang for `hang_ms`; none if that is 0.
     CancelRunningJobs { count: usize, hang_ms: u64 },
-    /// This share of jobs is cancelled, asked about and submitted again when its last task ends.
+    /// This share of jobs is cancelled, queried and resubmitted around the end of their last task.
     CancelAtCompletion { share: u64, for_ms: u64 },
-    /// Users repeat submissions, well and badly, cancel what is done, and submit jobs that fit
-    /// no machine or lack a field.
+    /// Users repeat submissions, some of them malformed, cancel finished jobs, and submit jobs that
+    /// lack a field or that no machine or team can run.
     ProbeRequests { for_ms: u64 },
 }
 
-/// Transactions that are delayed are carried out at least this much later (milliseconds).
+/// Minimum delay of a delayed transaction (milliseconds).
 pub(super) const MIN_TRANSACTION_DELAY_MS: u64 = 2000;
-/// What a transaction's delay may exceed that by.
+/// Random excess of that delay (milliseconds).
 pub(super) const TRANSACTION_DELAY_SPREAD_MS: u64 = 10_000;
 
-/// Within what time cancelled jobs' machines begin to hang, at the most.
+/// Latest time after the fault at which a cancelled job's machine starts to hang (milliseconds).
 const MAX_HANG_START_MS: u64 = 400;
 
 impl Fault {
-    /// How long its effects last (milliseconds).
+    /// Returns how long the fault's effects last (milliseconds); 0 for permanent effects.
     pub(super) fn duration_ms(&self) -> u64 {
         match self {
             Fault::Crash { restart_after, .. }
@@ -121,12 +123,12 @@
     }
 }
 
-/// A time in which a share of messages meets a fault, or all of them are late.
+/// A period during which a share of the messages is affected by a fault, or all are delayed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FaultWindow {
     /// When it ends (milliseconds).
     pub(super) until: u64,
-    /// Percent of the messages, where not all are affected.
+    /// Share of the messages that are affected (percent); unused if all of them are.
     pub(super) share: u64,
     pub(super) max_delay_ms: u64,
 }
@@ -136,17 +138,17 @@
         now < self.until
     }
 
-    /// Whether this message is one of the share. Nothing is drawn outside the window.
-    pub(super) fn hits(&self, now: u64, random: &mut Random) -> bool {
+    /// Draws whether the fault affects this message. Draws no random number outside the window.
+    pub(super) fn affects(&self, now: u64, random: &mut Random) -> bool {
         self.is_active(now) && random.below(100) < self.share
     }
 
-    /// How late a message is that the fault hits.
+    /// Draws the delay of an affected message (milliseconds).
     pub(super) fn delay(&self, random: &mut Random) -> u64 {
         random.below(self.max_delay_ms)
     }
 
-    /// The delay of a message sent now: none outside the window.
+    /// Returns the delay of a message sent now (milliseconds): 0 outside the window.
     pub(super) fn delay_at(&self, now: u64, random: &mut Random) -> u64 {
         if self.is_active(now) {
             self.delay(random)
@@ -156,11 +158,11 @@
     }
 }
 
-/// When faults are over, so that checks know from when on nothing excuses a delay.
+/// When the injected faults end. Checks of delays start after that.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct FaultsEnd {
-    /// The end of those that have begun (milliseconds).
+    /// End of the faults that have started (milliseconds).
     pub(super) active: u64,
-    /// The end of all, also of those to come.
+    /// End of all injected faults, including those that have not started yet (milliseconds).
     pub(super) all: u64,
 }
--- a/tests/simulator/invariants.rs
+++ b/tests/simulator/invariants.rs
@@ -1,6 +1,6 @@
-//! The rules of the protocol, checked in every run from outside: what users are told, what runs,
-//! and what waits. Violations are collected as text; a test asserts that there are none.
-//! Checks of starts and of waiting work stand in files of their own.
+//! Invariants of the protocol, checked in every run against what users and workers observe.
+//! Violations are collected as text; tests assert that there are none. Checks of task starts are in
+//! `start_checks`, those of waiting jobs in `waiting_work`.
 
 use super::users::{Job, UserRequest};
 use super::waiting_work::WaitingJob;
@@ -12,43 +12,44 @@
 use tillercleat::protocol::workers::TaskName;
 use tillercleat::units::JobId;
 
-/// How long after all faults a job may be without any answer about it (milliseconds).
+/// How long an open job may go without an answer, outside of faults (milliseconds).
 const MAX_UNANSWERED_MS: u64 = 75_000;
 
-/// Pause between two checks, in a small cluster and in a large one (milliseconds).
+/// Interval between two checks, in a small cluster and in a large one (milliseconds).
 const CHECK_PAUSE_MS: u64 = 2000;
 const LARGE_CHECK_PAUSE_MS: u64 = 10_000;
 
-/// A task that ended of late: what it used may not be free yet in the controllers' eyes.
+/// A task that ended recently: the controllers may still count its resources as used.
 pub(super) struct EndedTask {
     pub(super) at: u64,
     pub(super) worker: usize,
     pub(super) job: JobId,
 }
 
-/// What the checks remember. Times are in milliseconds.
+/// State of the checks. Times are in milliseconds.
 #[derive(Default)]
 pub(super) struct InvariantChecks {
     last_check: u64,
-    /// Jobs that wait though there is room for them.
+    /// Jobs that wait although there is room for them.
     pub(super) waiting: BTreeMap<JobId, WaitingJob>,
     pub(super) recently_ended: VecDeque<EndedTask>,
-    /// Workers that were ever told to start a task.
+    /// All workers that ever received a start command for each task.
     pub(super) placements: BTreeMap<TaskName, Vec<usize>>,
-    /// The last second in which tasks of cancelled jobs were looked for.
+    /// Time of the last check for tasks of cancelled jobs (seconds).
     cancelled_checked_s: u64,
-    /// The last second in which the use of a team was summed up.
+    /// Time of the last check of team quotas (seconds).
     pub(super) quota_checked_s: u64,
 }
 
 impl InvariantChecks {
-    pub(super) fn note_ended_task(&mut self, at: u64, worker: usize, job: &JobId) {
+    pub(super) fn record_ended_task(&mut self, at: u64, worker: usize, job: &JobId) {
         self.recently_ended.push_back(EndedTask { at, worker, job: job.clone() });
     }
 }
 
 impl SimulatedCluster {
-    /// Looks now and then, once all faults that have begun are over.
+    /// Checks jobs periodically, while no fault is active. Waiting jobs are checked only after the
+    /// end of all injected faults.
     pub(super) fn check_invariants(&mut self) {
         let large = self.workers.len() > SMALL_FLEET;
         let pause = if large { LARGE_CHECK_PAUSE_MS } else { CHECK_PAUSE_MS };
@@ -62,7 +63,7 @@
         }
     }
 
-    /// No open job is without any answer, not even a refusal, for long.
+    /// Checks that no open job goes without an answer for too long.
     fn check_unanswered_jobs(&mut self) {
         let now = self.now;
         let unanswered = |(id, job): &(&JobId, &Job)| {
@@ -78,7 +79,7 @@
         self.now > self.faults_end.active.max(job.last_answer_at) + MAX_UNANSWERED_MS
     }
 
-    /// What a user is told of a job must agree with what it was told before, and be true.
+    /// Checks a reported job state against earlier reports and against the job's tasks.
     pub(super) fn check_reported_state(&mut self, request: &UserRequest, status: u16, state: JobState) {
         let (id, now) = (&request.job, self.now);
         let job = &self.jobs[id];
@@ -104,7 +105,8 @@
         }
     }
 
-    /// A job that was accepted is never unknown, and not without an answer for long.
+    /// Checks that an accepted job is never reported unknown or invalid, and is not refused for
+    /// too long.
     pub(super) fn check_refusal(&mut self, request: &UserRequest, status: u16) {
         if !request.job_was_accepted {
             return;
@@ -119,7 +121,8 @@
         }
     }
 
-    /// A transaction without conditions would undo what is newer if it is carried out late.
+    /// Checks that every transaction has conditions: without them, a delayed one would overwrite
+    /// newer changes.
     pub(super) fn check_conditions(&mut self, call: &StoreRequest) {
         let StoreRequest::Transaction(transaction) = call else { return };
         if !transaction.changes.is_empty() && transaction.conditions.is_empty() {
@@ -127,8 +130,8 @@
         }
     }
 
-    /// Looks for tasks of cancelled jobs: at each call in a small fleet, once a second in a large one.
-    pub(super) fn check_cancelled_tasks_in_turn(&mut self) {
+    /// Checks tasks of cancelled jobs: at each call in a small fleet, once a second in a large one.
+    pub(super) fn check_cancelled_tasks_if_due(&mut self) {
         let second = self.now / 1000;
         if self.checks.cancelled_checked_s < second || self.workers.len() < SMALL_FLEET {
             self.checks.cancelled_checked_s = second;
@@ -136,7 +139,8 @@
         }
     }
 
-    /// No task runs for longer than the cancellation time after its job was cancelled.
+    /// Checks that no task still runs once the cancellation limit has passed after a user learned of
+    /// its job's cancellation.
     pub(super) fn check_cancelled_tasks(&mut self) {
         for index in 0..self.workers.len() {
             if self.workers[index].alive {
--- a/tests/simulator/mod.rs
+++ b/tests/simulator/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated cluster in virtual time: users, workers, cloud, store and network, written from the
-//! protocol, around the real cores of the controllers. Tests inject faults and look at the
-//! violations of the rules, which the simulation checks by itself. A run is deterministic: equal
-//! seeds and equal calls give equal runs, down to each byte that the controllers send.
+//! A cluster simulated in virtual time. The controllers' cores are the production code; users,
+//! workers, cloud, store and network are simulated independently, from the protocol. Tests inject
+//! faults and assert that the simulation recorded no invariant violations. A run is deterministic:
+//! the same seed and the same calls give the same run, down to each byte that the controllers send.
 
 mod cancellations;
 mod cloud;
@@ -50,21 +50,21 @@
 use users::RequestKind;
 use workers::Worker;
 
-/// When a run begins (milliseconds).
+/// Virtual time at the start of a run (milliseconds).
 const START_MS: u64 = 1000;
 
-/// The sizes of ten machines in turn, as places in the catalog: more small ones than large ones,
-/// as fleets are.
-const SIZES: [usize; 10] = [0, 1, 0, 2, 0, 0, 1, 0, 1, 0];
+/// Machine types of the initial workers, as indices into the catalog. The pattern repeats every
+/// ten workers and has more small machines than large ones, as real fleets do.
+const MACHINE_TYPE_PATTERN: [usize; 10] = [0, 1, 0, 2, 0, 0, 1, 0, 1, 0];
 
-/// The cluster, and all that is under way in it.
+/// The cluster with its pending events and the results recorded so far.
 pub struct SimulatedCluster {
     config: ClusterConfig,
     /// Virtual time (milliseconds).
     now: u64,
     events: EventQueue,
     pub random: Random,
-    /// By node.
+    /// Indexed by node.
     settings: Vec<Settings>,
     controllers: Vec<Controller>,
     planned_crashes: Vec<PlannedCrash>,
@@ -77,26 +77,27 @@
     pub jobs: BTreeMap<JobId, Job>,
     /// Jobs whose tasks all fail.
     pub failing_jobs: BTreeSet<JobId>,
-    /// The status of submissions that were refused for good.
+    /// HTTP status of each permanently rejected submission (400 or 422).
     pub rejections: BTreeMap<JobId, u16>,
-    /// Jobs whose users repeat nothing any more.
+    /// Jobs whose users no longer retry or poll.
     users_given_up: BTreeSet<JobId>,
     cancel_at_completion: FaultWindow,
     faults_end: FaultsEnd,
     checks: InvariantChecks,
-    /// Rules that were broken, each with when and by what.
+    /// Invariant violations: the rule, the job or task that broke it, and usually the time.
     pub violations: Vec<String>,
     pub statistics: Statistics,
     pub trace: Trace,
 }
 
 impl SimulatedCluster {
-    /// A small cluster; `lease_s` is what its controllers are told of workers' leases.
+    /// Creates a small cluster. `lease_s` is the worker lease in the controllers' settings, which
+    /// may differ from the lease that the workers keep.
     pub fn new(seed: u64, lease_s: f64) -> SimulatedCluster {
         SimulatedCluster::build(seed, ClusterConfig::small(), lease_s)
     }
 
-    /// A cluster as `config` says, whose controllers are told the truth.
+    /// Creates a cluster whose controllers are configured with the workers' actual lease.
     pub fn with_config(seed: u64, config: ClusterConfig) -> SimulatedCluster {
         let lease_s = config.lease_ms as f64 / 1000.0;
         SimulatedCluster::build(seed, config, lease_s)
@@ -137,20 +138,20 @@
         cluster
     }
 
-    /// A worker that begins to send heartbeats with the run.
+    /// Adds a worker whose first heartbeat is due within one heartbeat interval of the start.
     fn add_running_worker(&mut self, index: usize) {
-        let size = SIZES[index % SIZES.len()] % self.config.machine_types.len();
-        let kind = self.config.machine_types[size].name.clone();
-        let zone = index / SIZES.len() % self.config.zones.len();
+        let size = MACHINE_TYPE_PATTERN[index % MACHINE_TYPE_PATTERN.len()] % self.config.machine_types.len();
+        let machine_type = self.config.machine_types[size].name.clone();
+        let zone = index / MACHINE_TYPE_PATTERN.len() % self.config.zones.len();
         let up_at = self.now + self.random.below(self.config.heartbeat_ms);
-        self.add_worker(kind, zone, true, up_at);
+        self.add_worker(machine_type, zone, true, up_at);
     }
 
     fn schedule(&mut self, at: u64, event: ScheduledEvent) {
         self.events.schedule(at, event);
     }
 
-    /// Runs until a time (milliseconds).
+    /// Runs the simulation up to the virtual time `until` (milliseconds).
     pub fn run(&mut self, until: u64) {
         while let Some((at, event)) = self.events.next(until) {
             self.now = self.now.max(at);
@@ -163,7 +164,7 @@
 
     fn handle_event(&mut self, event: ScheduledEvent) {
         if let Some(until) = self.paused_until(&event) {
-            // What comes to a paused node waits, its own ticks first.
+            // Events for a paused node are postponed until it resumes; its ticks run first.
             let after = if matches!(event, ScheduledEvent::Tick(_)) { 0 } else { 1 };
             return self.schedule(until + after, event);
         }
@@ -172,8 +173,8 @@
             ScheduledEvent::DeliverInput { to, input } => self.deliver_input(to, input),
             ScheduledEvent::StoreCall(call) => self.handle_store_call(call),
             ScheduledEvent::CloudCall { caller, id, call } => self.answer_cloud_call(caller, id, call),
-            ScheduledEvent::HeartbeatDue { worker } => self.heartbeat_due(worker),
-            ScheduledEvent::HeartbeatFailed { worker, number } => self.heartbeat_failed(worker, number),
+            ScheduledEvent::HeartbeatDue { worker } => self.handle_heartbeat_due(worker),
+            ScheduledEvent::HeartbeatFailed { worker, number } => self.handle_heartbeat_failure(worker, number),
             ScheduledEvent::DeliverHeartbeat { to, worker, heartbeat } => self.deliver_heartbeat(to, worker, heartbeat),
             ScheduledEvent::DeliverStrayHeartbeat { worker, heartbeat } => {
                 self.deliver_stray_heartbeat(worker, heartbeat);
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Until when the receiver of an event is paused, if it is.
+    /// Returns when the receiver of an event resumes, or None if it is not paused.
     fn paused_until(&self, event: &ScheduledEvent) -> Option<u64> {
         event.receiver().map(|node| self.controllers[node].paused_until).filter(|until| self.now < *until)
     }
--- a/tests/simulator/network.rs
+++ b/tests/simulator/network.rs
@@ -1,4 +1,4 @@
-//! Links between controllers and workers, and between controllers: cuts and delays.
+//! Cuts and delays of links between controllers and workers, and between controllers.
 
 use super::events::ScheduledEvent;
 use super::faults::FaultWindow;
@@ -7,21 +7,21 @@
 use tillercleat::coordination::Input;
 use tillercleat::protocol::peer::PeerStatus;
 
-/// How long a message between two processes takes at least (milliseconds).
+/// Minimum latency of a message between two processes (milliseconds).
 pub(super) const LINK_MS: u64 = 2;
 
 /// A cut between a node and the workers of a zone.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Cut {
     pub(super) until: u64,
-    /// What is sent meanwhile is delivered afterwards; otherwise it is lost.
+    /// Whether messages sent during the cut are delivered after it; otherwise they are lost.
     pub(super) hold: bool,
 }
 
-/// What happens to a message that is sent now.
+/// State of a link, which decides what happens to a message that is sent now.
 pub(super) enum LinkState {
     Open,
-    /// It arrives after this time.
+    /// The message is delivered after this time (milliseconds).
     HeldUntil(u64),
     Lost,
 }
@@ -29,7 +29,7 @@
 /// The state of all links.
 #[derive(Default)]
 pub(super) struct Network {
-    /// By node and zone.
+    /// Keyed by node and zone.
     cuts: BTreeMap<(usize, usize), Cut>,
     pub(super) peer_links_cut_until: u64,
     pub(super) slow_links: FaultWindow,
@@ -42,7 +42,7 @@
         self.cuts.insert((node, zone), cut);
     }
 
-    /// The link between a node and the workers of a zone.
+    /// Returns the state of the link between a node and the workers of a zone.
     pub(super) fn link_state(&self, node: usize, zone: usize, now: u64) -> LinkState {
         match self.cuts.get(&(node, zone)) {
             Some(cut) if now < cut.until && cut.hold => LinkState::HeldUntil(cut.until),
@@ -53,12 +53,12 @@
 }
 
 impl SimulatedCluster {
-    /// How much longer than usual a message takes that is sent now.
+    /// Returns the additional latency of a message sent now (milliseconds).
     pub(super) fn link_delay(&mut self) -> u64 {
         self.network.slow_links.delay_at(self.now, &mut self.random)
     }
 
-    /// Sends a controller's status to all others that run and can be reached.
+    /// Sends a controller's status to all other controllers that run and are reachable.
     pub(super) fn broadcast_status(&mut self, node: usize, status: PeerStatus) {
         for peer in (0..self.controllers.len()).filter(|peer| *peer != node) {
             let isolated_until = self.controllers[node].isolated_until.max(self.controllers[peer].isolated_until);
--- a/tests/simulator/probes.rs
+++ b/tests/simulator/probes.rs
@@ -1,5 +1,5 @@
-//! Probe requests: submissions that repeat a known job, well or badly, or that no controller may
-//! accept. Each says which status it has to get.
+//! Probe requests: submissions that repeat a known job, unchanged or malformed, or that controllers
+//! must reject. Each probe carries the HTTP status that is expected.
 
 use super::events::ScheduledEvent;
 use super::requests::PendingRequest;
@@ -9,15 +9,15 @@
 use tillercleat::protocol::users::{JobSpec, MalformedSubmission};
 use tillercleat::units::JobId;
 
-/// How often a probe is sent again that gets no final answer.
+/// Maximum number of retries of a probe that gets no final answer.
 const MAX_RETRIES: u32 = 60;
-/// Pause before it is sent again (milliseconds).
+/// Delay before a probe is retried (milliseconds).
 const RETRY_MS: u64 = 1000;
-/// Pause between two probes: at least this, and up to so much more (milliseconds).
+/// Minimum interval between two probes and its random excess (milliseconds).
 const MIN_PAUSE_MS: u64 = 100;
 const PAUSE_SPREAD_MS: u64 = 900;
 
-/// Fields that no submission may lack.
+/// Fields that every submission must have.
 const REQUIRED_FIELDS: [&str; 17] = [
     "haul",
     "crew",
@@ -38,7 +38,7 @@
     "ref",
 ];
 
-/// A submission as its user writes it, and the status that it has to get.
+/// A submission's request body and the HTTP status that it must be answered with.
 #[derive(Debug, Clone)]
 pub(super) struct ProbeSubmission {
     id: JobId,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A submission as its user writes it.
+/// Returns the request body of a submission, including its dependencies.
 fn submission_body(spec: &JobSpec) -> Value {
     let mut fields = serde_json::to_value(spec).expect("a job has a JSON form");
     fields["awaits"] = serde_json::to_value(&spec.dependencies).expect("ids have a JSON form");
@@ -71,17 +71,17 @@
 }
 
 impl SimulatedCluster {
-    /// Sends the next probe, and goes on until then.
+    /// Creates the next probe and schedules another one unless the time `until` has passed.
     pub(super) fn next_probe(&mut self, until: u64, number: u64) {
-        self.make_probe(number);
+        self.create_probe(number);
         if self.now < until {
             let pause = MIN_PAUSE_MS + self.random.below(PAUSE_SPREAD_MS);
             self.schedule(self.now + pause, ScheduledEvent::NextProbe { until, number: number + 1 });
         }
     }
 
-    /// One probe, made of a job that was accepted: its number says of which kind.
-    fn make_probe(&mut self, number: u64) {
+    /// Schedules one probe, derived from an accepted job. `number` selects the kind of probe.
+    fn create_probe(&mut self, number: u64) {
         let accepted: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         if accepted.is_empty() {
             return;
@@ -93,7 +93,7 @@
         let probe = match number % 5 {
             0 => ProbeSubmission::new(&known, &fields, 200),
             1 => {
-                // The repeat of a job that is known, though nobody would accept it now.
+                // A repeated submission of a known job is acknowledged even if its fields are invalid.
                 let fields = with(without(fields, field), "ref", known.as_str().into());
                 ProbeSubmission::new(&known, &with(fields, "loads", 0.into()), 200)
             }
@@ -109,7 +109,7 @@
         self.schedule(self.now, ScheduledEvent::SendProbe(probe));
     }
 
-    /// A user cancels a job that it knows to be done.
+    /// Cancels a random job that was reported as done.
     fn cancel_done_job(&mut self) {
         let done: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.done_reported).map(|(id, _)| id.clone()).collect();
         if !done.is_empty() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Sends a probe's body as it is, to any node.
+    /// Sends a probe to a random node, without correcting its body.
     pub(super) fn send_probe(&mut self, probe: ProbeSubmission) {
         let node = self.random_node();
         if !self.controllers[node].is_running() {
@@ -127,7 +127,7 @@
         let request = match JobSpec::parse(probe.body.as_bytes()) {
             Ok(spec) => ClientRequest::Submit(Box::new(spec)),
             Err(MalformedSubmission { id: Some(id), reason }) => ClientRequest::Malformed { id, reason },
-            // Answered by the node's HTTP server.
+            // Without an id, the node's HTTP server answers with 400 by itself.
             Err(MalformedSubmission { id: None, .. }) => return self.check_probe_status(&probe, 400),
         };
         let id = self.requests.new_id();
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(super) fn probe_answered(&mut self, probe: ProbeSubmission, response: Response) {
+    pub(super) fn handle_probe_response(&mut self, probe: ProbeSubmission, response: Response) {
         match response {
             Response::Error(refusal) if refusal.http_status() == 503 => self.retry_probe(probe),
             Response::Error(refusal) => self.check_probe_status(&probe, refusal.http_status()),
--- a/tests/simulator/random.rs
+++ b/tests/simulator/random.rs
@@ -1,5 +1,5 @@
-//! Random numbers of the simulation, drawn by whatever needs chance. Equal seeds give equal runs
-//! on every machine: the order of the draws is part of what the trace pins.
+//! Random numbers of the simulation. All parts draw from one generator, and the same seed gives the
+//! same run on every machine: the trace checksums depend on the order of the draws.
 
 /// A xorshift generator.
 pub struct Random(u64);
@@ -9,7 +9,7 @@
         Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    /// A number from 0 to `limit`, the latter excluded.
+    /// Returns a number from 0 to `limit`, exclusive; 0 if `limit` is 0.
     pub fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
--- a/tests/simulator/requests.rs
+++ b/tests/simulator/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that controllers have not answered yet, and to whom the answers go.
+//! Requests that controllers have not answered yet, and the routing of the answers.
 
 use super::probes::ProbeSubmission;
 use super::users::UserRequest;
@@ -7,18 +7,18 @@
 use tillercleat::coordination::Response;
 use tillercleat::units::RequestId;
 
-/// Who waits for an answer.
+/// A request that has not been answered yet, with the sender that waits for the answer.
 pub(super) enum PendingRequest {
     User(UserRequest),
     Probe(ProbeSubmission),
-    /// The worker, and the number of its heartbeat (0 of a stray one).
+    /// `number` is that of the worker's heartbeat, 0 for a stray one.
     Heartbeat {
         worker: usize,
         number: u64,
     },
 }
 
-/// Requests by the node that received them.
+/// Unanswered requests, keyed by the receiving node and the request id.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     last_id: u64,
@@ -26,13 +26,13 @@
 }
 
 impl PendingRequests {
-    /// An id that no request had before.
+    /// Returns an unused request id.
     pub(super) fn new_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
-    /// Notes a request to a node, and gives it an id.
+    /// Adds a request to a node and returns its new id.
     pub(super) fn add(&mut self, node: usize, request: PendingRequest) -> RequestId {
         let id = self.new_id();
         self.insert(node, id, request);
@@ -47,7 +47,7 @@
         self.requests.remove(&(node, id))
     }
 
-    /// Removes all requests to a node, in order of their ids.
+    /// Removes and returns all requests to a node, ordered by id.
     pub(super) fn take_all_of(&mut self, node: usize) -> Vec<PendingRequest> {
         let (taken, kept): (BTreeMap<_, _>, _) =
             std::mem::take(&mut self.requests).into_iter().partition(|((to, _), _)| *to == node);
@@ -57,11 +57,11 @@
 }
 
 impl SimulatedCluster {
-    /// Brings a controller's answer to whoever asked.
+    /// Passes a controller's response to the sender of the request.
     pub(super) fn route_response(&mut self, node: usize, id: RequestId, response: Response) {
         match self.requests.take(node, id) {
-            Some(PendingRequest::User(request)) => self.user_answered(request, response),
-            Some(PendingRequest::Probe(probe)) => self.probe_answered(probe, response),
+            Some(PendingRequest::User(request)) => self.handle_user_response(request, response),
+            Some(PendingRequest::Probe(probe)) => self.handle_probe_response(probe, response),
             Some(PendingRequest::Heartbeat { worker, number }) => self.send_answer(node, worker, number, response),
             None => {}
         }
--- a/tests/simulator/start_checks.rs
+++ b/tests/simulator/start_checks.rs
@@ -1,5 +1,5 @@
-//! What must hold whenever a worker starts a task: it runs nowhere else, may run now and here,
-//! and its team stays within its limit.
+//! Checks made whenever a worker starts a task: the task runs on no other worker, its dependencies
+//! are done, the machine is allowed, and the team stays within its quota.
 
 use super::worker_heartbeats::SMALL_FLEET;
 use super::workers::{Worker, WorkerTask};
@@ -9,22 +9,22 @@
 use tillercleat::protocol::workers::TaskName;
 use tillercleat::units::JobId;
 
-/// What sums of cores and memory may be off by.
-pub(super) const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of cores and of memory (GB).
+pub(super) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl SimulatedCluster {
-    /// Checks what must hold when a task starts on a worker.
+    /// Runs all checks for a task that starts on the worker `index`.
     pub(super) fn check_start(&mut self, index: usize, task: &TaskName) {
         self.count_start(&task.job);
         let earlier = self.checks.placements.get(task).cloned().unwrap_or_default();
         let spread = self.workers_of_bound_job(&task.job);
-        // The use of a team is summed over all workers: in a large fleet once a second.
+        // A team's usage is summed over all workers, so large fleets check it only once a second.
         let check_quota = self.workers.len() < SMALL_FLEET || self.checks.quota_checked_s < self.now / 1000;
         let all = if check_quota { 0..self.workers.len() } else { 0..0 };
         if check_quota {
             self.checks.quota_checked_s = self.now / 1000;
         }
-        // Workers act on their leases also while nobody looks.
+        // Bring these workers up to date first: their leases may have expired since their last event.
         for other in all.chain(earlier.iter().copied()).chain(spread.iter().copied()) {
             self.advance_worker(other);
         }
@@ -53,7 +53,8 @@
         }
     }
 
-    /// All workers that ever ran a task of a job that is bound to one zone or spread over zones.
+    /// Returns all workers that ever started a task of a job that must stay in one zone or be spread
+    /// over zones; none for other jobs.
     fn workers_of_bound_job(&self, id: &JobId) -> BTreeSet<usize> {
         let bound = self.jobs.get(id).is_some_and(|job| job.spec.one_zone || job.spec.apart);
         if !bound {
@@ -62,7 +63,7 @@
         self.placements_of(id).flat_map(|(_, workers)| workers.iter().copied()).collect()
     }
 
-    /// Tasks of a job with the workers that were ever told to start them.
+    /// Returns the tasks of a job with all workers that ever received a start command for them.
     pub(super) fn placements_of(&self, id: &JobId) -> impl Iterator<Item = (&TaskName, &Vec<usize>)> {
         let task = |index| TaskName { job: id.clone(), index };
         self.checks.placements.range(task(0)..=task(u32::MAX))
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The machine is one that the job may use, also beside its other tasks.
+    /// Checks that the job may use the machine, also in view of the zones of its other tasks.
     fn check_place(&mut self, index: usize, task: &TaskName, spec: &JobSpec, spread: &BTreeSet<usize>) {
         let (job, number, now) = (&task.job, task.index, self.now);
         let worker = &self.workers[index];
@@ -96,18 +97,18 @@
         let workers = spread.iter().map(|at| &self.workers[*at]).filter(|worker| worker.alive);
         let zones: Vec<usize> =
             workers.flat_map(|worker| std::iter::repeat_n(worker.zone, worker.running_tasks_of(job))).collect();
-        if !may_join(spec, self.workers[index].zone, &zones) {
+        if !zone_allows_task(spec, self.workers[index].zone, &zones) {
             self.violations.push(format!("wrong_place by zone: {job}/{number} at {now}"));
         }
     }
 
-    /// The job may run in the machine's zone, and on a spot machine if it is one.
+    /// Returns whether the job may run in the machine's zone and, for a spot machine, on spot.
     pub(super) fn is_allowed_on(&self, spec: &JobSpec, worker: &Worker) -> bool {
         let zone_allowed = spec.zone.as_deref().is_none_or(|zone| zone == self.config.zones[worker.zone]);
         zone_allowed && (spec.spot_allowed || !worker.spot)
     }
 
-    /// The most cores that a team may use; 0: as many as there are.
+    /// Returns the maximum number of cores that a team may use; 0 if unlimited.
     pub(super) fn team_limit(&self, team: &str) -> f64 {
         self.settings[0].cluster.teams.iter().find(|known| known.name == team).map_or(0.0, |known| known.cpus_max)
     }
@@ -121,7 +122,7 @@
         let running = workers.flat_map(|worker| &worker.tasks).filter(|(_, task)| WorkerTask::is_running(task));
         let specs = running.filter_map(|(name, _)| self.jobs.get(&name.job).map(|job| &job.spec));
         let used: f64 = specs.filter(|other| other.team == spec.team).map(|other| other.cpus).sum();
-        if used + spec.cpus > limit + ROUNDING {
+        if used + spec.cpus > limit + ROUNDING_TOLERANCE {
             self.violations.push(format!("quota: {} of {limit} at {}", used + spec.cpus, self.now));
         }
     }
@@ -135,9 +136,9 @@
     }
 }
 
-/// Whether one more task may run in a zone beside others of its job in these zones: all in one
-/// zone if the job says so, and no more than half of them if it is spread.
-pub(super) fn may_join(spec: &JobSpec, zone: usize, zones: &[usize]) -> bool {
+/// Returns whether a job may run one more task in `zone`, given the zones of its running tasks. A
+/// one-zone job keeps all tasks in one zone; a spread job has at most half of them in any zone.
+pub(super) fn zone_allows_task(spec: &JobSpec, zone: usize, zones: &[usize]) -> bool {
     let together = zones.iter().filter(|other| **other == zone).count();
     let half = spec.task_count.div_ceil(2) as usize;
     !(spec.one_zone && together < zones.len() || spec.apart && together >= half)
--- a/tests/simulator/statistics.rs
+++ b/tests/simulator/statistics.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, counted, and how well jobs were served: questions that tests ask.
+//! Counters of a run and queries on its results, such as how well jobs were served.
 
 use super::users::Job;
 use super::{CrashPoint, SimulatedCluster};
@@ -10,37 +10,37 @@
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::units::JobId;
 
-/// Within what time of its submission one of a class's largest jobs must start (milliseconds).
+/// Maximum time from submission to start of one of the largest jobs of a class (milliseconds).
 const MAX_START_DELAY_OF_LARGEST_MS: u64 = 240_000;
 
-/// Processor time that the controllers' cores took for inputs of one kind (nanoseconds).
+/// Time that the controllers' cores took to handle inputs of one kind (nanoseconds).
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     pub count: u64,
     pub nanos: u64,
-    /// Of the costliest input.
+    /// Time of the most expensive input.
     pub most: u64,
 }
 
-/// What happened in a run, counted.
+/// Counters of a run.
 #[derive(Default)]
 pub struct Statistics {
-    /// Processor time of the controllers' inputs, by kind.
+    /// Time that the controllers took to handle their inputs, by kind of input.
     pub costs: BTreeMap<&'static str, Cost>,
-    /// Starts of tasks that reached a worker.
+    /// Task starts executed by workers.
     pub starts: usize,
     pub starts_by_job: BTreeMap<JobId, usize>,
-    /// Starts after a user was told that their job is cancelled.
+    /// Task starts after a user was told that the job is cancelled.
     pub starts_after_cancellation: usize,
-    /// Starts sent to machines whose downlink is lost.
+    /// Start commands in answers that were lost on the way to a worker.
     pub undelivered_starts: usize,
-    /// How often a controller ended at a planned crash point.
+    /// Number of crashes at each planned crash point.
     pub reached_crash_points: BTreeMap<CrashPoint, usize>,
-    /// Answers 503 to users.
+    /// Number of 503 answers to users.
     pub unavailable_answers: usize,
-    /// Probe requests that got a final answer.
+    /// Number of probe requests that got a final answer.
     pub probe_answers: usize,
-    /// When the last task was done (milliseconds).
+    /// When the most recent task succeeded (milliseconds); 0 if none has.
     pub last_completion: u64,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// The kind that an input's cost is counted under.
+/// Returns the kind under which an input's cost is counted.
 pub(super) fn input_kind(input: &Input) -> &'static str {
     match input {
         Input::Tick => "tick",
@@ -68,7 +68,7 @@
     }
 }
 
-/// How the jobs of a class or team were served, of those that came early enough.
+/// Number of jobs of a class or team that were submitted, started and done.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Served {
     pub submitted: usize,
@@ -83,23 +83,24 @@
         self.done += usize::from(done);
     }
 
-    /// The operators call a day failed on which less than half is served.
-    pub fn is_enough(&self) -> bool {
+    /// True if at least half of the jobs started and at least half are done. Operators consider a day
+    /// with less than that failed.
+    pub fn meets_target(&self) -> bool {
         2 * self.started >= self.submitted && 2 * self.done >= self.submitted
     }
 }
 
 impl SimulatedCluster {
-    /// Jobs that were accepted and neither done nor cancelled in their users' eyes.
+    /// Returns the accepted jobs that were reported neither done nor cancelled.
     pub fn open_jobs(&self) -> Vec<&JobId> {
         self.jobs.iter().filter(|(_, job)| job.is_open()).map(|(id, _)| id).collect()
     }
 
-    /// Jobs that depend on a cancelled one and are not reported as cancelled.
+    /// Lists the accepted jobs that depend on a cancelled one but were not reported as cancelled.
     pub fn dependents_not_cancelled(&self) -> Vec<String> {
-        let waits =
+        let not_cancelled =
             |job: &Job| job.accepted && job.dependency_cancelled_at.is_some() && job.cancel_reported_at.is_none();
-        self.jobs.iter().filter(|(_, job)| waits(job)).map(|(id, _)| format!("waits on: {id}")).collect()
+        self.jobs.iter().filter(|(_, job)| not_cancelled(job)).map(|(id, _)| format!("waits on: {id}")).collect()
     }
 
     /// True if all tasks of a job are done.
@@ -107,29 +108,30 @@
         self.jobs.get(id).is_some_and(Job::is_done)
     }
 
-    /// Machines that are paid for and that no answer reaches.
+    /// Counts the rented machines that currently receive no answers.
     pub fn machines_without_downlink(&self) -> usize {
         self.workers.iter().filter(|worker| worker.alive && self.now < worker.downlink_lost_until).count()
     }
 
-    /// Starts sent to machines that no answer reaches.
+    /// Returns the number of start commands in answers that were lost on the way to a worker.
     pub fn undelivered_starts(&self) -> usize {
         self.statistics.undelivered_starts
     }
 
-    /// The longest that an accepted job waited for its first start (milliseconds).
+    /// Returns the longest time that an accepted job waited, or has waited so far, for its first start
+    /// (milliseconds).
     pub fn longest_wait(&self) -> u64 {
         let accepted = self.jobs.values().filter(|job| job.accepted);
         accepted.map(|job| job.first_start_at.unwrap_or(self.now) - job.submitted_at).max().unwrap_or(0)
     }
 
-    /// When the last task was done (milliseconds).
+    /// Returns when the most recent task succeeded (milliseconds); 0 if none has.
     pub fn last_completion(&self) -> u64 {
         self.statistics.last_completion
     }
 
-    /// The largest jobs of each class: its tenth with most cores times tasks, and that with most
-    /// tasks.
+    /// Returns the largest jobs of each class: the 10% with the most cores in total and the 10% with
+    /// the most tasks.
     fn largest_jobs(&self) -> BTreeSet<&JobId> {
         let mut classes: BTreeMap<&str, Vec<(&JobId, &JobSpec)>> = BTreeMap::new();
         for (id, job) in &self.jobs {
@@ -148,8 +150,8 @@
         largest
     }
 
-    /// How jobs that were submitted by a time were served, by class and by team. Those that were
-    /// cancelled or cannot succeed count nowhere.
+    /// Counts the jobs submitted by the time `by` (milliseconds), by class, by team, and for the
+    /// largest jobs of each class. Cancelled and failing jobs are not counted.
     pub fn served(&self, by: u64) -> BTreeMap<String, Served> {
         let mut served: BTreeMap<String, Served> = BTreeMap::new();
         let largest = self.largest_jobs();
@@ -161,7 +163,7 @@
             served.entry(format!("class {}", job.spec.class)).or_default().add(waited.is_some(), job.is_done());
             served.entry(format!("team {}", job.spec.team)).or_default().add(waited.is_some(), job.is_done());
             if largest.contains(id) {
-                // These must start in time, unless they wait for others.
+                // The largest jobs must start in time, unless they have dependencies.
                 let in_time =
                     |waited: u64| waited <= MAX_START_DELAY_OF_LARGEST_MS || !job.spec.dependencies.is_empty();
                 let started = waited.is_some_and(in_time);
@@ -171,50 +173,52 @@
         served
     }
 
-    /// Classes and teams of which less than half was served, of what was submitted by a time.
+    /// Lists the classes and teams for which less than half of the jobs submitted by the time `by`
+    /// (milliseconds) started or are done.
     pub fn underserved(&self, by: u64) -> Vec<String> {
-        let few = |(name, served): (String, Served)| (!served.is_enough()).then(|| format!("{name}: {served:?}"));
-        self.served(by).into_iter().filter_map(few).collect()
+        let below_target =
+            |(name, served): (String, Served)| (!served.meets_target()).then(|| format!("{name}: {served:?}"));
+        self.served(by).into_iter().filter_map(below_target).collect()
     }
 
-    /// All that must not be at the end of a day on which all work can be done:
-    /// broken rules, jobs not done, classes and teams served too little.
+    /// Lists everything that must not be left at the end of a day on which all work can be done:
+    /// invariant violations, open jobs, and underserved classes and teams.
     pub fn problems(&self) -> Vec<String> {
         let left = self.open_jobs().into_iter().map(|id| format!("left: {id}"));
         self.violations.iter().cloned().chain(left).chain(self.underserved(u64::MAX)).collect()
     }
 
-    /// Jobs whose users were told that they are accepted.
+    /// Counts the jobs whose users were told that they are accepted.
     pub fn accepted_jobs(&self) -> usize {
         self.jobs.values().filter(|job| job.accepted).count()
     }
 
-    /// Machines that are paid for.
+    /// Counts the machines that are currently rented.
     pub fn running_machines(&self) -> usize {
         self.workers.iter().filter(|worker| worker.alive).count()
     }
 
-    /// Machines rented so far.
+    /// Counts all machines so far: rented ones and those that ran from the start.
     pub fn rented_machines(&self) -> usize {
         self.workers.len()
     }
 
-    /// Machines that were given back though they are not faulty.
+    /// Counts the machines that are gone, returned or lost, and were not faulty.
     pub fn healthy_machines_returned(&self) -> usize {
         self.workers.iter().filter(|worker| !worker.faulty && !worker.alive).count()
     }
 
-    /// Faulty machines that are still paid for.
+    /// Counts the faulty machines that are still rented.
     pub fn faulty_machines_kept(&self) -> usize {
         self.workers.iter().filter(|worker| worker.faulty && worker.alive).count()
     }
 
-    /// Keys of the store under a prefix.
+    /// Counts the keys in the store with a prefix.
     pub fn count_keys(&self, prefix: &str) -> usize {
         self.store.count_keys(prefix)
     }
 
-    /// How often leases of workers ran out whose machines are still there.
+    /// Counts the lease expirations of workers whose machines are still rented.
     pub fn expired_worker_leases(&self) -> u64 {
         self.workers.iter().filter(|worker| worker.alive).map(|worker| worker.agent_epoch - 1).sum()
     }
--- a/tests/simulator/store.rs
+++ b/tests/simulator/store.rs
@@ -1,5 +1,5 @@
 //! The store: conditional transactions, leases, watches and limits, written from the protocol.
-//! The simulated cluster calls it in virtual time, the tests on loopback serve it over HTTP.
+//! The simulated cluster calls it in virtual time; the loopback tests serve it over HTTP.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -9,17 +9,18 @@
 };
 use tillercleat::units::{LeaseId, Revision};
 
-/// Changes that the store remembers for watches.
+/// Maximum number of changes between a watch's revision and the newest one; the store answers
+/// `TooOld` beyond that.
 const MAX_LOGGED_CHANGES: usize = 10_000;
-/// Conditions of a transaction may be so many times as many as its changes.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// Maximum number of conditions in a transaction for each change that the store allows.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 
-/// Refills with time, one second's worth at the most.
+/// A token bucket that holds at most one second's worth of tokens.
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
     per_s: f64,
     level: f64,
-    /// When it was last filled (milliseconds).
+    /// When it was last refilled (milliseconds).
     filled_at: u64,
 }
 
@@ -40,14 +41,14 @@
     }
 }
 
-/// Limits on requests and on changes.
+/// Limits on requests and on changes per second.
 #[derive(Debug, Clone, Copy)]
 struct RateLimits {
     requests: TokenBucket,
     changes: TokenBucket,
 }
 
-/// A value, the revision of its last change, and the lease that it ends with.
+/// A value, the revision of its last change, and the lease that it is bound to.
 struct Row {
     value: Value,
     version: u64,
@@ -59,7 +60,7 @@
     expires_at: u64,
 }
 
-/// A change as watches show it; without a value the key was deleted.
+/// A change as watches report it; without a value it is a deletion.
 struct LoggedChange {
     revision: u64,
     key: String,
@@ -74,29 +75,31 @@
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
     log: Vec<LoggedChange>,
-    /// Without them it keeps no limits on sizes either.
+    /// Without rate limits, the size limits are not enforced either.
     rate_limits: Option<RateLimits>,
-    /// Items of one page of a list, 50 at the least.
+    /// Items on one page of a list; values below 50 count as 50.
     page_size: usize,
     pub max_value_bytes: usize,
     pub max_changes: usize,
-    /// Calls refused for being too many.
+    /// Calls refused by the rate limits.
     pub rate_limited_calls: usize,
-    /// What was refused for its size, and how often: asked again unchanged, it is refused again.
+    /// How often each transaction was rejected for its size. More than once means that a controller
+    /// repeated a transaction that cannot succeed.
     pub rejected_transactions: BTreeMap<String, usize>,
     pub changes_by_second: BTreeMap<u64, usize>,
     pub requests_by_second: BTreeMap<u64, usize>,
 }
 
 impl SimulatedStore {
-    /// A store of these sizes, which it enforces once its rates are limited.
+    /// Creates a store with these size limits. `max_value_bytes` and `max_changes` are enforced only
+    /// once its rates are limited.
     pub fn with_sizes(page_size: usize, max_value_bytes: usize, max_changes: usize) -> SimulatedStore {
         let mut store = SimulatedStore::default();
         (store.page_size, store.max_value_bytes, store.max_changes) = (page_size, max_value_bytes, max_changes);
         store
     }
 
-    /// Limits requests and changes a second, and from then on sizes.
+    /// Limits requests and changes per second, and enforces the size limits from now on.
     pub fn limit_rates(&mut self, requests_per_s: f64, changes_per_s: f64) {
         let (requests, changes) = (TokenBucket::new(requests_per_s), TokenBucket::new(changes_per_s));
         self.rate_limits = Some(RateLimits { requests, changes });
@@ -110,12 +113,12 @@
         self.rows.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// Stores a value behind the controllers' backs: no watch shows it.
-    pub fn insert_unseen(&mut self, key: &str, value: Value, version: u64) {
+    /// Stores a value without a watch event.
+    pub fn insert_without_event(&mut self, key: &str, value: Value, version: u64) {
         self.rows.insert(key.into(), Row { value, version, lease: None });
     }
 
-    /// Ends leases that have run out, and deletes their keys.
+    /// Removes expired leases and deletes the keys bound to them.
     pub fn expire_leases(&mut self, now: u64) {
         let expired: Vec<u64> =
             self.leases.iter().filter(|(_, lease)| lease.expires_at < now).map(|(id, _)| *id).collect();
@@ -131,14 +134,14 @@
         }
     }
 
-    /// Gives every lease its full time from then on, if it has less.
+    /// Extends every lease to at least its full TTL after `from` (milliseconds).
     pub fn extend_leases(&mut self, from: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = lease.expires_at.max(from + lease.ttl_ms);
         }
     }
 
-    /// Carries a call out and answers it.
+    /// Executes a call and returns the answer.
     pub fn execute(&mut self, now: u64, call: StoreRequest) -> StoreResponse {
         self.expire_leases(now);
         *self.requests_by_second.entry(now / 1000).or_default() += 1;
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Whether the limits allow one more request with as many changes.
+    /// Takes one request with `changes` changes from the rate limits; false if they refuse it.
     fn admit(&mut self, now: u64, changes: usize) -> bool {
         let Some(limits) = &mut self.rate_limits else { return true };
         limits.requests.take(now, 1.0) && limits.changes.take(now, changes as f64)
@@ -234,7 +237,7 @@
     fn is_too_large(&self, transaction: &Transaction) -> bool {
         let large_value = |change: &Change| matches!(change, Change::Put { value, .. } if value.to_string().len() > self.max_value_bytes);
         transaction.changes.len() > self.max_changes
-            || transaction.conditions.len() > CONDITIONS_PER_CHANGE * self.max_changes
+            || transaction.conditions.len() > MAX_CONDITIONS_PER_CHANGE * self.max_changes
             || transaction.changes.iter().any(large_value)
     }
 
--- a/tests/simulator/store_calls.rs
+++ b/tests/simulator/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of controllers to the store: how long they take, and the faults that they meet.
+//! Calls of controllers to the store: their latencies and the faults that affect them.
 
 use super::events::{ProcessId, ScheduledEvent};
 use super::faults::{FaultWindow, MIN_TRANSACTION_DELAY_MS, TRANSACTION_DELAY_SPREAD_MS};
@@ -7,26 +7,26 @@
 use tillercleat::protocol::state::{StoreRequest, StoreResponse};
 use tillercleat::units::CallId;
 
-/// How long controllers wait for an answer of the store (milliseconds).
+/// How long controllers wait for an answer from the store (milliseconds).
 const TIMEOUT_MS: u64 = 1500;
-/// How long an answer is on its way (milliseconds).
+/// Latency of an answer (milliseconds).
 const ANSWER_MS: u64 = 3;
-/// How long a call is on its way at least, and what it may take longer (milliseconds).
+/// Minimum latency of a call and its random excess (milliseconds).
 const MIN_CALL_MS: u64 = 3;
 const CALL_SPREAD_MS: u64 = 6;
-/// What a call's delay plus this must not exceed to be answered in time (milliseconds).
+/// A call times out if its delay plus this margin exceeds the timeout (milliseconds).
 const CALL_MARGIN_MS: u64 = 10;
-/// Pause between two looks of a watch that has nothing to say (milliseconds).
+/// Interval at which a watch without events checks for new ones (milliseconds).
 const WATCH_PAUSE_MS: u64 = 20;
-/// The same while the store is out.
+/// The same interval during an outage of the store (milliseconds).
 const OUTAGE_WATCH_PAUSE_MS: u64 = 100;
 
-/// A call on its way to the store.
+/// A call in transit to the store.
 pub(super) struct StoreCall {
     pub(super) caller: ProcessId,
     pub(super) id: CallId,
     pub(super) call: StoreRequest,
-    /// Until then a watch without news is not answered.
+    /// A watch without events is not answered before this time (milliseconds); 0 for other calls.
     pub(super) watch_until: u64,
 }
 
@@ -35,30 +35,30 @@
         matches!(self.call, StoreRequest::Transaction(_))
     }
 
-    /// A watch that may wait for news.
+    /// True if the call is a watch that may still wait for events.
     fn may_wait(&self, now: u64) -> bool {
         matches!(self.call, StoreRequest::Watch { .. }) && now < self.watch_until
     }
 
-    /// The same call, whose answer goes to nobody.
+    /// Returns the same call with its answer discarded.
     fn without_caller(self) -> StoreCall {
-        StoreCall { caller: ProcessId::gone(self.caller.node), watch_until: 0, ..self }
+        StoreCall { caller: ProcessId::detached(self.caller.node), watch_until: 0, ..self }
     }
 }
 
-/// Answers to a node are lost until then.
+/// A fault that loses the store's answers to a node. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct LostAnswers {
     pub(super) until: u64,
-    /// How much later its transactions are carried out; never if 0.
+    /// Delay after which the node's transactions are executed; never if 0.
     pub(super) carried_out_after: u64,
 }
 
-/// What is wrong with the store, or with the way to it.
+/// Faults of the store and of the links to it.
 pub(super) struct StoreFaults {
-    /// By node: until when it is refused.
+    /// Indexed by node: the end of the period in which its calls are refused (milliseconds).
     refused_until: Vec<u64>,
-    /// By node.
+    /// Indexed by node.
     lost_answers: Vec<LostAnswers>,
     pub(super) delayed_transactions: FaultWindow,
     pub(super) slow: FaultWindow,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Refuses all calls of a node until then, or longer if that is known already.
+    /// Refuses all calls of a node until the time `until` (milliseconds). Never shortens an earlier
+    /// refusal.
     pub(super) fn refuse_until(&mut self, node: usize, until: u64) {
         self.refused_until[node] = self.refused_until[node].max(until);
     }
@@ -92,7 +93,7 @@
         let usual = MIN_CALL_MS + self.random.below(CALL_SPREAD_MS);
         let delay = usual + self.store_faults.slow.delay_at(now, &mut self.random);
         let call = StoreCall { caller, id, call, watch_until: now + wait };
-        // The caller waits no longer; the call is carried out all the same.
+        // The caller times out, but the store still executes the call.
         if delay + CALL_MARGIN_MS > TIMEOUT_MS {
             self.answer_store_call(caller, id, StoreResponse::Unknown, TIMEOUT_MS);
             return self.schedule(now + delay, ScheduledEvent::StoreCall(call.without_caller()));
@@ -100,18 +101,18 @@
         self.schedule(now + delay, ScheduledEvent::StoreCall(call));
     }
 
-    /// Sends the store's answer, `after` as many milliseconds.
-    fn answer_store_call(&mut self, to: ProcessId, id: CallId, answer: StoreResponse, after: u64) {
+    /// Sends the store's answer after a delay (milliseconds).
+    fn answer_store_call(&mut self, to: ProcessId, id: CallId, answer: StoreResponse, delay_ms: u64) {
         let input = Input::Store(id, answer);
-        self.schedule(self.now + after, ScheduledEvent::DeliverInput { to, input });
+        self.schedule(self.now + delay_ms, ScheduledEvent::DeliverInput { to, input });
     }
 
-    /// A call reaches the store, unless a fault keeps it from there.
+    /// Executes a call that arrives at the store, or applies the fault that affects it.
     pub(super) fn handle_store_call(&mut self, call: StoreCall) {
         let now = self.now;
         let node = call.caller.node;
         if now < self.store_faults.refused_until[node] {
-            // Open watches wait; everything else is refused.
+            // Open watches keep waiting; all other calls are refused.
             if call.may_wait(now) {
                 return self.schedule(now + OUTAGE_WATCH_PAUSE_MS, ScheduledEvent::StoreCall(call));
             }
@@ -122,15 +123,15 @@
             let late = (lost.carried_out_after > 0 && call.is_transaction()).then_some(lost.carried_out_after);
             return self.lose_answer(call, late);
         }
-        let may_be_delayed = call.is_transaction() && !call.caller.is_gone();
-        if may_be_delayed && self.store_faults.delayed_transactions.hits(now, &mut self.random) {
+        let may_be_delayed = call.is_transaction() && !call.caller.is_detached();
+        if may_be_delayed && self.store_faults.delayed_transactions.affects(now, &mut self.random) {
             let late = MIN_TRANSACTION_DELAY_MS + self.random.below(TRANSACTION_DELAY_SPREAD_MS);
             return self.lose_answer(call, Some(late));
         }
-        self.carry_out(call);
+        self.execute_store_call(call);
     }
 
-    /// The caller gets no answer; the call is carried out so much later, if at all.
+    /// Lets the caller time out. The call is executed after a delay (milliseconds), or never if None.
     fn lose_answer(&mut self, call: StoreCall, carried_out_after: Option<u64>) {
         let (caller, id) = (call.caller, call.id);
         if let Some(late) = carried_out_after {
@@ -139,7 +140,7 @@
         self.answer_store_call(caller, id, StoreResponse::Unknown, TIMEOUT_MS);
     }
 
-    fn carry_out(&mut self, call: StoreCall) {
+    fn execute_store_call(&mut self, call: StoreCall) {
         let now = self.now;
         self.check_conditions(&call.call);
         if let StoreRequest::Watch { after, .. } = &call.call {
--- a/tests/simulator/trace.rs
+++ b/tests/simulator/trace.rs
@@ -1,7 +1,7 @@
 //! A checksum of everything that the controllers' cores send, in wire form. It does not depend on
-//! Rust names, so it stays the same while code is renamed or moved, and changes with any decision.
-//! The wording of error answers is not part of it; their status is. The words that stand before
-//! each output here are part of the recorded checksums: they never change.
+//! Rust names, so renaming or moving code leaves it unchanged, while any changed decision changes
+//! it. It covers the status of error answers but not their wording. The words written before each
+//! output here are part of the recorded checksums and must never change.
 
 use prost::Message;
 use std::hash::Hasher;
@@ -9,7 +9,7 @@
 use tillercleat::protocol::users::JobStatus;
 use tillercleat::protocol::workers::HeartbeatResponse;
 
-/// FNV-1a, whose result is the same in every process and version.
+/// FNV-1a, which gives the same result in every process and Rust version.
 #[derive(Debug, Clone, Copy)]
 struct Fnv(u64);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// The checksum so far, with the number of inputs and outputs that it covers.
+/// The running checksum and the number of inputs and outputs that it covers.
 #[derive(Debug, Clone, Copy)]
 pub struct Trace {
     checksum: Fnv,
@@ -39,7 +39,7 @@
 }
 
 impl Trace {
-    /// Adds what a node sent at `now` (milliseconds) in answer to one input.
+    /// Adds the outputs of a node for one input at the time `now` (milliseconds).
     pub fn add(&mut self, now: u64, node: usize, outputs: &[Output]) {
         self.inputs += 1;
         for output in outputs {
@@ -49,18 +49,18 @@
         }
     }
 
-    /// The checksum of all outputs so far.
+    /// Returns the checksum of all outputs so far.
     pub fn checksum(&self) -> u64 {
         self.checksum.finish()
     }
 }
 
-/// A message in JSON.
+/// Returns a message in JSON.
 fn json(value: &impl serde::Serialize) -> String {
     serde_json::to_string(value).expect("a message has a JSON form")
 }
 
-/// An output as the transport writes it, after a word for its kind.
+/// Returns an output as the transport writes it, prefixed with a word for its kind.
 fn wire_form(output: &Output) -> Vec<u8> {
     match output {
         Output::Store(call, request) => {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A response as the transport writes it, without the wording of errors.
+/// Returns a response as the transport writes it, without the wording of errors.
 fn response_form(response: &Response) -> String {
     match response {
         Response::Healthy => "up".into(),
--- a/tests/simulator/users.rs
+++ b/tests/simulator/users.rs
@@ -1,5 +1,5 @@
-//! Users: they submit jobs, ask about them and cancel them, again and again until they are
-//! answered, and remember what they were told.
+//! Users: submit, poll and cancel jobs, retry requests that fail, and remember the answers for the
+//! invariant checks.
 
 use super::events::ScheduledEvent;
 use super::requests::PendingRequest;
@@ -9,25 +9,25 @@
 use tillercleat::protocol::users::{JobSpec, JobState};
 use tillercleat::units::JobId;
 
-/// How often a submission or a cancellation is sent again.
+/// Maximum number of retries of a submission or a cancellation.
 const MAX_RETRIES: u32 = 90;
-/// Pause before it is sent again (milliseconds).
+/// Delay before a submission or a cancellation is retried (milliseconds).
 const RETRY_MS: u64 = 1000;
-/// Pause between two questions about a job (milliseconds).
+/// Interval between two polls of a job (milliseconds).
 const POLL_MS: u64 = 3000;
-/// Pause of a submission that waits for the jobs that it depends on to be accepted (milliseconds).
+/// How long a submission is postponed while a dependency is not accepted yet (milliseconds).
 const DEPENDENCY_PAUSE_MS: u64 = 200;
 
-/// A job in its users' eyes, and what its tasks did. Times are in milliseconds.
+/// A job as its users know it, and the progress of its tasks. Times are in milliseconds.
 pub struct Job {
     pub spec: JobSpec,
-    /// When its user first submitted it.
+    /// When its user submitted it for the first time.
     pub(super) submitted_at: u64,
     pub(super) accepted: bool,
     pub(super) cancel_requested: bool,
-    /// When a user was told that it is cancelled.
+    /// When a user first received the state cancelled.
     pub(super) cancel_reported_at: Option<u64>,
-    /// When a user was told that a job it depends on is cancelled.
+    /// When a user first received the state cancelled of a job that it depends on, directly or not.
     pub(super) dependency_cancelled_at: Option<u64>,
     pub(super) last_answer_at: u64,
     pub(super) done_reported: bool,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// When its user was told that it is cancelled, or that one it depends on is.
+    /// Returns when a user first learned that the job, or one that it depends on, is cancelled.
     pub(super) fn cancelled_at(&self) -> Option<u64> {
         self.cancel_reported_at.into_iter().chain(self.dependency_cancelled_at).min()
     }
@@ -62,50 +62,50 @@
         self.finished_tasks.len() == self.spec.task_count as usize
     }
 
-    /// Accepted, and neither done nor cancelled in its user's eyes.
+    /// True if the job was accepted and was reported neither done nor cancelled.
     pub(super) fn is_open(&self) -> bool {
         self.accepted && !self.done_reported && self.cancel_reported_at.is_none()
     }
 }
 
-/// What a user asks for.
+/// Kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestKind {
     Submit,
     Cancel,
-    /// Asked until it is answered, and then again.
+    /// A query that is repeated for as long as the user polls the job.
     Poll,
-    /// Asked once.
+    /// A query that is never repeated.
     QueryOnce,
 }
 
-/// A user's request on its way.
+/// A user's request that has not been answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct UserRequest {
     pub(super) job: JobId,
     pub(super) kind: RequestKind,
     retries: u32,
-    /// The job had been accepted when its user asked.
+    /// Whether the job had been accepted when the request was sent.
     pub(super) job_was_accepted: bool,
 }
 
 impl SimulatedCluster {
-    /// Submits a job at a time (milliseconds).
+    /// Schedules the submission of a job for the time `at` (milliseconds).
     pub fn submit(&mut self, at: u64, spec: JobSpec) {
         self.schedule(at, ScheduledEvent::Submit { spec, retries: 0 });
     }
 
-    /// Cancels a job at a time.
+    /// Schedules the cancellation of a job for the time `at` (milliseconds).
     pub fn cancel(&mut self, at: u64, job: &JobId) {
         self.schedule(at, ScheduledEvent::Cancel { job: job.clone(), retries: 0 });
     }
 
-    /// Users ask about a job from a time on.
+    /// Polls a job from the time `at` on (milliseconds).
     pub fn poll(&mut self, at: u64, job: &JobId) {
         self.schedule(at, ScheduledEvent::Poll { job: job.clone() });
     }
 
-    /// Runs until `at`; from then on the user of a job repeats nothing.
+    /// Runs until `at` (milliseconds); from then on the job's user retries and polls no more.
     pub fn user_gives_up(&mut self, at: u64, job: &JobId) {
         self.run(at);
         self.users_given_up.insert(job.clone());
@@ -115,7 +115,7 @@
         let jobs = &self.jobs;
         let mut dependencies = spec.dependencies.iter().filter_map(|id| jobs.get(id));
         if dependencies.clone().any(|job| !job.accepted) {
-            // Users name jobs once those are accepted.
+            // Users submit a job only once its dependencies are accepted.
             return self.schedule(self.now + DEPENDENCY_PAUSE_MS, ScheduledEvent::Submit { spec, retries });
         }
         let dependency_cancelled = dependencies.any(|job| job.cancelled_at().is_some());
@@ -135,7 +135,7 @@
         self.send_request(ClientRequest::Query(id.clone()), id, kind, 0);
     }
 
-    /// Sends a request to any node; one that does not answer is asked again later.
+    /// Sends a request to a random node; schedules a retry if that node is not reachable.
     fn send_request(&mut self, request: ClientRequest, job: JobId, kind: RequestKind, retries: u32) {
         let node = self.random_node();
         let job_was_accepted = self.jobs.get(&job).is_some_and(|job| job.accepted);
@@ -168,7 +168,7 @@
         }
     }
 
-    pub(super) fn user_answered(&mut self, request: UserRequest, response: Response) {
+    pub(super) fn handle_user_response(&mut self, request: UserRequest, response: Response) {
         if !self.jobs.contains_key(&request.job) {
             if matches!(response, Response::Job { .. }) {
                 self.violations.push(format!("invented: {}", request.job));
@@ -176,14 +176,14 @@
             return;
         }
         match response {
-            Response::Job { status, state, .. } => self.job_reported(request, status.http_status(), state),
-            Response::Error(refusal) => self.request_refused(request, refusal.http_status()),
+            Response::Job { status, state, .. } => self.handle_job_state(request, status.http_status(), state),
+            Response::Error(refusal) => self.handle_refusal(request, refusal.http_status()),
             _ => {}
         }
     }
 
-    /// A user was told the state of its job.
-    fn job_reported(&mut self, request: UserRequest, status: u16, state: JobState) {
+    /// Records the state of a job that a user received.
+    fn handle_job_state(&mut self, request: UserRequest, status: u16, state: JobState) {
         self.check_reported_state(&request, status, state);
         let now = self.now;
         let id = request.job;
@@ -203,8 +203,8 @@
         }
     }
 
-    /// A user got an error, for good or for now.
-    fn request_refused(&mut self, request: UserRequest, status: u16) {
+    /// Records a permanent refusal, or retries after a temporary one.
+    fn handle_refusal(&mut self, request: UserRequest, status: u16) {
         self.check_refusal(&request, status);
         if request.kind == RequestKind::Submit && matches!(status, 400 | 422) {
             self.rejections.insert(request.job, status);
@@ -214,7 +214,7 @@
         self.retry_request(request);
     }
 
-    /// All that depends on a cancelled job is cancelled with it.
+    /// Marks all direct and indirect dependents of a cancelled job as cancelled.
     fn mark_dependents_cancelled(&mut self, id: &JobId) {
         let mut cancelled = vec![id.clone()];
         while let Some(id) = cancelled.pop() {
--- a/tests/simulator/waiting_work.rs
+++ b/tests/simulator/waiting_work.rs
@@ -1,7 +1,7 @@
-//! No job waits for long while a machine that fits has room for it and its team is below its
-//! limit: looked at now and then, once all faults are over.
+//! Checks that no job waits for long while a suitable machine has room for it and its team is below
+//! its quota. Runs periodically after the end of all faults.
 
-use super::start_checks::{may_join, ROUNDING};
+use super::start_checks::{zone_allows_task, ROUNDING_TOLERANCE};
 use super::users::Job;
 use super::workers::{Worker, WorkerTask};
 use super::SimulatedCluster;
@@ -9,26 +9,26 @@
 use tillercleat::protocol::users::JobSpec;
 use tillercleat::units::JobId;
 
-/// How long work may wait while there is room for it (milliseconds).
+/// How long a job may wait while there is room for it (milliseconds).
 const MAX_WAIT_MS: u64 = 90_000;
-/// How many machines a violation names.
-const MACHINES_NAMED: usize = 3;
+/// Maximum number of machines listed in a violation.
+const MAX_LISTED_MACHINES: usize = 3;
 
-/// A job that waits: since when without any start, and the machines that have had room for it
-/// all the while.
+/// A waiting job: since when (milliseconds) it has waited without any task start, and the machines
+/// that have had room for it all that time.
 pub(super) struct WaitingJob {
     since: u64,
     with_room: BTreeSet<usize>,
 }
 
-/// Cores and memory that are used of a machine.
+/// Cores and memory in use on a machine.
 #[derive(Debug, Clone, Copy, Default)]
 struct MachineUse {
     cpus: f64,
     mem_gb: f64,
 }
 
-/// What is used of teams (cores), and of each machine.
+/// Resources in use: cores by team, cores and memory by worker index.
 struct Usage {
     teams: BTreeMap<String, f64>,
     machines: Vec<MachineUse>,
@@ -43,33 +43,33 @@
 }
 
 impl SimulatedCluster {
-    /// No job is left waiting while a machine that fits has room and its team is under its limit.
+    /// Reports jobs that have waited for too long while there was room for them.
     pub(super) fn check_waiting_jobs(&mut self) {
         let usage = self.usage();
         let waiting = self.jobs.iter().filter(|(id, job)| self.may_run(id, job));
         let mut waiting: BTreeMap<JobId, WaitingJob> =
-            waiting.filter_map(|(id, job)| Some((id.clone(), self.waits_beside_room(id, job, &usage)?))).collect();
+            waiting.filter_map(|(id, job)| Some((id.clone(), self.find_waiting_job(id, job, &usage)?))).collect();
         for (id, WaitingJob { since, with_room }) in &mut waiting {
             if self.now > *since + MAX_WAIT_MS {
                 let names = with_room.iter().map(|at| self.workers[*at].name.to_string());
-                let names = names.take(MACHINES_NAMED).collect::<Vec<_>>().join(" ");
+                let names = names.take(MAX_LISTED_MACHINES).collect::<Vec<_>>().join(" ");
                 self.violations.push(format!("left waiting: {id} since {since}, beside {names}"));
-                // Reported once each time that it has waited for so long.
+                // Reported again only after another full wait.
                 *since = self.now;
             }
         }
         self.checks.waiting = waiting;
     }
 
-    /// A job that should run if there is room for it.
+    /// True if the job should run as soon as there is room for it.
     fn may_run(&self, id: &JobId, job: &Job) -> bool {
         let done = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_done);
         let over = job.cancel_requested || job.cancelled_at().is_some() || self.failing_jobs.contains(id);
         job.accepted && !over && job.spec.dependencies.iter().all(done)
     }
 
-    /// Since when the job waits and which machines had room for it, if it waits and any has.
-    fn waits_beside_room(&self, id: &JobId, job: &Job, usage: &Usage) -> Option<WaitingJob> {
+    /// Returns the job's waiting state, or None unless it waits and some machine has room for it.
+    fn find_waiting_job(&self, id: &JobId, job: &Job, usage: &Usage) -> Option<WaitingJob> {
         let zones = self.zones_of_running_tasks(id);
         if job.finished_tasks.len() + zones.len() >= job.spec.task_count as usize {
             return None;
@@ -84,15 +84,15 @@
         (!with_room.is_empty()).then_some(WaitingJob { since, with_room })
     }
 
-    /// The zone of each task of a job that runs.
+    /// Returns the zone of each running task of a job.
     fn zones_of_running_tasks(&self, id: &JobId) -> Vec<usize> {
         let placed = self.placements_of(id).flat_map(|(task, workers)| workers.iter().map(move |at| (task, *at)));
         let running = placed.filter(|(task, at)| self.workers[*at].alive && self.workers[*at].runs(task));
         running.map(|(_, at)| self.workers[at].zone).collect()
     }
 
-    /// What is used now. What came free a heartbeat or two ago counts as well: the next tasks
-    /// are on their way to it.
+    /// Returns the resources in use. Those freed within the last few heartbeats still count, since
+    /// the controllers may not have learned of it, or have placed the next tasks there already.
     fn usage(&mut self) -> Usage {
         let turnover_ms = 1000 + self.config.heartbeat_ms * 5 / 2;
         while self.checks.recently_ended.front().is_some_and(|ended| ended.at + turnover_ms < self.now) {
@@ -114,32 +114,34 @@
         usage
     }
 
-    /// Machines that have room for one more task, if its team may run it.
+    /// Returns the machines with room for one more task; none if the team's quota is exhausted.
     fn machines_with_room(&self, spec: &JobSpec, zones: &[usize], usage: &Usage) -> BTreeSet<usize> {
         let limit = self.team_limit(&spec.team);
         let team = usage.teams.get(&spec.team).copied().unwrap_or(0.0);
-        if limit > 0.0 && team + spec.cpus > limit + ROUNDING {
+        if limit > 0.0 && team + spec.cpus > limit + ROUNDING_TOLERANCE {
             return BTreeSet::new();
         }
         let machines = self.workers.iter().zip(&usage.machines).enumerate();
         let fitting = machines.filter(|(_, (worker, used))| {
-            self.serves(worker)
+            self.is_serving(worker)
                 && self.is_allowed_on(spec, worker)
-                && may_join(spec, worker.zone, zones)
+                && zone_allows_task(spec, worker.zone, zones)
                 && self.has_room(spec, worker, **used)
         });
         fitting.map(|(at, _)| at).collect()
     }
 
-    /// A sound machine whose worker sends heartbeats.
-    fn serves(&self, worker: &Worker) -> bool {
+    /// True if the machine is not faulty and its worker sends heartbeats.
+    fn is_serving(&self, worker: &Worker) -> bool {
         worker.alive && self.now > worker.up_at && !worker.faulty && self.now >= worker.hung_until
     }
 
     fn has_room(&self, spec: &JobSpec, worker: &Worker, used: MachineUse) -> bool {
-        let Some(kind) = self.config.machine_types.iter().find(|kind| kind.name == worker.kind) else { return false };
-        spec.types.as_ref().is_none_or(|types| types.contains(&worker.kind))
-            && used.cpus + spec.cpus <= kind.cpus + ROUNDING
-            && used.mem_gb + spec.mem_gb <= kind.mem_gb + ROUNDING
+        let Some(kind) = self.config.machine_types.iter().find(|kind| kind.name == worker.machine_type) else {
+            return false;
+        };
+        spec.types.as_ref().is_none_or(|types| types.contains(&worker.machine_type))
+            && used.cpus + spec.cpus <= kind.cpus + ROUNDING_TOLERANCE
+            && used.mem_gb + spec.mem_gb <= kind.mem_gb + ROUNDING_TOLERANCE
     }
 }
--- a/tests/simulator/worker_heartbeats.rs
+++ b/tests/simulator/worker_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers and the answers to them: what is sent, to which node, and what gets
-//! lost or delayed on the way.
+//! Heartbeats of workers and the answers to them: their content, the choice of node, and the faults
+//! that lose or delay them.
 
 use super::events::{ProcessId, ScheduledEvent};
 use super::network::{LinkState, LINK_MS};
@@ -10,21 +10,21 @@
 use tillercleat::protocol::workers::{Command, Heartbeat, TaskStatus};
 use tillercleat::units::{AgentEpoch, FencingToken, HeartbeatNumber, NodeName};
 
-/// After what time a worker tries the next node (milliseconds).
+/// Time without an answer after which a worker tries the next node (milliseconds).
 const HEARTBEAT_TIMEOUT_MS: u64 = 5000;
-/// The same if the node refuses the connection.
+/// Delay before it tries the next node if a node refuses the connection (milliseconds).
 const REFUSED_RETRY_MS: u64 = 1000;
-/// Answers later than this after the heartbeat are not acted on (milliseconds).
+/// Workers ignore answers that arrive later than this after the heartbeat was sent (milliseconds).
 const MAX_ANSWER_AGE_MS: u64 = 4000;
-/// How late a delayed heartbeat is at least, and a duplicated one (milliseconds).
+/// Minimum delay of a delayed heartbeat and of a duplicated one (milliseconds).
 const MIN_DELAY_MS: u64 = 1000;
 const MIN_DUPLICATE_DELAY_MS: u64 = 1;
-/// In smaller fleets all workers are checked at each heartbeat; in larger ones, where that would
-/// cost the square of their number, once a second.
+/// Number of workers from which all workers are checked only once a second. Smaller fleets check
+/// them at each heartbeat, the cost of which grows with the square of the number of workers.
 pub(super) const SMALL_FLEET: usize = 100;
 
 impl Worker {
-    /// The next heartbeat, with the state of all its tasks.
+    /// Creates the next heartbeat, with the state of all tasks, and marks it as in flight.
     fn next_heartbeat(&mut self, zone_name: &str, now: u64) -> Heartbeat {
         self.heartbeat_number += 1;
         self.in_flight = Some(HeartbeatInFlight { number: self.heartbeat_number, sent_at: now });
@@ -38,7 +38,7 @@
         Heartbeat {
             machine: self.name.clone(),
             addr: "127.0.0.1:1".into(),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: zone_name.into(),
             spot: self.spot,
             agent_epoch: AgentEpoch(self.agent_epoch),
@@ -51,20 +51,20 @@
 }
 
 impl SimulatedCluster {
-    /// A worker's timer: sends a heartbeat, and sets the timer again.
-    pub(super) fn heartbeat_due(&mut self, worker: usize) {
+    /// Handles a worker's heartbeat timer: resets the timer and sends a heartbeat.
+    pub(super) fn handle_heartbeat_due(&mut self, worker: usize) {
         if !self.workers[worker].alive {
             return;
         }
-        // Each worker keeps a pause of its own, from three quarters of the usual one on.
+        // Each worker has its own interval: from 75% to 111% of the configured one.
         let (heartbeat_ms, spread) = (self.config.heartbeat_ms, worker as u64 % 7);
         let pause = heartbeat_ms * 3 / 4 + spread * (heartbeat_ms * 3 / 50);
         self.schedule(self.now + pause, ScheduledEvent::HeartbeatDue { worker });
         self.send_heartbeat(worker);
     }
 
-    /// A heartbeat got no answer: the next node may answer.
-    pub(super) fn heartbeat_failed(&mut self, index: usize, number: u64) {
+    /// Sends a new heartbeat to the next node after one got no answer.
+    pub(super) fn handle_heartbeat_failure(&mut self, index: usize, number: u64) {
         let nodes = self.controllers.len();
         let worker = &mut self.workers[index];
         if worker.alive && worker.in_flight.is_some_and(|in_flight| in_flight.number == number) {
@@ -79,8 +79,8 @@
             return;
         }
         self.advance_worker(index);
-        self.check_cancelled_tasks_in_turn();
-        // One at a time.
+        self.check_cancelled_tasks_if_due();
+        // At most one heartbeat is in flight.
         if self.workers[index].in_flight.is_some() {
             return;
         }
@@ -89,7 +89,7 @@
         self.transmit_heartbeat(index, heartbeat);
     }
 
-    /// Puts a heartbeat on its way, with the faults of the network.
+    /// Sends a heartbeat, subject to the faults of the network.
     fn transmit_heartbeat(&mut self, index: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let worker = &self.workers[index];
@@ -100,13 +100,13 @@
             return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
         }
         let delayed = self.network.delayed_heartbeats;
-        if delayed.hits(now, &mut self.random) {
+        if delayed.affects(now, &mut self.random) {
             let late = MIN_DELAY_MS + delayed.delay(&mut self.random);
             self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
             return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
         }
         let duplicated = self.network.duplicated_heartbeats;
-        if duplicated.hits(now, &mut self.random) {
+        if duplicated.affects(now, &mut self.random) {
             let late = MIN_DUPLICATE_DELAY_MS + duplicated.delay(&mut self.random);
             let heartbeat = heartbeat.clone();
             self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
@@ -124,7 +124,7 @@
     pub(super) fn deliver_heartbeat(&mut self, to: ProcessId, worker: usize, heartbeat: Heartbeat) {
         let number = heartbeat.heartbeat_number.0;
         if to != self.process(to.node) || !self.controllers[to.node].is_running() {
-            // Refused or reset.
+            // The connection is refused or reset.
             let retry = ScheduledEvent::HeartbeatFailed { worker, number };
             return self.schedule(self.now + REFUSED_RETRY_MS, retry);
         }
@@ -132,7 +132,7 @@
         self.handle_input(to.node, Input::Heartbeat(id, heartbeat));
     }
 
-    /// A delayed or duplicated heartbeat arrives at any node; the answer is of no use.
+    /// Delivers a delayed or duplicated heartbeat to a random node. The worker ignores the answer.
     pub(super) fn deliver_stray_heartbeat(&mut self, worker: usize, heartbeat: Heartbeat) {
         let node = self.random_node();
         let id = self.requests.new_id();
@@ -142,12 +142,12 @@
         }
     }
 
-    /// Sends a controller's answer to a worker, with the faults of the network.
+    /// Sends a controller's answer to a worker, subject to the faults of the network.
     pub(super) fn send_answer(&mut self, node: usize, index: usize, number: u64, response: Response) {
         let now = self.now;
         let worker = &self.workers[index];
         if now < worker.downlink_lost_until.max(self.controllers[node].answers_lost_until) {
-            self.statistics.undelivered_starts += starts_in(&response);
+            self.statistics.undelivered_starts += count_starts(&response);
             return;
         }
         let (zone, delayed) = (worker.zone, worker.delayed_answers);
@@ -168,23 +168,24 @@
         let (now, index) = (self.now, answer.worker);
         let hung_until = self.workers[index].hung_until;
         if now < hung_until {
-            // Handled when it goes on, if it still is in time then.
+            // Delivered when the worker resumes; it may be too late by then.
             return self.schedule(hung_until, ScheduledEvent::DeliverAnswer(answer));
         }
         self.advance_worker(index);
         let worker = &mut self.workers[index];
         let Some(in_flight) = worker.in_flight else { return };
         let in_time = in_flight.number == answer.number && now <= in_flight.sent_at + MAX_ANSWER_AGE_MS;
-        // Late answers, and those to an earlier epoch, are dropped.
+        // Answers that are late or belong to an earlier epoch are dropped.
         if !worker.alive || !in_time || answer.agent_epoch != worker.agent_epoch {
             return;
         }
         worker.in_flight = None;
-        self.obey(index, in_flight.sent_at, answer.response);
+        self.apply_response(index, in_flight.sent_at, answer.response);
     }
 
-    /// A worker does what the answer to its heartbeat says.
-    fn obey(&mut self, index: usize, sent_at: u64, response: Response) {
+    /// Applies the answer to a heartbeat: renews the lease and executes the commands, or changes the
+    /// node that the worker sends to.
+    fn apply_response(&mut self, index: usize, sent_at: u64, response: Response) {
         let nodes = self.controllers.len();
         let worker = &mut self.workers[index];
         match response {
@@ -206,8 +207,8 @@
     }
 }
 
-/// How many starts an answer holds.
-fn starts_in(response: &Response) -> usize {
+/// Counts the start commands in an answer.
+fn count_starts(response: &Response) -> usize {
     match response {
         Response::Commands { commands, .. } => {
             commands.iter().filter(|command| matches!(command, Command::Start { .. })).count()
--- a/tests/simulator/workers.rs
+++ b/tests/simulator/workers.rs
@@ -1,5 +1,5 @@
-//! The workers: one on each rented machine, with a lease that it renews by heartbeats and tasks
-//! that run and end. Their heartbeats stand in `worker_heartbeats`.
+//! The workers: one on each rented machine, with its tasks and with a lease that it renews by
+//! heartbeats. Sending and answering heartbeats is in `worker_heartbeats`.
 
 use super::events::ScheduledEvent;
 use super::faults::FaultWindow;
@@ -9,20 +9,20 @@
 use tillercleat::protocol::workers::{Command, ExitReason, TaskName, TaskState};
 use tillercleat::units::{Attempt, JobId, MachineId};
 
-/// How long a task runs that fails (milliseconds).
+/// Run time of a task that fails (milliseconds).
 const FAILING_RUN_MS: u64 = 1000;
-/// How long a task of an unknown job runs (milliseconds).
+/// Run time of a task whose job the simulation does not know (milliseconds).
 const UNKNOWN_RUN_MS: u64 = 1000;
-/// A task takes at least this much of its estimate, and up to so much more (percent).
+/// Minimum run time of a task and its random excess (percent of the job's estimate).
 const MIN_RUN_PERCENT: u64 = 80;
 const RUN_SPREAD_PERCENT: u64 = 60;
 
-/// A task on a worker, until the worker is told to forget it.
+/// A task on a worker. It is kept after its end until a controller sends `Forget`.
 pub(super) struct WorkerTask {
     pub(super) attempt: Attempt,
     pub(super) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
-    /// When it ends by itself (milliseconds).
+    /// When it ends unless it is stopped earlier (milliseconds); `u64::MAX` for services.
     pub(super) ends_at: u64,
 }
 
@@ -32,19 +32,19 @@
     }
 }
 
-/// A heartbeat that has got no answer yet.
+/// A heartbeat that has not been answered yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HeartbeatInFlight {
     pub(super) number: u64,
     pub(super) sent_at: u64,
 }
 
-/// A controller's answer on its way to a worker.
+/// A controller's answer in transit to a worker.
 pub(super) struct WorkerAnswer {
     pub(super) worker: usize,
-    /// The number of the heartbeat that it answers.
+    /// Number of the heartbeat that it answers; 0 for a stray heartbeat.
     pub(super) number: u64,
-    /// The worker's epoch when it was sent.
+    /// The worker's epoch when the answer was sent.
     pub(super) agent_epoch: u64,
     pub(super) response: Response,
 }
@@ -52,35 +52,36 @@
 /// A worker and its machine. Times are in milliseconds.
 pub(super) struct Worker {
     pub(super) name: MachineId,
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     pub(super) zone: usize,
     pub(super) spot: bool,
     pub(super) rented_at: u64,
     pub(super) up_at: u64,
-    /// The machine is rented, and not lost.
+    /// Whether the machine is rented, neither lost nor returned.
     pub(super) alive: bool,
     pub(super) hung_until: u64,
-    /// Until then no answer reaches it.
+    /// Answers to it are lost until this time.
     pub(super) downlink_lost_until: u64,
-    /// Until then it reaches no controller.
+    /// Its heartbeats are lost until this time.
     pub(super) uplink_lost_until: u64,
     pub(super) delayed_answers: FaultWindow,
-    /// Fails every task.
+    /// Whether every task on it fails.
     pub(super) faulty: bool,
     pub(super) agent_epoch: u64,
     pub(super) heartbeat_number: u64,
     pub(super) token: u64,
     /// The node that it sends its heartbeats to.
     pub(super) node: usize,
-    /// Since when its lease counts.
+    /// Start of its current lease: when it sent the last heartbeat that was answered, or when its
+    /// epoch began.
     pub(super) lease_from: u64,
     pub(super) tasks: BTreeMap<TaskName, WorkerTask>,
     pub(super) in_flight: Option<HeartbeatInFlight>,
 }
 
 impl Worker {
-    /// The machine is gone, with all that ran on it.
-    pub(super) fn die(&mut self) {
+    /// Marks the machine as lost or returned, together with its tasks.
+    pub(super) fn terminate(&mut self) {
         self.alive = false;
         self.tasks.clear();
     }
@@ -89,7 +90,7 @@
         self.tasks.get(task).is_some_and(WorkerTask::is_running)
     }
 
-    /// How many tasks of a job run on it.
+    /// Counts the running tasks of a job.
     pub(super) fn running_tasks_of(&self, job: &JobId) -> usize {
         self.tasks.iter().filter(|(name, task)| name.job == *job && task.is_running()).count()
     }
@@ -98,8 +99,8 @@
         self.tasks.get(task).is_some_and(|on_worker| on_worker.attempt == attempt)
     }
 
-    /// The worker kills its tasks and begins a new epoch.
-    fn lose_lease(&mut self, now: u64) {
+    /// Kills all tasks and starts a new epoch, as a worker does when its lease expires.
+    fn expire_lease(&mut self, now: u64) {
         self.agent_epoch += 1;
         self.lease_from = now;
         self.tasks.clear();
@@ -107,13 +108,13 @@
 }
 
 impl SimulatedCluster {
-    pub(super) fn add_worker(&mut self, kind: String, zone: usize, spot: bool, up_at: u64) -> MachineId {
+    pub(super) fn add_worker(&mut self, machine_type: String, zone: usize, spot: bool, up_at: u64) -> MachineId {
         let index = self.workers.len();
         let name = MachineId::new(&format!("i-{index:06}"));
         let node = self.random_node();
         self.workers.push(Worker {
             name: name.clone(),
-            kind,
+            machine_type,
             zone,
             spot,
             rented_at: self.now,
@@ -136,21 +137,21 @@
         name
     }
 
-    /// Lets a worker's time pass up to now: its lease may run out, and tasks end.
+    /// Advances a worker to the current time: expires its lease and ends tasks that are due.
     pub(super) fn advance_worker(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
         if now > worker.lease_from + self.config.lease_ms {
-            worker.lose_lease(now);
+            worker.expire_lease(now);
         }
         if now < worker.hung_until {
-            // A hanging worker carries out nothing, but its lease runs out.
+            // The lease of a hanging worker expires, but its tasks' ends are not processed.
             return;
         }
         let faulty = worker.faulty;
         for (name, task) in worker.tasks.iter_mut().filter(|(_, task)| task.is_running() && task.ends_at <= now) {
             task.state = TaskState::Exited;
-            self.checks.note_ended_task(now, index, &name.job);
+            self.checks.record_ended_task(now, index, &name.job);
             if faulty || self.failing_jobs.contains(&name.job) {
                 task.exit_reason = Some(ExitReason::Failed);
                 continue;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Does what a controller tells a worker to do.
+    /// Executes a controller's command on a worker.
     pub(super) fn execute_command(&mut self, index: usize, command: Command) {
         let worker = &mut self.workers[index];
         match command {
@@ -190,12 +191,13 @@
         let started = WorkerTask { attempt, state: TaskState::Running, exit_reason: None, ends_at };
         let job = task.job.clone();
         self.workers[index].tasks.insert(task, started);
-        if self.cancel_at_completion.hits(self.now, &mut self.random) {
+        if self.cancel_at_completion.affects(self.now, &mut self.random) {
             self.schedule_cancel_at_completion(&job);
         }
     }
 
-    /// When a task of a job ends that this worker starts now. Tasks of services never do.
+    /// Returns when a task that the worker starts now will end: `u64::MAX` for tasks of services,
+    /// which never end.
     fn end_of_run(&mut self, index: usize, job: &JobId) -> u64 {
         let run_ms = self.jobs.get(job).map_or(UNKNOWN_RUN_MS, |job| (job.spec.estimated_run_s * 1000.0) as u64);
         let percent = MIN_RUN_PERCENT + self.random.below(RUN_SPREAD_PERCENT);
