--- a/benches/cost.rs
+++ b/benches/cost.rs
@@ -106,7 +106,7 @@
             "{machines:>8} {kind:>9} {:>8} {:>11.1} {:>11.0} {:>9.2}",
             cost.count,
             cost.nanos as f64 / 1e3 / cost.count as f64,
-            cost.most as f64 / 1e3,
+            cost.max_nanos as f64 / 1e3,
             cost.nanos as f64 / 1e9
         );
     }
--- a/tests/simulator/statistics.rs
+++ b/tests/simulator/statistics.rs
@@ -19,7 +19,7 @@
     pub count: u64,
     pub nanos: u64,
     /// Time of the most expensive input.
-    pub most: u64,
+    pub max_nanos: u64,
 }
 
 /// Counters of a run.
@@ -32,7 +32,7 @@
     pub starts_by_job: BTreeMap<JobId, usize>,
     /// Task starts after a user was told that the job is cancelled.
     pub starts_after_cancellation: usize,
-    /// Start commands in answers that were lost on the way to a worker.
+    /// Start commands in answers lost because of `DownlinkLost` or `ControllerAnswersLost` faults.
     pub undelivered_starts: usize,
     /// Number of crashes at each planned crash point.
     pub reached_crash_points: BTreeMap<CrashPoint, usize>,
@@ -50,7 +50,7 @@
         let cost = self.costs.entry(kind).or_default();
         cost.count += 1;
         cost.nanos += nanos;
-        cost.most = cost.most.max(nanos);
+        cost.max_nanos = cost.max_nanos.max(nanos);
     }
 }
 
@@ -113,7 +113,8 @@
         self.workers.iter().filter(|worker| worker.alive && self.now < worker.downlink_lost_until).count()
     }
 
-    /// Returns the number of start commands in answers that were lost on the way to a worker.
+    /// Returns the number of start commands in answers lost because of `DownlinkLost` or
+    /// `ControllerAnswersLost` faults.
     pub fn undelivered_starts(&self) -> usize {
         self.statistics.undelivered_starts
     }
