--- a/tests/simulator/crash_points.rs
+++ b/tests/simulator/crash_points.rs
@@ -107,7 +107,7 @@
     }
 
     /// Schedules a call of a crashing node to be executed later, with its answer discarded.
-    fn execute_later(&mut self, node: usize, output: &Output, late: u64) {
+    fn execute_later(&mut self, node: usize, output: &Output, delay_ms: u64) {
         let caller = ProcessId::detached(node);
         let event = match output {
             Output::Store(id, call) => {
@@ -116,6 +116,6 @@
             Output::Cloud(id, call) => ScheduledEvent::CloudCall { caller, id: *id, call: call.clone() },
             _ => return,
         };
-        self.schedule(self.now + late, event);
+        self.schedule(self.now + delay_ms, event);
     }
 }
--- a/tests/simulator/invariants.rs
+++ b/tests/simulator/invariants.rs
@@ -12,7 +12,8 @@
 use tillercleat::protocol::workers::TaskName;
 use tillercleat::units::JobId;
 
-/// How long an open job may go without an answer, outside of faults (milliseconds).
+/// How long an open job may go without an answer, counted from the last answer or the end of the
+/// started faults, whichever is later (milliseconds).
 const MAX_UNANSWERED_MS: u64 = 75_000;
 
 /// Interval between two checks, in a small cluster and in a large one (milliseconds).
--- a/tests/simulator/mod.rs
+++ b/tests/simulator/mod.rs
@@ -79,7 +79,7 @@
     pub failing_jobs: BTreeSet<JobId>,
     /// HTTP status of each permanently rejected submission (400 or 422).
     pub rejections: BTreeMap<JobId, u16>,
-    /// Jobs whose users no longer retry or poll.
+    /// Jobs whose users no longer retry unanswered or refused requests.
     users_given_up: BTreeSet<JobId>,
     cancel_at_completion: FaultWindow,
     faults_end: FaultsEnd,
--- a/tests/simulator/start_checks.rs
+++ b/tests/simulator/start_checks.rs
@@ -94,7 +94,7 @@
         if !self.is_allowed_on(spec, worker) {
             self.violations.push(format!("wrong_place: {job}/{number} at {now}"));
         }
-        let workers = spread.iter().map(|at| &self.workers[*at]).filter(|worker| worker.alive);
+        let workers = spread.iter().map(|other| &self.workers[*other]).filter(|worker| worker.alive);
         let zones: Vec<usize> =
             workers.flat_map(|worker| std::iter::repeat_n(worker.zone, worker.running_tasks_of(job))).collect();
         if !zone_allows_task(spec, self.workers[index].zone, &zones) {
--- a/tests/simulator/store_calls.rs
+++ b/tests/simulator/store_calls.rs
@@ -120,13 +120,13 @@
         }
         let lost = self.store_faults.lost_answers[node];
         if now < lost.until {
-            let late = (lost.carried_out_after > 0 && call.is_transaction()).then_some(lost.carried_out_after);
-            return self.lose_answer(call, late);
+            let delay_ms = (lost.carried_out_after > 0 && call.is_transaction()).then_some(lost.carried_out_after);
+            return self.lose_answer(call, delay_ms);
         }
         let may_be_delayed = call.is_transaction() && !call.caller.is_detached();
         if may_be_delayed && self.store_faults.delayed_transactions.affects(now, &mut self.random) {
-            let late = MIN_TRANSACTION_DELAY_MS + self.random.below(TRANSACTION_DELAY_SPREAD_MS);
-            return self.lose_answer(call, Some(late));
+            let delay_ms = MIN_TRANSACTION_DELAY_MS + self.random.below(TRANSACTION_DELAY_SPREAD_MS);
+            return self.lose_answer(call, Some(delay_ms));
         }
         self.execute_store_call(call);
     }
@@ -134,8 +134,8 @@
     /// Lets the caller time out. The call is executed after a delay (milliseconds), or never if None.
     fn lose_answer(&mut self, call: StoreCall, carried_out_after: Option<u64>) {
         let (caller, id) = (call.caller, call.id);
-        if let Some(late) = carried_out_after {
-            self.schedule(self.now + late, ScheduledEvent::StoreCall(call.without_caller()));
+        if let Some(delay_ms) = carried_out_after {
+            self.schedule(self.now + delay_ms, ScheduledEvent::StoreCall(call.without_caller()));
         }
         self.answer_store_call(caller, id, StoreResponse::Unknown, TIMEOUT_MS);
     }
--- a/tests/simulator/users.rs
+++ b/tests/simulator/users.rs
@@ -27,7 +27,8 @@
     pub(super) cancel_requested: bool,
     /// When a user first received the state cancelled.
     pub(super) cancel_reported_at: Option<u64>,
-    /// When a user first received the state cancelled of a job that it depends on, directly or not.
+    /// When a user first received the state cancelled of a job that it depends on, directly or not;
+    /// when it was submitted, if that was later.
     pub(super) dependency_cancelled_at: Option<u64>,
     pub(super) last_answer_at: u64,
     pub(super) done_reported: bool,
@@ -105,7 +106,8 @@
         self.schedule(at, ScheduledEvent::Poll { job: job.clone() });
     }
 
-    /// Runs until `at` (milliseconds); from then on the job's user retries and polls no more.
+    /// Runs until `at` (milliseconds); from then on the job's user retries no unanswered or refused
+    /// request.
     pub fn user_gives_up(&mut self, at: u64, job: &JobId) {
         self.run(at);
         self.users_given_up.insert(job.clone());
--- a/tests/simulator/waiting_work.rs
+++ b/tests/simulator/waiting_work.rs
@@ -46,12 +46,12 @@
     /// Reports jobs that have waited for too long while there was room for them.
     pub(super) fn check_waiting_jobs(&mut self) {
         let usage = self.usage();
-        let waiting = self.jobs.iter().filter(|(id, job)| self.may_run(id, job));
+        let waiting = self.jobs.iter().filter(|(id, job)| self.is_runnable(id, job));
         let mut waiting: BTreeMap<JobId, WaitingJob> =
             waiting.filter_map(|(id, job)| Some((id.clone(), self.find_waiting_job(id, job, &usage)?))).collect();
         for (id, WaitingJob { since, with_room }) in &mut waiting {
             if self.now > *since + MAX_WAIT_MS {
-                let names = with_room.iter().map(|at| self.workers[*at].name.to_string());
+                let names = with_room.iter().map(|index| self.workers[*index].name.to_string());
                 let names = names.take(MAX_LISTED_MACHINES).collect::<Vec<_>>().join(" ");
                 self.violations.push(format!("left waiting: {id} since {since}, beside {names}"));
                 // Reported again only after another full wait.
@@ -62,10 +62,10 @@
     }
 
     /// True if the job should run as soon as there is room for it.
-    fn may_run(&self, id: &JobId, job: &Job) -> bool {
+    fn is_runnable(&self, id: &JobId, job: &Job) -> bool {
         let done = |id: &JobId| self.jobs.get(id).is_some_and(Job::is_done);
-        let over = job.cancel_requested || job.cancelled_at().is_some() || self.failing_jobs.contains(id);
-        job.accepted && !over && job.spec.dependencies.iter().all(done)
+        let excluded = job.cancel_requested || job.cancelled_at().is_some() || self.failing_jobs.contains(id);
+        job.accepted && !excluded && job.spec.dependencies.iter().all(done)
     }
 
     /// Returns the job's waiting state, or None unless it waits and some machine has room for it.
@@ -79,16 +79,16 @@
         let before = before.filter(|before| !before.with_room.is_disjoint(&with_room));
         let since = before.map_or(self.now, |before| before.since);
         if let Some(before) = before {
-            with_room.retain(|at| before.with_room.contains(at));
+            with_room.retain(|index| before.with_room.contains(index));
         }
         (!with_room.is_empty()).then_some(WaitingJob { since, with_room })
     }
 
     /// Returns the zone of each running task of a job.
     fn zones_of_running_tasks(&self, id: &JobId) -> Vec<usize> {
-        let placed = self.placements_of(id).flat_map(|(task, workers)| workers.iter().map(move |at| (task, *at)));
-        let running = placed.filter(|(task, at)| self.workers[*at].alive && self.workers[*at].runs(task));
-        running.map(|(_, at)| self.workers[at].zone).collect()
+        let placed = self.placements_of(id).flat_map(|(task, workers)| workers.iter().map(move |index| (task, *index)));
+        let running = placed.filter(|(task, index)| self.workers[*index].alive && self.workers[*index].runs(task));
+        running.map(|(_, index)| self.workers[index].zone).collect()
     }
 
     /// Returns the resources in use. Those freed within the last few heartbeats still count, since
@@ -104,10 +104,10 @@
                 usage.add(ended.worker, &job.spec);
             }
         }
-        for (at, worker) in self.workers.iter().enumerate().filter(|(_, worker)| worker.alive) {
+        for (index, worker) in self.workers.iter().enumerate().filter(|(_, worker)| worker.alive) {
             for (name, _) in worker.tasks.iter().filter(|(_, task)| WorkerTask::is_running(task)) {
                 if let Some(job) = self.jobs.get(&name.job) {
-                    usage.add(at, &job.spec);
+                    usage.add(index, &job.spec);
                 }
             }
         }
@@ -128,7 +128,7 @@
                 && zone_allows_task(spec, worker.zone, zones)
                 && self.has_room(spec, worker, **used)
         });
-        fitting.map(|(at, _)| at).collect()
+        fitting.map(|(index, _)| index).collect()
     }
 
     /// True if the machine is not faulty and its worker sends heartbeats.
--- a/tests/simulator/worker_heartbeats.rs
+++ b/tests/simulator/worker_heartbeats.rs
@@ -96,20 +96,20 @@
         let (node, zone, uplink_lost) = (worker.node, worker.zone, now < worker.uplink_lost_until);
         let timeout = ScheduledEvent::HeartbeatFailed { worker: index, number: worker.heartbeat_number };
         if uplink_lost {
-            // No connection opens.
+            // The connection attempt times out.
             return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
         }
         let delayed = self.network.delayed_heartbeats;
         if delayed.affects(now, &mut self.random) {
-            let late = MIN_DELAY_MS + delayed.delay(&mut self.random);
-            self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
+            let delay_ms = MIN_DELAY_MS + delayed.delay(&mut self.random);
+            self.schedule(now + delay_ms, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
             return self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
         }
         let duplicated = self.network.duplicated_heartbeats;
         if duplicated.affects(now, &mut self.random) {
-            let late = MIN_DUPLICATE_DELAY_MS + duplicated.delay(&mut self.random);
+            let delay_ms = MIN_DUPLICATE_DELAY_MS + duplicated.delay(&mut self.random);
             let heartbeat = heartbeat.clone();
-            self.schedule(now + late, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
+            self.schedule(now + delay_ms, ScheduledEvent::DeliverStrayHeartbeat { worker: index, heartbeat });
         }
         self.schedule(now + HEARTBEAT_TIMEOUT_MS, timeout);
         let (to, delay) = (self.process(node), self.link_delay());
@@ -153,8 +153,8 @@
         let (zone, delayed) = (worker.zone, worker.delayed_answers);
         let answer = WorkerAnswer { worker: index, number, agent_epoch: worker.agent_epoch, response };
         if delayed.is_active(now) {
-            let late = LINK_MS + delayed.delay(&mut self.random);
-            return self.schedule(now + late, ScheduledEvent::DeliverAnswer(answer));
+            let delay_ms = LINK_MS + delayed.delay(&mut self.random);
+            return self.schedule(now + delay_ms, ScheduledEvent::DeliverAnswer(answer));
         }
         let arrives_at = match self.network.link_state(node, zone, now) {
             LinkState::HeldUntil(until) => until + 1,
--- a/tests/simulator/workers.rs
+++ b/tests/simulator/workers.rs
@@ -187,7 +187,7 @@
 
     fn start_task(&mut self, index: usize, task: TaskName, attempt: Attempt) {
         self.check_start(index, &task);
-        let ends_at = self.end_of_run(index, &task.job);
+        let ends_at = self.task_end_time(index, &task.job);
         let started = WorkerTask { attempt, state: TaskState::Running, exit_reason: None, ends_at };
         let job = task.job.clone();
         self.workers[index].tasks.insert(task, started);
@@ -198,7 +198,7 @@
 
     /// Returns when a task that the worker starts now will end: `u64::MAX` for tasks of services,
     /// which never end.
-    fn end_of_run(&mut self, index: usize, job: &JobId) -> u64 {
+    fn task_end_time(&mut self, index: usize, job: &JobId) -> u64 {
         let run_ms = self.jobs.get(job).map_or(UNKNOWN_RUN_MS, |job| (job.spec.estimated_run_s * 1000.0) as u64);
         let percent = MIN_RUN_PERCENT + self.random.below(RUN_SPREAD_PERCENT);
         if run_ms == 0 {
