--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -54,7 +54,7 @@
         (0usize..3, 500u64..35_000).prop_map(|(node, for_ms)| Fault::ControllerPaused { node, for_ms }),
         (2u64..20, 0usize..5, 5000u64..60_000).prop_map(|(times, never_each, for_ms)| Fault::SlowProvisioning {
             factor: times,
-            every_nth_never: never_each,
+            every_nth_never_boots: never_each,
             for_ms
         }),
         (0usize..50).prop_map(|pick| Fault::MachineFaulty { pick }),
@@ -154,7 +154,7 @@
 #[test]
 fn slowly_provisioned_machines_are_not_rented_again() {
     let mut cluster = SimulatedCluster::new(4, 10.0);
-    cluster.inject_fault(1, Fault::SlowProvisioning { factor: 6, every_nth_never: 6, for_ms: 150_000 });
+    cluster.inject_fault(1, Fault::SlowProvisioning { factor: 6, every_nth_never_boots: 6, for_ms: 150_000 });
     submit_steadily(&mut cluster, 150_000);
     cluster.run(420_000);
     assert_eq!(cluster.problems(), [""; 0]);
--- a/tests/simulator/cloud.rs
+++ b/tests/simulator/cloud.rs
@@ -20,7 +20,7 @@
     until: u64,
     factor: u64,
     /// Every nth of these machines never comes up; 0 if all of them come up.
-    every_nth_never: usize,
+    every_nth_never_boots: usize,
 }
 
 /// State of the cloud apart from the machines, which are in the workers.
@@ -32,21 +32,21 @@
 
 impl Default for Cloud {
     fn default() -> Cloud {
-        Cloud { rentals: BTreeMap::new(), slow: SlowProvisioning { until: 0, factor: 1, every_nth_never: 0 } }
+        Cloud { rentals: BTreeMap::new(), slow: SlowProvisioning { until: 0, factor: 1, every_nth_never_boots: 0 } }
     }
 }
 
 impl Cloud {
-    pub(super) fn slow_provisioning(&mut self, until: u64, factor: u64, every_nth_never: usize) {
-        self.slow = SlowProvisioning { until, factor, every_nth_never };
+    pub(super) fn slow_provisioning(&mut self, until: u64, factor: u64, every_nth_never_boots: usize) {
+        self.slow = SlowProvisioning { until, factor, every_nth_never_boots };
     }
 
     /// Returns when a machine that is rented now comes up, given its usual boot time.
     fn up_at(&self, now: u64, index: usize, boot_ms: u64) -> u64 {
-        let SlowProvisioning { until, factor, every_nth_never } = self.slow;
+        let SlowProvisioning { until, factor, every_nth_never_boots } = self.slow;
         if now >= until {
             now + boot_ms
-        } else if every_nth_never > 0 && index % every_nth_never == 0 {
+        } else if every_nth_never_boots > 0 && index % every_nth_never_boots == 0 {
             NEVER_MS
         } else {
             now + boot_ms * factor
--- a/tests/simulator/fault_effects.rs
+++ b/tests/simulator/fault_effects.rs
@@ -184,8 +184,8 @@
                 let machines = self.workers.iter_mut().filter(|worker| worker.alive && worker.zone == zone);
                 machines.step_by(every_nth.max(1)).for_each(Worker::terminate);
             }
-            Fault::SlowProvisioning { factor, every_nth_never, for_ms } => {
-                self.cloud.slow_provisioning(now + for_ms, factor, every_nth_never);
+            Fault::SlowProvisioning { factor, every_nth_never_boots, for_ms } => {
+                self.cloud.slow_provisioning(now + for_ms, factor, every_nth_never_boots);
             }
             other => unreachable!("no fault of machines: {other:?}"),
         }
--- a/tests/simulator/faults.rs
+++ b/tests/simulator/faults.rs
@@ -55,7 +55,7 @@
     /// Every nth machine of a zone is lost; all of them if `every_nth` is 0 or 1.
     ZoneMachinesDie { zone: usize, every_nth: usize },
     /// New machines take `factor` times as long to come up, and every nth never does (none if 0).
-    SlowProvisioning { factor: u64, every_nth_never: usize, for_ms: u64 },
+    SlowProvisioning { factor: u64, every_nth_never_boots: usize, for_ms: u64 },
     /// Heartbeats of these machines arrive, but the answers to them are lost.
     DownlinkLost { every_nth: usize, for_ms: u64 },
     /// Heartbeats of these machines are lost; `zone` restricts the fault to one zone.
