--- a/tests/simulator/configuration.rs
+++ b/tests/simulator/configuration.rs
@@ -138,5 +138,5 @@
             "quota": {"ram_mb": 56.0, "fd_limit": 800}
         }
     }))
-    .expect("settings of the right form")
+    .expect("valid settings")
 }
--- a/tests/simulator/controllers.rs
+++ b/tests/simulator/controllers.rs
@@ -71,7 +71,7 @@
     /// Adds announced future store limits to the settings. Controllers read them at their next start.
     pub fn announce_limits(&mut self, limits: serde_json::Value) {
         for settings in &mut self.settings {
-            settings.cluster.state.next = serde_json::from_value(limits.clone()).expect("limits of the settings' form");
+            settings.cluster.state.next = serde_json::from_value(limits.clone()).expect("valid store limits");
         }
     }
 
--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -132,7 +132,7 @@
     pub(super) fn next(&mut self, until: u64) -> Option<(u64, ScheduledEvent)> {
         let Reverse((at, number)) = self.order.peek().copied().filter(|next| next.0 .0 <= until)?;
         self.order.pop();
-        let event = self.events.remove(&number).expect("each number in the order has its event");
+        let event = self.events.remove(&number).expect("each queued number has an event");
         Some((at, event))
     }
 }
--- a/tests/simulator/fault_effects.rs
+++ b/tests/simulator/fault_effects.rs
@@ -70,7 +70,7 @@
                 self.controllers[node].isolated_until = now + for_ms;
             }
             Fault::ControllerAnswersLost { node, for_ms } => self.controllers[node].answers_lost_until = now + for_ms,
-            other => unreachable!("no fault of a controller: {other:?}"),
+            other => unreachable!("not a controller fault: {other:?}"),
         }
     }
 
@@ -111,7 +111,7 @@
             Fault::SlowLinks { for_ms, max_delay_ms } => {
                 self.network.slow_links = FaultWindow { until: now + for_ms, max_delay_ms, ..FaultWindow::default() };
             }
-            other => unreachable!("no fault of the network: {other:?}"),
+            other => unreachable!("not a network fault: {other:?}"),
         }
     }
 
@@ -158,7 +158,7 @@
                 (self.store.max_value_bytes, self.store.max_changes) = (value_kb * 1024, txn_ops);
                 self.store.limit_rates(self.config.requests_per_s, writes_per_s);
             }
-            other => unreachable!("no fault of the store: {other:?}"),
+            other => unreachable!("not a store fault: {other:?}"),
         }
     }
 
@@ -187,7 +187,7 @@
             Fault::SlowProvisioning { factor, every_nth_never_boots, for_ms } => {
                 self.cloud.slow_provisioning(now + for_ms, factor, every_nth_never_boots);
             }
-            other => unreachable!("no fault of machines: {other:?}"),
+            other => unreachable!("not a machine fault: {other:?}"),
         }
     }
 
@@ -221,7 +221,7 @@
             Fault::DuplicatedHeartbeats { share, for_ms, max_delay_ms } => {
                 self.network.duplicated_heartbeats = FaultWindow { until: now + for_ms, share, max_delay_ms };
             }
-            other => unreachable!("no fault of heartbeats: {other:?}"),
+            other => unreachable!("not a heartbeat fault: {other:?}"),
         }
     }
 
@@ -235,7 +235,7 @@
             Fault::ProbeRequests { for_ms } => {
                 self.schedule(now, ScheduledEvent::NextProbe { until: now + for_ms, number: now });
             }
-            other => unreachable!("no fault of users: {other:?}"),
+            other => unreachable!("not a user fault: {other:?}"),
         }
     }
 }
--- a/tests/simulator/probes.rs
+++ b/tests/simulator/probes.rs
@@ -55,8 +55,8 @@
 
 /// Returns the request body of a submission, including its dependencies.
 fn submission_body(spec: &JobSpec) -> Value {
-    let mut fields = serde_json::to_value(spec).expect("a job has a JSON form");
-    fields["awaits"] = serde_json::to_value(&spec.dependencies).expect("ids have a JSON form");
+    let mut fields = serde_json::to_value(spec).expect("a job serializes to JSON");
+    fields["awaits"] = serde_json::to_value(&spec.dependencies).expect("ids serialize to JSON");
     fields
 }
 
--- a/tests/simulator/start_checks.rs
+++ b/tests/simulator/start_checks.rs
@@ -17,7 +17,7 @@
     pub(super) fn check_start(&mut self, index: usize, task: &TaskName) {
         self.count_start(&task.job);
         let earlier = self.checks.placements.get(task).cloned().unwrap_or_default();
-        let spread = self.workers_of_bound_job(&task.job);
+        let spread = self.workers_of_zone_constrained_job(&task.job);
         // A team's usage is summed over all workers, so large fleets check it only once a second.
         let check_quota = self.workers.len() < SMALL_FLEET || self.checks.quota_checked_s < self.now / 1000;
         let all = if check_quota { 0..self.workers.len() } else { 0..0 };
@@ -55,9 +55,9 @@
 
     /// Returns all workers that ever started a task of a job that must stay in one zone or be spread
     /// over zones; none for other jobs.
-    fn workers_of_bound_job(&self, id: &JobId) -> BTreeSet<usize> {
-        let bound = self.jobs.get(id).is_some_and(|job| job.spec.one_zone || job.spec.apart);
-        if !bound {
+    fn workers_of_zone_constrained_job(&self, id: &JobId) -> BTreeSet<usize> {
+        let zone_constrained = self.jobs.get(id).is_some_and(|job| job.spec.one_zone || job.spec.apart);
+        if !zone_constrained {
             return BTreeSet::new();
         }
         self.placements_of(id).flat_map(|(_, workers)| workers.iter().copied()).collect()
--- a/tests/simulator/trace.rs
+++ b/tests/simulator/trace.rs
@@ -57,7 +57,7 @@
 
 /// Returns a message in JSON.
 fn json(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("a message has a JSON form")
+    serde_json::to_string(value).expect("a message serializes to JSON")
 }
 
 /// Returns an output as the transport writes it, prefixed with a word for its kind.
