--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -173,8 +173,8 @@
         node.watch_open = false;
         node.store.revision += 2;
         let revision = node.store.revision;
-        node.store.insert_unseen("t/j/wk-000007", record.clone(), revision - 1);
-        node.store.insert_unseen("f/wk-000008", archived_job.clone(), revision);
+        node.store.insert_without_event("t/j/wk-000007", record.clone(), revision - 1);
+        node.store.insert_without_event("f/wk-000008", archived_job.clone(), revision);
         node
     };
     let bodies = |number| {
