--- a/crates/rollout/benches/exposure.rs
+++ b/crates/rollout/benches/exposure.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 use tillercleat_rollout::file::{OnFailure, RollOut};
 use tillercleat_rollout::record::RolloutProgress;
-use world::{file, RolloutStrategy, World};
+use world::{three_step_rollout, ReplicaBehavior, SimulatedCluster};
 
 const SERVICE_NAME: &str = "routeplan";
 const HOUR_MS: u64 = 3_600_000;
@@ -27,7 +27,7 @@
 
 /// Returns the roll-out file of the same service for one of the methods.
 fn rollout_file(method: RolloutMethod, version: &str) -> RollOut {
-    let mut file = file(version, "");
+    let mut file = three_step_rollout(version, "");
     match method {
         RolloutMethod::GatedSteps => {}
         RolloutMethod::SingleGatedStep => {
@@ -53,19 +53,19 @@
 
 /// Rolls out a version whose replicas become faulty some time after each start.
 fn run_faulty_rollout(method: RolloutMethod, seed: u64) -> Exposure {
-    let mut world = World::new(seed, 2);
-    world.start(&file("v1", ""));
+    let mut world = SimulatedCluster::new(seed, 2);
+    world.start(&three_step_rollout("v1", ""));
     assert!(world.run(HOUR_MS, |w| w
         .service(SERVICE_NAME)
         .and_then(|s| s.rollout)
         .is_some_and(|r| r.progress == RolloutProgress::Completed)));
     let fault_delay_ms = world.random(20_000);
     let fault = match seed % 3 {
-        0 => RolloutStrategy::FailsAfter(fault_delay_ms),
-        1 => RolloutStrategy::HangsAfter(fault_delay_ms),
-        _ => RolloutStrategy::EndsAfter(fault_delay_ms.max(1000)),
+        0 => ReplicaBehavior::FailsAfter(fault_delay_ms),
+        1 => ReplicaBehavior::HangsAfter(fault_delay_ms),
+        _ => ReplicaBehavior::ExitsAfter(fault_delay_ms.max(1000)),
     };
-    world.manners.insert("v2".into(), fault);
+    world.behaviors.insert("v2".into(), fault);
     world.start(&rollout_file(method, "v2"));
     let (mut max_exposed, mut fault_at, mut cleared_at) = (0, None, None);
     world.run(300_000, |w| {
@@ -75,7 +75,7 @@
         if earliest_start.is_some_and(|since| w.now >= since + fault_delay_ms) {
             fault_at.get_or_insert(w.now);
         }
-        let withdrawn = w.jobs.values().filter(|j| j.image == "v2").all(|j| j.withdrawn.is_some());
+        let withdrawn = w.jobs.values().filter(|j| j.image == "v2").all(|j| j.withdrawn_at.is_some());
         if fault_at.is_some() && withdrawn {
             cleared_at = Some(w.now);
         }
@@ -117,8 +117,8 @@
         "roll-outs", "writes per step", "calls per step", "driver ms per tick", "virtual time, s"
     );
     for count in [1usize, 10, 100] {
-        let mut world = World::new(7, 1);
-        let all_done = |w: &World, number: u64| {
+        let mut world = SimulatedCluster::new(7, 1);
+        let all_done = |w: &SimulatedCluster, number: u64| {
             (0..count).all(|n| {
                 let rolling = w.service(&format!("s{n}")).and_then(|s| s.rollout);
                 rolling.is_some_and(|r| r.number == number && r.progress == RolloutProgress::Completed)
@@ -126,7 +126,7 @@
         };
         for number in 1..=2 {
             for n in 0..count {
-                let mut file = file(&format!("v{number}"), "");
+                let mut file = three_step_rollout(&format!("v{number}"), "");
                 file.service = format!("s{n}");
                 // Eight threads complete about 160 checks per second in this environment.
                 file.check.interval_s = 5.0;
