--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -1,7 +1,7 @@
-//! Golden tests of what roll-outs store, read and answer: records, settings, the files of
-//! operators, and the listener's replies. The files under `tests/wire` hold wire words only, so
-//! that a change of names in the code touches this file and none of them. The one exception is
-//! the published schema, into which names of types and their comments go.
+//! Golden tests of the formats of roll-outs: stored records, settings, roll-out files, and answers
+//! of the operators' listener. The files under `tests/wire` hold only external names, so renaming
+//! an identifier changes this file but no golden file. The exception is the published schema, which
+//! contains type names and doc comments.
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -18,31 +18,31 @@
 use tillercleat_rollout::settings::Settings;
 use tillercleat_rollout::units::{JobId, Millis, VersionNumber};
 
-fn path_of(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name)
 }
 
-fn temporary(name: &str, text: &str) -> PathBuf {
+fn write_temporary(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a temporary file");
     path
 }
 
-/// Compares lines with a golden file. If they differ, the new text is left in the directory for
-/// temporary files of tests, to be looked at.
+/// Compares lines with a golden file. If they differ, writes the new text to `CARGO_TARGET_TMPDIR` for
+/// inspection and panics with the first difference.
 fn assert_golden(name: &str, lines: &[String]) {
     let new = lines.join("\n") + "\n";
-    let golden = std::fs::read_to_string(path_of(name)).unwrap_or_default();
+    let golden = std::fs::read_to_string(golden_path(name)).unwrap_or_default();
     if new == golden {
         return;
     }
-    temporary(&format!("rollout-{name}"), &new);
+    write_temporary(&format!("rollout-{name}"), &new);
     let differs = golden.lines().zip(new.lines()).position(|(golden, new)| golden != new);
     let at = differs.unwrap_or(golden.lines().count().min(new.lines().count()));
     panic!("{name}:{}: {:?} became {:?}", at + 1, golden.lines().nth(at), new.lines().nth(at));
 }
 
-/// A value as it is stored, after reading it back.
+/// Returns the key and stored form of a record, after checking that it reads back as the same record.
 fn stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, record: &T) -> String {
     let value = serde_json::to_value(record).expect("a value");
     assert_eq!(serde_json::from_value::<T>(value.clone()).expect("a record"), *record);
@@ -98,7 +98,7 @@
     }
 }
 
-/// A roll-out with every field set.
+/// Roll-out in progress with every field set.
 fn rollout() -> Rollout {
     let step = |target, zone: Option<&str>| StepPlan {
         target,
@@ -123,7 +123,7 @@
     }
 }
 
-/// A service's record with every field set.
+/// Service record with every field set.
 fn service() -> Service {
     let version = |name: &str, job, check| Version { name: name.into(), replicas: 10, group: 2, job, check };
     let plain_job = Job { types: None, zone: None, ..job() };
@@ -162,9 +162,9 @@
 
 #[test]
 fn records_keep_their_keys_and_stored_form() {
-    let claim = LeaderLease { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
-    let words = |words: &[String]| words.join(" ");
-    let courses = [
+    let leader_lease = LeaderLease { node: "n1".into(), listen: "127.0.0.1:8090".into(), lease: 7 };
+    let joined = |words: &[String]| words.join(" ");
+    let progress_values = [
         RolloutProgress::InProgress,
         RolloutProgress::Paused,
         RolloutProgress::Halted,
@@ -172,44 +172,47 @@
         RolloutProgress::Reverted,
     ];
     let lines = [
-        words(&[ROOT.into(), DRIVER_KEY.into(), SERVICES.into()]),
-        stored(DRIVER_KEY, &claim),
+        joined(&[ROOT.into(), DRIVER_KEY.into(), SERVICES.into()]),
+        stored(DRIVER_KEY, &leader_lease),
         stored(&service_key("routeplan"), &service()),
         stored(&service_key("empty"), &Service::default()),
-        words(&courses.map(|progress| stored("", &progress))),
-        words(&[Phase::ScalingUp, Phase::Baking, Phase::Reverting].map(|way| stored("", &way))),
-        words(&[OnFailure::Revert, OnFailure::Halt].map(|way| stored("", &way))),
-        words(&[Priority::Low, Priority::Normal, Priority::High, Priority::Critical].map(|rank| stored("", &rank))),
-        words(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
+        joined(&progress_values.map(|progress| stored("", &progress))),
+        joined(&[Phase::ScalingUp, Phase::Baking, Phase::Reverting].map(|phase| stored("", &phase))),
+        joined(&[OnFailure::Revert, OnFailure::Halt].map(|action| stored("", &action))),
+        joined(
+            &[Priority::Low, Priority::Normal, Priority::High, Priority::Critical]
+                .map(|priority| stored("", &priority)),
+        ),
+        joined(&[CheckKind::Http, CheckKind::Tcp, CheckKind::Up].map(|kind| stored("", &kind))),
     ];
     assert_golden("records.txt", &lines);
 }
 
 #[test]
-fn every_key_of_the_settings_is_read_and_an_unknown_one_refused() {
-    let every = Settings {
+fn settings_accept_every_key_and_refuse_unknown_keys() {
+    let expected = Settings {
         listen: "127.0.0.1:8090".parse().expect("an address"),
         lease_s: 11.5,
         checks: 9,
         connections: 17,
         first_digits: "98".into(),
     };
-    assert_eq!(Settings::load(&path_of("settings.toml")).expect("settings"), every);
-    let text = std::fs::read_to_string(path_of("settings.toml")).expect("a file");
+    assert_eq!(Settings::load(&golden_path("settings.toml")).expect("settings"), expected);
+    let text = std::fs::read_to_string(golden_path("settings.toml")).expect("a file");
     for key in text.lines().filter_map(|line| line.split(" = ").next()) {
-        let path = temporary("rollout-settings-unknown.toml", &format!("{text}{key}x = 1\n"));
-        let refusal = Settings::load(&path).expect_err("an unknown key").to_string();
-        assert!(refusal.contains(&format!("unknown field `{key}x`")), "{refusal}");
+        let path = write_temporary("rollout-settings-unknown.toml", &format!("{text}{key}x = 1\n"));
+        let error = Settings::load(&path).expect_err("an unknown key").to_string();
+        assert!(error.contains(&format!("unknown field `{key}x`")), "{error}");
     }
-    let least =
-        Settings::load(&temporary("rollout-settings-least.toml", "listen = \"127.0.0.1:8090\"\n")).expect("settings");
-    let defaults = Settings { lease_s: 10.0, checks: 8, connections: 16, first_digits: "9".into(), ..every };
-    assert_eq!(least, defaults);
+    let minimal = Settings::load(&write_temporary("rollout-settings-least.toml", "listen = \"127.0.0.1:8090\"\n"))
+        .expect("settings");
+    let defaults = Settings { lease_s: 10.0, checks: 8, connections: 16, first_digits: "9".into(), ..expected };
+    assert_eq!(minimal, defaults);
 }
 
 #[test]
-fn every_key_of_a_roll_out_is_read_and_an_unknown_one_refused() {
-    let text = std::fs::read_to_string(path_of("rollout.toml")).expect("a file");
+fn roll_out_files_accept_every_key_and_refuse_unknown_keys() {
+    let text = std::fs::read_to_string(golden_path("rollout.toml")).expect("a file");
     assert_eq!(RollOut::from_toml(&text).expect("a roll-out"), roll_out());
     let json = serde_json::to_string(&roll_out()).expect("json");
     assert_eq!(RollOut::from_json(json.as_bytes()).expect("a roll-out"), roll_out());
@@ -217,18 +220,18 @@
         let key = line.split(" = ").next().expect("a key");
         let mut lines: Vec<String> = text.lines().map(String::from).collect();
         lines.insert(at + 1, format!("{key}x = 1"));
-        let refusal = RollOut::from_toml(&lines.join("\n")).expect_err("an unknown key").to_string();
-        assert!(refusal.contains(&format!("unknown field `{key}x`")), "{refusal}");
+        let error = RollOut::from_toml(&lines.join("\n")).expect_err("an unknown key").to_string();
+        assert!(error.contains(&format!("unknown field `{key}x`")), "{error}");
     }
-    let least = std::fs::read_to_string(path_of("rollout-least.toml")).expect("a file");
-    let least = RollOut::from_toml(&least).expect("a roll-out");
-    assert_golden("rollouts.txt", &[json, serde_json::to_string(&least).expect("json")]);
+    let minimal = std::fs::read_to_string(golden_path("rollout-least.toml")).expect("a file");
+    let minimal = RollOut::from_toml(&minimal).expect("a roll-out");
+    assert_golden("rollouts.txt", &[json, serde_json::to_string(&minimal).expect("json")]);
 }
 
 #[test]
-fn operators_are_answered_as_before() {
+fn operator_routes_and_answers_keep_their_form() {
     let file = serde_json::to_string(&roll_out()).expect("json");
-    let ask = |command| Routed::OperatorRequest(OperatorRequest::Command("routeplan".into(), command));
+    let command_request = |command| Routed::OperatorRequest(OperatorRequest::Command("routeplan".into(), command));
     let commands = [
         ("", file.as_str(), Command::Start(Box::new(roll_out()))),
         ("/routeplan/pause", "", Command::Pause),
@@ -237,7 +240,7 @@
         ("/routeplan/revert", "", Command::Revert),
     ];
     for (path, body, command) in commands {
-        assert_eq!(route("POST", &format!("/v1/rollouts{path}"), body.as_bytes()), ask(command), "{path}");
+        assert_eq!(route("POST", &format!("/v1/rollouts{path}"), body.as_bytes()), command_request(command), "{path}");
     }
     assert_eq!(route("GET", "/v1/rollouts", b""), Routed::OperatorRequest(OperatorRequest::List));
     assert_eq!(
@@ -254,16 +257,16 @@
         ("POST", "/v1/rollouts", "{}"),
         ("POST", "/v1/rollouts", &file.replace("\"group\":2", "\"group\":0").replace("8080", "0")),
     ] {
-        let Routed::Immediate(reply) = route(method, path, body.as_bytes()) else { panic!("{path}: no answer") };
-        lines.push(format!("{method} {path}: {} {}", reply.status, reply.body));
+        let Routed::Immediate(response) = route(method, path, body.as_bytes()) else { panic!("{path}: no answer") };
+        lines.push(format!("{method} {path}: {} {}", response.status, response.body));
     }
     assert_golden("operators.txt", &lines);
 }
 
 #[test]
 fn metrics_keep_their_names_and_labels() {
-    // Labels of one counter are written in no fixed order: each registry gets one of each.
-    let counted = |verdict: Verdict, step: Event, end: RolloutProgress| {
+    // The order of the labels of a counter is not fixed, so each registry gets one label of each counter.
+    let metrics_text = |verdict: Verdict, step: Event, end: RolloutProgress| {
         let metrics = Metrics::default();
         metrics.record_check(&verdict, Duration::from_millis(3));
         for event in [step, Event::Ended(end)] {
@@ -273,19 +276,19 @@
     };
     let failed = || Event::StepFailed { step: 1, reason: "late".into() };
     let texts = [
-        counted(Verdict::Pass, Event::StepPassed(1), RolloutProgress::Completed),
-        counted(Verdict::Fail("500".into()), failed(), RolloutProgress::Reverted),
-        counted(Verdict::Unreachable("refused".into()), failed(), RolloutProgress::Halted),
+        metrics_text(Verdict::Pass, Event::StepPassed(1), RolloutProgress::Completed),
+        metrics_text(Verdict::Fail("500".into()), failed(), RolloutProgress::Reverted),
+        metrics_text(Verdict::Unreachable("refused".into()), failed(), RolloutProgress::Halted),
     ];
     let lines: Vec<String> = texts.iter().flat_map(|text| text.lines().map(String::from)).collect();
     assert_golden("metrics.txt", &lines);
 }
 
-/// The schema is served to operators: what it says of types and fields is taken from the code's
-/// names and comments, so that changing those changes it.
+/// The schema is served to operators. It is generated from type names and doc comments, so changing
+/// those changes the schema.
 #[test]
-fn the_published_schema_stays() {
-    let Routed::Immediate(reply) = route("GET", "/v1/schema", b"") else { panic!("no answer") };
-    assert_eq!((reply.status, &reply.body), (200, &schema()));
-    assert_golden("schema.json", &[serde_json::to_string_pretty(&reply.body).expect("json")]);
+fn published_schema_is_unchanged() {
+    let Routed::Immediate(response) = route("GET", "/v1/schema", b"") else { panic!("no answer") };
+    assert_eq!((response.status, &response.body), (200, &schema()));
+    assert_golden("schema.json", &[serde_json::to_string_pretty(&response.body).expect("json")]);
 }
