--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -149,8 +149,8 @@
         if let Some(service) = &pending.service {
             let mut body = summary(name, service);
             if let Answer::Found(item) = answer {
-                if let Ok(claim) = serde_json::from_value::<LeaderLease>(item.value) {
-                    body["driver"] = json!({ "node": claim.node, "listen": claim.listen });
+                if let Ok(leader_lease) = serde_json::from_value::<LeaderLease>(item.value) {
+                    body["driver"] = json!({ "node": leader_lease.node, "listen": leader_lease.listen });
                 }
             }
             return Some(OperatorResponse { status: 200, body, retry_after_s: None });
@@ -178,7 +178,7 @@
         output: &mut HandlerOutput,
     ) -> Option<OperatorResponse> {
         let OperatorRequest::Command(name, command) = &pending.request else { return None };
-        let (service, stamp) = match answer {
+        let (service, revision) = match answer {
             Answer::Found(item) => match serde_json::from_value::<Service>(item.value) {
                 Ok(service) => (service, item.revision),
                 Err(error) => return Some(OperatorResponse::error(500, &format!("the record can't be read: {error}"))),
@@ -193,7 +193,7 @@
         };
         let key = service_key(name);
         let value = serde_json::to_value(&new_record).unwrap_or_default();
-        let commit = Commit { conditions: vec![(key.clone(), stamp)], key, value, lease: None };
+        let commit = Commit { conditions: vec![(key.clone(), revision)], key, value, lease: None };
         pending.new_record = Some(new_record);
         self.call(Call::Commit(commit), pending, output);
         None
--- a/src/transport/rollouts/conversions.rs
+++ b/src/transport/rollouts/conversions.rs
@@ -135,7 +135,7 @@
 /// empty if the address is unknown.
 pub fn observed_replica(replica: peer::Replica) -> ObservedReplica {
     use peer::replica::State;
-    let standing = match replica.state() {
+    let replica_state = match replica.state() {
         State::Waiting => ReplicaState::Pending,
         State::Placed => ReplicaState::Starting,
         State::Running => ReplicaState::Running,
@@ -146,7 +146,7 @@
         host: replica.addr.parse::<SocketAddr>().map(|addr| addr.ip().to_string()).unwrap_or_default(),
         replica: (RolloutJobId(replica.job), replica.index),
         attempt: replica.attempt,
-        state: standing,
+        state: replica_state,
         zone: replica.zone,
         failed_attempt: replica.failed_attempt,
         heartbeat_age: RolloutMillis(replica.age_ms),
