--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,5 +1,5 @@
-//! The real binary on loopback, with a store, a cloud and a worker served by the test: a job runs,
-//! the controller is killed and comes back.
+//! Tests of the real binary on loopback, against a store, a cloud and a worker that the test
+//! serves: running jobs, restarts after a kill, connection floods and invalid settings.
 
 mod loopback;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tillercleat::transport::http::Client;
 
-/// One controller's settings, with a store and a cloud of their own.
+/// Settings of a single controller, with a store and a cloud started for it.
 fn settings(client_addr: SocketAddr, fd_limit: usize) -> Value {
     let (cloud, store) = (cloud(vec![client_addr], 1), store_service());
     let mut settings = loopback::settings(0, client_addr, &[free_port()], cloud, store);
@@ -53,9 +53,9 @@
     let _ = std::fs::remove_file(&path);
 }
 
-/// Killed and started again at once, over and over within a worker's lease: the program gets its
-/// address again, connections of users and workers that outlive the process harm nothing, no
-/// process ends by itself, and no job is lost.
+/// Kills and restarts the process repeatedly within one worker lease. Each process must bind its
+/// address again although clients hold connections to the killed one, no process may exit before
+/// it is killed, and no job may be lost.
 #[test]
 fn the_binary_survives_quick_restarts() {
     let client_addr = free_port();
@@ -66,7 +66,7 @@
     let job = |id: &str| job_body(id, "red", 12).to_string();
     let mut left_open = vec![];
     for start_number in 0..8 {
-        // Half a request, and a connection that never asks: both outlive the process.
+        // An incomplete request and an idle connection; clients keep both open after the kill.
         for text in ["GET /up HTTP/1.1\r\n", ""] {
             if let Ok(mut stream) = std::net::TcpStream::connect(client_addr) {
                 std::io::Write::write_all(&mut stream, text.as_bytes()).expect("a few bytes");
@@ -81,7 +81,7 @@
         assert!(process.0.try_wait().expect("a child").is_none(), "process {start_number} ended by itself");
         drop(process);
         process = start(&path, &[]);
-        // Every other process ends in the midst of its startup.
+        // Every other restart is killed again during startup.
         if start_number % 2 == 0 {
             std::thread::sleep(Duration::from_millis(50));
             drop(process);
@@ -99,7 +99,7 @@
     let _ = std::fs::remove_file(&path);
 }
 
-/// Threads of a process, as the system counts them.
+/// Number of threads of a process, from `/proc`.
 #[cfg(target_os = "linux")]
 fn threads(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).expect("the process runs");
@@ -107,9 +107,9 @@
     line.trim().parse().expect("a number")
 }
 
-/// 2,700 half-open connections once took 2,014 threads of the 2,000 that a process may have: it
-/// could have ended for want of one more. Workers must get connections all the while, and users
-/// again once the flood has passed.
+/// Guards against unbounded connection threads: 2,700 half-open connections once used 2,014
+/// threads where a process may have 2,000, so the process could have failed to start another.
+/// Workers must be able to connect during the flood, and users again after it.
 #[test]
 #[cfg(target_os = "linux")]
 fn a_connection_flood_stays_within_the_threads_and_keeps_workers() {
@@ -137,9 +137,9 @@
             flood.extend(std::net::TcpStream::connect_timeout(&client_addr, SECOND));
         }
         assert!(threads(&process) <= MAX_THREADS, "{} threads in wave {wave}", threads(&process));
-        // A worker that was connected goes on, whoever else connects.
+        // An established worker connection is still served.
         assert!(matches!(heartbeat(&mut worker), Some(200 | 421)), "a worker lost its connection in wave {wave}");
-        // A new worker gets a connection before long.
+        // A new worker can connect.
         wait_for("a new worker", || matches!(heartbeat(&mut Client::new(client_addr)), Some(200 | 421)));
     }
     assert!(flood.len() > 400, "too few connections for a flood: {}", flood.len());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The rules and how well jobs are served at the size of a large fleet.
+//! Simulations of large fleets that check the scheduling rules and the quality of service.
 
 #[allow(dead_code)]
 mod simulator;
@@ -17,7 +17,7 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// One job a second for a minute and a half.
+/// Submits one job a second for 90 s and returns the number of jobs.
 fn submit_jobs(cluster: &mut SimulatedCluster) -> u64 {
     for number in 0..90 {
         let tasks = 20 + (number * 37 % 120) as u32;
@@ -29,28 +29,29 @@
     90
 }
 
-/// All controllers are restarted one after the other, and the store fails for a while, at the
-/// operators' full size.
+/// Restarts all controllers one after the other following a store outage, with the operators' full
+/// fleet of 750 machines.
 #[test]
 fn rolling_restart_and_store_outage_at_750_machines_break_no_rule() {
     let mut cluster = SimulatedCluster::with_config(11, ClusterConfig::fleet(5, 3, 750));
     let jobs = submit_jobs(&mut cluster);
-    // Longer than a worker's lease: owners must go on answering.
+    // The outage is longer than a worker's lease, so shard owners must keep answering heartbeats.
     cluster.inject_fault(25_000, Fault::StoreOutage { node: None, for_ms: 21_000 });
     for node in 0..5 {
         cluster.inject_fault(52_000 + node as u64 * 6000, Fault::Crash { node, restart_after: 3000 });
     }
     cluster.run(110_000);
-    // Workers found their new owners in time: nothing that ran was lost.
+    // Workers reached their new owners before their leases expired, so no running task was lost.
     assert_eq!(cluster.expired_worker_leases(), 0, "workers lost their leases");
     cluster.run(330_000);
-    // A job whose last slices were done while the first had no owner was never reported as done.
+    // Guards against a job that is never reported as done because its last slices finished while
+    // the first slice had no owner.
     assert_eq!(cluster.problems(), [""; 0]);
     assert_eq!(cluster.jobs.len() as u64, jobs);
 }
 
-/// All controllers crash together, and again before the first lease is over. Then all of them
-/// read all records at once, within one limit on requests.
+/// Crashes all controllers together, and again before the first lease expires. All of them then
+/// read all records at the same time and share one request rate limit of the store.
 #[test]
 fn all_controllers_crash_twice_within_a_lease_and_accept_jobs_within_2_s() {
     let mut cluster = SimulatedCluster::with_config(12, ClusterConfig::fleet(7, 3, 750));
@@ -63,7 +64,7 @@
     cluster.run(61_999);
     let (accepted_before, limited_before) = (cluster.accepted_jobs(), cluster.store.rate_limited_calls);
     cluster.run(64_000);
-    // They are back at 62 s: what was submitted meanwhile is accepted within 2 s.
+    // The controllers restart at 62 s and accept the jobs submitted during the outage within 2 s.
     assert!(
         cluster.accepted_jobs() >= accepted_before + 5,
         "{} accepted, then {}",
@@ -79,7 +80,7 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Every machine is lost at once; new ones are rented and run the jobs.
+/// All machines fail at the same time; replacements are rented and finish the jobs.
 #[test]
 fn every_machine_lost_at_once_is_replaced() {
     let mut cluster = SimulatedCluster::with_config(13, ClusterConfig::fleet(5, 1, 500));
@@ -92,8 +93,9 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// The record of machines to be returned exceeded the store's limit on values when all of a large
-/// fleet was idle: it was rejected for ever, and nothing was returned or rented.
+/// Guards against a record of machines to return that exceeds the store's value size limit when a
+/// large fleet is idle: the store then rejected every write of it, and no machine was returned or
+/// rented any more.
 #[test]
 fn a_large_idle_fleet_is_scaled_in() {
     let mut cluster = SimulatedCluster::with_config(14, ClusterConfig::fleet(5, 3, 1600));
@@ -105,8 +107,8 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Three times what the fleet can do, with two controllers lost meanwhile: whatever had to wait
-/// is done in the end, and no class or team is starved.
+/// Submits three times the work that the fleet has capacity for and crashes two controllers. All
+/// queued jobs must finish in the end, and no class or team may starve.
 #[test]
 fn overload_at_1130_machines_starves_no_job() {
     let mut cluster = SimulatedCluster::with_config(15, ClusterConfig::fleet(7, 3, 1130));
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Limits of the store that fall while jobs run whose records were written when values could be
-//! larger.
+//! Tests of store limits that are lowered while jobs are running whose records were written under
+//! the larger value size limit.
 
 #[allow(dead_code)]
 mod simulator;
@@ -17,8 +17,9 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// Controllers that know nothing of limits to come are replaced one after the other by ones that
-/// do, in the midst of work; the limits fall at `fall`, and these controllers crash.
+/// Runs a rolling upgrade under load, from controllers that ignore announced limits to ones that
+/// observe them. The upgrade starts at `from` and the limits are lowered at `fall`, both in ms.
+/// `crashes` lists further crashes as time in ms, node and restart delay in ms.
 fn rolling_upgrade(seed: u64, from: u64, fall: u64, crashes: &[(u64, usize, u64)]) -> SimulatedCluster {
     let config = ClusterConfig {
         machines: 90,
@@ -30,7 +31,7 @@
     let mut cluster = SimulatedCluster::with_config(seed, config);
     cluster.run(1500);
     cluster.announce_limits(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 120.0}));
-    // Slices of up to 125 tasks, far more than 2 KiB with all of them running.
+    // The slices have up to 125 tasks and far exceed 2 KiB when all of these are running.
     cluster.submit(4000, job(1, "array", 6000, 25.0));
     cluster.submit(4200, job(2, "standing", 300, 0.0));
     cluster.submit(4400, job(3, "array", 90, 40.0));
@@ -58,8 +59,9 @@
         failure_persistence: None,
         ..Default::default()
     })]
-    /// The limits fall in the middle of the upgrade or after it, with crashes at any moment: what
-    /// was stored before stays, all is done, and no rejected transaction is sent over and over.
+    /// The limits are lowered during or after the upgrade, with crashes at random times. Records
+    /// stored before must stay usable, all jobs must finish, and no rejected transaction may be
+    /// rejected more than three times.
     #[test]
     fn records_stored_before_limits_fall_stay_in_use(
         seed in 1u64..1_000_000,
@@ -73,7 +75,7 @@
     }
 }
 
-/// A hundred thousand tasks, sliced for the smaller values from the start.
+/// A job of 100,000 tasks is sliced for the announced smaller values from the start.
 #[test]
 fn the_largest_job_fits_smaller_limits() {
     let announced_limits = serde_json::json!({"value_kb": 2.0, "txn_ops": 4});
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes on loopback: the store, a cloud and workers served by the test, and what
-//! starting and asking controllers takes.
+//! Support for tests with real processes on loopback: a store, a cloud and workers that the test
+//! serves, and functions that start and call controllers.
 #![allow(dead_code)]
 
 pub mod services;
@@ -19,11 +19,11 @@
 
 pub const SECOND: Duration = Duration::from_secs(1);
 
-/// How long a test waits for anything.
+/// Timeout of `wait_for`.
 const MAX_WAIT: Duration = Duration::from_secs(150);
 
-/// Settings of a node: its client address, the internal addresses of all nodes, and where the
-/// cloud and the store listen. What a test needs otherwise it changes in the value.
+/// Settings of a node, from its client address, the internal addresses of all nodes, and the
+/// addresses of the cloud and the store. Tests override other fields in the returned value.
 pub fn settings(
     node: usize,
     client: SocketAddr,
@@ -46,14 +46,14 @@
     })
 }
 
-/// A submission of an array of short tasks.
+/// Body of a submission of an array job with short tasks.
 pub fn job_body(id: &str, team: &str, tasks: u32) -> Value {
     json!({"ref": id, "haul": "h", "crew": team, "rig": "array", "rank": "normal", "loads": tasks, "cores": 1.0,
         "gpus": 0.0, "mem_gb": 1.0, "kit": "k", "image_gb": 0.1, "hulls": null, "berth": null, "one_zone": false,
         "apart": false, "driftwood": true, "reckon_s": 1.0, "mark_s": 0.0, "stow_s": 0.0, "tide_s": null})
 }
 
-/// A file of this process, by a name that tells what is in it.
+/// Path of a temporary file; the process id keeps it unique among test processes.
 pub fn temporary_file(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("tillercleat-{}-{name}", std::process::id()))
 }
@@ -83,8 +83,8 @@
     addr
 }
 
-/// A cloud that rents so many machines. Their workers send heartbeats at once, and their tasks
-/// take a third of a second.
+/// Serves a cloud that rents up to `machines` machines. Their workers send heartbeats immediately,
+/// and their tasks take a third of a second.
 pub fn cloud(nodes: Vec<SocketAddr>, machines: usize) -> SocketAddr {
     let rented = AtomicUsize::new(0);
     serve(move |method, path, _| match (method, path) {
@@ -110,24 +110,24 @@
     })
 }
 
-/// A process of the program, killed when it is dropped.
+/// A controller process that is killed when dropped.
 pub struct Process(pub Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself: then there is nothing to kill.
+        // Errors are ignored because the process may have exited already.
         drop(self.0.kill());
         drop(self.0.wait());
     }
 }
 
-/// Starts the program of this version.
+/// Starts a controller of this version.
 pub fn start(config: &Path, options: &[(&str, &Path)]) -> Process {
     let program = option_env!("CARGO_BIN_EXE_tillercleat").unwrap_or("target/release/tillercleat");
     start_program(Path::new(program), config, options)
 }
 
-/// Starts the program of any version.
+/// Starts a controller from the given binary, which may be another version.
 pub fn start_program(program: &Path, config: &Path, options: &[(&str, &Path)]) -> Process {
     let options = options.iter().flat_map(|(name, file)| [name.as_ref(), file.as_os_str()]);
     let child = Command::new(program)
@@ -141,13 +141,13 @@
     Process(child)
 }
 
-/// Calls a controller; None if it does not answer.
+/// Calls a controller; `None` if it does not answer within 3 s.
 pub fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
     let (status, body) = Client::new(addr).call(method, path, body.as_bytes(), SECOND * 3).ok()?;
     Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
 }
 
-/// Waits until something holds.
+/// Polls `holds` until it is true; panics after `MAX_WAIT`.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + MAX_WAIT;
     while !holds() {
@@ -156,7 +156,7 @@
     }
 }
 
-/// An address on loopback that nobody listens on.
+/// A loopback address with a port that was free at the time of the call.
 pub fn free_port() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
 }
--- a/tests/loopback/services.rs
+++ b/tests/loopback/services.rs
@@ -1,5 +1,5 @@
-//! A service whose replicas are real listeners, on machines with an address of their own each,
-//! and the cloud that rents these.
+//! A service whose replicas are real listeners, and a cloud that rents the machines for them, each
+//! with its own loopback address.
 
 use super::worker::{run_worker, Machine, TaskRunner};
 use super::{call, serve, SECOND};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Replicas that run, by version, and whether the second version is broken.
+/// Number of running replicas per version, and whether the second version is broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaCounts {
     pub v1: usize,
@@ -19,16 +19,16 @@
     pub broken: bool,
 }
 
-/// A service of two versions, the second of which turns unhealthy, and a log of its replicas.
+/// A service with two versions and a log of its replicas. The second version turns unhealthy.
 pub struct Service {
     pub port: u16,
     store: SocketAddr,
-    /// Replicas that run: their machines' addresses, by version.
+    /// Host addresses of the running replicas by version.
     pub up: Mutex<BTreeMap<String, BTreeSet<String>>>,
-    /// An entry after every change.
+    /// Replica counts after every change.
     pub log: Mutex<Vec<ReplicaCounts>>,
     pub broken: AtomicBool,
-    /// Replicas of v2 that run side by side when it turns unhealthy.
+    /// Number of running v2 replicas at which v2 turns unhealthy.
     breaks_at: usize,
 }
 
@@ -38,7 +38,7 @@
         Arc::new(Service { port, store, up, log, broken, breaks_at })
     }
 
-    /// A replica comes up or goes down.
+    /// Records that a replica started or stopped, and breaks v2 at its limit.
     fn replica_changed(&self, version: &str, host: &str, up: bool) {
         let mut running = self.up.lock().expect("no thread panics with the lock");
         let hosts = running.entry(version.to_string()).or_default();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What a task runs: the worker fetches its job's description.
+    /// Reads the version that a task runs from its job's record in the store.
     fn version_of(&self, task: &str) -> Option<String> {
         let job = task.split('/').next()?;
         let (_, record) = call(self.store, "GET", &format!("/kv/t/j/{job}"), "")?;
@@ -83,7 +83,7 @@
                     std::thread::sleep(Duration::from_millis(5));
                     continue;
                 };
-                // A probe that breaks off gets no answer, and needs none.
+                // A probe that disconnects needs no answer, so its errors are ignored.
                 drop(stream.set_nonblocking(false));
                 drop(stream.set_read_timeout(Some(SECOND)));
                 drop(stream.read(&mut [0; 1024]));
@@ -103,7 +103,7 @@
     host: String,
 }
 
-/// What stops a replica.
+/// Set to stop a replica.
 type StopFlag = Arc<AtomicBool>;
 
 impl TaskRunner for ReplicaRunner {
@@ -125,17 +125,17 @@
     }
 }
 
-/// The most machines that the cloud rents.
+/// Number of machines that the cloud rents in total.
 const MAX_MACHINES: usize = 120;
 
-/// A machine that was rented.
+/// A rented machine; `gone` is set when it is returned.
 struct RentedMachine {
     machine: Machine,
     since: Instant,
     gone: Arc<AtomicBool>,
 }
 
-/// A cloud of machines with room for one replica each.
+/// Serves a cloud whose machines have capacity for one replica each.
 pub fn cloud(nodes: Vec<SocketAddr>, service: Arc<Service>) -> SocketAddr {
     let rented: Mutex<Vec<RentedMachine>> = Mutex::new(vec![]);
     serve(move |method, path, body| {
@@ -154,7 +154,7 @@
         "hourly": 1.0, "ready_s": 1.0, "berths": ["a"]}]})
 }
 
-/// Rents machines as long as there are any, and starts their workers.
+/// Rents machines up to `MAX_MACHINES` and starts their workers; there are no spot machines.
 fn rent(rented: &mut Vec<RentedMachine>, body: &Value, nodes: &[SocketAddr], service: &Arc<Service>) -> (u16, Value) {
     let mut names = vec![];
     for _ in 0..body["count"].as_u64().unwrap_or(1) {
@@ -184,7 +184,7 @@
     (200, json!({}))
 }
 
-/// The machines that are there, after the one that the path names.
+/// Lists the machines that were not returned, after the `from` parameter of the path.
 fn list(rented: &[RentedMachine], path: &str) -> Value {
     let from = path.split("from=").nth(1).and_then(|rest| rest.split('&').next()).unwrap_or_default();
     let there =
--- a/tests/loopback/store_service.rs
+++ b/tests/loopback/store_service.rs
@@ -1,4 +1,4 @@
-//! The store of the simulated cluster, served over HTTP as the platform's store is.
+//! Serves the simulated cluster's store over HTTP with the API of the platform's store.
 
 #[path = "../simulator/store.rs"]
 mod store;
@@ -12,16 +12,16 @@
 use tillercleat::protocol::state::{StoreRequest, StoreResponse, Transaction, WatchEvent};
 use tillercleat::units::{LeaseId, Revision};
 
-/// Pause between two looks of a watch without news.
+/// Interval at which a blocked watch polls for events.
 const WATCH_PAUSE: Duration = Duration::from_millis(20);
 
-/// A parameter of a path's query.
+/// Value of a query parameter of a path.
 fn query(path: &str, name: &str) -> Option<String> {
     let pairs = path.split_once('?')?.1.split('&');
     pairs.filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v.to_string())
 }
 
-/// The request that a call over HTTP carries.
+/// Parses an HTTP call into a store request.
 fn parse_request(method: &str, path: &str, body: &Value) -> StoreRequest {
     let number = |name: &str| query(path, name).and_then(|v| v.parse().ok()).unwrap_or(0);
     match (method, path) {
@@ -45,7 +45,7 @@
     }
 }
 
-/// The status and the body of a response.
+/// HTTP status and body of a store response.
 fn to_http(response: StoreResponse) -> (u16, Value) {
     match response {
         StoreResponse::Found(item) => (200, serde_json::to_value(item).expect("json")),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Serves a store of its own on a free port.
+/// Serves a new store on a free port.
 pub fn store_service() -> SocketAddr {
     let store = Mutex::new(SimulatedStore::default());
     let started = Instant::now();
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,5 +1,5 @@
-//! A worker on loopback: it sends heartbeats to one node after the other, and starts, stops and
-//! forgets tasks as the answers say. How its tasks run is left to the test.
+//! A worker on loopback: it sends heartbeats to a node, moves on to the next node when that fails,
+//! and executes the commands in the answers. A `TaskRunner` of the test runs the tasks.
 
 use super::SECOND;
 use serde_json::{json, Value};
@@ -9,36 +9,36 @@
 use std::time::{Duration, Instant};
 use tillercleat::transport::http::Client;
 
-/// Pause between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
 
-/// How a worker runs its tasks.
+/// Runs the tasks of a worker.
 pub trait TaskRunner {
     type Task;
 
-    /// Starts the task of this name; None if it can't now, and the owner asks again.
+    /// Starts the named task; `None` if it can't start now, in which case the owner retries.
     fn start(&mut self, name: &str) -> Option<Self::Task>;
 
     fn stop(&mut self, task: &mut Self::Task);
 
-    /// The cause of its end, in the protocol's words, once it has ended.
+    /// Wire name of the task's exit reason; `None` while the task runs.
     fn end_cause(&self, task: &Self::Task) -> Option<&'static str>;
 }
 
-/// A machine as its worker announces it.
+/// Name and address of a machine, as its worker reports them.
 #[derive(Clone)]
 pub struct Machine {
     pub name: String,
     pub address: String,
 }
 
-/// A task on the worker.
+/// A task that the worker started and was not told to forget.
 struct Started<T> {
     attempt: u64,
     task: T,
 }
 
-/// Runs a worker until its machine is gone; then its tasks are stopped.
+/// Runs a worker until `gone` is set, then stops its tasks.
 pub fn run_worker<R: TaskRunner>(machine: &Machine, nodes: &[SocketAddr], runner: &mut R, gone: &AtomicBool) {
     let mut tasks: BTreeMap<String, Started<R::Task>> = BTreeMap::new();
     let (mut token, mut node) = (0, 0);
@@ -103,10 +103,10 @@
     }
 }
 
-/// Tasks that end by themselves after a time.
+/// Runs tasks that finish after a fixed time.
 pub struct TimedTasks(pub Duration);
 
-/// A task that ends by itself, or was stopped before.
+/// A task that finishes after a fixed time unless it is stopped.
 pub struct TimedTask {
     started: Instant,
     stopped: bool,
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,5 +1,5 @@
-//! Processes of the version in production and of this one side by side on loopback. Not among the
-//! usual tests: it builds that version from the history.
+//! Runs controllers of the production version and of this version side by side on loopback.
+//! Ignored by default because it builds the production version from the Git history. Run it with:
 //!
 //!     cargo test --release --test mixed -- --ignored --nocapture
 
@@ -16,7 +16,7 @@
 
 const NODES: usize = 3;
 
-/// Builds the version in production, once, under `target/`.
+/// Builds the production version under `target/` unless it is there, and returns its binary.
 fn production() -> PathBuf {
     let deploy: toml::Table = include_str!("../deploy/service.toml").parse().expect("toml");
     let commit = deploy["production"].as_str().expect("a commit");
@@ -45,7 +45,7 @@
     body.to_string()
 }
 
-/// Submits as users do, at any controller, until the job is accepted.
+/// Submits a job to one controller after the other until one accepts it.
 fn submit(users: &[SocketAddr], number: usize, dependencies: &[usize]) {
     let mut at = number;
     wait_for(&format!("job {number}"), || {
@@ -60,7 +60,7 @@
     node.0.wait().expect("a child");
 }
 
-/// Writes a settings file of each node; returns their paths.
+/// Writes a settings file for each node and returns the paths.
 fn write_settings(users: &[SocketAddr]) -> Vec<PathBuf> {
     let internal: Vec<SocketAddr> = (0..NODES).map(|_| free_port()).collect();
     let (store, cloud) = (store_service(), cloud(users.to_vec(), 3));
@@ -100,7 +100,7 @@
     report("three of the version in production serve");
     for n in 0..NODES {
         if n == 1 {
-            // One that is not upgraded yet crashes, and comes back as it was.
+            // A controller that is not upgraded yet crashes and restarts with its old version.
             kill(&mut nodes[2]);
             nodes[2] = start_program(&old, &configs[2], &[]);
             load(10);
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -1,6 +1,6 @@
-//! Records and messages that the version in production wrote, read by this one; and records of
-//! this one, as that one reads them. The texts under `tests/production` were written by the commit
-//! named in `deploy/service.toml`.
+//! Compatibility tests with the version in production: this version reads its records and messages,
+//! and writes records that it can read. The files under `tests/production` were written by the
+//! commit named in `deploy/service.toml`.
 
 use prost::Message;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,8 @@
 use tillercleat::storage::records as new;
 use tillercleat::units::{JobId, LeaseId, Revision};
 
-/// A job's record as the version in production knows it. It does not see other fields, and drops
-/// them when it writes the record again.
+/// A job's record as the version in production defines it. That version ignores other fields and
+/// drops them when it rewrites the record.
 #[derive(Serialize, Deserialize)]
 struct OldJob {
     spec: Value,
@@ -28,7 +28,7 @@
     parts: Vec<u32>,
 }
 
-/// A record read and written by this version.
+/// Deserializes a record and serializes it again with this version.
 fn rewritten<T: Serialize + serde::de::DeserializeOwned>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("a record that this version reads");
     serde_json::to_value(record).expect("a value")
@@ -49,7 +49,7 @@
             "t/l" | "t/o" => rewritten::<new::LeaseHolderRecord>(&value),
             "t/j" => rewritten::<new::JobRecord>(&value),
             "t/s" => rewritten::<new::SliceRecord>(&value),
-            // This version adds its feature level, which the previous one does not see.
+            // This version adds its feature level, which the previous version ignores.
             "t/n" | "t/w" => {
                 let mut node = rewritten::<new::NodeRecord>(&value);
                 assert_eq!(node.as_object_mut().expect("an object").remove("level"), Some(json!(0)));
@@ -87,9 +87,9 @@
     }
 }
 
-/// To the previous version, a waiting job is one that is assigned already, with no slices: it
-/// assigns none, starts no task and reports nothing as done. Its cancellation, which it does write,
-/// ends the job for all.
+/// The previous version reads a waiting job as an assigned job without slices: it assigns none,
+/// starts no task and does not report the job as done. A cancellation that it writes ends the job
+/// for both versions.
 #[test]
 fn the_version_in_production_reads_a_waiting_job_as_one_without_work() {
     let jobs = include_str!("production/records.txt").lines().filter(|line| line.starts_with("t/j/"));
@@ -104,7 +104,7 @@
         let value = serde_json::to_value(&waiting).expect("a value");
         assert_eq!(serde_json::from_value::<new::JobRecord>(value.clone()).expect("a record"), waiting);
         let old: OldJob = serde_json::from_value(value).expect("what the previous version reads");
-        // Assigned (`plan` is there), with no slices, so none of them is ever started or done.
+        // `plan` is set, so the job counts as assigned; without slices, no task starts or finishes.
         assert_eq!(old.plan.as_ref().map(|plan| plan.parts.len()), Some(0));
         assert_eq!(old.end, None);
         let cancelled = OldJob { end: Some("cancelled".into()), ..old };
@@ -114,7 +114,7 @@
             (read.outcome, read.waits_for_dependencies(), read.dependencies.is_empty()),
             (Some(new::JobOutcome::Cancelled), false, true)
         );
-        // Once it may start it is a job like any other, also without the time of its release.
+        // Once released, it is an ordinary job, even if the record lacks the release time.
         let ready = new::JobRecord { ready_at_ms: Some(open.accepted_at_ms + 5), ..open.clone() };
         let old: OldJob = serde_json::from_value(serde_json::to_value(ready).expect("a value"))
             .expect("what the previous version reads");
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Controllers that crash and are started again within a fraction of a second: several times
-//! within one lease of the store, within one agent epoch of workers, and at each crash point.
+//! Tests of controllers that crash and restart within a fraction of a second: several times within
+//! one store lease, within one agent epoch of the workers, and at each crash point.
 
 #[allow(dead_code)]
 mod simulator;
@@ -8,7 +8,7 @@
 use simulator::{ClusterConfig, CrashPoint, Fault, SimulatedCluster};
 use tillercleat::protocol::users::JobSpec;
 
-/// Classes whose tasks differ in size, run time and priority.
+/// Job of a class; the classes differ in task size, run time and priority.
 fn job(number: u64, tasks: u32) -> JobSpec {
     let (class, cpus, run_s, rank) = match number % 4 {
         0 => ("plans", 2.0, 24.0, "normal"),
@@ -25,7 +25,7 @@
     simulator::fixtures::job_spec(text)
 }
 
-/// `jobs` a second until `until`; some are cancelled.
+/// Submits `jobs` jobs a second until `until` (ms) and cancels some of them.
 fn submit_jobs(cluster: &mut SimulatedCluster, jobs: u64, until: u64, tasks: u32) {
     for number in 0..jobs * until / 1000 {
         let at = 3000 + number * 1000 / jobs;
@@ -42,7 +42,7 @@
     prop_oneof![Just(50u64), Just(200), Just(300)]
 }
 
-/// Crashes of one, some or all controllers, up to four times in a row.
+/// Generates crashes of one, some or all controllers, up to four in a row.
 fn crashes(nodes: usize) -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let which = prop_oneof![Just(1usize), 2..nodes, Just(nodes)];
     (15_000u64..60_000, which, 0..nodes, 1u64..5, 400u64..2500, quick_restart()).prop_map(
@@ -56,9 +56,9 @@
     )
 }
 
-/// A crash at a crash point, with what brings that about if it is rare: a shard is handed over
-/// only to a node that was away, and leases are proxied only for an owner that its workers can't
-/// reach.
+/// Generates a crash at a crash point, together with the faults that make a rare point reachable:
+/// a shard is handed over only to a node that was down, and leases are proxied only for an owner
+/// that its workers can't reach.
 fn crash_at_a_point(nodes: usize) -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let point = prop::sample::select(CrashPoint::ALL.to_vec());
     let late = prop_oneof![Just(None), Just(Some(0u64)), Just(Some(120)), Just(Some(900)), Just(Some(4000))];
@@ -82,7 +82,7 @@
                     let cut = (at, Fault::LinkCut { node: other, zone: usize::MAX, for_ms: 9000, hold: false });
                     (0..nodes).filter(|n| *n != other).map(planned).chain([cut]).collect()
                 }
-                // The leader rents; whoever has quota to spare gives some away.
+                // The leader rents machines; any node with spare quota transfers some of it.
                 CrashPoint::RecordRental | CrashPoint::RentMachines | CrashPoint::TransferQuota => {
                     (0..nodes).map(planned).collect()
                 }
@@ -92,7 +92,7 @@
     )
 }
 
-/// What else may fail while they crash.
+/// Generates further faults that coincide with the crashes.
 fn other_fault() -> impl Strategy<Value = Vec<(u64, Fault)>> {
     let outage = (20_000u64..55_000, 1000u64..16_000)
         .prop_map(|(at, for_ms)| vec![(at, Fault::StoreOutage { node: None, for_ms })]);
@@ -128,8 +128,8 @@
     }
 }
 
-/// Each crash point is reached, whatever the generated cases happen to reach: the call is carried
-/// out never, at once, and when the next process runs.
+/// Covers each crash point, independent of which ones the generated cases reach. The interrupted
+/// call is carried out never, immediately, or when the next process is running.
 #[test]
 fn a_crash_at_each_crash_point_breaks_no_rule() {
     for point in CrashPoint::ALL {
@@ -154,8 +154,8 @@
     }
 }
 
-/// A node takes over the keys of its earlier process while their lease still runs; it does not
-/// wait for them to expire, however often it crashes.
+/// A restarted node takes over the keys of its previous process while their lease is still valid.
+/// It does not wait for the lease to expire, even after repeated crashes.
 #[test]
 fn five_restarts_within_one_lease_keep_shard_ownership() {
     let mut cluster = SimulatedCluster::new(9, 10.0);
@@ -174,7 +174,7 @@
     assert_eq!(cluster.problems(), [""; 0]);
 }
 
-/// Many crashes with an outage and lost machines, at the operators' size or larger.
+/// Repeated crashes with a store outage and lost machines, at the operators' fleet size or larger.
 fn many_crashes(seed: u64, nodes: usize, machines: usize) {
     let mut cluster = SimulatedCluster::with_config(seed, ClusterConfig::fleet(nodes, 3, machines));
     submit_jobs(&mut cluster, machines as u64 / 250, 90_000, 60);
@@ -209,7 +209,7 @@
     many_crashes(32, 7, 1130);
 }
 
-/// The check of how jobs are served can fail: with no controller for most of the time.
+/// Verifies that the quality-of-service check fails when no controller runs for most of the time.
 #[test]
 fn underserved_teams_are_reported() {
     let mut cluster = SimulatedCluster::new(8, 10.0);
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,6 +1,6 @@
-//! A roll-out with real processes on loopback: two controllers, and machines whose replicas are real
-//! listeners, each machine on an address of its own. The service turns unhealthy at the third step.
-//! What happened is read from the service's own log, not from what controllers say.
+//! Tests a roll-out with real processes on loopback: two controllers, and machines with their own
+//! addresses whose replicas are real listeners. The service turns unhealthy at the third step. The
+//! checks read the service's own log of its replicas instead of what the controllers report.
 
 mod loopback;
 
@@ -13,7 +13,7 @@
 
 const REPLICAS: usize = 6;
 
-/// Replicas of the bad version that run side by side when it turns unhealthy.
+/// Number of running replicas at which the bad version turns unhealthy.
 const BREAKS_AT: usize = 4;
 
 struct Node {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Settings files for two controllers, which serve users at `clients`.
+/// Writes the settings files of two controllers that serve users at `clients`.
 fn write_settings(clients: &[SocketAddr], cloud: SocketAddr, store: SocketAddr) -> Vec<Node> {
     let internal = [free_port(), free_port()];
     let node = |at: usize| {
@@ -42,7 +42,7 @@
     (0..clients.len()).map(node).collect()
 }
 
-/// A roll-out in four steps, as `tillerctl` sends it.
+/// JSON of a roll-out in four steps, as `tillerctl` sends it.
 fn roll_out(version: &str, port: u16) -> String {
     let text = format!(
         "service = \"routeplan\"\nversion = \"{version}\"\nreplicas = {REPLICAS}\nmax_unavailable = 0\nmax_surplus = 1\n\
@@ -58,7 +58,7 @@
     serde_json::to_string(&file).expect("json")
 }
 
-/// Sends a command to whichever controller answers.
+/// Sends a command to the running controllers and returns the first answer below status 500.
 fn send_command(nodes: &[Node], method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
     let running = nodes.iter().filter(|node| node.process.is_some());
     let answers = running.map(|node| call(node.operators, method, path, body));
@@ -81,15 +81,15 @@
         wait_for("becoming healthy", || call(client, "GET", "/up", "").is_some_and(|(s, _)| s == 200));
     }
 
-    // The first version is rolled out; nothing ran before.
+    // Roll out the first version; no replica was running before.
     let started = send_command(&nodes, "POST", "/v1/rollouts", &roll_out("v1", service.port)).expect("an answer");
     assert_eq!(started.0, 200, "{}", started.1);
     wait_for("the first version", || status(&nodes)["state"] == "done");
     assert_eq!(service.up.lock().expect("the service")["v1"].len(), REPLICAS);
     let before = service.log.lock().expect("the log").len();
 
-    // The second turns unhealthy at its third step. While the second step is under way, the leader
-    // of the roll-out is killed, and comes back a little later.
+    // The second version turns unhealthy at its third step. The roll-out's leader is killed
+    // during the second step and restarts 2 s later.
     assert_eq!(send_command(&nodes, "POST", "/v1/rollouts", &roll_out("v2", service.port)).expect("an answer").0, 200);
     let refused = send_command(&nodes, "POST", "/v1/rollouts", &roll_out("v3", service.port)).expect("an answer");
     assert_eq!(refused.0, 409, "{}", refused.1);
@@ -112,7 +112,7 @@
     }
 }
 
-/// Kills the controller that leads the roll-out, and starts it again.
+/// Kills the controller that leads the roll-out and restarts it after 2 s.
 fn restart_leader(nodes: &mut [Node]) {
     let leader = status(nodes)["driver"]["listen"].as_str().map(String::from);
     let at = nodes.iter().position(|n| Some(n.operators.to_string()) == leader).expect("a leader");
@@ -121,12 +121,13 @@
     nodes[at].start();
 }
 
-/// What the service saw of the second version's roll-out.
+/// Checks the replica counts that the service logged during the second version's roll-out.
 fn check_log(log: &[ReplicaCounts]) {
     assert!(log.iter().any(|counts| counts.broken), "the service never broke: {log:?}");
-    // No later step started: never more of the bad version than its third step.
+    // No later step started: the bad version never exceeds the replicas of its third step.
     assert!(log.iter().all(|counts| counts.v2 <= BREAKS_AT), "{log:?}");
-    // Until it broke, no replica was missing; and never fewer old ones than the third step leaves.
+    // No replica is missing before the failure, and at no time are there fewer old replicas than
+    // the third step leaves.
     let missing = |counts: &&ReplicaCounts| !counts.broken && counts.v1 + counts.v2 < REPLICAS;
     assert_eq!(log.iter().find(missing), None, "{log:?}");
     assert!(log.iter().all(|counts| counts.v1 >= REPLICAS - BREAKS_AT), "{log:?}");
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,6 +1,6 @@
-//! A trace that must not change: fixed runs of the simulated cluster, every output of which is
-//! folded into one checksum each. A change of names, files or form keeps the checksums. A change
-//! of behaviour changes them, and records new ones here, with the reason in its commit.
+//! Regression tests that fold all outputs of fixed simulation runs into one checksum per run.
+//! Refactoring must keep the checksums. A commit that changes behaviour updates them here and
+//! states the reason in its message.
 
 #[allow(dead_code)]
 mod simulator;
@@ -35,7 +35,8 @@
     }))
 }
 
-/// A job each `pause` milliseconds until `until`; every so many is cancelled, and users poll all.
+/// Submits a job every `pause` ms until `until` (ms). Users poll all jobs and cancel each
+/// `cancel_each`-th, and some others.
 fn submit_jobs(cluster: &mut SimulatedCluster, until: u64, pause: u64, cancel_each: usize) {
     for (number, at) in (3000..until).step_by(pause as usize).enumerate() {
         cluster.submit(at, job(number, 1 + (number as u32 * 7) % 23, &[]));
@@ -46,7 +47,8 @@
     }
 }
 
-/// The checksum of a run until `until`, and how many inputs it covers. Nothing may go wrong in it.
+/// Runs the cluster until `until` (ms), checks that no rule was broken, and returns the checksum
+/// and the number of inputs that it covers.
 fn run_trace(mut cluster: SimulatedCluster, until: u64) -> (u64, u64) {
     cluster.run(until);
     assert_eq!(cluster.problems(), [""; 0]);
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! What the cloud is asked for, and what it answers.
+//! Golden tests of the requests to the cloud and its responses.
 
 use super::{assert_golden, both_ways, text};
 use serde_json::from_str;
--- a/tests/wire/main.rs
+++ b/tests/wire/main.rs
@@ -1,6 +1,6 @@
 //! Golden tests of every stored record, message, state service call and settings file: what is
-//! written must equal the files under `tests/wire` byte for byte. Those hold wire words only, so
-//! that a change of names in the code touches this file and none of them.
+//! written must equal the files under `tests/wire` byte for byte. The files contain only names on
+//! the wire, so renaming identifiers in the code does not change them.
 
 mod cloud;
 mod peers;
@@ -17,8 +17,8 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/wire").join(name)
 }
 
-/// Compares lines with a golden file. If they differ, the new text is left in the directory for
-/// temporary files of tests, to be looked at.
+/// Compares lines with a golden file. If they differ, the new text is written to the tests'
+/// temporary directory for inspection.
 fn assert_golden(name: &str, lines: &[String]) {
     let new = lines.join("\n") + "\n";
     let golden = std::fs::read_to_string(path_of(name)).unwrap_or_default();
@@ -35,7 +35,7 @@
     serde_json::to_string(value).expect("json")
 }
 
-/// A message as it is written, after reading it back.
+/// Serializes a message and checks that it reads back equal.
 fn both_ways<T: Serialize + DeserializeOwned>(message: &T) -> String {
     let written = text(message);
     assert_eq!(text(&serde_json::from_str::<T>(&written).expect("a message")), written);
--- a/tests/wire/peers.rs
+++ b/tests/wire/peers.rs
@@ -1,4 +1,4 @@
-//! What controllers tell one another: encoded messages and paths.
+//! Golden tests of the gRPC calls between controllers: encoded messages and paths.
 
 use super::assert_golden;
 use prost::Message;
@@ -10,7 +10,7 @@
 use tonic::body::Body;
 use tonic::codegen::{http, Context, Poll, Service};
 
-/// A message's bytes, after reading them back.
+/// Encodes a message and checks that it decodes to an equal one.
 fn encoded<M: Message + Default + PartialEq + Debug>(name: &str, message: &M) -> String {
     let bytes = message.encode_to_vec();
     assert_eq!(M::decode(bytes.as_slice()).expect("a message"), *message);
@@ -71,7 +71,7 @@
     assert_golden("peers.txt", &lines);
 }
 
-/// Answers nothing, and notes the paths that it is asked at.
+/// Records the paths of the calls that it receives.
 #[derive(Clone, Default)]
 struct Recorder(Arc<Mutex<Vec<String>>>);
 
--- a/tests/wire/records.rs
+++ b/tests/wire/records.rs
@@ -1,4 +1,4 @@
-//! Keys and records of the state service.
+//! Golden tests of the keys and records in the state service.
 
 use super::assert_golden;
 use super::users::job_spec;
@@ -9,7 +9,7 @@
 use tillercleat::storage::records::*;
 use tillercleat::units::*;
 
-/// A record as it is stored, after reading it back.
+/// Serializes a record and checks that it reads back equal.
 fn stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(key: &str, record: &T) -> String {
     let value = serde_json::to_value(record).expect("a value");
     assert_eq!(serde_json::from_value::<T>(value.clone()).expect("a record"), *record);
--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings and the operators' own.
+//! Golden tests of the platform's settings and the operators' tuning file.
 
 use super::path_of;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use tillercleat::settings::{Objective, PeerNode, Settings, Team, Tuning};
 
-/// Settings in the platform's words, written out field by field.
+/// Writes settings with the platform's names, field by field.
 fn platform_form(settings: &Settings) -> Value {
     let peer = |peer: &PeerNode| json!({"label": peer.node, "domain": peer.zone, "address": peer.addr});
     let team = |team: &Team| {
@@ -46,7 +46,7 @@
     serde_json::from_str(&std::fs::read_to_string(path_of(name)).expect("a file")).expect("json")
 }
 
-/// Takes the fields that no version knows yet out of every object.
+/// Removes the unknown fields from every object.
 fn without_unknown(value: &mut Value) {
     match value {
         Value::Object(fields) => {
--- a/tests/wire/state.rs
+++ b/tests/wire/state.rs
@@ -1,4 +1,4 @@
-//! Calls on the state service, and how its answers are read.
+//! Golden tests of the requests to the state service and the parsing of its responses.
 
 use super::assert_golden;
 use serde_json::json;
@@ -38,7 +38,7 @@
     }
 }
 
-/// What was read from an answer, in words that no change of names touches.
+/// Describes a parsed response in fixed text that does not depend on identifiers in the code.
 fn outcome(answer: &StoreResponse) -> String {
     match answer {
         StoreResponse::Found(item) => format!("a row {}", row(item)),
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -1,4 +1,4 @@
-//! What users submit, and the answers that they get.
+//! Golden tests of users' submissions and the responses to them.
 
 use super::{assert_golden, both_ways, path_of, text};
 use serde_json::{json, Value};
@@ -32,7 +32,7 @@
     }
 }
 
-/// A submission as a user writes it: that of `job_spec`, and the jobs that it waits for.
+/// JSON of a submission of `job_spec` with dependencies.
 fn submission() -> Value {
     serde_json::from_str(&std::fs::read_to_string(path_of("submission.json")).expect("a file")).expect("json")
 }
@@ -52,7 +52,7 @@
     assert_golden("users.txt", &lines);
 }
 
-/// The reasons that users get for submissions that are not valid.
+/// Invalid submissions are refused with the same error texts as before.
 #[test]
 fn malformed_submissions_get_the_same_reasons() {
     let whole = submission();
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -1,10 +1,10 @@
-//! What workers report, and the answers that they get.
+//! Golden tests of workers' heartbeats and the responses to them.
 
 use super::{assert_golden, both_ways, text};
 use tillercleat::protocol::workers::*;
 use tillercleat::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, MachineId};
 
-/// A heartbeat that lists a task in each state, and ended ones with each reason.
+/// A heartbeat with a task in each state, and an exited task for each exit reason.
 fn heartbeat_with_every_state(task: &TaskName) -> Heartbeat {
     let states =
         [TaskState::Fetching, TaskState::Waiting, TaskState::Running, TaskState::Saving, TaskState::Exited].map(Some);
