--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_binary_runs_a_job_and_survives_a_kill() {
+fn job_runs_and_survives_a_kill_of_the_controller() {
     let client_addr = free_port();
     let config = settings(client_addr, 200);
     let path = temporary_file("kill.json");
@@ -57,7 +57,7 @@
 /// address again although clients hold connections to the killed one, no process may exit before
 /// it is killed, and no job may be lost.
 #[test]
-fn the_binary_survives_quick_restarts() {
+fn quick_restarts_lose_no_job() {
     let client_addr = free_port();
     let path = temporary_file("restarts.json");
     std::fs::write(&path, settings(client_addr, 200).to_string()).expect("a settings file");
@@ -101,7 +101,7 @@
 
 /// Number of threads of a process, from `/proc`.
 #[cfg(target_os = "linux")]
-fn threads(process: &Process) -> usize {
+fn thread_count(process: &Process) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id())).expect("the process runs");
     let line = status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("a count of threads");
     line.trim().parse().expect("a number")
@@ -112,7 +112,7 @@
 /// Workers must be able to connect during the flood, and users again after it.
 #[test]
 #[cfg(target_os = "linux")]
-fn a_connection_flood_stays_within_the_threads_and_keeps_workers() {
+fn connection_flood_stays_within_the_thread_limit_and_keeps_workers_connected() {
     const MAX_THREADS: usize = 48;
     let client_addr = free_port();
     let (path, tuning) = (temporary_file("flood.json"), temporary_file("flood.toml"));
@@ -136,7 +136,7 @@
         for _ in 0..80 {
             flood.extend(std::net::TcpStream::connect_timeout(&client_addr, SECOND));
         }
-        assert!(threads(&process) <= MAX_THREADS, "{} threads in wave {wave}", threads(&process));
+        assert!(thread_count(&process) <= MAX_THREADS, "{} threads in wave {wave}", thread_count(&process));
         // An established worker connection is still served.
         assert!(matches!(heartbeat(&mut worker), Some(200 | 421)), "a worker lost its connection in wave {wave}");
         // A new worker can connect.
@@ -145,7 +145,7 @@
     assert!(flood.len() > 400, "too few connections for a flood: {}", flood.len());
     drop(flood);
     wait_for("users after the flood", || (0..20).all(|_| up() == Some(200)));
-    assert!(threads(&process) <= MAX_THREADS);
+    assert!(thread_count(&process) <= MAX_THREADS);
     drop(process);
     for file in [path, tuning] {
         let _ = std::fs::remove_file(file);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn bad_settings_end_the_program_with_one_line() {
+fn invalid_settings_exit_with_a_one_line_error() {
     let path = temporary_file("bad.json");
     std::fs::write(&path, r#"{"label": "n0"}"#).expect("a settings file");
     let output = Command::new(env!("CARGO_BIN_EXE_tillercleat"))
--- a/tests/loopback/services.rs
+++ b/tests/loopback/services.rs
@@ -29,13 +29,13 @@
     pub log: Mutex<Vec<ReplicaCounts>>,
     pub broken: AtomicBool,
     /// Number of running v2 replicas at which v2 turns unhealthy.
-    breaks_at: usize,
+    unhealthy_replicas: usize,
 }
 
 impl Service {
-    pub fn new(port: u16, store: SocketAddr, breaks_at: usize) -> Arc<Service> {
+    pub fn new(port: u16, store: SocketAddr, unhealthy_replicas: usize) -> Arc<Service> {
         let (up, log, broken) = Default::default();
-        Arc::new(Service { port, store, up, log, broken, breaks_at })
+        Arc::new(Service { port, store, up, log, broken, unhealthy_replicas })
     }
 
     /// Records that a replica started or stopped, and breaks v2 at its limit.
@@ -45,7 +45,7 @@
         let changed = if up { hosts.insert(host.to_string()) } else { hosts.remove(host) };
         let count = |version: &str| running.get(version).map_or(0, BTreeSet::len);
         let (v1, v2) = (count("v1"), count("v2"));
-        if v2 >= self.breaks_at {
+        if v2 >= self.unhealthy_replicas {
             self.broken.store(true, Ordering::SeqCst);
         }
         if changed {
@@ -120,7 +120,7 @@
         task.store(true, Ordering::SeqCst);
     }
 
-    fn end_cause(&self, task: &StopFlag) -> Option<&'static str> {
+    fn exit_reason(&self, task: &StopFlag) -> Option<&'static str> {
         task.load(Ordering::SeqCst).then_some("halted")
     }
 }
--- a/tests/loopback/store_service.rs
+++ b/tests/loopback/store_service.rs
@@ -13,7 +13,7 @@
 use tillercleat::units::{LeaseId, Revision};
 
 /// Interval at which a blocked watch polls for events.
-const WATCH_PAUSE: Duration = Duration::from_millis(20);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Value of a query parameter of a path.
 fn query(path: &str, name: &str) -> Option<String> {
@@ -88,7 +88,7 @@
             if !no_news || Instant::now() >= until {
                 return to_http(response);
             }
-            std::thread::sleep(WATCH_PAUSE);
+            std::thread::sleep(WATCH_POLL_INTERVAL);
         }
     })
 }
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -10,7 +10,7 @@
 use tillercleat::transport::http::Client;
 
 /// Interval between two heartbeats.
-const HEARTBEAT_PAUSE: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs the tasks of a worker.
 pub trait TaskRunner {
@@ -22,7 +22,7 @@
     fn stop(&mut self, task: &mut Self::Task);
 
     /// Wire name of the task's exit reason; `None` while the task runs.
-    fn end_cause(&self, task: &Self::Task) -> Option<&'static str>;
+    fn exit_reason(&self, task: &Self::Task) -> Option<&'static str>;
 }
 
 /// Name and address of a machine, as its worker reports them.
@@ -33,18 +33,18 @@
 }
 
 /// A task that the worker started and was not told to forget.
-struct Started<T> {
+struct StartedTask<T> {
     attempt: u64,
     task: T,
 }
 
 /// Runs a worker until `gone` is set, then stops its tasks.
 pub fn run_worker<R: TaskRunner>(machine: &Machine, nodes: &[SocketAddr], runner: &mut R, gone: &AtomicBool) {
-    let mut tasks: BTreeMap<String, Started<R::Task>> = BTreeMap::new();
+    let mut tasks: BTreeMap<String, StartedTask<R::Task>> = BTreeMap::new();
     let (mut token, mut node) = (0, 0);
     let mut client = Client::new(nodes[0]);
     for number in 1u64.. {
-        std::thread::sleep(HEARTBEAT_PAUSE);
+        std::thread::sleep(HEARTBEAT_INTERVAL);
         if gone.load(Ordering::SeqCst) {
             break;
         }
@@ -72,10 +72,10 @@
     machine: &Machine,
     number: u64,
     token: u64,
-    tasks: &BTreeMap<String, Started<R::Task>>,
+    tasks: &BTreeMap<String, StartedTask<R::Task>>,
     runner: &R,
 ) -> Value {
-    let status = |(name, started): (&String, &Started<R::Task>)| match runner.end_cause(&started.task) {
+    let status = |(name, started): (&String, &StartedTask<R::Task>)| match runner.exit_reason(&started.task) {
         Some(cause) => json!({"load": name, "cast": started.attempt, "trim": "ended", "cause": cause}),
         None => json!({"load": name, "cast": started.attempt, "trim": "running"}),
     };
@@ -84,14 +84,14 @@
         "watch": 1, "tally": number, "helm": token, "recall_s": null, "loads": loads})
 }
 
-fn execute<R: TaskRunner>(command: &Value, tasks: &mut BTreeMap<String, Started<R::Task>>, runner: &mut R) {
+fn execute<R: TaskRunner>(command: &Value, tasks: &mut BTreeMap<String, StartedTask<R::Task>>, runner: &mut R) {
     let name = command["load"].as_str().expect("a task").to_string();
     match command["call"].as_str() {
         Some("start") if tasks.contains_key(&name) => {}
         Some("start") => {
             if let Some(task) = runner.start(&name) {
                 let attempt = command["cast"].as_u64().expect("an attempt");
-                tasks.insert(name, Started { attempt, task });
+                tasks.insert(name, StartedTask { attempt, task });
             }
         }
         Some("kill") => {
@@ -123,7 +123,7 @@
         task.stopped = true;
     }
 
-    fn end_cause(&self, task: &TimedTask) -> Option<&'static str> {
+    fn exit_reason(&self, task: &TimedTask) -> Option<&'static str> {
         if task.stopped {
             return Some("halted");
         }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -17,7 +17,7 @@
 const NODES: usize = 3;
 
 /// Builds the production version under `target/` unless it is there, and returns its binary.
-fn production() -> PathBuf {
+fn build_production_version() -> PathBuf {
     let deploy: toml::Table = include_str!("../deploy/service.toml").parse().expect("toml");
     let commit = deploy["production"].as_str().expect("a commit");
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -81,7 +81,7 @@
 #[test]
 #[ignore = "builds the version in production; run as the operators' page says"]
 fn old_and_new_controllers_serve_side_by_side() {
-    let old = production();
+    let old = build_production_version();
     let users: Vec<SocketAddr> = (0..NODES).map(|_| free_port()).collect();
     let configs = write_settings(&users);
     let mut nodes: Vec<Process> = configs.iter().map(|config| start_program(&old, config, &[])).collect();
@@ -97,21 +97,21 @@
         number
     };
     load(20);
-    report("three of the version in production serve");
+    report("three controllers of the production version are serving");
     for n in 0..NODES {
         if n == 1 {
             // A controller that is not upgraded yet crashes and restarts with its old version.
             kill(&mut nodes[2]);
             nodes[2] = start_program(&old, &configs[2], &[]);
             load(10);
-            report("an old one crashed and is back, beside a new one");
+            report("an old controller restarted beside a new one");
             let (status, _) = call(users[0], "POST", "/v2/runs", &job(900, &[0])).expect("an answer");
             assert_eq!(status, 503, "accepted before all controllers support dependencies");
         }
         kill(&mut nodes[n]);
         nodes[n] = start(&configs[n], &[]);
         load(10);
-        report(&format!("node {n} is new"));
+        report(&format!("node {n} is upgraded"));
     }
     submit(&users, 901, &[0, 10]);
     report("the first job with dependencies is accepted");
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -29,7 +29,7 @@
 }
 
 /// Deserializes a record and serializes it again with this version.
-fn rewritten<T: Serialize + serde::de::DeserializeOwned>(value: &Value) -> Value {
+fn round_trip_json<T: Serialize + serde::de::DeserializeOwned>(value: &Value) -> Value {
     let record: T = serde_json::from_value(value.clone()).expect("a record that this version reads");
     serde_json::to_value(record).expect("a value")
 }
@@ -43,19 +43,19 @@
         let value: Value = serde_json::from_str(text).expect("json");
         let family = key.split('/').take(2).collect::<Vec<_>>().join("/");
         let written = match family.as_str() {
-            "t/a" => rewritten::<new::QuotaRecord>(&value),
-            "t/f" => rewritten::<new::FleetRecord>(&value),
-            "t/k" => rewritten::<tillercleat::protocol::cloud::Catalog>(&value),
-            "t/l" | "t/o" => rewritten::<new::LeaseHolderRecord>(&value),
-            "t/j" => rewritten::<new::JobRecord>(&value),
-            "t/s" => rewritten::<new::SliceRecord>(&value),
+            "t/a" => round_trip_json::<new::QuotaRecord>(&value),
+            "t/f" => round_trip_json::<new::FleetRecord>(&value),
+            "t/k" => round_trip_json::<tillercleat::protocol::cloud::Catalog>(&value),
+            "t/l" | "t/o" => round_trip_json::<new::LeaseHolderRecord>(&value),
+            "t/j" => round_trip_json::<new::JobRecord>(&value),
+            "t/s" => round_trip_json::<new::SliceRecord>(&value),
             // This version adds its feature level, which the previous version ignores.
             "t/n" | "t/w" => {
-                let mut node = rewritten::<new::NodeRecord>(&value);
+                let mut node = round_trip_json::<new::NodeRecord>(&value);
                 assert_eq!(node.as_object_mut().expect("an object").remove("level"), Some(json!(0)));
                 node
             }
-            _ => rewritten::<new::ArchivedJob>(&value),
+            _ => round_trip_json::<new::ArchivedJob>(&value),
         };
         assert_eq!(written, value, "{key}");
         cache.apply(key, Some(value), Revision(at as u64 + 1));
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -14,7 +14,7 @@
 const REPLICAS: usize = 6;
 
 /// Number of running replicas at which the bad version turns unhealthy.
-const BREAKS_AT: usize = 4;
+const UNHEALTHY_REPLICAS: usize = 4;
 
 struct Node {
     settings: PathBuf,
@@ -51,7 +51,7 @@
          successes = 2\nfailures_allowed = 1\n\
          [[step]]\nreplicas = 1\nbake_s = 1.0\ndeadline_s = 100\n\
          [[step]]\nreplicas = 2\nbake_s = 1.5\ndeadline_s = 100\n\
-         [[step]]\nreplicas = {BREAKS_AT}\nbake_s = 5\ndeadline_s = 100\n\
+         [[step]]\nreplicas = {UNHEALTHY_REPLICAS}\nbake_s = 5\ndeadline_s = 100\n\
          [[step]]\nreplicas = {REPLICAS}\nbake_s = 1.0\ndeadline_s = 100\n"
     );
     let file = RollOut::from_toml(&text).expect("a roll-out");
@@ -73,7 +73,7 @@
 fn a_service_that_turns_unhealthy_at_the_third_step_is_rolled_back() {
     let clients = [free_port(), free_port()];
     let store = store_service();
-    let service = Service::new(free_port().port(), store, BREAKS_AT);
+    let service = Service::new(free_port().port(), store, UNHEALTHY_REPLICAS);
     let cloud = cloud(clients.to_vec(), service.clone());
     let mut nodes = write_settings(&clients, cloud, store);
     nodes.iter_mut().for_each(Node::start);
@@ -125,10 +125,10 @@
 fn check_log(log: &[ReplicaCounts]) {
     assert!(log.iter().any(|counts| counts.broken), "the service never broke: {log:?}");
     // No later step started: the bad version never exceeds the replicas of its third step.
-    assert!(log.iter().all(|counts| counts.v2 <= BREAKS_AT), "{log:?}");
+    assert!(log.iter().all(|counts| counts.v2 <= UNHEALTHY_REPLICAS), "{log:?}");
     // No replica is missing before the failure, and at no time are there fewer old replicas than
     // the third step leaves.
     let missing = |counts: &&ReplicaCounts| !counts.broken && counts.v1 + counts.v2 < REPLICAS;
     assert_eq!(log.iter().find(missing), None, "{log:?}");
-    assert!(log.iter().all(|counts| counts.v1 >= REPLICAS - BREAKS_AT), "{log:?}");
+    assert!(log.iter().all(|counts| counts.v1 >= REPLICAS - UNHEALTHY_REPLICAS), "{log:?}");
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -36,11 +36,11 @@
 }
 
 /// Submits a job every `pause` ms until `until` (ms). Users poll all jobs and cancel each
-/// `cancel_each`-th, and some others.
-fn submit_jobs(cluster: &mut SimulatedCluster, until: u64, pause: u64, cancel_each: usize) {
+/// `cancel_interval`-th, and some others.
+fn submit_jobs(cluster: &mut SimulatedCluster, until: u64, pause: u64, cancel_interval: usize) {
     for (number, at) in (3000..until).step_by(pause as usize).enumerate() {
         cluster.submit(at, job(number, 1 + (number as u32 * 7) % 23, &[]));
-        if number % cancel_each == 0 || number % 17 == 5 {
+        if number % cancel_interval == 0 || number % 17 == 5 {
             cluster.cancel(at + 25_000, &job_id(number));
         }
         cluster.poll(at + 4000, &job_id(number));
--- a/tests/wire/cloud.rs
+++ b/tests/wire/cloud.rs
@@ -1,12 +1,12 @@
 //! Golden tests of the requests to the cloud and its responses.
 
-use super::{assert_golden, both_ways, text};
+use super::{assert_golden, round_trip_json, text};
 use serde_json::from_str;
 use tillercleat::protocol::cloud::*;
 use tillercleat::units::MachineId;
 
 #[test]
-fn messages_of_the_cloud_keep_their_words() {
+fn cloud_messages_keep_their_wire_format() {
     let machine = MachineId::new("i-000001");
     let rent = RentRequest {
         request_id: "r-27".into(),
@@ -42,10 +42,10 @@
     let bare: MachinePage = from_str(page).expect("a page");
     let lines = [
         text(&rent),
-        both_ways(&MachineIds { machines: vec![machine.clone(), MachineId::new("i-000002")] }),
-        both_ways(&Catalog { types: vec![kind, least] }),
-        both_ways(&MachinePage { machines, truncated: true }),
-        both_ways(&bare),
+        round_trip_json(&MachineIds { machines: vec![machine.clone(), MachineId::new("i-000002")] }),
+        round_trip_json(&Catalog { types: vec![kind, least] }),
+        round_trip_json(&MachinePage { machines, truncated: true }),
+        round_trip_json(&bare),
         format!("{MAX_MACHINES_PER_RENT} {MAX_MACHINES_PER_RETURN} {MAX_MACHINES_PER_PAGE}"),
     ];
     assert_golden("cloud.txt", &lines);
--- a/tests/wire/main.rs
+++ b/tests/wire/main.rs
@@ -36,7 +36,7 @@
 }
 
 /// Serializes a message and checks that it reads back equal.
-fn both_ways<T: Serialize + DeserializeOwned>(message: &T) -> String {
+fn round_trip_json<T: Serialize + DeserializeOwned>(message: &T) -> String {
     let written = text(message);
     assert_eq!(text(&serde_json::from_str::<T>(&written).expect("a message")), written);
     written
--- a/tests/wire/peers.rs
+++ b/tests/wire/peers.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn messages_of_peers_keep_their_bytes() {
+fn peer_messages_keep_their_wire_format() {
     let team = TeamDemand { team: "red".into(), unmet_cpus: 3.5, unmet_gpus: 2.0 };
     let load = ShardStatus {
         shard: 1,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn calls_of_peers_keep_their_paths() {
+fn peer_calls_keep_their_paths() {
     let recorder = Recorder::default();
     let mut client = PeerClient::new(recorder.clone());
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
--- a/tests/wire/records.rs
+++ b/tests/wire/records.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn names_stay_in_their_parts() {
+fn names_keep_their_shards() {
     let shard =
         |name: &str| format!("{name} {} {} {}", ShardId::of(name, 3), ShardId::of(name, 5), ShardId::of(name, 12));
     assert_golden("parts.txt", &["", "i-000001", "i-000002", "wk-000412", "blue", "é"].map(shard));
--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn settings_of_the_platform_are_read_and_unknown_fields_ignored() {
+fn platform_settings_are_read_and_unknown_fields_ignored() {
     let settings = Settings::load(&path_of("settings.json")).expect("settings");
     let mut known = json_file("settings.json");
     without_unknown(&mut known);
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn settings_that_the_platform_leaves_out_have_defaults() {
+fn omitted_platform_settings_have_defaults() {
     let settings = Settings::load(&path_of("settings-least.json")).expect("settings");
     assert_eq!(platform_form(&settings), json_file("settings-least-read.json"));
 }
 
 #[test]
-fn every_key_of_operators_is_read_and_an_unknown_one_refused() {
+fn every_tuning_key_is_read_and_an_unknown_key_refused() {
     let read = Tuning::load(&path_of("tuning.toml")).expect("settings");
     let every = Tuning {
         cycle_interval_ms: 200,
--- a/tests/wire/state.rs
+++ b/tests/wire/state.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn calls_of_the_state_service_keep_their_bytes() {
+fn state_service_requests_keep_their_wire_format() {
     let line = |(name, call): (&str, StoreRequest)| {
         let (method, path, body) = call.to_http();
         format!("{name}: {method} {path} {}", String::from_utf8(body).expect("text"))
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn answers_of_the_state_service_are_read_as_before() {
+fn state_service_responses_are_parsed_as_before() {
     let row = json!({"key": "t/l", "data": {"lease": 7}, "stamp": 3});
     let full = json!({"key": "t/l", "data": {"lease": 7}, "stamp": 3, "logline": 9, "failed": ["t/a/0"], "mooring": 7,
         "rows": [row], "truncated": true, "news": [{"put": "t/l", "data": 1, "stamp": 4}], "later": 1});
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn events_of_watches_are_read_as_before() {
+fn watch_events_are_parsed_as_before() {
     let events = [
         r#"{"put":"t/l","data":{"lease":7},"stamp":4}"#,
         r#"{"put":"t/l","stamp":4}"#,
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -1,6 +1,6 @@
 //! Golden tests of users' submissions and the responses to them.
 
-use super::{assert_golden, both_ways, path_of, text};
+use super::{assert_golden, path_of, round_trip_json, text};
 use serde_json::{json, Value};
 use tillercleat::protocol::users::{JobKind, JobSpec, JobState, JobStatus, Priority};
 use tillercleat::units::JobId;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn messages_of_users_keep_their_words() {
+fn user_messages_keep_their_wire_format() {
     let parsed = JobSpec::parse(submission().to_string().as_bytes()).expect("a submission");
     let dependencies = vec![JobId::new("wk-000001"), JobId::new("wk-000002")];
     assert_eq!(parsed, JobSpec { dependencies, ..job_spec() });
@@ -47,7 +47,8 @@
     let states = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
     let id = &job_spec().id;
     let counted = JobStatus { id, state: JobState::Running, done: Some(3), running: Some(4) };
-    let mut lines = vec![both_ways(&parsed), both_ways(&kinds), both_ways(&priorities), text(&counted)];
+    let mut lines =
+        vec![round_trip_json(&parsed), round_trip_json(&kinds), round_trip_json(&priorities), text(&counted)];
     lines.extend(states.map(|state| text(&JobStatus { id, state, done: None, running: None })));
     assert_golden("users.txt", &lines);
 }
--- a/tests/wire/workers.rs
+++ b/tests/wire/workers.rs
@@ -1,6 +1,6 @@
 //! Golden tests of workers' heartbeats and the responses to them.
 
-use super::{assert_golden, both_ways, text};
+use super::{assert_golden, round_trip_json, text};
 use tillercleat::protocol::workers::*;
 use tillercleat::units::{AgentEpoch, Attempt, FencingToken, HeartbeatNumber, JobId, MachineId};
 
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn messages_of_workers_keep_their_words() {
+fn worker_messages_keep_their_wire_format() {
     let task = TaskName { job: JobId::new("wk-000412"), index: 3 };
     let heartbeat = heartbeat_with_every_state(&task);
     let least = r#"{"deck":"i-1","endpoint":"e","hull":"m8","berth":"a","watch":1,"tally":2}"#;
@@ -55,10 +55,10 @@
         Command::Forget { task, attempt },
     ];
     let lines = [
-        both_ways(&heartbeat),
-        both_ways(&least),
-        both_ways(&odd),
-        both_ways(&commands),
+        round_trip_json(&heartbeat),
+        round_trip_json(&least),
+        round_trip_json(&odd),
+        round_trip_json(&commands),
         text(&HeartbeatResponse { token: FencingToken(7), commands: &commands[..1] }),
         text(&HeartbeatResponse { token: FencingToken(0), commands: &[] }),
         text(&Redirect { report_to: Some("n1") }),
