--- a/tests/wire/main.rs
+++ b/tests/wire/main.rs
@@ -35,7 +35,7 @@
     serde_json::to_string(value).expect("json")
 }
 
-/// Serializes a message and checks that it reads back equal.
+/// Serializes a message, and checks that parsing and serializing it again gives the same text.
 fn round_trip_json<T: Serialize + DeserializeOwned>(message: &T) -> String {
     let written = text(message);
     assert_eq!(text(&serde_json::from_str::<T>(&written).expect("a message")), written);
--- a/tests/wire/peers.rs
+++ b/tests/wire/peers.rs
@@ -71,7 +71,7 @@
     assert_golden("peers.txt", &lines);
 }
 
-/// Records the paths of the calls that it receives.
+/// Records the method and path of each call and returns an empty response.
 #[derive(Clone, Default)]
 struct Recorder(Arc<Mutex<Vec<String>>>);
 
--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -46,7 +46,7 @@
     serde_json::from_str(&std::fs::read_to_string(path_of(name)).expect("a file")).expect("json")
 }
 
-/// Removes the unknown fields from every object.
+/// Removes the unknown field from every object; panics if an object lacks it.
 fn without_unknown(value: &mut Value) {
     match value {
         Value::Object(fields) => {
