--- a/tests/wire/settings.rs
+++ b/tests/wire/settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings and the operators' own.
+//! Golden tests of the platform's settings and the operators' tuning file.
 
 use super::path_of;
 use serde_json::{json, Value};
 use std::path::PathBuf;
 use tillercleat::settings::{Objective, PeerNode, Settings, Team, Tuning};
 
-/// Settings in the platform's words, written out field by field.
+/// Writes settings with the platform's names, field by field.
 fn platform_form(settings: &Settings) -> Value {
     let peer = |peer: &PeerNode| json!({"label": peer.node, "domain": peer.zone, "address": peer.addr});
     let team = |team: &Team| {
@@ -46,7 +46,7 @@
     serde_json::from_str(&std::fs::read_to_string(path_of(name)).expect("a file")).expect("json")
 }
 
-/// Takes the fields that no version knows yet out of every object.
+/// Removes the unknown field from every object; panics if an object lacks it.
 fn without_unknown(value: &mut Value) {
     match value {
         Value::Object(fields) => {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn settings_of_the_platform_are_read_and_unknown_fields_ignored() {
+fn platform_settings_are_read_and_unknown_fields_ignored() {
     let settings = Settings::load(&path_of("settings.json")).expect("settings");
     let mut known = json_file("settings.json");
     without_unknown(&mut known);
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn settings_that_the_platform_leaves_out_have_defaults() {
+fn omitted_platform_settings_have_defaults() {
     let settings = Settings::load(&path_of("settings-least.json")).expect("settings");
     assert_eq!(platform_form(&settings), json_file("settings-least-read.json"));
 }
 
 #[test]
-fn every_key_of_operators_is_read_and_an_unknown_one_refused() {
+fn every_tuning_key_is_read_and_an_unknown_key_refused() {
     let read = Tuning::load(&path_of("tuning.toml")).expect("settings");
     let every = Tuning {
         cycle_interval_ms: 200,
--- a/tests/wire/users.rs
+++ b/tests/wire/users.rs
@@ -1,6 +1,6 @@
-//! What users submit, and the answers that they get.
+//! Golden tests of users' submissions and the responses to them.
 
-use super::{assert_golden, both_ways, path_of, text};
+use super::{assert_golden, path_of, round_trip_json, text};
 use serde_json::{json, Value};
 use tillercleat::protocol::users::{JobKind, JobSpec, JobState, JobStatus, Priority};
 use tillercleat::units::JobId;
@@ -32,13 +32,13 @@
     }
 }
 
-/// A submission as a user writes it: that of `job_spec`, and the jobs that it waits for.
+/// JSON of a submission of `job_spec` with dependencies.
 fn submission() -> Value {
     serde_json::from_str(&std::fs::read_to_string(path_of("submission.json")).expect("a file")).expect("json")
 }
 
 #[test]
-fn messages_of_users_keep_their_words() {
+fn user_messages_keep_their_wire_format() {
     let parsed = JobSpec::parse(submission().to_string().as_bytes()).expect("a submission");
     let dependencies = vec![JobId::new("wk-000001"), JobId::new("wk-000002")];
     assert_eq!(parsed, JobSpec { dependencies, ..job_spec() });
@@ -47,12 +47,13 @@
     let states = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
     let id = &job_spec().id;
     let counted = JobStatus { id, state: JobState::Running, done: Some(3), running: Some(4) };
-    let mut lines = vec![both_ways(&parsed), both_ways(&kinds), both_ways(&priorities), text(&counted)];
+    let mut lines =
+        vec![round_trip_json(&parsed), round_trip_json(&kinds), round_trip_json(&priorities), text(&counted)];
     lines.extend(states.map(|state| text(&JobStatus { id, state, done: None, running: None })));
     assert_golden("users.txt", &lines);
 }
 
-/// The reasons that users get for submissions that are not valid.
+/// Invalid submissions are refused with the same error texts as before.
 #[test]
 fn malformed_submissions_get_the_same_reasons() {
     let whole = submission();
