--- a/src/coordination/fleet/cloud_answers.rs
+++ b/src/coordination/fleet/cloud_answers.rs
@@ -10,9 +10,9 @@
         let Some(SentRequest { pending, .. }) = self.store.take_request(id) else { return };
         match (pending, answer) {
             (PendingRequest::Catalog, CloudResponse::Catalog(catalog)) => self.apply_catalog(catalog),
-            (PendingRequest::List { seen }, answer) => self.list_answer(seen, answer),
-            (PendingRequest::Rent(rental), answer) => self.rental_answer(rental, answer),
-            (PendingRequest::Return(names), answer) => self.return_answer(names, &answer),
+            (PendingRequest::List { seen }, answer) => self.handle_list_response(seen, answer),
+            (PendingRequest::Rent(rental), answer) => self.handle_rental_response(rental, answer),
+            (PendingRequest::Return(names), answer) => self.handle_return_response(names, &answer),
             // A failed catalog request is repeated when the next refresh is due.
             _ => tracing::debug!("ignored a cloud answer that does not match its call"),
         }
@@ -20,7 +20,7 @@
 
     /// Handles the answer to a return request. A later pass retries a failed one, because its
     /// machines are still draining.
-    fn return_answer(&mut self, names: Vec<MachineId>, answer: &CloudResponse) {
+    fn handle_return_response(&mut self, names: Vec<MachineId>, answer: &CloudResponse) {
         self.fleet.returning = false;
         if !matches!(answer, CloudResponse::Returned) {
             return;
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -232,7 +232,7 @@
 
     /// Excludes a gap in which this process was suspended from the time that machines have been idle or
     /// unlisted.
-    pub(super) fn clock_jumped(&mut self, gap: Millis) {
+    pub(super) fn handle_clock_jump(&mut self, gap: Millis) {
         for machine in self.machines.values_mut() {
             for time in [&mut machine.last_listed, &mut machine.idle_since].into_iter().flatten() {
                 *time = *time + gap;
--- a/src/coordination/fleet/inventory/tests.rs
+++ b/src/coordination/fleet/inventory/tests.rs
@@ -27,6 +27,6 @@
     };
     let machines = names.iter().map(listed).collect();
     let page = CloudResponse::Page(crate::protocol::cloud::MachinePage { machines, truncated: false });
-    core.list_answer(vec![], page);
+    core.handle_list_response(vec![], page);
     assert_eq!(core.fleet.inventory.machines.len(), 0);
 }
--- a/src/coordination/fleet/machine_list.rs
+++ b/src/coordination/fleet/machine_list.rs
@@ -62,7 +62,7 @@
 
     /// Handles a page: requests the next one, or applies the list if it was the last. If a page fails,
     /// drops the list, which is later read again from the start.
-    pub(super) fn list_answer(&mut self, mut seen: Vec<ListedMachine>, answer: CloudResponse) {
+    pub(super) fn handle_list_response(&mut self, mut seen: Vec<ListedMachine>, answer: CloudResponse) {
         let CloudResponse::Page(page) = answer else {
             self.fleet.listing.abort();
             return;
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -78,8 +78,8 @@
 
     /// Excludes a gap in which this process was suspended from the time that machines have been idle or
     /// unlisted.
-    pub(crate) fn clock_jumped(&mut self, gap: Millis) {
-        self.inventory.clock_jumped(gap);
+    pub(crate) fn handle_clock_jump(&mut self, gap: Millis) {
+        self.inventory.handle_clock_jump(gap);
     }
 }
 
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -100,7 +100,12 @@
     }
 
     /// Handles the store's answer; requests the rental if its id is stored now.
-    pub(crate) fn rental_recorded(&mut self, rental: PendingRental, transaction: Transaction, answer: StoreResponse) {
+    pub(crate) fn handle_rental_record_response(
+        &mut self,
+        rental: PendingRental,
+        transaction: Transaction,
+        answer: StoreResponse,
+    ) {
         self.store.release_key(FLEET_KEY);
         match answer {
             StoreResponse::Committed(revision) => {
@@ -116,7 +121,7 @@
     }
 
     /// Handles the cloud's answer to a rental.
-    pub(super) fn rental_answer(&mut self, rental: PendingRental, answer: CloudResponse) {
+    pub(super) fn handle_rental_response(&mut self, rental: PendingRental, answer: CloudResponse) {
         self.fleet.renting = false;
         let pool = rental.pool();
         match answer {
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -72,7 +72,7 @@
 
     /// Excludes a suspension of this process for `gap` from the silence of its peers: what they sent meanwhile is
     /// still queued.
-    pub(crate) fn clock_jumped(&mut self, gap: Millis) {
-        self.peers.clock_jumped(gap);
+    pub(crate) fn handle_clock_jump(&mut self, gap: Millis) {
+        self.peers.handle_clock_jump(gap);
     }
 }
--- a/src/coordination/membership/node_lease.rs
+++ b/src/coordination/membership/node_lease.rs
@@ -90,7 +90,7 @@
     }
 
     /// Handles the response to a lease grant request.
-    pub(crate) fn grant_answer(&mut self, answer: StoreResponse) {
+    pub(crate) fn handle_grant_response(&mut self, answer: StoreResponse) {
         self.membership.node_lease.granting = false;
         match answer {
             StoreResponse::LeaseGranted(lease) => {
@@ -101,7 +101,7 @@
     }
 
     /// Handles the response to a renewal of `lease`, which may no longer be the current lease.
-    pub(crate) fn renew_answer(&mut self, lease: LeaseId, answer: StoreResponse) {
+    pub(crate) fn handle_renewal_response(&mut self, lease: LeaseId, answer: StoreResponse) {
         self.membership.node_lease.renewing = false;
         self.membership.node_lease.next_renewal_at = self.now + self.timing.renewal_interval;
         match answer {
--- a/src/coordination/membership/peers.rs
+++ b/src/coordination/membership/peers.rs
@@ -86,7 +86,7 @@
     }
 
     /// Shifts the arrival times by `gap`, for which this process was suspended: the peers were not silent meanwhile.
-    pub(super) fn clock_jumped(&mut self, gap: Millis) {
+    pub(super) fn handle_clock_jump(&mut self, gap: Millis) {
         for peer in self.by_name.values_mut() {
             peer.last_heard = peer.last_heard.map(|at| at + gap);
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -171,8 +171,8 @@
     fn handle_clock_jump(&mut self, gap: Millis) {
         tracing::info!(gap_s = gap.as_secs(), "clock jumped; this process was suspended");
         self.resumed_at = self.now;
-        self.membership.clock_jumped(gap);
-        self.fleet.clock_jumped(gap);
+        self.membership.handle_clock_jump(gap);
+        self.fleet.handle_clock_jump(gap);
     }
 
     /// Longest time that the caller may wait before the next [`Input::Tick`].
--- a/src/coordination/shards/machine_expiry.rs
+++ b/src/coordination/shards/machine_expiry.rs
@@ -90,7 +90,7 @@
     }
 
     /// Handles the store's response to the expiry check.
-    pub(crate) fn expiry_check_answer(&mut self, shard: ShardId, answer: StoreResponse) {
+    pub(crate) fn handle_expiry_check_response(&mut self, shard: ShardId, answer: StoreResponse) {
         let Some(owned_shard) = self.owned_shards.get_mut(&shard) else { return };
         let ExpiryCheck::Sent(machines) = std::mem::take(&mut owned_shard.expiry_check) else { return };
         match answer {
--- a/src/coordination/store_client/pending_requests.rs
+++ b/src/coordination/store_client/pending_requests.rs
@@ -135,9 +135,9 @@
         match pending {
             PendingRequest::Load(progress) => self.handle_load_response(progress, response),
             PendingRequest::Watch => self.handle_watch_response(sent_at, response),
-            PendingRequest::ExpiryCheck(shard) => self.expiry_check_answer(shard, response),
-            PendingRequest::GrantLease => self.grant_answer(response),
-            PendingRequest::RenewLease(lease) => self.renew_answer(lease, response),
+            PendingRequest::ExpiryCheck(shard) => self.handle_expiry_check_response(shard, response),
+            PendingRequest::GrantLease => self.handle_grant_response(response),
+            PendingRequest::RenewLease(lease) => self.handle_renewal_response(lease, response),
             PendingRequest::Transaction(transaction) => self.handle_transaction_response(transaction, response),
             PendingRequest::QuotaTransferRetry(transaction) => {
                 self.handle_quota_transfer_retry_response(transaction, response)
@@ -165,7 +165,9 @@
             PendingRequest::CancelWrite { request, job, transaction, tries } => {
                 self.handle_cancel_write(request, job, transaction, tries, response)
             }
-            PendingRequest::RentalRecord { rental, transaction } => self.rental_recorded(rental, transaction, response),
+            PendingRequest::RentalRecord { rental, transaction } => {
+                self.handle_rental_record_response(rental, transaction, response)
+            }
             PendingRequest::Rent(_)
             | PendingRequest::Return(_)
             | PendingRequest::List { .. }
