--- a/src/coordination/jobs/replicas.rs
+++ b/src/coordination/jobs/replicas.rs
@@ -15,9 +15,9 @@
 /// State of a replica, as known to the owner of its shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// Pending: not assigned to a machine.
+    /// Pending: certainly on no machine.
     Waiting,
-    /// Assigned to a machine that has not reported it as running yet.
+    /// Assigned to a machine that has not reported it as running yet; possibly on that machine.
     Placed,
     /// Reported as running by its machine, and not being stopped.
     Running,
