--- a/src/coordination/leader/slice_assignment.rs
+++ b/src/coordination/leader/slice_assignment.rs
@@ -24,8 +24,7 @@
 /// Conditions of a plan's transaction that are reserved for keys other than those of moved slices.
 const RESERVED_CONDITIONS: usize = 4;
 
-/// Minimum age of a job whose tasks must stay together before it is moved: its current owner has this long to place
-/// it.
+/// A job whose tasks must stay together is moved to another shard only if it is older than this.
 const MIN_MOVED_JOB_AGE_S: f64 = 2.0;
 
 /// A move is worth its write only if it increases the number of startable tasks by more than this factor.
