--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -148,7 +148,8 @@
                 self.dependencies.remove(dependency_id);
                 self.unknown.remove(dependency_id);
                 self.reprioritized.insert(dependency_id.clone());
-                // The dependency no longer inherits a priority that it passes on to its own dependencies.
+                // Without dependents, the dependency inherits no priority. If it still waits for dependencies itself,
+                // their inherited priorities must be recomputed too.
                 changed.extend(
                     self.dependents.get(dependency_id).into_iter().flat_map(|d| d.job.dependencies.iter().cloned()),
                 );
