--- a/crates/rollout/src/commands.rs
+++ b/crates/rollout/src/commands.rs
@@ -16,7 +16,7 @@
 pub enum OperatorRequest {
     /// All services, without their members.
     List,
-    /// One service by name, with the driver's claim if there is one.
+    /// One service by name, with the leader lease if there is one.
     Status(String),
     /// A command on the service of this name.
     Command(String, Command),
@@ -55,7 +55,7 @@
     new_record: Option<Service>,
     /// Summaries of the services listed so far.
     rows: Vec<Value>,
-    /// Record of the service whose status was asked for, while the driver's claim is read.
+    /// Record of the service whose status was asked for, while the leader lease is read.
     service: Option<Service>,
 }
 
