--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -259,7 +259,7 @@
 
 /// True if a job can run on machines of 8 cores and 32 GB without GPUs in two zones: a task fits into a machine, the
 /// tasks that run at the same time (all of a service, one of an array) need at most the 24 cores of team `red`, and
-/// more than one of them is not required to be both apart and in a single zone.
+/// more than one of them is not required to be both spread over zones and in a single zone.
 fn can_run(fields: &Value) -> bool {
     let number = |name: &str| fields[name].as_f64().expect("a number");
     let service = fields["rig"] == "standing";
