--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -37,7 +37,7 @@
         let mut under_way: BTreeMap<TypeInZone, Vec<f64>> = BTreeMap::new();
         let booting = self.fleet.machines().filter(|(_, machine)| machine.is_watched_boot() && !machine.failed);
         for (_, machine) in booting {
-            let ages = under_way.entry(TypeInZone::new(&machine.kind, &machine.zone)).or_default();
+            let ages = under_way.entry(TypeInZone::new(&machine.machine_type, &machine.zone)).or_default();
             ages.push(self.now.since(machine.created_at).as_secs());
         }
         self.fleet.provisioning_times.learn(&under_way);
@@ -64,7 +64,7 @@
                 .fleet
                 .machines()
                 .filter(|(name, machine)| machine.up == up && machine.spot == spot && !self.is_draining(name));
-            machines.filter_map(|(_, machine)| self.catalog.get(&machine.kind)).map(|kind| kind.cpus).sum()
+            machines.filter_map(|(_, machine)| self.catalog.get(&machine.machine_type)).map(|kind| kind.cpus).sum()
         };
         let jobs = self.cache.active.iter().filter_map(|id| self.cache.jobs.get(id));
         let used_cpus: f64 = jobs
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -28,7 +28,7 @@
 impl MachineCatalog {
     /// Replaces all types.
     pub(crate) fn set_types(&mut self, types: &[MachineType]) {
-        self.types = types.iter().map(|kind| (kind.name.clone(), kind.clone())).collect();
+        self.types = types.iter().map(|machine_type| (machine_type.name.clone(), machine_type.clone())).collect();
     }
 
     /// True until the types are known, from the cloud or from the store.
@@ -53,11 +53,11 @@
 }
 
 /// Price of a machine of the type per hour. A type without a spot price costs the on-demand price.
-pub(super) fn price_per_hour(kind: &MachineType, spot: bool) -> f64 {
+pub(super) fn price_per_hour(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
-        kind.spot_price.unwrap_or(kind.price)
+        machine_type.spot_price.unwrap_or(machine_type.price)
     } else {
-        kind.price
+        machine_type.price
     }
 }
 
--- a/src/coordination/fleet/estimates.rs
+++ b/src/coordination/fleet/estimates.rs
@@ -41,18 +41,18 @@
 /// Machines of the same type, price model and zone, which share a history of lifetimes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineFamily {
-    kind: String,
+    machine_type: String,
     spot: bool,
     zone: String,
 }
 
 impl MachineFamily {
     fn of(machine: &Machine) -> MachineFamily {
-        MachineFamily { kind: machine.machine_type.clone(), spot: machine.spot, zone: machine.zone.clone() }
+        MachineFamily { machine_type: machine.machine_type.clone(), spot: machine.spot, zone: machine.zone.clone() }
     }
 
     fn includes(&self, machine: &Machine) -> bool {
-        self.spot == machine.spot && self.kind == machine.machine_type && self.zone == machine.zone
+        self.spot == machine.spot && self.machine_type == machine.machine_type && self.zone == machine.zone
     }
 }
 
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct RentedMachine {
     /// Name of the machine type.
-    pub(crate) kind: String,
+    pub(crate) machine_type: String,
     /// Name of the zone.
     pub(crate) zone: String,
     /// True for spot machines, which the cloud may terminate at any time.
@@ -45,7 +45,7 @@
     /// Creates a machine that is not known to be up.
     fn new(pool: &MachinePool, created_at: MonotonicTime) -> RentedMachine {
         RentedMachine {
-            kind: pool.kind.clone(),
+            machine_type: pool.machine_type.clone(),
             zone: pool.zone.clone(),
             spot: pool.spot,
             created_at,
@@ -183,7 +183,7 @@
         if self.was_recently_returned(&listed.machine) || self.is_returned(&listed.machine) {
             return;
         }
-        let pool = MachinePool { kind: listed.machine_type, zone: listed.zone, spot: listed.spot };
+        let pool = MachinePool { machine_type: listed.machine_type, zone: listed.zone, spot: listed.spot };
         let created_at = now - Millis::from_secs(listed.age_s);
         let machine = self.machines.entry(listed.machine).or_insert_with(|| RentedMachine::new(&pool, created_at));
         machine.up |= listed.state == ListedMachineState::Running;
--- a/src/coordination/fleet/machine_pool.rs
+++ b/src/coordination/fleet/machine_pool.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachinePool {
     /// Name of the machine type.
-    pub(super) kind: String,
+    pub(super) machine_type: String,
     /// Name of the zone.
     pub(super) zone: String,
     /// True for spot machines.
--- a/src/coordination/fleet/machine_status.rs
+++ b/src/coordination/fleet/machine_status.rs
@@ -54,7 +54,7 @@
         self.add_own_machines();
         for machine in self.fleet.inventory.finished_boots(&reported) {
             let boot_s = self.now.since(machine.created_at).as_secs();
-            self.fleet.provisioning_times.record_ready(&machine.kind, &machine.zone, boot_s);
+            self.fleet.provisioning_times.record_ready(&machine.machine_type, &machine.zone, boot_s);
         }
         self.fleet.inventory.apply_reports(&reported);
     }
@@ -74,8 +74,11 @@
     fn add_own_machines(&mut self) {
         for (name, machine) in self.owned_shards.values().flat_map(|shard| &shard.machines) {
             self.fleet.inventory.add_reported(name, || {
-                let pool =
-                    MachinePool { kind: machine.machine_type.clone(), zone: machine.zone.clone(), spot: machine.spot };
+                let pool = MachinePool {
+                    machine_type: machine.machine_type.clone(),
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                };
                 RentedMachine::running(&pool, machine.started_at)
             });
         }
--- a/src/coordination/fleet/provisioning_times.rs
+++ b/src/coordination/fleet/provisioning_times.rs
@@ -33,14 +33,14 @@
 /// A machine type in one zone: machines that share a history of boots.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TypeInZone {
-    kind: String,
+    machine_type: String,
     zone: String,
 }
 
 impl TypeInZone {
-    /// Creates the key for the machine type `kind` in `zone`.
-    pub(super) fn new(kind: &str, zone: &str) -> TypeInZone {
-        TypeInZone { kind: kind.into(), zone: zone.into() }
+    /// Creates the key for a machine type in a zone.
+    pub(super) fn new(machine_type: &str, zone: &str) -> TypeInZone {
+        TypeInZone { machine_type: machine_type.into(), zone: zone.into() }
     }
 }
 
@@ -53,13 +53,13 @@
 
 impl ProvisioningTimes {
     /// Records that a machine came up after `after_s` seconds.
-    pub(super) fn record_ready(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.record(kind, zone, Lifetime { age_s: after_s, lost: true });
+    pub(super) fn record_ready(&mut self, machine_type: &str, zone: &str, after_s: f64) {
+        self.record(machine_type, zone, Lifetime { age_s: after_s, lost: true });
     }
 
     /// Records that a machine was given up after `after_s` seconds.
-    pub(super) fn record_given_up(&mut self, kind: &str, zone: &str, after_s: f64) {
-        self.record(kind, zone, Lifetime { age_s: after_s, lost: false });
+    pub(super) fn record_given_up(&mut self, machine_type: &str, zone: &str, after_s: f64) {
+        self.record(machine_type, zone, Lifetime { age_s: after_s, lost: false });
     }
 
     /// Recomputes the typical times from the recorded boots and, as censored observations, from the
@@ -79,13 +79,13 @@
     }
 
     /// Typical time in seconds: the median of the observations, or else the catalog's time.
-    pub(super) fn typical_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
-        self.typical_s.get(&TypeInZone::new(kind, zone)).copied().unwrap_or(catalog_s).max(MIN_TYPICAL_S)
+    pub(super) fn typical_s(&self, machine_type: &str, zone: &str, catalog_s: f64) -> f64 {
+        self.typical_s.get(&TypeInZone::new(machine_type, zone)).copied().unwrap_or(catalog_s).max(MIN_TYPICAL_S)
     }
 
     /// Share of its cores that a machine which has been booting for `age_s` is expected to provide.
-    pub(super) fn expected_share(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
-        if age_s > LATE_BOOT_FACTOR * self.expected_s(kind, zone, catalog_s) + GRACE_S {
+    pub(super) fn expected_share(&self, machine_type: &str, zone: &str, catalog_s: f64, age_s: f64) -> f64 {
+        if age_s > LATE_BOOT_FACTOR * self.expected_s(machine_type, zone, catalog_s) + GRACE_S {
             LATE_BOOT_SHARE
         } else {
             1.0
@@ -94,19 +94,26 @@
 
     /// True if a boot should be given up at `age_s`. `overtaken` is true if a machine of the same type
     /// and zone that was rented later is up already.
-    pub(super) fn should_give_up(&self, kind: &str, zone: &str, catalog_s: f64, age_s: f64, overtaken: bool) -> bool {
+    pub(super) fn should_give_up(
+        &self,
+        machine_type: &str,
+        zone: &str,
+        catalog_s: f64,
+        age_s: f64,
+        overtaken: bool,
+    ) -> bool {
         let factor = if overtaken { OVERTAKEN_GIVE_UP_FACTOR } else { GIVE_UP_FACTOR };
-        age_s > factor * self.expected_s(kind, zone, catalog_s) + GRACE_S
+        age_s > factor * self.expected_s(machine_type, zone, catalog_s) + GRACE_S
     }
 
     /// The typical time, but at least the catalog's: a boot that takes the catalog's time is not late,
     /// even if recent boots were quicker.
-    fn expected_s(&self, kind: &str, zone: &str, catalog_s: f64) -> f64 {
-        self.typical_s(kind, zone, catalog_s).max(catalog_s)
+    fn expected_s(&self, machine_type: &str, zone: &str, catalog_s: f64) -> f64 {
+        self.typical_s(machine_type, zone, catalog_s).max(catalog_s)
     }
 
-    fn record(&mut self, kind: &str, zone: &str, boot: Lifetime) {
-        let boots = self.finished.entry(TypeInZone::new(kind, zone)).or_default();
+    fn record(&mut self, machine_type: &str, zone: &str, boot: Lifetime) {
+        let boots = self.finished.entry(TypeInZone::new(machine_type, zone)).or_default();
         boots.push_back(boot);
         if boots.len() > MAX_REMEMBERED_BOOTS {
             boots.pop_front();
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -47,7 +47,7 @@
 struct DrainCandidate<'a> {
     name: &'a MachineId,
     machine: &'a RentedMachine,
-    kind: &'a MachineType,
+    machine_type: &'a MachineType,
     used_cpus: f64,
 }
 
@@ -88,11 +88,13 @@
         let mut surplus = self.surplus(demand);
         let mut names = vec![];
         for (name, machine) in self.machines_by_descending_price(&used) {
-            let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !self.is_draining(name)) else { continue };
-            let candidate = DrainCandidate { name, machine, kind, used_cpus: used_cpus(&used, name) };
+            let Some(machine_type) = self.catalog.get(&machine.machine_type).filter(|_| !self.is_draining(name)) else {
+                continue;
+            };
+            let candidate = DrainCandidate { name, machine, machine_type, used_cpus: used_cpus(&used, name) };
             let unneeded = self.is_unneeded(&candidate, &surplus);
             if unneeded {
-                surplus.spare_cpus -= kind.cpus;
+                surplus.spare_cpus -= machine_type.cpus;
             }
             if unneeded || machine.failed || self.is_stuck(machine) {
                 names.push(name.clone());
@@ -115,7 +117,9 @@
         used: &HashMap<&MachineId, Resources, FixedState>,
     ) -> Vec<(&MachineId, &RentedMachine)> {
         let price_per_core = |machine: &RentedMachine| {
-            self.catalog.get(&machine.kind).map_or(0.0, |kind| price_per_hour(kind, machine.spot) / kind.cpus)
+            self.catalog
+                .get(&machine.machine_type)
+                .map_or(0.0, |machine_type| price_per_hour(machine_type, machine.spot) / machine_type.cpus)
         };
         let mut order: Vec<(&MachineId, &RentedMachine)> = self.fleet.machines().collect();
         order.sort_by(|a, b| {
@@ -129,7 +133,7 @@
     /// cores. Other machines are not kept for such a group: they may use up the capacity of the cloud
     /// from which machines for it could be rented.
     fn is_unneeded(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
-        let covered = surplus.spare_cpus >= candidate.kind.cpus && self.is_idle(candidate.machine);
+        let covered = surplus.spare_cpus >= candidate.machine_type.cpus && self.is_idle(candidate.machine);
         let serves_unmet_group =
             || surplus.unmet_groups.iter().any(|group| self.serves(group, candidate.name, candidate.machine));
         (covered || self.is_dispensable(candidate, surplus)) && !serves_unmet_group()
@@ -145,35 +149,35 @@
     /// True for an on-demand machine that is little used while other machines have room for its tasks.
     /// Draining lets it run empty; otherwise new tasks would keep refilling it.
     fn is_dispensable(&self, candidate: &DrainCandidate, surplus: &Surplus) -> bool {
-        let DrainCandidate { machine, kind, used_cpus, .. } = candidate;
-        let settled =
-            machine.up && self.now.since(machine.created_at) > Millis::from_secs(kind.provisioning_s + SETTLING_TIME_S);
-        let margin_cpus = kind.cpus * ON_DEMAND_MARGIN_SHARE;
+        let DrainCandidate { machine, machine_type, used_cpus, .. } = candidate;
+        let settled = machine.up
+            && self.now.since(machine.created_at) > Millis::from_secs(machine_type.provisioning_s + SETTLING_TIME_S);
+        let margin_cpus = machine_type.cpus * ON_DEMAND_MARGIN_SHARE;
         settled
             && !machine.spot
-            && used_cpus / kind.cpus < LOW_USE_SHARE
-            && surplus.spare_cpus >= kind.cpus + margin_cpus
+            && used_cpus / machine_type.cpus < LOW_USE_SHARE
+            && surplus.spare_cpus >= machine_type.cpus + margin_cpus
     }
 
     /// True if the machine's boot should be given up.
     fn is_stuck(&self, machine: &RentedMachine) -> bool {
-        let Some(kind) = self.catalog.get(&machine.kind).filter(|_| !machine.up) else { return false };
+        let Some(machine_type) = self.catalog.get(&machine.machine_type).filter(|_| !machine.up) else { return false };
         let overtaken = self.fleet.machines().any(|(_, other)| {
             other.up
                 && other.created_at > machine.created_at
-                && other.kind == machine.kind
+                && other.machine_type == machine.machine_type
                 && other.zone == machine.zone
         });
         let age_s = self.now.since(machine.created_at).as_secs();
         let times = &self.fleet.provisioning_times;
-        times.should_give_up(&machine.kind, &machine.zone, kind.provisioning_s, age_s, overtaken)
+        times.should_give_up(&machine.machine_type, &machine.zone, machine_type.provisioning_s, age_s, overtaken)
     }
 
     /// Marks the machine as draining, and records its boot as given up if it is still booting.
     fn start_drain(&mut self, name: &MachineId) {
         if let Some(machine) = self.fleet.inventory.machine(name).filter(|machine| machine.is_watched_boot()) {
             let age_s = self.now.since(machine.created_at).as_secs();
-            self.fleet.provisioning_times.record_given_up(&machine.kind, &machine.zone, age_s);
+            self.fleet.provisioning_times.record_given_up(&machine.machine_type, &machine.zone, age_s);
         }
         self.fleet.inventory.start_drain(name, self.now);
     }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -46,7 +46,7 @@
 impl PendingRental {
     fn pool(&self) -> MachinePool {
         MachinePool {
-            kind: self.request.machine_type.clone(),
+            machine_type: self.request.machine_type.clone(),
             zone: self.request.zone.clone(),
             spot: self.request.spot,
         }
@@ -130,7 +130,7 @@
                 tracing::info!(
                     rented,
                     requested,
-                    kind = %pool.kind,
+                    kind = %pool.machine_type,
                     zone = %pool.zone,
                     spot = pool.spot,
                     "rented machines"
@@ -157,7 +157,7 @@
     fn zone_cpus(&self) -> ZoneCpus<'_> {
         let mut by_zone: BTreeMap<&str, f64> = BTreeMap::new();
         for (_, machine) in self.fleet.machines() {
-            let cpus = self.catalog.get(&machine.kind).map_or(0.0, |kind| kind.cpus);
+            let cpus = self.catalog.get(&machine.machine_type).map_or(0.0, |machine_type| machine_type.cpus);
             *by_zone.entry(machine.zone.as_str()).or_default() += cpus;
         }
         let total = by_zone.values().sum();
@@ -168,14 +168,14 @@
     fn cheapest_offer(&self, shortage: &GroupShortage, zones: &ZoneCpus) -> Option<Offer> {
         let waits_for_spot = self.may_wait_for_spot(shortage);
         let mut cheapest: Option<Offer> = None;
-        for kind in self.catalog.types() {
-            for (zone, spot) in kind.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]) {
-                let pool = MachinePool { kind: kind.name.clone(), zone: zone.clone(), spot };
+        for machine_type in self.catalog.types() {
+            for (zone, spot) in machine_type.zones.iter().flat_map(|zone| [(zone, true), (zone, false)]) {
+                let pool = MachinePool { machine_type: machine_type.name.clone(), zone: zone.clone(), spot };
                 let missing_cpus = if waits_for_spot && !spot { shortage.urgent_cpus } else { shortage.any_cpus };
-                if missing_cpus <= 0.0 || !self.may_rent(shortage.group, kind, &pool) {
+                if missing_cpus <= 0.0 || !self.may_rent(shortage.group, machine_type, &pool) {
                     continue;
                 }
-                let offer = self.offer(shortage.group, missing_cpus, kind, pool, zones);
+                let offer = self.offer(shortage.group, missing_cpus, machine_type, pool, zones);
                 if cheapest.as_ref().is_none_or(|cheapest| offer.cost < cheapest.cost) {
                     cheapest = Some(offer);
                 }
@@ -187,15 +187,15 @@
     /// True if work that is not urgent is left to spot machines. False if the group has no machine at
     /// all and a pool of spot machines is backing off: waiting could leave it without machines.
     fn may_wait_for_spot(&self, shortage: &GroupShortage) -> bool {
-        let spot_sold = self.catalog.types().any(|kind| kind.spot_price.is_some());
+        let spot_sold = self.catalog.types().any(|machine_type| machine_type.spot_price.is_some());
         let spot_unavailable =
             shortage.any_cpus >= shortage.group.cpus && self.fleet.pool_backoffs.any_spot_backing_off(self.now);
         shortage.group.spot_allowed && spot_sold && !spot_unavailable
     }
 
     /// True if the cloud offers the pool, and the pool suits the group and is not backing off.
-    fn may_rent(&self, group: &Demand, kind: &MachineType, pool: &MachinePool) -> bool {
-        let sold = !pool.spot || kind.spot_price.is_some();
+    fn may_rent(&self, group: &Demand, machine_type: &MachineType, pool: &MachinePool) -> bool {
+        let sold = !pool.spot || machine_type.spot_price.is_some();
         sold && self.suits(group, pool) && !self.fleet.pool_backoffs.is_backing_off(pool, self.now)
     }
 
@@ -205,17 +205,19 @@
         &self,
         group: &Demand,
         missing_cpus: f64,
-        kind: &MachineType,
+        machine_type: &MachineType,
         pool: MachinePool,
         zones: &ZoneCpus,
     ) -> Offer {
-        let useful_cpus = useful_cpus(kind, group);
+        let useful_cpus = useful_cpus(machine_type, group);
         let count = (missing_cpus / useful_cpus).ceil().clamp(1.0, f64::from(MAX_MACHINES_PER_RENT));
-        let fetch_s = if kind.fetch_gb_per_s > 0.0 { group.weighted_image_gb / kind.fetch_gb_per_s } else { 0.0 };
-        let typical_boot_s = self.fleet.provisioning_times.typical_s(&pool.kind, &pool.zone, kind.provisioning_s);
-        let late_boot = (typical_boot_s - kind.provisioning_s).max(0.0) / TYPICAL_RENTAL_S;
+        let fetch_s =
+            if machine_type.fetch_gb_per_s > 0.0 { group.weighted_image_gb / machine_type.fetch_gb_per_s } else { 0.0 };
+        let typical_boot_s =
+            self.fleet.provisioning_times.typical_s(&pool.machine_type, &pool.zone, machine_type.provisioning_s);
+        let late_boot = (typical_boot_s - machine_type.provisioning_s).max(0.0) / TYPICAL_RENTAL_S;
         let slowdown = 1.0 + UNSHARED_FETCH_SHARE * fetch_s / group.weighted_run_s.max(MIN_RUN_S) + late_boot;
-        let price = price_per_hour(kind, pool.spot);
+        let price = price_per_hour(machine_type, pool.spot);
         let cost = count * price * slowdown / (count * useful_cpus).min(missing_cpus);
         // At about equal cost, prefer the zone with less of the fleet, so that the loss of a zone does
         // not take most machines.
@@ -232,14 +234,9 @@
         let mut record = self.fitted_fleet_record();
         record.rentals += 1;
         let Some(transaction) = self.fleet_transaction(&record) else { return };
-        let MachinePool { kind, zone, spot } = offer.pool;
-        let request = RentRequest {
-            request_id: format!("r-{}", record.rentals),
-            machine_type: kind,
-            zone,
-            spot,
-            count: offer.count,
-        };
+        let MachinePool { machine_type, zone, spot } = offer.pool;
+        let request =
+            RentRequest { request_id: format!("r-{}", record.rentals), machine_type, zone, spot, count: offer.count };
         self.store.charge_transaction(self.now, 1);
         self.store.reserve_key(FLEET_KEY);
         self.fleet.renting = true;
@@ -256,8 +253,9 @@
 }
 
 /// Number of a machine's cores that tasks of the group can use, given its memory.
-fn useful_cpus(kind: &MachineType, group: &Demand) -> f64 {
+fn useful_cpus(machine_type: &MachineType, group: &Demand) -> f64 {
     let task = &group.largest_task;
-    let tasks = (kind.cpus / task.cpus.max(MIN_TASK_SIZE)).min(kind.mem_gb / task.mem_gb.max(MIN_TASK_SIZE));
-    (tasks.floor() * task.cpus).clamp(kind.cpus * MIN_USEFUL_SHARE, kind.cpus)
+    let tasks =
+        (machine_type.cpus / task.cpus.max(MIN_TASK_SIZE)).min(machine_type.mem_gb / task.mem_gb.max(MIN_TASK_SIZE));
+    (tasks.floor() * task.cpus).clamp(machine_type.cpus * MIN_USEFUL_SHARE, machine_type.cpus)
 }
--- a/src/coordination/fleet/shortfall.rs
+++ b/src/coordination/fleet/shortfall.rs
@@ -46,13 +46,13 @@
 
     /// True if the group allows machines of the pool, and its largest task fits into one.
     pub(super) fn suits(&self, group: &Demand, pool: &MachinePool) -> bool {
-        self.allows(group, &pool.kind, &pool.zone, pool.spot)
+        self.allows(group, &pool.machine_type, &pool.zone, pool.spot)
     }
 
     /// True if the machine may run tasks of the group, regardless of the tasks it runs now.
     pub(super) fn serves(&self, group: &Demand, name: &MachineId, machine: &RentedMachine) -> bool {
         group.shard.is_none_or(|shard| self.shard_of(name) == shard)
-            && self.allows(group, &machine.kind, &machine.zone, machine.spot)
+            && self.allows(group, &machine.machine_type, &machine.zone, machine.spot)
     }
 
     fn allows(&self, group: &Demand, kind: &str, zone: &str, spot: bool) -> bool {
@@ -76,13 +76,13 @@
     /// Number of cores that a machine is expected to provide; reduced for a late boot, which may never
     /// finish. Absent if its type is unknown.
     fn expected_cpus(&self, machine: &RentedMachine) -> Option<f64> {
-        let kind = self.catalog.get(&machine.kind)?;
+        let kind = self.catalog.get(&machine.machine_type)?;
         if machine.up {
             return Some(kind.cpus);
         }
         let age_s = self.now.since(machine.created_at).as_secs();
         let times = &self.fleet.provisioning_times;
-        Some(kind.cpus * times.expected_share(&machine.kind, &machine.zone, kind.provisioning_s, age_s))
+        Some(kind.cpus * times.expected_share(&machine.machine_type, &machine.zone, kind.provisioning_s, age_s))
     }
 
     /// Allocates cores to the group, and returns how many are still missing.
@@ -116,7 +116,7 @@
         if group.shard.is_none() {
             return true;
         }
-        let Some(kind) = self.catalog.get(&machine.kind) else { return false };
+        let Some(kind) = self.catalog.get(&machine.machine_type) else { return false };
         let mut with_task = taken.get(name).copied().unwrap_or_default();
         with_task += group.largest_task;
         with_task.fits_into(&Resources::of_machine(kind))
--- a/src/coordination/leader/shard_capacity.rs
+++ b/src/coordination/leader/shard_capacity.rs
@@ -157,14 +157,14 @@
         let used = self.resources_in_use();
         let mut shards: Vec<Vec<MachineCapacity>> = (0..self.shard_count).map(|_| vec![]).collect();
         for (name, machine) in self.fleet.machines() {
-            let Some(machine_type) = self.catalog.get(&machine.kind) else { continue };
+            let Some(machine_type) = self.catalog.get(&machine.machine_type) else { continue };
             if !machine.up || machine.terminating || machine.downlink_lost || self.is_draining(name) {
                 continue;
             }
             let mut free = Resources::of_machine(machine_type);
             free -= used.get(name).copied().unwrap_or_default();
             shards[self.shard_of(name).0 as usize].push(MachineCapacity {
-                machine_type: &machine.kind,
+                machine_type: &machine.machine_type,
                 zone: &machine.zone,
                 spot: machine.spot,
                 free,
